--- a/src/fescuedock/core/stored_jobs/pool.py
+++ b/src/fescuedock/core/stored_jobs/pool.py
@@ -11,7 +11,7 @@
 from fescuedock.core.permits.queued import is_overdue
 from fescuedock.core.quarantine import Standing
 from fescuedock.core.stored_jobs.job import ItemEnd, ItemRun, StoredJob
-from fescuedock.core.stored_jobs.pace import Pace, RunEstimate
+from fescuedock.core.stored_jobs.run_estimates import Pace, RunEstimate
 from fescuedock.core.stored_jobs.urgency import ItemChoice, rank_items
 from fescuedock.schema.permits import BatchStage
 from fescuedock.schema.stored_jobs import StoredJobRecord
@@ -164,7 +164,7 @@
         if len(whose) < 2:
             return ranked
         # Imported when customers compete, which a start need not wait for.
-        from fescuedock.core.stored_jobs.customer_turns import running_items, take_turns
+        from fescuedock.core.stored_jobs.customer_order import running_items, take_turns
 
         return take_turns(ranked, running_items(self._jobs()), self._priority, upstream_id)
 
--- a/src/fescuedock/core/stored_jobs/urgency.py
+++ b/src/fescuedock/core/stored_jobs/urgency.py
@@ -14,7 +14,7 @@
 
 from fescuedock.core.permits.queued import batch_rank, is_overdue
 from fescuedock.core.stored_jobs.job import ItemRun, StoredJob
-from fescuedock.core.stored_jobs.pace import Pace, RunEstimate
+from fescuedock.core.stored_jobs.run_estimates import Pace, RunEstimate
 from fescuedock.schema.permits import BatchStage
 
 __all__ = ["ItemChoice", "rank_items", "stage_of"]
--- a/src/fescuedock/node/item_asking.py
+++ b/src/fescuedock/node/item_asking.py
@@ -13,7 +13,7 @@
 from fescuedock.agent.permit_client import Grant, PermitClient
 from fescuedock.clock import now_ms
 from fescuedock.core.routing import RoutingPolicy, free_slots
-from fescuedock.core.stored_jobs.asking import AskCandidate, AskPolicy, choose_asks
+from fescuedock.core.stored_jobs.permit_requests import AskCandidate, AskPolicy, choose_asks
 from fescuedock.core.stored_jobs.urgency import ItemChoice
 from fescuedock.log import log_event
 from fescuedock.schema.permits import PermitAsk, WorkClass
--- a/src/fescuedock/node/job_acceptance.py
+++ b/src/fescuedock/node/job_acceptance.py
@@ -15,7 +15,7 @@
 from fescuedock.address import Address
 from fescuedock.clock import now_ms
 from fescuedock.core.stored_jobs.ownership import OwnerIdentity
-from fescuedock.core.stored_jobs.wanted_ends import UnsettledAcceptances
+from fescuedock.core.stored_jobs.pending_ends import UnsettledAcceptances
 from fescuedock.faults import Fault
 from fescuedock.log import log_event
 from fescuedock.net.channel import CallHandler, ServerPeer
--- a/src/fescuedock/node/job_ends.py
+++ b/src/fescuedock/node/job_ends.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from fescuedock.clock import now_ms
-from fescuedock.core.stored_jobs.wanted_ends import UnsettledAcceptances, WantedEnds
+from fescuedock.core.stored_jobs.pending_ends import UnsettledAcceptances, WantedEnds
 from fescuedock.faults import Fault
 from fescuedock.log import log_event
 from fescuedock.node.configuration import NodeConfiguration
--- a/src/fescuedock/node/job_runner.py
+++ b/src/fescuedock/node/job_runner.py
@@ -25,7 +25,7 @@
 )
 from fescuedock.core.stored_jobs.pool import ItemPool, Site
 from fescuedock.core.stored_jobs.urgency import ItemChoice
-from fescuedock.core.stored_jobs.wanted_ends import WantedEnds
+from fescuedock.core.stored_jobs.pending_ends import WantedEnds
 from fescuedock.core.stored_jobs.work_gate import KnownRecords, WorkRefusal, refusal_of
 from fescuedock.core.work_identity import part_identities
 from fescuedock.log import log_event
--- a/src/fescuedock/node/main.py
+++ b/src/fescuedock/node/main.py
@@ -30,7 +30,7 @@
 from fescuedock.core.stored_jobs.cache import JobCache
 from fescuedock.core.stored_jobs.keys import JobKeys
 from fescuedock.core.stored_jobs.ownership import OwnerIdentity
-from fescuedock.core.stored_jobs.wanted_ends import WantedEnds
+from fescuedock.core.stored_jobs.pending_ends import WantedEnds
 from fescuedock.core.watch_duty import WatchDuty
 from fescuedock.daemon import Stop, run_program
 from fescuedock.faults import Fault
--- a/tests/builders/runner_world.py
+++ b/tests/builders/runner_world.py
@@ -22,7 +22,7 @@
 from fescuedock.core.stored_jobs.job import ItemEnd, ItemRun
 from fescuedock.core.stored_jobs.keys import JobKeys
 from fescuedock.core.stored_jobs.ownership import OwnerIdentity
-from fescuedock.core.stored_jobs.wanted_ends import WantedEnds
+from fescuedock.core.stored_jobs.pending_ends import WantedEnds
 from fescuedock.faults import Fault
 from fescuedock.kv import KvChanges, KvEntry, KvEvent, KvPage, KvTransaction
 from fescuedock.net.http_client import SendCheck
--- a/tests/test_wanted_ends.py
+++ b/tests/test_pending_ends.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from fescuedock.core.stored_jobs.wanted_ends import UnsettledAcceptances, WantedEnds
+from fescuedock.core.stored_jobs.pending_ends import UnsettledAcceptances, WantedEnds
 
 
 class WantedEndsTest(unittest.TestCase):
--- a/tests/test_stored_jobs_core.py
+++ b/tests/test_stored_jobs_core.py
@@ -6,12 +6,12 @@
 import msgspec
 
 from fescuedock.core.forwarding.event_stream import EventSplitter
-from fescuedock.core.stored_jobs.asking import AskCandidate, AskPolicy, choose_asks
+from fescuedock.core.stored_jobs.permit_requests import AskCandidate, AskPolicy, choose_asks
 from fescuedock.core.stored_jobs.cache import JobCache
 from fescuedock.core.stored_jobs.commit import CommitState, judge_commit
 from fescuedock.core.stored_jobs.job import ItemEnd, ItemRun, StoredJob
 from fescuedock.core.stored_jobs.ownership import Duty, MissingOwners, OwnerIdentity, duty_of
-from fescuedock.core.stored_jobs.pace import Pace, RunEstimate
+from fescuedock.core.stored_jobs.run_estimates import Pace, RunEstimate
 from fescuedock.core.stored_jobs.urgency import rank_items
 from fescuedock.schema.stored_jobs import ResultGroup, StoredResult
 from tests.builders.forwarding import event, job_record, stored_item, stored_job
--- a/tests/test_stored_jobs_urgency.py
+++ b/tests/test_stored_jobs_urgency.py
@@ -6,7 +6,7 @@
 
 from fescuedock.core.permits.queued import batch_rank
 from fescuedock.core.stored_jobs.job import ItemEnd, ItemRun, StoredJob
-from fescuedock.core.stored_jobs.pace import Pace, RunEstimate
+from fescuedock.core.stored_jobs.run_estimates import Pace, RunEstimate
 from fescuedock.core.stored_jobs.pool import ItemPool, Site
 from fescuedock.core.stored_jobs.urgency import rank_items, stage_of
 from fescuedock.schema.permits import BatchStage
