--- a/src/fescuedock/core/stored_jobs/commit.py
+++ b/src/fescuedock/core/stored_jobs/commit.py
@@ -4,7 +4,7 @@
 
 from fescuedock.schema.stored_jobs import StoredJobRecord
 
-__all__ = ["CommitState", "judge_commit"]
+__all__ = ["CommitState", "check_commit"]
 
 
 class CommitState(enum.Enum):
@@ -13,12 +13,12 @@
     # The commit is there.
     DONE = enum.auto()
     # It is not, and may be tried again on the record as it is now.
-    TRY_AGAIN = enum.auto()
+    RETRY = enum.auto()
     # The job was ended or has another owner: nothing of ours is to be written any more.
     LOST = enum.auto()
 
 
-def judge_commit(wanted: StoredJobRecord, found: StoredJobRecord | None) -> CommitState:
+def check_commit(wanted: StoredJobRecord, found: StoredJobRecord | None) -> CommitState:
     """Compare the record that a commit was to write with the one that is there."""
     if found is None or found.ended:
         return CommitState.LOST
@@ -29,4 +29,4 @@
     )
     if not same_owner:
         return CommitState.LOST
-    return CommitState.DONE if found.listed >= wanted.listed else CommitState.TRY_AGAIN
+    return CommitState.DONE if found.listed >= wanted.listed else CommitState.RETRY
--- a/src/fescuedock/core/stored_jobs/customer_order.py
+++ b/src/fescuedock/core/stored_jobs/customer_order.py
@@ -11,10 +11,10 @@
 from fescuedock.core.stored_jobs.urgency import ItemChoice
 from fescuedock.schema.stored_jobs import StoredJobRecord
 
-__all__ = ["running_items", "take_turns"]
+__all__ = ["count_running_items", "interleave_customers"]
 
 
-def running_items(jobs: Iterable[StoredJob]) -> Counter[str]:
+def count_running_items(jobs: Iterable[StoredJob]) -> Counter[str]:
     """Return how many items of each customer run now."""
     counts: Counter[str] = Counter()
     for job in jobs:
@@ -22,7 +22,7 @@
     return counts
 
 
-def take_turns(
+def interleave_customers(
     ranked: Sequence[ItemChoice],
     running: Counter[str],
     priority: Callable[[StoredJobRecord], int],
--- a/src/fescuedock/core/stored_jobs/job.py
+++ b/src/fescuedock/core/stored_jobs/job.py
@@ -20,13 +20,13 @@
 __all__ = ["ItemEnd", "ItemRun", "RetryPauses", "StoredJob"]
 
 # Keeps the power within numbers.
-_MOST_DOUBLINGS = 16
+_MAX_DOUBLINGS = 16
 
 
 class ItemEnd(enum.Enum):
     """How one run of an item ended."""
 
-    WHOLE = "whole"
+    COMPLETED = "whole"
     # The upstream says that the item can never be done.
     IMPOSSIBLE = "impossible"
     # The upstream ran it and failed; so many of these end the item.
@@ -36,23 +36,23 @@
 
 
 class RetryPauses(msgspec.Struct, frozen=True):
-    """Pause before an item runs again, doubled with each failure up to ``most_ms``.
+    """Pause before an item runs again, doubled with each failure up to ``max_ms``.
 
     ``interrupted_ms`` follows a run that says nothing against the item: one round trip and a step
     of an engine.  Each further one in a row that brought no event doubles it, up to
-    ``most_interrupted_ms``: with the short pause alone three items whose upstreams all refused
+    ``max_interrupted_ms``: with the short pause alone three items whose upstreams all refused
     connections made 75 runs a second.
     """
 
     first_ms: float = 100.0
-    most_ms: float = 2000.0
+    max_ms: float = 2000.0
     interrupted_ms: float = 25.0
-    most_interrupted_ms: float = 200.0
+    max_interrupted_ms: float = 200.0
 
-    def after_interruption(self, barren_runs: int) -> float:
-        """Return the pause after ``barren_runs`` interrupted runs in a row without an event."""
-        doublings = min(max(barren_runs - 1, 0), _MOST_DOUBLINGS)
-        return min(self.interrupted_ms * 2**doublings, self.most_interrupted_ms)
+    def after_interruption(self, runs_without_output: int) -> float:
+        """Return the pause after that many interrupted runs in a row without an event."""
+        doublings = min(max(runs_without_output - 1, 0), _MAX_DOUBLINGS)
+        return min(self.interrupted_ms * 2**doublings, self.max_interrupted_ms)
 
 
 class ItemRun(msgspec.Struct, eq=False):
@@ -66,8 +66,8 @@
     failures: int = 0
     interruptions: int = 0
     # Interrupted runs in a row that brought no event, and the last event before them.
-    barren_runs: int = 0
-    barren_since_event: int = -1
+    runs_without_output: int = 0
+    event_at_interruption: int = -1
     not_before_ms: float = 0.0
     last_event: int = -1
     # Of the upstreams that wrote the texts.
@@ -86,28 +86,28 @@
         self.started_ms = now_ms
         self.started_event = self.last_event
 
-    def note_end(self, now_ms: float) -> None:
+    def record_end(self, now_ms: float) -> None:
         """Note that the run is over, however it went."""
         self.ran_ms = now_ms - self.started_ms
         self.ended_ms = now_ms
 
-    def note_interruption(self) -> None:
+    def record_interruption(self) -> None:
         """Count an interrupted run, and whether it brought anything."""
         self.interruptions += 1
-        if self.last_event > self.barren_since_event:
-            self.barren_runs = 0
-        self.barren_runs += 1
-        self.barren_since_event = self.last_event
+        if self.last_event > self.event_at_interruption:
+            self.runs_without_output = 0
+        self.runs_without_output += 1
+        self.event_at_interruption = self.last_event
 
-    def fits(self, software_version: str) -> bool:
+    def accepts_version(self, software_version: str) -> bool:
         """Whether a run at this software version goes on; any other one begins anew."""
         return self.last_event < 0 or self.software_version == software_version
 
     def resume_after(self, software_version: str) -> int:
         """Return the event after which a run at a version goes on; below 0 for from the start."""
-        return self.last_event if self.fits(software_version) else -1
+        return self.last_event if self.accepts_version(software_version) else -1
 
-    def take(self, events: Iterable[SplitEvent], software_version: str = "") -> bool:
+    def add_events(self, events: Iterable[SplitEvent], software_version: str = "") -> bool:
         """Take events in order, each once; False when one is missing before them.
 
         The first one of another software version takes the place of all that came before.
@@ -115,8 +115,8 @@
         for event in events:
             if event.number < 0:
                 continue
-            if not self.fits(software_version):
-                self._begin_anew()
+            if not self.accepts_version(software_version):
+                self._restart()
             self.software_version = software_version
             if event.number <= self.last_event:
                 continue
@@ -126,13 +126,13 @@
             self.texts.append(event.data())
         return True
 
-    def _begin_anew(self) -> None:
+    def _restart(self) -> None:
         self.texts.clear()
-        self.last_event = self.started_event = self.barren_since_event = -1
+        self.last_event = self.started_event = self.event_at_interruption = -1
 
 
 class StoredJob:
-    """The items of one job that have no committed result.
+    """The items of one job that no committed result.
 
     ``listed`` are the identities of those that have one, in the order of their positions;
     ``parts_of`` gives the identities of the parts that an item's prompt may share with others.
@@ -180,7 +180,7 @@
         return bool(self._results)
 
     @property
-    def all_run(self) -> bool:
+    def all_items_ended(self) -> bool:
         """Whether no item will give another result."""
         return not self._open
 
@@ -209,21 +209,21 @@
         """Take in how a run ended; an item that has no more chances gets its final result."""
         run.running = False
         match end:
-            case ItemEnd.WHOLE:
-                self._settle(run, completed=True)
+            case ItemEnd.COMPLETED:
+                self._add_result(run, completed=True)
             case ItemEnd.IMPOSSIBLE:
-                self._settle(run, completed=False)
+                self._add_result(run, completed=False)
             case ItemEnd.FAILED:
                 run.failures += 1
                 run.avoided.add(upstream_id)
                 if run.failures >= max_failures:
-                    self._settle(run, completed=False)
+                    self._add_result(run, completed=False)
                 else:
                     pause_ms = self._pauses.first_ms * 2 ** (run.failures - 1)
-                    run.not_before_ms = now_ms + min(pause_ms, self._pauses.most_ms)
+                    run.not_before_ms = now_ms + min(pause_ms, self._pauses.max_ms)
             case ItemEnd.INTERRUPTED:
-                run.note_interruption()
-                pause_ms = self._pauses.after_interruption(run.barren_runs)
+                run.record_interruption()
+                pause_ms = self._pauses.after_interruption(run.runs_without_output)
                 run.not_before_ms = now_ms + pause_ms
 
     def progress(self) -> list[ItemProgress]:
@@ -241,10 +241,10 @@
         ]
 
     def unsaved_events(self) -> int:
-        """Return how many events have come of open items since ``note_saved``."""
+        """Return how many events have come of open items since ``record_saved``."""
         return sum(run.last_event + 1 for run in self._open.values()) - self._saved_events
 
-    def note_saved(self) -> None:
+    def record_saved(self) -> None:
         """Note that the progress of now is stored."""
         self._saved_events = sum(run.last_event + 1 for run in self._open.values())
 
@@ -257,7 +257,7 @@
                 run.texts = list(item.texts)
                 run.software_version = item.software_version
                 run.failures = max(run.failures, item.failures)
-        self.note_saved()
+        self.record_saved()
 
     def give_up(self, now_ms: float) -> int:
         """End the items that may be given up by now; return how many."""
@@ -269,7 +269,7 @@
         """End every item that does not run now; return how many."""
         given_up = [run for run in self._open.values() if not run.running]
         for run in given_up:
-            self._settle(run, completed=False)
+            self._add_result(run, completed=False)
         return len(given_up)
 
     def next_group(self, max_bytes: int) -> list[StoredResult]:
@@ -283,13 +283,13 @@
             self._committing += 1
         return self._results[: self._committing]
 
-    def committed(self) -> None:
+    def record_commit(self) -> None:
         """Note that the last group has its positions."""
         self.listed_count += self._committing
         del self._results[: self._committing]
         self._committing = 0
 
-    def _settle(self, run: ItemRun, *, completed: bool) -> None:
+    def _add_result(self, run: ItemRun, *, completed: bool) -> None:
         self._open.pop(run.item.item_id, None)
         text = "\n".join(run.texts) if completed else ""
         self._results.append(StoredResult(run.item.item_id, completed, text))
--- a/src/fescuedock/core/stored_jobs/ownership.py
+++ b/src/fescuedock/core/stored_jobs/ownership.py
@@ -12,11 +12,11 @@
 from fescuedock.core.rendezvous import choose_name
 from fescuedock.schema.stored_jobs import StoredJobRecord
 
-__all__ = ["VOUCH_AGE_MS", "Duty", "MissingOwners", "OwnerIdentity", "duty_of", "is_open"]
+__all__ = ["MAX_CONFIRM_AGE_MS", "Duty", "MissingOwners", "OwnerIdentity", "duty_of", "is_open"]
 
 # What an owner knows of the records may be this old while it says that nothing more is listed.
 # Less than the 1.5 s that an owner has to be missing before another node takes its jobs over.
-VOUCH_AGE_MS = 1400.0
+MAX_CONFIRM_AGE_MS = 1400.0
 
 
 class Duty(enum.Enum):
@@ -45,14 +45,14 @@
 class MissingOwners(msgspec.Struct):
     """Since when owners of jobs are not among the nodes that membership shows.
 
-    An owner that is missing for less than ``patience_ms`` may only be new to this node, whose own
+    An owner that is missing for less than ``grace_ms`` may only be new to this node, whose own
     view fills in the first second after its start, or be restarting, which takes under a second.
     """
 
-    patience_ms: float = 1500.0
+    grace_ms: float = 1500.0
     _since_ms: dict[str, float] = msgspec.field(default_factory=dict)
 
-    def note(self, present: Collection[str], now_ms: float) -> None:
+    def record_present(self, present: Collection[str], now_ms: float) -> None:
         """Take the nodes that are there now, leaving ones included."""
         for node_id in [name for name in self._since_ms if name in present]:
             del self._since_ms[node_id]
@@ -62,21 +62,21 @@
         if node_id in present:
             return False
         since_ms = self._since_ms.setdefault(node_id, now_ms)
-        return now_ms - since_ms >= self.patience_ms
+        return now_ms - since_ms >= self.grace_ms
 
 
 def duty_of(
     record: StoredJobRecord,
     own: OwnerIdentity,
-    takers: Collection[str],
+    accepting_nodes: Collection[str],
     *,
     owner_gone: bool,
     leaving: bool,
 ) -> Duty:
     """Return this node's part in a job.
 
-    ``takers`` are the nodes that take jobs, this one included unless it is ``leaving``.  A node
-    that was restarted claims its own jobs anew; others leave them to it unless it is gone.
+    ``accepting_nodes`` are the nodes that take jobs, this one included unless it is ``leaving``.
+    A node that was restarted claims its own jobs anew; others leave them to it unless it is gone.
     """
     if leaving or not is_open(record):
         return Duty.NONE
@@ -86,5 +86,5 @@
         return Duty.CLAIM
     if record.owner_id and not owner_gone:
         return Duty.NONE
-    chosen = choose_name(record.job_id, takers)
+    chosen = choose_name(record.job_id, accepting_nodes)
     return Duty.CLAIM if chosen == own.node_id else Duty.NONE
--- a/src/fescuedock/core/stored_jobs/pending_ends.py
+++ b/src/fescuedock/core/stored_jobs/pending_ends.py
@@ -11,18 +11,18 @@
 
 import msgspec
 
-__all__ = ["UnsettledAcceptances", "WantedEnds"]
+__all__ = ["UnresolvedAcceptances", "PendingEnds"]
 
 # 100 clients that each end 40 jobs in one outage; some 150 bytes each.
-_MOST_ENDS = 4000
+_MAX_ENDS = 4000
 # A neighbour tries for 0.9 s, and a write whose answer was lost may be held back for longer.
-_UNSETTLED_MS = 10_000.0
+_UNRESOLVED_MS = 10_000.0
 
 
-class WantedEnds(msgspec.Struct):
+class PendingEnds(msgspec.Struct):
     """The jobs whose end is wanted at this node, and until when each is pursued."""
 
-    most: int = _MOST_ENDS
+    max_ends: int = _MAX_ENDS
     _until_ms: dict[str, float] = msgspec.field(default_factory=dict)
 
     def __len__(self) -> int:
@@ -31,41 +31,41 @@
     def __contains__(self, job_id: str) -> bool:
         return job_id in self._until_ms
 
-    def note(self, job_id: str, until_ms: float) -> bool:
+    def add(self, job_id: str, until_ms: float) -> bool:
         """Remember an end until ``until_ms``; False when there is no room for it."""
-        if job_id not in self._until_ms and len(self._until_ms) >= self.most:
+        if job_id not in self._until_ms and len(self._until_ms) >= self.max_ends:
             return False
         self._until_ms[job_id] = max(until_ms, self._until_ms.get(job_id, until_ms))
         return True
 
-    def is_over(self, job_id: str, now_ms: float) -> bool:
+    def is_expired(self, job_id: str, now_ms: float) -> bool:
         """Whether an end has been pursued for as long as the job can have lived."""
         return now_ms >= self._until_ms.get(job_id, float("-inf"))
 
-    def settle(self, job_id: str) -> None:
+    def discard(self, job_id: str) -> None:
         """Forget an end that is recorded, that found no job, or that took too long."""
         self._until_ms.pop(job_id, None)
 
 
-class UnsettledAcceptances(msgspec.Struct):
+class UnresolvedAcceptances(msgspec.Struct):
     """Acceptances of jobs that may still be stored, though neither store nor disks show them."""
 
-    lasts_ms: float = _UNSETTLED_MS
+    unresolved_ms: float = _UNRESOLVED_MS
     _running: Counter[str] = msgspec.field(default_factory=Counter)
     _until_ms: dict[str, float] = msgspec.field(default_factory=dict)
 
     def begin(self, job_id: str) -> None:
         self._running[job_id] += 1
 
-    def finish(self, job_id: str, now_ms: float, *, unsure: bool) -> None:
-        """Note the end of a try that ``begin`` told of; ``unsure`` when it may take effect yet."""
+    def finish(self, job_id: str, now_ms: float, *, uncertain: bool) -> None:
+        """Record the end of a try; ``uncertain`` when it may still take effect."""
         self._running[job_id] -= 1
         if not self._running[job_id]:
             del self._running[job_id]
         for name in [name for name, until_ms in self._until_ms.items() if until_ms <= now_ms]:
             del self._until_ms[name]
-        if unsure:
-            self._until_ms[job_id] = now_ms + self.lasts_ms
+        if uncertain:
+            self._until_ms[job_id] = now_ms + self.unresolved_ms
 
     def may_store(self, job_id: str, now_ms: float) -> bool:
         """Whether a try that this node knows of may still store the job."""
--- a/src/fescuedock/core/stored_jobs/permit_requests.py
+++ b/src/fescuedock/core/stored_jobs/permit_requests.py
@@ -12,10 +12,10 @@
 
 import msgspec
 
-__all__ = ["AskCandidate", "AskPolicy", "choose_asks"]
+__all__ = ["PermitRequestCandidate", "PermitRequestPolicy", "choose_upstreams"]
 
 
-class AskPolicy(msgspec.Struct, frozen=True):
+class PermitRequestPolicy(msgspec.Struct, frozen=True):
     """``per_item`` asks are open for each waiting item.
 
     Asking all 30 upstreams for each made 66 nodes give back more permits than they used; with three
@@ -30,7 +30,7 @@
     far_share: float = 0.12
 
 
-class AskCandidate(msgspec.Struct, frozen=True):
+class PermitRequestCandidate(msgspec.Struct, frozen=True):
     """An upstream that is not being asked; ``free_slots`` is None when nothing fresh is known."""
 
     upstream_id: str
@@ -43,11 +43,11 @@
         return self.free_slots is not None and self.free_slots <= 0
 
 
-def choose_asks(
+def choose_upstreams(
     waiting_items: int,
-    open_asks: int,
-    candidates: Iterable[AskCandidate],
-    policy: AskPolicy,
+    open_requests: int,
+    candidates: Iterable[PermitRequestCandidate],
+    policy: PermitRequestPolicy,
     rng: random.Random,
 ) -> list[str]:
     """Return the upstreams to ask now, for items of one service.
@@ -55,11 +55,11 @@
     Those that are known to be full come last; among the others chance decides, so that nodes which
     know the same do not all ask the same owner.
     """
-    room = policy.per_item * waiting_items - open_asks
+    room = policy.per_item * waiting_items - open_requests
     if room <= 0:
         return []
 
-    def rank(item: AskCandidate) -> tuple[bool, bool, float]:
+    def rank(item: PermitRequestCandidate) -> tuple[bool, bool, float]:
         is_last = not item.is_near and rng.random() >= policy.far_share
         return item.is_full, is_last, rng.random()
 
--- a/src/fescuedock/core/stored_jobs/pool.py
+++ b/src/fescuedock/core/stored_jobs/pool.py
@@ -11,17 +11,17 @@
 from fescuedock.core.permits.queued import is_overdue
 from fescuedock.core.quarantine import Standing
 from fescuedock.core.stored_jobs.job import ItemEnd, ItemRun, StoredJob
-from fescuedock.core.stored_jobs.run_estimates import Pace, RunEstimate
+from fescuedock.core.stored_jobs.run_estimates import RunEstimate, RunShare
 from fescuedock.core.stored_jobs.urgency import ItemChoice, rank_items
 from fescuedock.schema.permits import BatchStage
 from fescuedock.schema.stored_jobs import StoredJobRecord
 
-__all__ = ["ItemPool", "Site"]
+__all__ = ["ItemPool", "UpstreamVersions"]
 
-_FAILED_HERE_MS = 5000.0
+_FAILED_UPSTREAM_PENALTY_MS = 5000.0
 
 
-class Site(msgspec.Struct, frozen=True):
+class UpstreamVersions(msgspec.Struct, frozen=True):
     """The software version of an upstream, and those that upstreams of its service have now."""
 
     software_version: str
@@ -31,7 +31,7 @@
 class ItemPool:
     """Chooses among the items of ``jobs``; ``serves`` tells whether a service may run a job's.
 
-    ``standing`` tells how an item may run, ``all_free`` that nothing is known against any.
+    ``restriction`` tells how an item may run, ``none_restricted`` that none is restricted.
     Customers take turns, and ``priority`` gives that of a job's items.
     """
 
@@ -39,17 +39,17 @@
         self,
         jobs: Callable[[], Iterable[StoredJob]],
         serves: Callable[[StoredJobRecord, str], bool],
-        standing: Callable[[ItemRun], Standing] = lambda _run: Standing.FREE,
-        all_free: Callable[[], bool] = lambda: False,
+        restriction: Callable[[ItemRun], Standing] = lambda _run: Standing.FREE,
+        none_restricted: Callable[[], bool] = lambda: False,
         priority: Callable[[StoredJobRecord], int] = lambda _record: 0,
     ) -> None:
         self._jobs = jobs
         self._serves = serves
-        self._standing = standing
-        self._all_free = all_free
+        self._restriction = restriction
+        self._none_restricted = none_restricted
         self._priority = priority
         self._estimate = RunEstimate()
-        self._pace = Pace()
+        self._run_share = RunShare()
         # In which jobs with overdue items take turns; a job joins the next one.
         self._overdue_round = 0
 
@@ -75,14 +75,14 @@
         now_ms: float,
         position: int = 0,
         customer: str = "",
-        site: Site | None = None,
+        versions: UpstreamVersions | None = None,
     ) -> ItemChoice | None:
         """Return the item to run next at an upstream, or one further back in the order.
 
         One of ``customer``, whose turn it is at the upstream, goes first; None when no item could
         start there.
         """
-        choices = self._choices(upstream_id, service, now_ms, site)
+        choices = self._choices(upstream_id, service, now_ms, versions)
         if not choices:
             return None
         if customer:
@@ -102,7 +102,11 @@
         )
 
     def choose_overdue(
-        self, upstream_id: str, service: str, now_ms: float, site: Site | None = None
+        self,
+        upstream_id: str,
+        service: str,
+        now_ms: float,
+        versions: UpstreamVersions | None = None,
     ) -> ItemChoice | None:
         """Return the overdue item whose turn it is, whoever's it is.
 
@@ -111,7 +115,7 @@
         """
         overdue = [
             choice
-            for choice in self._choices(upstream_id, service, now_ms, site)
+            for choice in self._choices(upstream_id, service, now_ms, versions)
             if choice.is_overdue
         ]
         for choice in overdue:
@@ -119,68 +123,80 @@
                 choice.job.overdue_round = self._overdue_round + 1
 
         def turn(choice: ItemChoice) -> tuple[int, float]:
-            penalty_ms = _FAILED_HERE_MS if upstream_id in choice.run.avoided else 0.0
+            penalty_ms = _FAILED_UPSTREAM_PENALTY_MS if upstream_id in choice.run.avoided else 0.0
             return choice.job.overdue_round, choice.job.due_ms + penalty_ms
 
         return min(overdue, key=turn, default=None)
 
-    def choose_alone(self, service: str, now_ms: float) -> ItemChoice | None:
+    def choose_isolated(self, service: str, now_ms: float) -> ItemChoice | None:
         """Return the most urgent item of those that may only run alone.
 
         Those that gave less by their last runs come after others: what ends upstreams by a part of
         its prompt is known by several works, and what is sound should not wait for it.
         """
         ranked = self._ranked("", service, now_ms)
-        choices = (item for item in ranked if self._stands(item.run, Standing.ALONE))
-        return min(choices, key=lambda item: item.run.barren_runs, default=None)
+        choices = (item for item in ranked if self._has_restriction(item.run, Standing.ALONE))
+        return min(choices, key=lambda item: item.run.runs_without_output, default=None)
 
     def _choices(
-        self, upstream_id: str, service: str, now_ms: float, site: Site | None
+        self, upstream_id: str, service: str, now_ms: float, versions: UpstreamVersions | None
     ) -> list[ItemChoice]:
         """Return the items that may start at an upstream beside others, the next one first."""
-        version = None if site is None else site.software_version
+        version = None if versions is None else versions.software_version
         choices = self._ranked(upstream_id, service, now_ms, version)
-        if not self._all_free():
-            choices = [item for item in choices if self._stands(item.run, Standing.FREE)]
-        return [item for item in choices if site is None or self._may_start(item, site)]
+        if not self._none_restricted():
+            choices = [item for item in choices if self._has_restriction(item.run, Standing.FREE)]
+        return [item for item in choices if versions is None or self._may_start(item, versions)]
 
-    def _may_start(self, choice: ItemChoice, site: Site) -> bool:
+    def _may_start(self, choice: ItemChoice, versions: UpstreamVersions) -> bool:
         """Whether an item may start at an upstream, if need be from the beginning.
 
         An item waits for an upstream of the version that began it as long as what it has took to
         make, so that beginning anew costs it about as much again at the most.
         """
         run = choice.run
-        if run.fits(site.software_version) or run.software_version not in site.served:
+        if (
+            run.accepts_version(versions.software_version)
+            or run.software_version not in versions.served
+        ):
             return True
-        return choice.waited_ms >= self._estimate.made_ms(run.last_event + 1)
+        return choice.waited_ms >= self._estimate.rerun_ms(run.last_event + 1)
 
     def _ranked(
         self, upstream_id: str, service: str, now_ms: float, version: str | None = None
     ) -> list[ItemChoice]:
         jobs = [job for job in self._jobs() if self._serves(job.record, service)]
-        ranked = rank_items(jobs, upstream_id, self._estimate, self._pace, now_ms, version)
+        ranked = rank_items(jobs, upstream_id, self._estimate, self._run_share, now_ms, version)
         whose = {(job.record.customer, self._priority(job.record)) for job in jobs}
         if len(whose) < 2:
             return ranked
         # Imported when customers compete, which a start need not wait for.
-        from fescuedock.core.stored_jobs.customer_order import running_items, take_turns
+        from fescuedock.core.stored_jobs.customer_order import (
+            count_running_items,
+            interleave_customers,
+        )
 
-        return take_turns(ranked, running_items(self._jobs()), self._priority, upstream_id)
+        return interleave_customers(
+            ranked, count_running_items(self._jobs()), self._priority, upstream_id
+        )
 
     def _count_free(self, runs: list[ItemRun]) -> int:
-        if self._all_free():
+        if self._none_restricted():
             return len(runs)
-        return sum(self._stands(run, Standing.FREE) for run in runs)
+        return sum(self._has_restriction(run, Standing.FREE) for run in runs)
 
-    def _stands(self, run: ItemRun, standing: Standing) -> bool:
-        return self._standing(run) is standing
+    def _has_restriction(self, run: ItemRun, restriction: Standing) -> bool:
+        return self._restriction(run) is restriction
 
-    def take_overdue_turn(
-        self, upstream_id: str, service: str, now_ms: float, site: Site | None = None
+    def claim_overdue(
+        self,
+        upstream_id: str,
+        service: str,
+        now_ms: float,
+        versions: UpstreamVersions | None = None,
     ) -> ItemChoice | None:
         """Return ``choose_overdue`` and count it as its job's turn."""
-        choice = self.choose_overdue(upstream_id, service, now_ms, site)
+        choice = self.choose_overdue(upstream_id, service, now_ms, versions)
         if choice is not None:
             self._overdue_round = choice.job.overdue_round
             choice.job.overdue_round += 1
@@ -189,7 +205,7 @@
     def start(self, run: ItemRun, now_ms: float) -> None:
         """Note that an item runs, and learn from the time that it had to wait since it last did."""
         if run.ran_ms > 0:
-            self._pace.observe(run.ran_ms, now_ms - run.ended_ms)
+            self._run_share.observe(run.ran_ms, now_ms - run.ended_ms)
         run.start(now_ms)
 
     def finish(
@@ -204,8 +220,8 @@
         """Take in how a run ended; an item ends for good after ``limit`` failures."""
         ran_ms = now_ms - run.started_ms
         gained = run.last_event - run.started_event
-        if end is ItemEnd.WHOLE and gained > 0:
+        if end is ItemEnd.COMPLETED and gained > 0:
             self._estimate.observe(run.last_event + 1, ran_ms / gained)
-            self._pace.observe(ran_ms, 0.0)
-        run.note_end(now_ms)
+            self._run_share.observe(ran_ms, 0.0)
+        run.record_end(now_ms)
         job.finish(run, end, upstream_id, limit, now_ms)
--- a/src/fescuedock/core/stored_jobs/run_estimates.py
+++ b/src/fescuedock/core/stored_jobs/run_estimates.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-__all__ = ["Pace", "RunEstimate"]
+__all__ = ["RunShare", "RunEstimate"]
 
 
 class RunEstimate(msgspec.Struct):
@@ -17,34 +17,34 @@
     gain: float = 0.1
     events: float = 250.0
     # Mean distance of an item's events from their mean.
-    spread: float = 50.0
+    deviation: float = 50.0
     event_ms: float = 20.0
-    _known: bool = False
+    _has_sample: bool = False
 
     def observe(self, events: int, event_ms: float) -> None:
         """Take in a whole item, and the mean time between two of its events."""
         if events < 2 or event_ms <= 0:
             return
-        if not self._known:
-            self._known = True
+        if not self._has_sample:
+            self._has_sample = True
             self.events, self.event_ms = float(events), event_ms
-            self.spread = self.events / 5
+            self.deviation = self.events / 5
             return
-        self.spread += self.gain * (abs(events - self.events) - self.spread)
+        self.deviation += self.gain * (abs(events - self.events) - self.deviation)
         self.events += self.gain * (events - self.events)
         self.event_ms += self.gain * (event_ms - self.event_ms)
 
-    def made_ms(self, events_done: int) -> float:
+    def rerun_ms(self, events_done: int) -> float:
         """Return how long it took, or would take again, to make what an item has so far."""
         return events_done * self.event_ms
 
     def left_ms(self, events_done: int) -> float:
-        """Return how long an item still has to run; a spread at least, as some are longer."""
+        """Return how long an item still has to run; a deviation at least, as some are longer."""
         left = self.events - events_done
-        return max(left, self.spread, 1.0) * self.event_ms
+        return max(left, self.deviation, 1.0) * self.event_ms
 
 
-class Pace(msgspec.Struct):
+class RunShare(msgspec.Struct):
     """Which share of the time items run, from their first run on; about the last 20 waits count.
 
     Online takes their slots now and then, so an item that needs 5 s may be done after 10.
--- a/src/fescuedock/core/stored_jobs/spools.py
+++ b/src/fescuedock/core/stored_jobs/spools.py
@@ -14,11 +14,11 @@
 from fescuedock.core.rendezvous import rank_names
 from fescuedock.schema.stored_jobs import NodeRecord
 
-__all__ = ["KnownSpools", "choose_spools"]
+__all__ = ["SilentSpools", "choose_spools"]
 
 
 def choose_spools(job_id: str, spools: Iterable[NodeRecord]) -> list[NodeRecord]:
-    """Return the spools in the order in which they are asked to keep a job.
+    """Return the spools in the order in which they are queried to keep a job.
 
     Every node has the same order for a job, so that one which comes again is written nowhere else;
     spools of failure domains that come first again go behind those of new ones.
@@ -34,7 +34,7 @@
     return first + others
 
 
-class KnownSpools(msgspec.Struct):
+class SilentSpools(msgspec.Struct):
     """Which spools do not answer, and since when.
 
     One that has been silent for ``lost_after_ms`` is taken for lost with its disk: jobs that it
@@ -45,10 +45,10 @@
     lost_after_ms: float = 60_000.0
     _silent_since_ms: dict[str, float] = msgspec.field(default_factory=dict)
 
-    def note_answer(self, vm_id: str) -> None:
+    def record_answer(self, vm_id: str) -> None:
         self._silent_since_ms.pop(vm_id, None)
 
-    def note_silence(self, vm_id: str, now_ms: float) -> None:
+    def record_silence(self, vm_id: str, now_ms: float) -> None:
         self._silent_since_ms.setdefault(vm_id, now_ms)
 
     def is_silent(self, vm_id: str) -> bool:
@@ -59,6 +59,6 @@
         since_ms = self._silent_since_ms.get(vm_id, now_ms)
         return now_ms - since_ms >= self.lost_after_ms
 
-    def may_hold(self, asked: Collection[str], denied: Collection[str], now_ms: float) -> bool:
-        """Whether any of the spools ``asked``, of which some have denied it, may hold a job."""
-        return any(vm_id not in denied and not self.is_lost(vm_id, now_ms) for vm_id in asked)
+    def may_hold(self, queried: Collection[str], denied: Collection[str], now_ms: float) -> bool:
+        """Whether any of the spools ``queried``, of which some have denied it, may hold a job."""
+        return any(vm_id not in denied and not self.is_lost(vm_id, now_ms) for vm_id in queried)
--- a/src/fescuedock/core/stored_jobs/urgency.py
+++ b/src/fescuedock/core/stored_jobs/urgency.py
@@ -14,7 +14,7 @@
 
 from fescuedock.core.permits.queued import batch_rank, is_overdue
 from fescuedock.core.stored_jobs.job import ItemRun, StoredJob
-from fescuedock.core.stored_jobs.run_estimates import Pace, RunEstimate
+from fescuedock.core.stored_jobs.run_estimates import RunEstimate, RunShare
 from fescuedock.schema.permits import BatchStage
 
 __all__ = ["ItemChoice", "rank_items", "stage_of"]
@@ -49,7 +49,7 @@
     jobs: Iterable[StoredJob],
     upstream_id: str,
     estimate: RunEstimate,
-    pace: Pace,
+    run_share: RunShare,
     now_ms: float,
     software_version: str | None = None,
 ) -> list[ItemChoice]:
@@ -59,7 +59,7 @@
     upstream's ``software_version``, what would begin anew there has all of its run left.
     """
     choices = [
-        _choice(job, run, estimate, pace, now_ms, software_version)
+        _choice(job, run, estimate, run_share, now_ms, software_version)
         for job in jobs
         for run in job.ready_items(now_ms)
     ]
@@ -71,27 +71,27 @@
     job: StoredJob,
     run: ItemRun,
     estimate: RunEstimate,
-    pace: Pace,
+    run_share: RunShare,
     now_ms: float,
     software_version: str | None,
 ) -> ItemChoice:
-    goes_on = software_version is None or run.fits(software_version)
+    goes_on = software_version is None or run.accepts_version(software_version)
     events_done = run.last_event + 1 if goes_on else 0
     left_ms = estimate.left_ms(events_done)
     time_ms = job.due_ms - now_ms
-    stage = stage_of(time_ms, left_ms, pace.share, begun=events_done > 0)
+    stage = stage_of(time_ms, left_ms, run_share.share, begun=events_done > 0)
     since_ms = run.ended_ms or job.due_ms - job.record.due_in_ms
     return ItemChoice(job, run, stage, time_ms - left_ms, left_ms, now_ms - since_ms)
 
 
-def stage_of(time_ms: float, left_ms: float, pace: float, *, begun: bool) -> BatchStage:
+def stage_of(time_ms: float, left_ms: float, run_share: float, *, begun: bool) -> BatchStage:
     """Return how an item stands that is due in ``time_ms`` and has to run for ``left_ms``.
 
-    ``pace`` is the share of the time that items run once they have begun.
+    ``run_share`` is the share of the time that items run once they have begun.
     """
     if time_ms < left_ms:
         return BatchStage.LATE
-    is_safe = time_ms * pace >= left_ms
+    is_safe = time_ms * run_share >= left_ms
     if begun:
         return BatchStage.BEGUN if is_safe else BatchStage.ENDANGERED
     return BatchStage.FRESH if is_safe else BatchStage.DOUBTFUL
--- a/src/fescuedock/core/stored_jobs/work_gate.py
+++ b/src/fescuedock/core/stored_jobs/work_gate.py
@@ -14,11 +14,11 @@
 from fescuedock.core.stored_jobs.ownership import OwnerIdentity
 from fescuedock.schema.stored_jobs import StoredJobRecord
 
-__all__ = ["KnownRecords", "WorkRefusal", "refusal_of"]
+__all__ = ["RecordFreshness", "WorkRefusal", "refusal_of"]
 
 # Of the time in which an item may still begin after an acknowledged end, what its own way takes:
 # half for a connection to the upstream (250 ms at the most), half for news that were on their way.
-_WAY_MS = 600.0
+_START_LATENCY_MS = 600.0
 
 
 class WorkRefusal(enum.Enum):
@@ -42,7 +42,7 @@
         )
 
 
-class KnownRecords(msgspec.Struct, frozen=True):
+class RecordFreshness(msgspec.Struct, frozen=True):
     """How good a node's knowledge of all records is; ages in milliseconds.
 
     ``age_ms`` is the time since they were known to be current, ``agreed_age_ms`` the time since a
@@ -50,34 +50,34 @@
     """
 
     age_ms: float
-    store_away: bool = False
+    store_unavailable: bool = False
     agreed_age_ms: float = float("inf")
 
-    def holds(self, most_age_ms: float) -> bool:
+    def is_usable(self, max_age_ms: float) -> bool:
         """Whether a record may be acted upon.
 
         While the store answers nobody no end is acknowledged either, so work goes on: stopping
         would cost all jobs the length of an outage.  That it answers nobody is what neighbours say;
         a node that hears from none of them may be the only one that is cut off.
         """
-        if self.age_ms <= most_age_ms:
+        if self.age_ms <= max_age_ms:
             return True
-        return self.store_away and self.agreed_age_ms <= most_age_ms
+        return self.store_unavailable and self.agreed_age_ms <= max_age_ms
 
 
 def refusal_of(
     record: StoredJobRecord | None,
     own: OwnerIdentity,
-    known: KnownRecords,
+    known: RecordFreshness,
     *,
     end_bound_ms: float,
     leaving: bool,
-    end_wanted: bool = False,
+    end_pending: bool = False,
 ) -> WorkRefusal | None:
     """Return why no item of the job may begin at this node, or None when one may.
 
     ``record`` is the newest that the node knows, None when there is none; ``end_bound_ms`` is how
-    long after an acknowledged end an item may still begin; ``end_wanted`` says that a client asked
+    long after an acknowledged end an item may still begin; ``end_pending`` says that a client asked
     this node for an end which could not be recorded so far.
     """
     if record is None:
@@ -90,8 +90,8 @@
         return WorkRefusal.LISTED
     if leaving:
         return WorkRefusal.LEAVING
-    if end_wanted:
+    if end_pending:
         return WorkRefusal.END_WANTED
-    if not known.holds(end_bound_ms - _WAY_MS):
+    if not known.is_usable(end_bound_ms - _START_LATENCY_MS):
         return WorkRefusal.UNCONFIRMED
     return None
--- a/src/fescuedock/node/item_asking.py
+++ b/src/fescuedock/node/item_asking.py
@@ -13,7 +13,11 @@
 from fescuedock.agent.permit_client import Grant, PermitClient
 from fescuedock.clock import now_ms
 from fescuedock.core.routing import RoutingPolicy, free_slots
-from fescuedock.core.stored_jobs.permit_requests import AskCandidate, AskPolicy, choose_asks
+from fescuedock.core.stored_jobs.permit_requests import (
+    PermitRequestCandidate,
+    PermitRequestPolicy,
+    choose_upstreams,
+)
 from fescuedock.core.stored_jobs.urgency import ItemChoice
 from fescuedock.log import log_event
 from fescuedock.schema.permits import PermitAsk, WorkClass
@@ -55,7 +59,7 @@
         choose_overdue: Callable[[UpstreamRecord], ItemChoice | None] = lambda _upstream: None,
         any_overdue: Callable[[], bool] = lambda: False,
         priority: Callable[[StoredJobRecord], int] = lambda _record: 0,
-        policy: AskPolicy | None = None,
+        policy: PermitRequestPolicy | None = None,
     ) -> None:
         self._settings = settings
         self._view = view
@@ -67,7 +71,7 @@
         self._choose_overdue = choose_overdue
         self._any_overdue = any_overdue
         self._priority = priority
-        self._policy = policy or AskPolicy()
+        self._policy = policy or PermitRequestPolicy()
         # The upstreams that are being asked, with their services.
         self._asking: dict[str, str] = {}
         # The services of which overdue items are asked for.
@@ -97,7 +101,7 @@
         for service, count in self._waiting().items():
             versions = {item.software_version for item in self._view.upstreams_of(service)}
             candidates = [
-                AskCandidate(
+                PermitRequestCandidate(
                     item.upstream_id,
                     self._free_slots(item.upstream_id),
                     is_near=item.failure_domain == own_domain,
@@ -107,7 +111,9 @@
                 and item.upstream_id not in self._asking
                 and self._is_wanted(item, versions)
             ]
-            chosen = choose_asks(count, open_asks[service], candidates, self._policy, self._rng)
+            chosen = choose_upstreams(
+                count, open_asks[service], candidates, self._policy, self._rng
+            )
             for number, upstream_id in enumerate(chosen, start=open_asks[service]):
                 self._asking[upstream_id] = service
                 nursery.start_soon(self._ask, upstream_id, number // self._policy.per_item)
@@ -119,10 +125,10 @@
         upstreams = {
             item.upstream_id: item for item in self._view.upstreams_of(service) if not item.leaving
         }
-        candidates = [AskCandidate(name, self._free_slots(name)) for name in upstreams]
-        policy = AskPolicy(per_item=len(candidates))
+        candidates = [PermitRequestCandidate(name, self._free_slots(name)) for name in upstreams]
+        policy = PermitRequestPolicy(per_item=len(candidates))
         # Looking for an item is dear: mostly the first upstream may run one.
-        for upstream_id in choose_asks(1, 0, candidates, policy, self._rng):
+        for upstream_id in choose_upstreams(1, 0, candidates, policy, self._rng):
             if self._choose_overdue(upstreams[upstream_id]) is not None:
                 self._asking_overdue.add(service)
                 nursery.start_soon(self._ask_overdue, upstream_id, service)
@@ -207,5 +213,5 @@
             slack_ms=int(choice.slack_ms),
             stage=choice.stage,
             left_ms=int(choice.left_ms),
-            barren_runs=choice.run.barren_runs,
+            barren_runs=choice.run.runs_without_output,
         )
--- a/src/fescuedock/node/item_run.py
+++ b/src/fescuedock/node/item_run.py
@@ -80,7 +80,7 @@
         record.finish(attempt_end)
     log_event(
         "item_run",
-        routine=end is ItemEnd.WHOLE,
+        routine=end is ItemEnd.COMPLETED,
         job_id=job.job_id,
         item_id=item.item.item_id,
         work_id=item.work_id,
@@ -94,7 +94,7 @@
         from_event=first_event,
         last_event=item.last_event,
         interruptions=item.interruptions,
-        barren_runs=item.barren_runs,
+        barren_runs=item.runs_without_output,
         waited_ms=round(known.waited_ms),
         revision=known.revision,
         records_age_ms=known.age_ms,
@@ -177,9 +177,9 @@
         raise
     if splitter.has_rest:
         return ItemEnd.INTERRUPTED, AttemptEnd.LOST, "the last event is not whole"
-    if not item.fits(software_version):
+    if not item.accepts_version(software_version):
         return ItemEnd.INTERRUPTED, AttemptEnd.LOST, "no event came"
-    return ItemEnd.WHOLE, None, ""
+    return ItemEnd.COMPLETED, None, ""
 
 
 def _take_events(
@@ -188,7 +188,7 @@
     """Take in what came of an item; False when an event is missing."""
     if events:
         record.note_events(len(events))
-    return item.take(events, software_version)
+    return item.add_events(events, software_version)
 
 
 def _failure(status: int, *, not_run: bool) -> tuple[ItemEnd, AttemptEnd, str]:
--- a/src/fescuedock/node/job_acceptance.py
+++ b/src/fescuedock/node/job_acceptance.py
@@ -15,7 +15,7 @@
 from fescuedock.address import Address
 from fescuedock.clock import now_ms
 from fescuedock.core.stored_jobs.ownership import OwnerIdentity
-from fescuedock.core.stored_jobs.pending_ends import UnsettledAcceptances
+from fescuedock.core.stored_jobs.pending_ends import UnresolvedAcceptances
 from fescuedock.faults import Fault
 from fescuedock.log import log_event
 from fescuedock.net.channel import CallHandler, ServerPeer
@@ -56,7 +56,7 @@
     rng: random.Random
     spools: Spools
     is_leaving: Callable[[], bool]
-    unsettled: UnsettledAcceptances = msgspec.field(default_factory=UnsettledAcceptances)
+    unsettled: UnresolvedAcceptances = msgspec.field(default_factory=UnresolvedAcceptances)
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
         """Handlers by message type, to be merged with those of other services."""
@@ -82,7 +82,7 @@
         finally:
             # Also when the client has left.
             unsure = attempt.may_be_stored_later
-            self.unsettled.finish(record.job_id, now_ms(), unsure=unsure)
+            self.unsettled.finish(record.job_id, now_ms(), uncertain=unsure)
 
     async def _on_accept_job(self, message: AcceptJob, _peer: ServerPeer) -> AcceptJobReply:
         """Accept a job for a neighbour, and own it."""
@@ -105,7 +105,7 @@
                 return AcceptJobReply(ResultCode.OK)
             return AcceptJobReply(ResultCode.KV_UNKNOWN)
         finally:
-            self.unsettled.finish(record.job_id, now_ms(), unsure=not settled)
+            self.unsettled.finish(record.job_id, now_ms(), uncertain=not settled)
 
 
 class _Attempt(msgspec.Struct):
--- a/src/fescuedock/node/job_ends.py
+++ b/src/fescuedock/node/job_ends.py
@@ -10,7 +10,7 @@
 from result import Err, Ok, Result
 
 from fescuedock.clock import now_ms
-from fescuedock.core.stored_jobs.pending_ends import UnsettledAcceptances, WantedEnds
+from fescuedock.core.stored_jobs.pending_ends import PendingEnds, UnresolvedAcceptances
 from fescuedock.faults import Fault
 from fescuedock.log import log_event
 from fescuedock.node.configuration import NodeConfiguration
@@ -49,8 +49,8 @@
     spools: Spools
     owner_reads: OwnerReads
     configuration: NodeConfiguration
-    wanted: WantedEnds
-    unsettled: UnsettledAcceptances
+    wanted: PendingEnds
+    unsettled: UnresolvedAcceptances
     retry_after_ms: int
     _pursued: set[str] = msgspec.field(default_factory=set)
     _nursery: trio.Nursery | None = None
@@ -71,7 +71,7 @@
     async def end(self, job_id: str) -> Result[VersionedRecord, Fault]:
         """End a job; ``Ok`` once that is recorded.  After ``KV_UNAVAILABLE`` it is pursued here."""
         received_ms = now_ms()
-        if not self.wanted.note(job_id, received_ms + self._pursuit_ms()):
+        if not self.wanted.add(job_id, received_ms + self._pursuit_ms()):
             log_event("job_end_not_kept", job_id=job_id, pending=len(self.wanted))
         ended = self._unsure("the store did not answer in time")
         try:
@@ -80,7 +80,7 @@
         finally:
             # Also when the client has left meanwhile.
             if _is_settled(ended):
-                self.wanted.settle(job_id)
+                self.wanted.discard(job_id)
             else:
                 self._begin_pursuit(job_id)
         await self._tell_and_log(job_id, ended, received_ms, pursued=False)
@@ -135,10 +135,10 @@
                 async with self._tries:
                     ended = await self._try(job_id)
                 if _is_settled(ended):
-                    self.wanted.settle(job_id)
+                    self.wanted.discard(job_id)
                     await self._tell_and_log(job_id, ended, began_ms, pursued=True)
-                elif self.wanted.is_over(job_id, now_ms()):
-                    self.wanted.settle(job_id)
+                elif self.wanted.is_expired(job_id, now_ms()):
+                    self.wanted.discard(job_id)
                     log_event("job_end_given_up", job_id=job_id, reason=ended.err_value.message)
         finally:
             self._pursued.discard(job_id)
@@ -154,7 +154,7 @@
     async def _wait_store(self, job_id: str) -> None:
         """Wait for the end of an outage, which whoever watches the store tells of."""
         contact = self.replicas.contact
-        while contact.is_away(now_ms()) and not self.wanted.is_over(job_id, now_ms()):
+        while contact.is_away(now_ms()) and not self.wanted.is_expired(job_id, now_ms()):
             async with self._tries:
                 await self.spools.end(job_id)
             with trio.move_on_after(_MOST_PAUSE_S):
--- a/src/fescuedock/node/job_runner.py
+++ b/src/fescuedock/node/job_runner.py
@@ -23,10 +23,10 @@
     duty_of,
     is_open,
 )
-from fescuedock.core.stored_jobs.pool import ItemPool, Site
+from fescuedock.core.stored_jobs.pending_ends import PendingEnds
+from fescuedock.core.stored_jobs.pool import ItemPool, UpstreamVersions
 from fescuedock.core.stored_jobs.urgency import ItemChoice
-from fescuedock.core.stored_jobs.pending_ends import WantedEnds
-from fescuedock.core.stored_jobs.work_gate import KnownRecords, WorkRefusal, refusal_of
+from fescuedock.core.stored_jobs.work_gate import RecordFreshness, WorkRefusal, refusal_of
 from fescuedock.core.work_identity import part_identities
 from fescuedock.log import log_event
 from fescuedock.net.http_client import HttpClient, SendCheck
@@ -61,7 +61,7 @@
 _HELD = (None, WorkRefusal.UNCONFIRMED, WorkRefusal.END_WANTED)
 # Runs that ended an attempt of an item one way or the other; others go on elsewhere.
 _ITEM_CODES = {
-    ItemEnd.WHOLE: ResultCode.OK,
+    ItemEnd.COMPLETED: ResultCode.OK,
     ItemEnd.FAILED: ResultCode.UPSTREAM_ERROR,
     ItemEnd.IMPOSSIBLE: ResultCode.ITEM_IMPOSSIBLE,
 }
@@ -104,7 +104,7 @@
         unix_clock: UnixClock,
         rng: random.Random,
         metrics: Metrics,
-        wanted_ends: WantedEnds,
+        wanted_ends: PendingEnds,
     ) -> None:
         self._settings = settings
         self._store = store
@@ -194,7 +194,7 @@
         else:
             takers.discard(self._owner.node_id)
         present = {*self._view.vms, self._owner.node_id}
-        self._missing.note(present, now_ms())
+        self._missing.record_present(present, now_ms())
         for job in list(self._jobs.values()):
             self._let_go_if_refused(job)
         for key, entry in list(self._table.entries.items()):
@@ -380,9 +380,9 @@
                 self._check_end(job)
                 await self._save_progress(job)
                 continue
-            if not job.run.all_run:
+            if not job.run.all_items_ended:
                 with trio.move_on_after(interval_s):
-                    while not job.run.all_run and not job.stopped:
+                    while not job.run.all_items_ended and not job.stopped:
                         await job.changed.wait()
             if job.stopped:
                 return
@@ -400,7 +400,7 @@
             return
         job.saved_ms = now_ms()
         progress = job.run.progress()
-        job.run.note_saved()
+        job.run.record_saved()
         result = await self._store.save_progress(job.versioned, progress)
         if isinstance(result, Err):
             if result.err_value.code is ResultCode.KV_CONFLICT:
@@ -446,7 +446,7 @@
             self._drop(job, "its record was changed by another")
             return False
         job.versioned = result.ok_value
-        job.run.committed()
+        job.run.record_commit()
         self._cache.open(record).add(group)
         self._cache.trim()
         self._note(result.ok_value)
@@ -474,7 +474,7 @@
             if not job.stopped and self._refusal(job.run.job_id, known) is None
         )
 
-    def _refusal(self, job_id: str, known: KnownRecords | None = None) -> WorkRefusal | None:
+    def _refusal(self, job_id: str, known: RecordFreshness | None = None) -> WorkRefusal | None:
         """Return why no work of a job may begin here now, or None when it may.
 
         Judged by the newest record heard of, not by the one that the job was taken in with: an end
@@ -487,15 +487,15 @@
             known or self._known_records(),
             end_bound_ms=self._settings.end_bound_ms,
             leaving=self.leaving,
-            end_wanted=job_id in self._wanted_ends,
+            end_pending=job_id in self._wanted_ends,
         )
 
-    def _known_records(self) -> KnownRecords:
+    def _known_records(self) -> RecordFreshness:
         away = self._replicas.contact.is_away(now_ms())
         agreed_age_ms = float("inf")
         if away:
             agreed_age_ms = self._replicas.agreed_age_ms(self._store.keys.live)
-        return KnownRecords(self._table.as_of_age_ms(now_ms()), away, agreed_age_ms)
+        return RecordFreshness(self._table.as_of_age_ms(now_ms()), away, agreed_age_ms)
 
     def _serves(self, record: StoredJobRecord, service: str) -> bool:
         route = self._route_of(record)
@@ -530,13 +530,13 @@
             upstream.upstream_id, upstream.service, now_ms(), self._site(upstream)
         )
 
-    def _site(self, upstream: UpstreamRecord) -> Site:
+    def _site(self, upstream: UpstreamRecord) -> UpstreamVersions:
         served = frozenset(
             item.software_version
             for item in self._view.upstreams_of(upstream.service)
             if not item.leaving
         )
-        return Site(upstream.software_version, served)
+        return UpstreamVersions(upstream.software_version, served)
 
     def _use(self, upstream_id: str, grant: Grant) -> None:
         """Run the most urgent item under ``grant``, or give it back when there is none any more.
@@ -546,7 +546,7 @@
         upstream = self._view.upstreams.get(upstream_id)
         choice = None
         if upstream is not None and grant.is_overdue:
-            choice = self._pool.take_overdue_turn(
+            choice = self._pool.claim_overdue(
                 upstream_id, upstream.service, now_ms(), self._site(upstream)
             )
         if upstream is not None and choice is None:
@@ -558,7 +558,9 @@
 
     def _begin(self, choice: ItemChoice, upstream: UpstreamRecord, grant: Grant) -> None:
         grant.choose(choice.run.work_id, choice.run.parts)
-        grant.describe(choice.stage, choice.slack_ms, choice.left_ms, choice.run.barren_runs)
+        grant.describe(
+            choice.stage, choice.slack_ms, choice.left_ms, choice.run.runs_without_output
+        )
         self._pool.start(choice.run, now_ms())
         job = self._jobs[choice.job.job_id]
         waited_ms = choice.waited_ms
@@ -567,7 +569,7 @@
         )
 
     def _lone_item(self, service: str) -> LoneItem | None:
-        choice = self._pool.choose_alone(service, now_ms())
+        choice = self._pool.choose_isolated(service, now_ms())
         if choice is None:
             return None
         record = choice.job.record
@@ -580,7 +582,7 @@
 
     def _use_alone(self, upstream: UpstreamRecord, grant: Grant) -> None:
         """Run the most urgent item that may only run alone, or give the permit back."""
-        choice = self._pool.choose_alone(upstream.service, now_ms())
+        choice = self._pool.choose_isolated(upstream.service, now_ms())
         if choice is None:
             self._permits.give_back(grant)
             return
@@ -602,7 +604,9 @@
         end = await run_item(self._http, record, item, upstream, grant, job.let_go, known, check)
         ran_ms = now_ms() - item.started_ms
         self._metrics.record_run(
-            upstream.service, ran_ms, gained=end is ItemEnd.WHOLE or item.last_event > first_event
+            upstream.service,
+            ran_ms,
+            gained=end is ItemEnd.COMPLETED or item.last_event > first_event,
         )
         code = _ITEM_CODES.get(end)
         if code is not None:
--- a/src/fescuedock/node/job_store.py
+++ b/src/fescuedock/node/job_store.py
@@ -210,16 +210,16 @@
                 return Ok(VersionedRecord(wanted, result.ok_value))
             if result.err_value.code is ResultCode.KV_CONFLICT:
                 # Loaded here, as each module that a start loads costs all restarts of a fleet.
-                from fescuedock.core.stored_jobs.commit import CommitState, judge_commit
+                from fescuedock.core.stored_jobs.commit import CommitState, check_commit
 
                 found = await self.read_record(wanted.job_id)
                 if isinstance(found, Ok):
-                    match judge_commit(wanted, found.ok_value and found.ok_value.record):
+                    match check_commit(wanted, found.ok_value and found.ok_value.record):
                         case CommitState.DONE:
                             return Ok(found.ok_value)
                         case CommitState.LOST:
                             return result
-                        case CommitState.TRY_AGAIN:
+                        case CommitState.RETRY:
                             revision = found.ok_value.revision
             await pauses.wait()
 
--- a/src/fescuedock/node/main.py
+++ b/src/fescuedock/node/main.py
@@ -30,7 +30,7 @@
 from fescuedock.core.stored_jobs.cache import JobCache
 from fescuedock.core.stored_jobs.keys import JobKeys
 from fescuedock.core.stored_jobs.ownership import OwnerIdentity
-from fescuedock.core.stored_jobs.pending_ends import WantedEnds
+from fescuedock.core.stored_jobs.pending_ends import PendingEnds
 from fescuedock.core.watch_duty import WatchDuty
 from fescuedock.daemon import Stop, run_program
 from fescuedock.faults import Fault
@@ -219,7 +219,7 @@
         owner = OwnerIdentity(settings.vm.vm_id, self._boot)
         store = JobStore(self._store, self._keys, node.store_value_bytes)
         cache = JobCache(node.job_cache_bytes)
-        wanted_ends = WantedEnds()
+        wanted_ends = PendingEnds()
         self._runner = JobRunner(
             node,
             store,
--- a/src/fescuedock/node/owner_reads.py
+++ b/src/fescuedock/node/owner_reads.py
@@ -11,7 +11,7 @@
 
 from fescuedock.address import Address
 from fescuedock.core.stored_jobs.cache import CachedJob, JobCache
-from fescuedock.core.stored_jobs.ownership import VOUCH_AGE_MS, OwnerIdentity
+from fescuedock.core.stored_jobs.ownership import MAX_CONFIRM_AGE_MS, OwnerIdentity
 from fescuedock.log import log_event
 from fescuedock.net.channel import CallHandler, ServerPeer
 from fescuedock.node.replicas import CallNeighbour, Replicas
@@ -89,4 +89,4 @@
     def _has_all(self, job_id: str, job: CachedJob) -> bool:
         """Whether the cache holds all that is listed of a job that this node still owns."""
         age_ms = self.replicas.heard_age_ms(self.live_prefix)
-        return age_ms <= VOUCH_AGE_MS and self.listed_of(job_id) == len(job.results)
+        return age_ms <= MAX_CONFIRM_AGE_MS and self.listed_of(job_id) == len(job.results)
--- a/src/fescuedock/node/spools.py
+++ b/src/fescuedock/node/spools.py
@@ -9,7 +9,7 @@
 from fescuedock.address import Address
 from fescuedock.clock import now_ms
 from fescuedock.core.replica_table import ReplicaTable
-from fescuedock.core.stored_jobs.spools import KnownSpools, choose_spools
+from fescuedock.core.stored_jobs.spools import SilentSpools, choose_spools
 from fescuedock.faults import Fault
 from fescuedock.kv import KvEntry
 from fescuedock.log import log_event
@@ -62,7 +62,7 @@
         self._prefix = prefix
         self._copies = copies
         self._call = call
-        self._known = KnownSpools()
+        self._known = SilentSpools()
 
     async def keep(self, record: StoredJobRecord, items: list[StoredItem], kept: Kept) -> bool:
         """Have a job kept on enough disks; ``kept`` tells at any time what may be there.
@@ -150,9 +150,9 @@
     ) -> msgspec.Struct | None:
         reply = await self._call(Address(spool.host, spool.port), message, timeout_ms)
         if isinstance(reply, Ok):
-            self._known.note_answer(spool.vm_id)
+            self._known.record_answer(spool.vm_id)
             return reply.ok_value
-        self._known.note_silence(spool.vm_id, now_ms())
+        self._known.record_silence(spool.vm_id, now_ms())
         return None
 
     def _listed(self) -> Iterable[NodeRecord]:
--- a/src/fescuedock/node/stream_origins.py
+++ b/src/fescuedock/node/stream_origins.py
@@ -15,7 +15,7 @@
 from fescuedock.core.rendezvous import rank_names
 from fescuedock.core.replica_table import ReplicaTable
 from fescuedock.core.stored_jobs.keys import JobKeys
-from fescuedock.core.stored_jobs.work_gate import KnownRecords
+from fescuedock.core.stored_jobs.work_gate import RecordFreshness
 from fescuedock.core.stream_origins import (
     OriginMemory,
     OriginPolicy,
@@ -252,7 +252,7 @@
         is_away = self._replicas.contact.is_away(now_ms())
         agreed_age_ms = self._replicas.agreed_age_ms(self._keys.live)
         age_ms = self._table.as_of_age_ms(now_ms())
-        return KnownRecords(age_ms, is_away, agreed_age_ms).holds(_MOST_AGE_MS)
+        return RecordFreshness(age_ms, is_away, agreed_age_ms).is_usable(_MOST_AGE_MS)
 
     # --- what others ask -------------------------------------------------------------------------
 
--- a/tests/builders/load_player.py
+++ b/tests/builders/load_player.py
@@ -600,12 +600,14 @@
         upstream = self._node.view.upstreams[upstream_id]
         choice = None
         if grant.is_overdue:
-            choice = self._pool.take_overdue_turn(upstream_id, SERVICE, now_ms())
+            choice = self._pool.claim_overdue(upstream_id, SERVICE, now_ms())
         choice = choice or self._choose(upstream)
         if choice is None:
             self._node.permits.give_back(grant)
             return
-        grant.describe(choice.stage, choice.slack_ms, choice.left_ms, choice.run.barren_runs)
+        grant.describe(
+            choice.stage, choice.slack_ms, choice.left_ms, choice.run.runs_without_output
+        )
         self._pool.start(choice.run, now_ms())
         self._node.nursery.start_soon(self._run_item, choice.job, choice.run, grant)
 
@@ -629,10 +631,10 @@
         self._fleet.cut_runs += run.last_event + 1 < length
         ran_ms = now_ms() - record.started_ms
         self._note_time(name, ran_ms, gained=run.last_event > began_event)
-        end = ItemEnd.INTERRUPTED if run.last_event + 1 < length else ItemEnd.WHOLE
-        record.finish(None if end is ItemEnd.WHOLE else AttemptEnd.REVOKED)
+        end = ItemEnd.INTERRUPTED if run.last_event + 1 < length else ItemEnd.COMPLETED
+        record.finish(None if end is ItemEnd.COMPLETED else AttemptEnd.REVOKED)
         self._pool.finish(job, run, end, grant.upstream_id, 3, now_ms())
-        if end is ItemEnd.WHOLE:
+        if end is ItemEnd.COMPLETED:
             self._fleet.whole_slot_s += self._gaining_s[name]
             took_ms = now_ms() - (job.due_ms - job.record.due_in_ms)
             outcome = ItemOutcome(took_ms, job.record.due_in_ms, self._runs[name], job.job_id)
--- a/tests/builders/runner_world.py
+++ b/tests/builders/runner_world.py
@@ -22,7 +22,7 @@
 from fescuedock.core.stored_jobs.job import ItemEnd, ItemRun
 from fescuedock.core.stored_jobs.keys import JobKeys
 from fescuedock.core.stored_jobs.ownership import OwnerIdentity
-from fescuedock.core.stored_jobs.pending_ends import WantedEnds
+from fescuedock.core.stored_jobs.pending_ends import PendingEnds
 from fescuedock.faults import Fault
 from fescuedock.kv import KvChanges, KvEntry, KvEvent, KvPage, KvTransaction
 from fescuedock.net.http_client import SendCheck
@@ -310,7 +310,7 @@
         self._clock = lambda: int(_UNIX_S + skew_s + trio.current_time())
         cache = JobCache(1_000_000)
         configuration = _Configuration(route_table(route("/letters/", kind=RouteKind.BATCH)))
-        wanted_ends = WantedEnds()
+        wanted_ends = PendingEnds()
         self.runner = JobRunner(
             settings,
             self.store,
@@ -538,7 +538,7 @@
         if stopped.is_set():
             return ItemEnd.INTERRUPTED
         item.last_event, item.texts = 0, [item.item.item_id]
-        return ItemEnd.WHOLE
+        return ItemEnd.COMPLETED
 
     async def _crash(self, item: ItemRun, upstream: UpstreamRecord, grant: _Grant) -> None:
         """Have an upstream end under an item; nodes know of it a little later."""
--- a/tests/test_item_versions.py
+++ b/tests/test_item_versions.py
@@ -6,7 +6,7 @@
 
 from fescuedock.core.forwarding.event_stream import EventSplitter
 from fescuedock.core.stored_jobs.job import StoredJob
-from fescuedock.core.stored_jobs.pool import ItemPool, Site
+from fescuedock.core.stored_jobs.pool import ItemPool, UpstreamVersions
 from fescuedock.platform.standin.event_upstream import UpstreamFault, event_bytes, versions_in
 from fescuedock.schema.stored_jobs import StoredItem, StoredJobRecord
 from tests.builders.jobs_calls import JOB, read_page, submit
@@ -85,11 +85,11 @@
         self.job = new_job("begun", "fresh")
         self.pool = ItemPool(lambda: [self.job], lambda _record, _service: True)
         [self.begun, self.fresh] = self.job.ready_items(0.0)
-        self.begun.take(events_of(0, 100, "v1"), "v1")
+        self.begun.add_events(events_of(0, 100, "v1"), "v1")
         self.begun.ended_ms = 1000.0
 
     def choose(self, version: str, served: frozenset[str], at_ms: float):
-        choice = self.pool.choose("i", "s", at_ms, site=Site(version, served))
+        choice = self.pool.choose("i", "s", at_ms, versions=UpstreamVersions(version, served))
         return None if choice is None else choice.run
 
     def test_begun_items_go_on_at_their_version_and_others_begin_elsewhere(self) -> None:
@@ -116,17 +116,21 @@
 
     def test_what_begins_anew_has_all_of_its_run_left(self) -> None:
         left_ms = [
-            self.pool.choose("i", "s", 9000.0, site=Site(version, frozenset((version,)))).left_ms
+            self.pool.choose(
+                "i", "s", 9000.0, versions=UpstreamVersions(version, frozenset((version,)))
+            ).left_ms
             for version in ("v1", "v1.1")
         ]
         self.fresh.running = True
-        anew = self.pool.choose("i", "s", 9000.0, site=Site("v1.1", frozenset(("v1.1",))))
+        anew = self.pool.choose(
+            "i", "s", 9000.0, versions=UpstreamVersions("v1.1", frozenset(("v1.1",)))
+        )
         self.assertGreater(anew.left_ms, left_ms[0])
 
     def test_events_of_another_version_take_the_place_of_those_before(self) -> None:
         self.assertEqual(self.begun.resume_after("v1.1"), -1)
         self.assertEqual(self.begun.resume_after("v1"), 99)
-        self.assertTrue(self.begun.take(events_of(0, 2, "v1.1"), "v1.1"))
+        self.assertTrue(self.begun.add_events(events_of(0, 2, "v1.1"), "v1.1"))
         self.assertEqual(versions_in(self.begun.texts), {"v1.1"})
         self.assertEqual((self.begun.last_event, len(self.begun.texts)), (1, 2))
 
--- a/tests/test_node_attempt.py
+++ b/tests/test_node_attempt.py
@@ -131,7 +131,7 @@
             self.assertEqual(item.failures, 0)
         else:
             self.assertEqual(dict(upstream.runs), {"first": 1, "item": 1})
-            self.assertIs(end, ItemEnd.WHOLE)
+            self.assertIs(end, ItemEnd.COMPLETED)
             self.assertIs(outcome, AttemptOutcome.COMPLETED)
 
 
--- a/tests/test_owner_reads.py
+++ b/tests/test_owner_reads.py
@@ -10,7 +10,7 @@
 from fescuedock.clock import now_ms
 from fescuedock.core.replica_table import ReplicaTable
 from fescuedock.core.stored_jobs.cache import JobCache
-from fescuedock.core.stored_jobs.ownership import VOUCH_AGE_MS, OwnerIdentity
+from fescuedock.core.stored_jobs.ownership import MAX_CONFIRM_AGE_MS, OwnerIdentity
 from fescuedock.faults import Fault
 from fescuedock.node.owner_reads import OwnerReads
 from fescuedock.schema.result_codes import ResultCode
@@ -84,7 +84,7 @@
         self.assertEqual((reply.group.results, reply.current), ([], False))
 
     def test_old_knowledge_of_the_records_vouches_for_nothing(self) -> None:
-        reply = self.ask(listed=2, cached=2, age_ms=VOUCH_AGE_MS + 1)
+        reply = self.ask(listed=2, cached=2, age_ms=MAX_CONFIRM_AGE_MS + 1)
         self.assertEqual((len(reply.group.results), reply.current), (2, False))
 
     def test_a_job_that_runs_here_no_more_is_vouched_for_only_when_it_is_complete(self) -> None:
--- a/tests/test_pending_ends.py
+++ b/tests/test_pending_ends.py
@@ -2,62 +2,62 @@
 
 import unittest
 
-from fescuedock.core.stored_jobs.pending_ends import UnsettledAcceptances, WantedEnds
+from fescuedock.core.stored_jobs.pending_ends import PendingEnds, UnresolvedAcceptances
 
 
 class WantedEndsTest(unittest.TestCase):
     def test_an_end_is_wanted_until_it_is_settled(self) -> None:
-        ends = WantedEnds()
+        ends = PendingEnds()
         self.assertNotIn("j", ends)
-        self.assertTrue(ends.note("j", 100.0))
+        self.assertTrue(ends.add("j", 100.0))
         self.assertIn("j", ends)
-        ends.settle("j")
+        ends.discard("j")
         self.assertNotIn("j", ends)
 
     def test_an_end_that_comes_again_is_pursued_from_then_on(self) -> None:
-        ends = WantedEnds()
-        ends.note("j", 100.0)
-        ends.note("j", 150.0)
-        ends.note("j", 120.0)
-        self.assertFalse(ends.is_over("j", 149.0))
-        self.assertTrue(ends.is_over("j", 150.0))
+        ends = PendingEnds()
+        ends.add("j", 100.0)
+        ends.add("j", 150.0)
+        ends.add("j", 120.0)
+        self.assertFalse(ends.is_expired("j", 149.0))
+        self.assertTrue(ends.is_expired("j", 150.0))
 
     def test_there_is_room_for_so_many_and_those_that_are_there_come_again(self) -> None:
-        ends = WantedEnds(most=2)
-        self.assertEqual([ends.note(name, 100.0) for name in "abab"], [True, True, True, True])
-        self.assertFalse(ends.note("c", 100.0))
+        ends = PendingEnds(max_ends=2)
+        self.assertEqual([ends.add(name, 100.0) for name in "abab"], [True, True, True, True])
+        self.assertFalse(ends.add("c", 100.0))
         self.assertNotIn("c", ends)
-        ends.settle("a")
-        self.assertTrue(ends.note("c", 100.0))
+        ends.discard("a")
+        self.assertTrue(ends.add("c", 100.0))
 
 
 class UnsettledAcceptancesTest(unittest.TestCase):
     def test_a_job_may_be_stored_while_any_try_is_under_way(self) -> None:
-        tries = UnsettledAcceptances()
+        tries = UnresolvedAcceptances()
         tries.begin("j")
         tries.begin("j")
-        tries.finish("j", 10.0, unsure=False)
+        tries.finish("j", 10.0, uncertain=False)
         self.assertTrue(tries.may_store("j", 10.0))
         self.assertFalse(tries.may_store("other", 10.0))
-        tries.finish("j", 20.0, unsure=False)
+        tries.finish("j", 20.0, uncertain=False)
         self.assertFalse(tries.may_store("j", 20.0))
 
     def test_a_try_that_nobody_is_sure_of_may_take_effect_for_a_while(self) -> None:
-        tries = UnsettledAcceptances(lasts_ms=1000.0)
+        tries = UnresolvedAcceptances(unresolved_ms=1000.0)
         tries.begin("j")
-        tries.finish("j", 10.0, unsure=True)
+        tries.finish("j", 10.0, uncertain=True)
         self.assertTrue(tries.may_store("j", 1009.0))
         self.assertFalse(tries.may_store("j", 1010.0))
         # A later try that failed for sure says nothing of the earlier one.
         tries.begin("j")
-        tries.finish("j", 20.0, unsure=False)
+        tries.finish("j", 20.0, uncertain=False)
         self.assertTrue(tries.may_store("j", 1009.0))
 
     def test_nothing_is_kept_of_tries_that_are_over(self) -> None:
-        tries = UnsettledAcceptances(lasts_ms=1000.0)
+        tries = UnresolvedAcceptances(unresolved_ms=1000.0)
         for number in range(100):
             tries.begin(f"j{number}")
-            tries.finish(f"j{number}", number * 100.0, unsure=True)
+            tries.finish(f"j{number}", number * 100.0, uncertain=True)
         self.assertLessEqual(len(tries._until_ms), 11)
         self.assertEqual(len(tries._running), 0)
 
--- a/tests/test_spool_files.py
+++ b/tests/test_spool_files.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 from result import Ok
 
-from fescuedock.core.stored_jobs.spools import KnownSpools, choose_spools
+from fescuedock.core.stored_jobs.spools import SilentSpools, choose_spools
 from fescuedock.core.stored_jobs.submission import digest_of
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.stored_jobs import NodeRecord, SpoolJob
@@ -187,18 +187,18 @@
         self.assertGreater(len({choose_spools(f"job-{n}", spools)[0].vm_id for n in range(50)}), 3)
 
     def test_a_job_may_be_held_until_every_spool_has_denied_it(self) -> None:
-        known = KnownSpools(lost_after_ms=60_000.0)
+        known = SilentSpools(lost_after_ms=60_000.0)
         self.assertTrue(known.may_hold(["s0", "s1"], {"s0"}, 0.0))
         self.assertFalse(known.may_hold(["s0", "s1"], {"s0", "s1"}, 0.0))
         self.assertFalse(known.may_hold([], set(), 0.0))
 
     def test_a_spool_that_is_silent_for_long_is_taken_for_lost(self) -> None:
-        known = KnownSpools(lost_after_ms=60_000.0)
-        known.note_silence("s1", 0.0)
-        known.note_silence("s1", 50_000.0)
+        known = SilentSpools(lost_after_ms=60_000.0)
+        known.record_silence("s1", 0.0)
+        known.record_silence("s1", 50_000.0)
         self.assertTrue(known.may_hold(["s0", "s1"], {"s0"}, 59_999.0))
         self.assertFalse(known.may_hold(["s0", "s1"], {"s0"}, 60_000.0))
-        known.note_answer("s1")
+        known.record_answer("s1")
         self.assertTrue(known.may_hold(["s0", "s1"], {"s0"}, 60_000.0))
 
 
--- a/tests/test_stored_jobs_core.py
+++ b/tests/test_stored_jobs_core.py
@@ -6,12 +6,16 @@
 import msgspec
 
 from fescuedock.core.forwarding.event_stream import EventSplitter
-from fescuedock.core.stored_jobs.permit_requests import AskCandidate, AskPolicy, choose_asks
 from fescuedock.core.stored_jobs.cache import JobCache
-from fescuedock.core.stored_jobs.commit import CommitState, judge_commit
+from fescuedock.core.stored_jobs.commit import CommitState, check_commit
 from fescuedock.core.stored_jobs.job import ItemEnd, ItemRun, StoredJob
 from fescuedock.core.stored_jobs.ownership import Duty, MissingOwners, OwnerIdentity, duty_of
-from fescuedock.core.stored_jobs.run_estimates import Pace, RunEstimate
+from fescuedock.core.stored_jobs.permit_requests import (
+    PermitRequestCandidate,
+    PermitRequestPolicy,
+    choose_upstreams,
+)
+from fescuedock.core.stored_jobs.run_estimates import RunEstimate, RunShare
 from fescuedock.core.stored_jobs.urgency import rank_items
 from fescuedock.schema.stored_jobs import ResultGroup, StoredResult
 from tests.builders.forwarding import event, job_record, stored_item, stored_job
@@ -23,7 +27,7 @@
 
 def start_next(job: StoredJob, upstream_id: str = "i-1", now_ms: float = 0.0) -> ItemRun | None:
     """Start the job's most urgent item; None when none may start."""
-    choices = rank_items([job], upstream_id, RunEstimate(), Pace(), now_ms)
+    choices = rank_items([job], upstream_id, RunEstimate(), RunShare(), now_ms)
     if not choices:
         return None
     choices[0].run.start(now_ms)
@@ -33,14 +37,14 @@
 class ItemRunTest(unittest.TestCase):
     def test_each_event_counts_once_over_several_runs(self) -> None:
         run = ItemRun(stored_item("a"))
-        self.assertTrue(run.take(events(0, 1, 2)))
-        self.assertTrue(run.take(events(1, 2, 3)))
+        self.assertTrue(run.add_events(events(0, 1, 2)))
+        self.assertTrue(run.add_events(events(1, 2, 3)))
         self.assertEqual(run.texts, ["word 0", "word 1", "word 2", "word 3"])
 
     def test_a_gap_between_events_is_no_answer(self) -> None:
         run = ItemRun(stored_item("a"))
-        run.take(events(0, 1))
-        self.assertFalse(run.take(events(3)))
+        run.add_events(events(0, 1))
+        self.assertFalse(run.add_events(events(3)))
         self.assertEqual(run.last_event, 1)
 
 
@@ -51,11 +55,11 @@
         second = start_next(job)
         self.assertEqual({first.item.item_id, second.item.item_id}, {"a", "b"})
         self.assertIsNone(start_next(job))
-        first.take(events(0, 1))
-        job.finish(first, ItemEnd.WHOLE, "i-1", 3, 10.0)
+        first.add_events(events(0, 1))
+        job.finish(first, ItemEnd.COMPLETED, "i-1", 3, 10.0)
         [result] = job.next_group(1000)
         self.assertEqual((result.completed, result.text), (True, "word 0\nword 1"))
-        job.committed()
+        job.record_commit()
         self.assertEqual((job.listed_count, job.has_results, job.is_finished), (1, False, False))
 
     def test_an_item_that_fails_too_often_is_given_up_and_not_sooner(self) -> None:
@@ -89,7 +93,7 @@
             pauses.append(run.not_before_ms)
         self.assertEqual(pauses, [25.0, 50.0, 100.0, 200.0, 200.0, 200.0])
         run = start_next(job, now_ms=10_000.0)
-        run.take(events(0, 1))
+        run.add_events(events(0, 1))
         job.finish(run, ItemEnd.INTERRUPTED, "i-1", 3, 0.0)
         self.assertEqual(run.not_before_ms, 25.0)
 
@@ -119,26 +123,26 @@
         for _ in range(3):
             run = start_next(job, "i-1", 0.0)
             run.texts = ["x" * 60]
-            job.finish(run, ItemEnd.WHOLE, "i-1", 3, 0.0)
+            job.finish(run, ItemEnd.COMPLETED, "i-1", 3, 0.0)
         self.assertEqual(len(job.next_group(100)), 1)
-        job.committed()
+        job.record_commit()
         self.assertEqual(len(job.next_group(130)), 2)
-        job.committed()
+        job.record_commit()
         self.assertTrue(job.is_finished)
 
     def test_results_that_come_during_a_commit_are_not_counted_in(self) -> None:
         job = stored_job("a", "b")
         first, second = start_next(job, "i-1", 0.0), start_next(job, "i-1", 0.0)
-        job.finish(first, ItemEnd.WHOLE, "i-1", 3, 0.0)
+        job.finish(first, ItemEnd.COMPLETED, "i-1", 3, 0.0)
         job.next_group(1000)
-        job.finish(second, ItemEnd.WHOLE, "i-1", 3, 0.0)
-        job.committed()
+        job.finish(second, ItemEnd.COMPLETED, "i-1", 3, 0.0)
+        job.record_commit()
         self.assertEqual((job.listed_count, job.has_results), (1, True))
 
     def test_another_node_goes_on_where_one_had_got_to(self) -> None:
         job = stored_job("a", "b")
         run = start_next(job, "i-1", 0.0)
-        run.take(events(0, 1))
+        run.add_events(events(0, 1))
         other = stored_job("a", "b")
         other.resume(job.progress())
         found = {start_next(other, "i-2", 0.0), start_next(other, "i-2", 0.0)}
@@ -149,11 +153,15 @@
 class AskingTest(unittest.TestCase):
     """How many owners are asked for the items that wait, and which."""
 
-    def choose(self, waiting: int, open_asks: int, *candidates: AskCandidate) -> list[str]:
-        return choose_asks(waiting, open_asks, candidates, AskPolicy(3), random.Random(1))
+    def choose(
+        self, waiting: int, open_asks: int, *candidates: PermitRequestCandidate
+    ) -> list[str]:
+        return choose_upstreams(
+            waiting, open_asks, candidates, PermitRequestPolicy(3), random.Random(1)
+        )
 
     def test_a_few_asks_are_open_for_each_item(self) -> None:
-        fleet = [AskCandidate(f"i-{number}") for number in range(30)]
+        fleet = [PermitRequestCandidate(f"i-{number}") for number in range(30)]
         self.assertEqual(len(self.choose(1, 0, *fleet)), 3)
         self.assertEqual(len(self.choose(1, 2, *fleet)), 1)
         self.assertEqual(self.choose(1, 3, *fleet), [])
@@ -161,24 +169,32 @@
         self.assertEqual(len(set(self.choose(20, 0, *fleet))), 30)
 
     def test_upstreams_known_to_be_full_are_asked_last(self) -> None:
-        full = [AskCandidate(f"full-{number}", 0) for number in range(9)]
-        chosen = self.choose(1, 0, *full, AskCandidate("free", 4), AskCandidate("unknown"))
+        full = [PermitRequestCandidate(f"full-{number}", 0) for number in range(9)]
+        chosen = self.choose(
+            1, 0, *full, PermitRequestCandidate("free", 4), PermitRequestCandidate("unknown")
+        )
         self.assertEqual(set(chosen[:2]), {"free", "unknown"})
         self.assertIn(chosen[2], {item.upstream_id for item in full})
 
     def test_nodes_that_know_the_same_do_not_all_ask_the_same(self) -> None:
-        fleet = [AskCandidate(f"i-{number}", 4) for number in range(30)]
-        first = {choose_asks(1, 0, fleet, AskPolicy(1), random.Random(n))[0] for n in range(40)}
+        fleet = [PermitRequestCandidate(f"i-{number}", 4) for number in range(30)]
+        first = {
+            choose_upstreams(1, 0, fleet, PermitRequestPolicy(1), random.Random(n))[0]
+            for n in range(40)
+        }
         self.assertGreater(len(first), 15)
 
     def near_share(self, near_slots: int) -> float:
         """Return how many of the asks for an item go to upstreams of the node's own domain."""
-        near = [AskCandidate(f"near-{number}", near_slots, is_near=True) for number in range(15)]
-        fleet = [*near, *(AskCandidate(f"far-{number}", 4) for number in range(30))]
+        near = [
+            PermitRequestCandidate(f"near-{number}", near_slots, is_near=True)
+            for number in range(15)
+        ]
+        fleet = [*near, *(PermitRequestCandidate(f"far-{number}", 4) for number in range(30))]
         chosen = [
             name
             for seed in range(200)
-            for name in choose_asks(1, 0, fleet, AskPolicy(3), random.Random(seed))
+            for name in choose_upstreams(1, 0, fleet, PermitRequestPolicy(3), random.Random(seed))
         ]
         return sum(name.startswith("near") for name in chosen) / len(chosen)
 
@@ -194,29 +210,29 @@
 class CommitTest(unittest.TestCase):
     def test_a_record_that_shows_the_commit_means_done(self) -> None:
         wanted = job_record(listed=2, owner_id="n", owner_boot=1, epoch=1)
-        self.assertIs(judge_commit(wanted, wanted), CommitState.DONE)
+        self.assertIs(check_commit(wanted, wanted), CommitState.DONE)
 
     def test_a_record_before_the_commit_means_try_again(self) -> None:
         wanted = job_record(listed=2, owner_id="n", owner_boot=1, epoch=1)
         found = msgspec.structs.replace(wanted, listed=1)
-        self.assertIs(judge_commit(wanted, found), CommitState.TRY_AGAIN)
+        self.assertIs(check_commit(wanted, found), CommitState.RETRY)
 
     def test_another_owner_epoch_or_end_means_lost(self) -> None:
         wanted = job_record(listed=2, owner_id="n", owner_boot=1, epoch=1)
         for change in ({"owner_id": "m"}, {"owner_boot": 2}, {"epoch": 2}, {"ended": True}):
             with self.subTest(change=change):
                 found = msgspec.structs.replace(wanted, **change)
-                self.assertIs(judge_commit(wanted, found), CommitState.LOST)
-        self.assertIs(judge_commit(wanted, None), CommitState.LOST)
+                self.assertIs(check_commit(wanted, found), CommitState.LOST)
+        self.assertIs(check_commit(wanted, None), CommitState.LOST)
 
 
 class OwnershipTest(unittest.TestCase):
     own = OwnerIdentity("n-1", 5)
 
     def duty(self, owner_gone: bool = False, leaving: bool = False, **fields: object) -> Duty:
-        takers = {"n-1"} if not leaving else set()
+        accepting_nodes = {"n-1"} if not leaving else set()
         record = job_record(**fields)
-        return duty_of(record, self.own, takers, owner_gone=owner_gone, leaving=leaving)
+        return duty_of(record, self.own, accepting_nodes, owner_gone=owner_gone, leaving=leaving)
 
     def test_an_owner_runs_its_jobs(self) -> None:
         self.assertIs(self.duty(owner_id="n-1", owner_boot=5), Duty.RUN)
@@ -238,11 +254,11 @@
         self.assertIs(self.duty(owner_id="", total=3, listed=3), Duty.NONE)
 
     def test_an_owner_is_gone_only_after_it_was_missing_for_long(self) -> None:
-        missing = MissingOwners(patience_ms=1500.0)
+        missing = MissingOwners(grace_ms=1500.0)
         self.assertFalse(missing.is_gone("n-2", {"n-1"}, 0.0))
         self.assertFalse(missing.is_gone("n-2", {"n-1"}, 1400.0))
         self.assertTrue(missing.is_gone("n-2", {"n-1"}, 1500.0))
-        missing.note({"n-1", "n-2"}, 1600.0)
+        missing.record_present({"n-1", "n-2"}, 1600.0)
         self.assertFalse(missing.is_gone("n-2", {"n-1"}, 1700.0))
 
 
--- a/tests/test_stored_jobs_urgency.py
+++ b/tests/test_stored_jobs_urgency.py
@@ -6,8 +6,8 @@
 
 from fescuedock.core.permits.queued import batch_rank
 from fescuedock.core.stored_jobs.job import ItemEnd, ItemRun, StoredJob
-from fescuedock.core.stored_jobs.run_estimates import Pace, RunEstimate
-from fescuedock.core.stored_jobs.pool import ItemPool, Site
+from fescuedock.core.stored_jobs.pool import ItemPool, UpstreamVersions
+from fescuedock.core.stored_jobs.run_estimates import RunEstimate, RunShare
 from fescuedock.core.stored_jobs.urgency import rank_items, stage_of
 from fescuedock.schema.permits import BatchStage
 from tests.builders.forwarding import job_record, stored_item
@@ -21,9 +21,9 @@
     return job
 
 
-def half_pace() -> Pace:
+def half_pace() -> RunShare:
     """Return the pace of items that wait as long as they run."""
-    pace = Pace(gain=1.0)
+    pace = RunShare(gain=1.0)
     pace.observe(1000.0, 1000.0)
     return pace
 
@@ -31,8 +31,8 @@
 class OrderTest(unittest.TestCase):
     """Items of 1 s whose runs are interrupted half of the time."""
 
-    def first(self, *jobs: StoredJob, pace: Pace | None = None) -> str:
-        estimate = RunEstimate(events=100.0, spread=10.0, event_ms=10.0)
+    def first(self, *jobs: StoredJob, pace: RunShare | None = None) -> str:
+        estimate = RunEstimate(events=100.0, deviation=10.0, event_ms=10.0)
         choices = rank_items(jobs, "i-1", estimate, pace or half_pace(), 0.0)
         return choices[0].run.item.item_id
 
@@ -54,14 +54,14 @@
     def test_nothing_new_begins_that_only_an_uninterrupted_run_would_get_done(self) -> None:
         doubtful, safe = job_due("a", 1500.0), job_due("b", 9000.0)
         self.assertEqual(self.first(doubtful, safe), "b")
-        self.assertEqual(self.first(doubtful, safe, pace=Pace()), "a")
+        self.assertEqual(self.first(doubtful, safe, pace=RunShare()), "a")
 
     def test_of_doubtful_items_the_one_with_the_best_chance_runs_first(self) -> None:
         self.assertEqual(self.first(job_due("a", 1200.0), job_due("b", 1800.0)), "b")
 
     def test_what_has_got_further_needs_less_time(self) -> None:
         job = job_due("a", 900.0, 50)
-        estimate = RunEstimate(events=100.0, spread=10.0, event_ms=10.0)
+        estimate = RunEstimate(events=100.0, deviation=10.0, event_ms=10.0)
         [choice] = rank_items([job], "i-1", estimate, half_pace(), 0.0)
         self.assertEqual((choice.left_ms, choice.slack_ms), (500.0, 400.0))
 
@@ -80,11 +80,11 @@
         self.assertEqual(estimate.events, 60.0)
 
     def test_an_item_beyond_the_mean_has_a_spread_left(self) -> None:
-        estimate = RunEstimate(events=100.0, spread=10.0, event_ms=10.0)
+        estimate = RunEstimate(events=100.0, deviation=10.0, event_ms=10.0)
         self.assertEqual((estimate.left_ms(70), estimate.left_ms(120)), (300.0, 100.0))
 
     def test_the_pace_counts_the_waits_between_runs(self) -> None:
-        pace = Pace()
+        pace = RunShare()
         self.assertEqual(pace.share, 1.0)
         for _ in range(200):
             pace.observe(1000.0, 3000.0)
@@ -186,8 +186,8 @@
         [run] = job.ready_items(0.0)
         return run
 
-    def overdue(self, now_ms: float, site: Site | None = None) -> str | None:
-        choice = self.pool.choose_overdue("i-1", "s", now_ms, site)
+    def overdue(self, now_ms: float, versions: UpstreamVersions | None = None) -> str | None:
+        choice = self.pool.choose_overdue("i-1", "s", now_ms, versions)
         # The look at the jobs alone misses none.
         self.assertTrue(choice is None or self.pool.any_overdue(now_ms))
         return None if choice is None else choice.run.item.item_id
@@ -212,7 +212,7 @@
         self.add("small", -8000.0)
         taken = []
         for _ in range(4):
-            choice = self.pool.take_overdue_turn("i-1", "s", 0.0)
+            choice = self.pool.claim_overdue("i-1", "s", 0.0)
             self.pool.start(choice.run, 0.0)
             taken.append(choice.job.job_id)
         self.assertEqual(taken, ["big", "small", "big", "big"])
@@ -223,7 +223,7 @@
         taken = []
         for number in range(10):
             self.add(f"new-{number}", -8000.0)
-            choice = self.pool.take_overdue_turn("i-1", "s", 0.0)
+            choice = self.pool.claim_overdue("i-1", "s", 0.0)
             self.pool.start(choice.run, 0.0)
             taken.append(choice.job.job_id)
         self.assertGreaterEqual(taken.count("big"), 2)
@@ -239,9 +239,9 @@
         run = self.add("late", -30_000.0)
         run.last_event, run.software_version, run.ended_ms = 99, "v1", 100.0
         served = frozenset({"v1", "v2"})
-        self.assertIsNone(self.overdue(1000.0, Site("v2", served)))
-        self.assertEqual(self.overdue(1000.0, Site("v1", served)), "late")
-        self.assertEqual(self.overdue(9000.0, Site("v2", served)), "late")
+        self.assertIsNone(self.overdue(1000.0, UpstreamVersions("v2", served)))
+        self.assertEqual(self.overdue(1000.0, UpstreamVersions("v1", served)), "late")
+        self.assertEqual(self.overdue(9000.0, UpstreamVersions("v2", served)), "late")
 
 
 if __name__ == "__main__":
--- a/tests/test_work_gate.py
+++ b/tests/test_work_gate.py
@@ -6,12 +6,12 @@
 from hypothesis import strategies as st
 
 from fescuedock.core.stored_jobs.ownership import OwnerIdentity
-from fescuedock.core.stored_jobs.work_gate import KnownRecords, WorkRefusal, refusal_of
+from fescuedock.core.stored_jobs.work_gate import RecordFreshness, WorkRefusal, refusal_of
 from fescuedock.schema.stored_jobs import StoredJobRecord
 
 OWN = OwnerIdentity("n-1", 7)
 END_BOUND_MS = 3000.0
-FRESH = KnownRecords(100.0)
+FRESH = RecordFreshness(100.0)
 ages_ms = st.floats(0, 20_000)
 records = st.builds(
     StoredJobRecord,
@@ -38,13 +38,13 @@
 
 def judge(
     found: StoredJobRecord | None,
-    known: KnownRecords = FRESH,
+    known: RecordFreshness = FRESH,
     *,
     leaving: bool = False,
-    end_wanted: bool = False,
+    end_pending: bool = False,
 ) -> WorkRefusal | None:
     return refusal_of(
-        found, OWN, known, end_bound_ms=END_BOUND_MS, leaving=leaving, end_wanted=end_wanted
+        found, OWN, known, end_bound_ms=END_BOUND_MS, leaving=leaving, end_pending=end_pending
     )
 
 
@@ -70,21 +70,21 @@
         self.assertFalse(WorkRefusal.LEAVING.is_final)
 
     def test_what_nobody_has_confirmed_for_long_holds_work_until_it_is(self) -> None:
-        self.assertIs(judge(record(), KnownRecords(2401.0)), WorkRefusal.UNCONFIRMED)
+        self.assertIs(judge(record(), RecordFreshness(2401.0)), WorkRefusal.UNCONFIRMED)
         self.assertFalse(WorkRefusal.UNCONFIRMED.is_final)
-        self.assertIsNone(judge(record(), KnownRecords(2400.0)))
+        self.assertIsNone(judge(record(), RecordFreshness(2400.0)))
 
     def test_an_end_that_is_not_recorded_yet_holds_work_until_it_is_settled(self) -> None:
-        for known in (FRESH, KnownRecords(9000.0), KnownRecords(9000.0, True, 400.0)):
+        for known in (FRESH, RecordFreshness(9000.0), RecordFreshness(9000.0, True, 400.0)):
             with self.subTest(known=known):
-                self.assertIs(judge(record(), known, end_wanted=True), WorkRefusal.END_WANTED)
+                self.assertIs(judge(record(), known, end_pending=True), WorkRefusal.END_WANTED)
         # Nothing is dropped for it: it may be given up.
         self.assertFalse(WorkRefusal.END_WANTED.is_final)
-        self.assertIs(judge(record(ended=True), end_wanted=True), WorkRefusal.ENDED)
+        self.assertIs(judge(record(ended=True), end_pending=True), WorkRefusal.ENDED)
 
     def test_an_outage_that_neighbours_share_holds_nothing(self) -> None:
-        self.assertIsNone(judge(record(), KnownRecords(9000.0, True, 400.0)))
-        for known in (KnownRecords(9000.0, True, 2401.0), KnownRecords(9000.0, False, 400.0)):
+        self.assertIsNone(judge(record(), RecordFreshness(9000.0, True, 400.0)))
+        for known in (RecordFreshness(9000.0, True, 2401.0), RecordFreshness(9000.0, False, 400.0)):
             with self.subTest(known=known):
                 self.assertIs(judge(record(), known), WorkRefusal.UNCONFIRMED)
 
@@ -96,12 +96,12 @@
         away: bool,
         agreed_age_ms: float,
         leaving: bool,
-        end_wanted: bool,
+        end_pending: bool,
     ) -> None:
-        known = KnownRecords(age_ms, away, agreed_age_ms)
-        if judge(found, known, leaving=leaving, end_wanted=end_wanted) is not None:
+        known = RecordFreshness(age_ms, away, agreed_age_ms)
+        if judge(found, known, leaving=leaving, end_pending=end_pending) is not None:
             return
-        self.assertFalse(found.ended or leaving or end_wanted)
+        self.assertFalse(found.ended or leaving or end_pending)
         self.assertLess(found.listed, found.total)
         self.assertEqual((found.owner_id, found.owner_boot), (OWN.node_id, OWN.boot))
         self.assertLess(min(age_ms, agreed_age_ms if away else age_ms), END_BOUND_MS)
