--- a/src/fescuedock/core/stored_jobs/cache.py
+++ b/src/fescuedock/core/stored_jobs/cache.py
@@ -1,4 +1,4 @@
-"""What a node remembers of jobs for their readers; listed results never change."""
+"""Caches the items and results of jobs for readers; listed results never change."""
 
 from collections import OrderedDict
 
@@ -10,26 +10,26 @@
 
 
 class CachedJob(msgspec.Struct):
-    """The first positions of one job, without a gap, and its items once they were read."""
+    """The first results of one job, without a gap, and its items once they have been read."""
 
     total: int
     results: list[StoredResult] = msgspec.field(default_factory=list)
     items: dict[str, StoredItem] | None = None
-    # How many results there are for good once a client has ended the job; below 0 before.
+    # The final number of results once a client has ended the job; below 0 before that.
     listed_at_end: int = -1
     size_bytes: int = 0
 
     @property
     def is_complete(self) -> bool:
-        """Whether no further result can come.
+        """Whether the cache holds all results that the job will ever have.
 
-        Of a job that was ended, some that were listed before may still be missing here.
+        For a job that was ended, results listed before the end may still be missing here.
         """
         final = self.total if self.listed_at_end < 0 else self.listed_at_end
         return len(self.results) >= final
 
     def add(self, group: ResultGroup) -> bool:
-        """Take a group; False when positions before it are missing."""
+        """Append the new results of a group; return False when earlier positions are missing."""
         known = len(self.results)
         if group.first_position > known:
             return False
@@ -44,7 +44,7 @@
             self.size_bytes += sum(len(item.body) for item in items)
 
     def page(self, after: int, max_bytes: int) -> list[StoredResult]:
-        """Return the results at ``after`` and on: one at least if there is any, few enough."""
+        """Return results from position ``after`` on, up to ``max_bytes`` but at least one."""
         size_bytes = 0
         chosen: list[StoredResult] = []
         for result in self.results[after:]:
@@ -56,7 +56,7 @@
 
 
 class JobCache:
-    """Jobs by identity; the least recently used ones go when they take over ``max_bytes``."""
+    """Jobs by ``job_id``; evicts the least recently used ones beyond ``max_bytes``."""
 
     def __init__(self, max_bytes: int) -> None:
         self._max_bytes = max_bytes
@@ -69,7 +69,7 @@
         return job
 
     def open(self, record: StoredJobRecord) -> CachedJob:
-        """Return the job of ``record``, remembered from now on."""
+        """Return the cached job of ``record``, adding it if needed, as the most recently used."""
         job = self._jobs.setdefault(record.job_id, CachedJob(record.total))
         if record.ended:
             job.listed_at_end = record.listed
@@ -77,7 +77,7 @@
         return job
 
     def trim(self) -> None:
-        """Forget what is over the limit, but for the job used last."""
+        """Evict jobs until the size limit is met; the most recently used job always stays."""
         total = sum(job.size_bytes for job in self._jobs.values())
         while total > self._max_bytes and len(self._jobs) > 1:
             _, dropped = self._jobs.popitem(last=False)
--- a/src/fescuedock/core/stored_jobs/commit.py
+++ b/src/fescuedock/core/stored_jobs/commit.py
@@ -1,4 +1,4 @@
-"""Finds out what became of a change of a job's record whose answer was lost or refused."""
+"""Determines whether a write of a job's record took effect when its answer was lost or refused."""
 
 import enum
 
@@ -8,18 +8,18 @@
 
 
 class CommitState(enum.Enum):
-    """What a record that was read again says of a commit."""
+    """Outcome of a commit according to the record as read again."""
 
-    # The commit is there.
+    # The record contains the commit.
     DONE = enum.auto()
-    # It is not, and may be tried again on the record as it is now.
+    # The record does not contain it; the commit may be retried on the current record.
     RETRY = enum.auto()
-    # The job was ended or has another owner: nothing of ours is to be written any more.
+    # The job was ended or has another owner; this node must not write to it again.
     LOST = enum.auto()
 
 
 def check_commit(wanted: StoredJobRecord, found: StoredJobRecord | None) -> CommitState:
-    """Compare the record that a commit was to write with the one that is there."""
+    """Compare the record that a commit tried to write with the stored one."""
     if found is None or found.ended:
         return CommitState.LOST
     same_owner = (found.owner_id, found.owner_boot, found.epoch) == (
--- a/src/fescuedock/core/stored_jobs/customer_order.py
+++ b/src/fescuedock/core/stored_jobs/customer_order.py
@@ -1,4 +1,4 @@
-"""Customers take turns with their items at a node, so that one's jobs do not hold up another's.
+"""Orders the items at a node fairly by customer, so that no customer's jobs block another's.
 
 Pure.
 """
@@ -15,7 +15,7 @@
 
 
 def count_running_items(jobs: Iterable[StoredJob]) -> Counter[str]:
-    """Return how many items of each customer run now."""
+    """Return the number of running items by customer."""
     counts: Counter[str] = Counter()
     for job in jobs:
         counts[job.record.customer or ""] += job.running_count()
@@ -28,11 +28,11 @@
     priority: Callable[[StoredJobRecord], int],
     upstream_id: str,
 ) -> list[ItemChoice]:
-    """Return ``ranked`` with the more urgent priority first and customers in turn within it.
+    """Return ``ranked`` by priority, then urgency, with customers in round-robin order.
 
-    They take turns among items that can wait equally well.  A customer's items keep their order;
-    the first of them counts as behind all that run of it.  Items that the upstream has failed stay
-    last, whoever's they are.
+    Customers alternate only among items of the same priority and urgency.  A customer's items keep
+    their order; running items count as already served, so a customer's first waiting item comes in
+    the round after them.  Items that failed at this upstream stay last, for every customer.
     """
     turns = Counter(running)
     keyed = []
--- a/src/fescuedock/core/stored_jobs/job.py
+++ b/src/fescuedock/core/stored_jobs/job.py
@@ -1,6 +1,6 @@
-"""One job at the node that runs its items: what waits, what runs, and what is to be committed.
+"""The state of one job at its owner node: waiting items, running items and results to commit.
 
-A pure state machine: the caller passes the time.
+Pure state machine: the caller passes the time.
 """
 
 import enum
@@ -19,7 +19,7 @@
 
 __all__ = ["ItemEnd", "ItemRun", "RetryPauses", "StoredJob"]
 
-# Keeps the power within numbers.
+# Keeps the power of two within the range of a float.
 _MAX_DOUBLINGS = 16
 
 
@@ -27,21 +27,21 @@
     """How one run of an item ended."""
 
     COMPLETED = "whole"
-    # The upstream says that the item can never be done.
+    # The upstream reports that the item can never succeed.
     IMPOSSIBLE = "impossible"
-    # The upstream ran it and failed; so many of these end the item.
+    # The upstream ran the item and failed; a limited number of these ends the item.
     FAILED = "failed"
-    # Not run, cut off, or taken back: nothing is known against the item.
+    # Not run, cut off, or revoked; does not count against the item.
     INTERRUPTED = "interrupted"
 
 
 class RetryPauses(msgspec.Struct, frozen=True):
     """Pause before an item runs again, doubled with each failure up to ``max_ms``.
 
-    ``interrupted_ms`` follows a run that says nothing against the item: one round trip and a step
-    of an engine.  Each further one in a row that brought no event doubles it, up to
-    ``max_interrupted_ms``: with the short pause alone three items whose upstreams all refused
-    connections made 75 runs a second.
+    ``interrupted_ms`` is the pause after an interrupted run, which does not count against the item:
+    one round trip and one step of an engine.  Each further interrupted run in a row without an
+    event doubles it, up to ``max_interrupted_ms``: with the short pause alone, three items whose
+    upstreams all refused connections caused 75 runs a second.
     """
 
     first_ms: float = 100.0
@@ -50,49 +50,49 @@
     max_interrupted_ms: float = 200.0
 
     def after_interruption(self, runs_without_output: int) -> float:
-        """Return the pause after that many interrupted runs in a row without an event."""
+        """Return the pause after this many interrupted runs in a row without an event."""
         doublings = min(max(runs_without_output - 1, 0), _MAX_DOUBLINGS)
         return min(self.interrupted_ms * 2**doublings, self.max_interrupted_ms)
 
 
 class ItemRun(msgspec.Struct, eq=False):
-    """One item without a result yet, and what its runs have given so far."""
+    """One item without a result, and the output of its runs so far."""
 
     item: StoredItem
     work_id: str = ""
-    # Of the prompt, those that other work may have too.
+    # Identities of the parts of the prompt that may be shared with other work.
     parts: tuple[str, ...] = ()
     running: bool = False
     failures: int = 0
     interruptions: int = 0
-    # Interrupted runs in a row that brought no event, and the last event before them.
+    # Interrupted runs in a row without an event, and ``last_event`` at the latest interruption.
     runs_without_output: int = 0
     event_at_interruption: int = -1
     not_before_ms: float = 0.0
     last_event: int = -1
-    # Of the upstreams that wrote the texts.
+    # Software version of the upstreams that generated ``texts``.
     software_version: str = ""
     texts: list[str] = msgspec.field(default_factory=list)
     avoided: set[str] = msgspec.field(default_factory=set)
-    # The run under way, or the last one: when it began and from which event, how long it took.
+    # The current run, or the last one: start time, last event before it, duration and end time.
     started_ms: float = 0.0
     started_event: int = -1
     ran_ms: float = 0.0
     ended_ms: float = 0.0
 
     def start(self, now_ms: float) -> None:
-        """Note that a run begins."""
+        """Record the start of a run."""
         self.running = True
         self.started_ms = now_ms
         self.started_event = self.last_event
 
     def record_end(self, now_ms: float) -> None:
-        """Note that the run is over, however it went."""
+        """Record the end of the run, whatever its outcome."""
         self.ran_ms = now_ms - self.started_ms
         self.ended_ms = now_ms
 
     def record_interruption(self) -> None:
-        """Count an interrupted run, and whether it brought anything."""
+        """Count an interrupted run, also as one without output if it produced no event."""
         self.interruptions += 1
         if self.last_event > self.event_at_interruption:
             self.runs_without_output = 0
@@ -100,17 +100,17 @@
         self.event_at_interruption = self.last_event
 
     def accepts_version(self, software_version: str) -> bool:
-        """Whether a run at this software version goes on; any other one begins anew."""
+        """Whether a run at this software version can resume; at others it starts from scratch."""
         return self.last_event < 0 or self.software_version == software_version
 
     def resume_after(self, software_version: str) -> int:
-        """Return the event after which a run at a version goes on; below 0 for from the start."""
+        """Return the event after which a run at a version resumes; below 0 for a fresh start."""
         return self.last_event if self.accepts_version(software_version) else -1
 
     def add_events(self, events: Iterable[SplitEvent], software_version: str = "") -> bool:
-        """Take events in order, each once; False when one is missing before them.
+        """Append events in order, skipping known ones; return False when an event is missing.
 
-        The first one of another software version takes the place of all that came before.
+        The first event of another software version discards all earlier events.
         """
         for event in events:
             if event.number < 0:
@@ -132,10 +132,10 @@
 
 
 class StoredJob:
-    """The items of one job that no committed result.
+    """The items of one job that have no committed result.
 
-    ``listed`` are the identities of those that have one, in the order of their positions;
-    ``parts_of`` gives the identities of the parts that an item's prompt may share with others.
+    ``listed`` are the identities of the items that have one, ordered by position; ``parts_of``
+    returns the identities of the prompt parts that an item may share with others.
     """
 
     def __init__(
@@ -162,7 +162,7 @@
         self._results: list[StoredResult] = []
         self._committing = 0
         self._saved_events = 0
-        # In which its next overdue item has a turn, among jobs of a node; None before it has any.
+        # Round-robin round of its next overdue item among the node's jobs; None before the first.
         self.overdue_round: int | None = None
 
     @property
@@ -181,21 +181,21 @@
 
     @property
     def all_items_ended(self) -> bool:
-        """Whether no item will give another result."""
+        """Whether every item has ended, so that no further result will be added."""
         return not self._open
 
     def ready_items(self, now_ms: float) -> list[ItemRun]:
-        """Return the items that could start now."""
+        """Return the items that are neither running nor pausing."""
         return [
             run for run in self._open.values() if not run.running and run.not_before_ms <= now_ms
         ]
 
     def running_count(self) -> int:
-        """Return how many items run now."""
+        """Return the number of running items."""
         return sum(run.running for run in self._open.values())
 
     def next_ready_ms(self, now_ms: float) -> float:
-        """Return when the next item that pauses may start; infinite when none does."""
+        """Return when the next pausing item may start; infinity when no item is pausing."""
         pauses = [
             run.not_before_ms
             for run in self._open.values()
@@ -206,7 +206,7 @@
     def finish(
         self, run: ItemRun, end: ItemEnd, upstream_id: str, max_failures: int, now_ms: float
     ) -> None:
-        """Take in how a run ended; an item that has no more chances gets its final result."""
+        """Apply the end of a run; an item without attempts left gets its final result."""
         run.running = False
         match end:
             case ItemEnd.COMPLETED:
@@ -227,7 +227,7 @@
                 run.not_before_ms = now_ms + pause_ms
 
     def progress(self) -> list[ItemProgress]:
-        """Return what runs have given of the items without a result."""
+        """Return the partial output of the items without a result."""
         return [
             ItemProgress(
                 run.item.item_id,
@@ -241,15 +241,15 @@
         ]
 
     def unsaved_events(self) -> int:
-        """Return how many events have come of open items since ``record_saved``."""
+        """Return the number of events of open items received since ``record_saved``."""
         return sum(run.last_event + 1 for run in self._open.values()) - self._saved_events
 
     def record_saved(self) -> None:
-        """Note that the progress of now is stored."""
+        """Record that the current progress is stored."""
         self._saved_events = sum(run.last_event + 1 for run in self._open.values())
 
     def resume(self, progress: Iterable[ItemProgress]) -> None:
-        """Go on from what another node had got to."""
+        """Continue from the progress that another node stored."""
         for item in progress:
             run = self._open.get(item.item_id)
             if run is not None and item.last_event >= run.last_event:
@@ -260,20 +260,20 @@
         self.record_saved()
 
     def give_up(self, now_ms: float) -> int:
-        """End the items that may be given up by now; return how many."""
+        """Abandon the items that are not running if ``give_up_ms`` has passed; return how many."""
         if now_ms < self.give_up_ms:
             return 0
         return self.abandon()
 
     def abandon(self) -> int:
-        """End every item that does not run now; return how many."""
+        """End every item that is not running, as not completed; return how many."""
         given_up = [run for run in self._open.values() if not run.running]
         for run in given_up:
             self._add_result(run, completed=False)
         return len(given_up)
 
     def next_group(self, max_bytes: int) -> list[StoredResult]:
-        """Return the results to commit now, at least one if there is any."""
+        """Return the results to commit next, up to ``max_bytes`` but at least one if any."""
         size_bytes = 0
         self._committing = 0
         for result in self._results:
@@ -284,7 +284,7 @@
         return self._results[: self._committing]
 
     def record_commit(self) -> None:
-        """Note that the last group has its positions."""
+        """Record that the group returned by ``next_group`` was committed."""
         self.listed_count += self._committing
         del self._results[: self._committing]
         self._committing = 0
@@ -296,5 +296,5 @@
 
 
 def _work_id(record: StoredJobRecord, item: StoredItem) -> str:
-    """Return the identity of an item's work, which is that of a call with the same request."""
+    """Return the identity of an item's work, equal to that of a call with the same request."""
     return work_identity("POST", record.host, item.path, record.customer or "", item.body)
--- a/src/fescuedock/core/stored_jobs/keys.py
+++ b/src/fescuedock/core/stored_jobs/keys.py
@@ -1,4 +1,4 @@
-"""Where the parts of a stored job lie in the key-value service."""
+"""Keys of the parts of a stored job in the key-value service."""
 
 import msgspec
 
@@ -17,15 +17,15 @@
 class JobKeys(msgspec.Struct, frozen=True):
     """Keys below ``prefix``.
 
-    What every node follows (small records) is apart from what only a job's owner and its readers
-    need (items and results).
+    The small records that every node watches have another prefix than the items and results, which
+    only a job's owner and its readers need.
     """
 
     prefix: str
 
     @property
     def live(self) -> str:
-        """Prefix of all that every node follows."""
+        """Prefix of all records that every node watches."""
         return self.prefix + _LIVE
 
     @property
@@ -34,12 +34,12 @@
 
     @property
     def spools(self) -> str:
-        """Prefix of the VMs that keep jobs on disk while the service is away."""
+        """Prefix of the VMs that store jobs on disk while the service is unavailable."""
         return self.prefix + _SPOOLS
 
     @property
     def crashes(self) -> str:
-        """Prefix of what is known of upstreams that ended, and of what ran there."""
+        """Prefix of the reports about crashed upstreams and the work that ran there."""
         return self.prefix + _CRASHES
 
     @property
@@ -55,7 +55,7 @@
         return f"{self.records}{job_id}"
 
     def ended(self, job_id: str) -> str:
-        """Return the key that says that a client ended a job which was not stored by then."""
+        """Return the key that marks a job as ended by a client before the job was stored."""
         return f"{self.prefix}{_ENDED}{job_id}"
 
     def data(self, job_id: str) -> str:
@@ -66,11 +66,11 @@
         return f"{self.data(job_id)}items/{part:04d}"
 
     def progress(self, job_id: str) -> str:
-        """Return the key of what a node that let go of a job had got to."""
+        """Return the key of the progress stored by a node that released the job."""
         return self.data(job_id) + "progress"
 
     def results(self, job_id: str) -> str:
-        """Prefix of a job's results, which sort by position."""
+        """Prefix of a job's results; the keys sort by position."""
         return f"{self.data(job_id)}results/"
 
     def group(self, job_id: str, first_position: int) -> str:
--- a/src/fescuedock/core/stored_jobs/ownership.py
+++ b/src/fescuedock/core/stored_jobs/ownership.py
@@ -1,7 +1,7 @@
-"""Which node runs the items of a job.
+"""Decides which node runs the items of a job.
 
-Membership only decides who tries: a claim counts by the swap of the job's record, and the epoch in
-it makes the commits of a former owner fail.
+Membership only selects the node that tries: a claim takes effect by a compare-and-swap of the job's
+record, and the epoch in the record makes commits of a former owner fail.
 """
 
 import enum
@@ -14,13 +14,13 @@
 
 __all__ = ["MAX_CONFIRM_AGE_MS", "Duty", "MissingOwners", "OwnerIdentity", "duty_of", "is_open"]
 
-# What an owner knows of the records may be this old while it says that nothing more is listed.
-# Less than the 1.5 s that an owner has to be missing before another node takes its jobs over.
+# Largest age of an owner's copy of the records at which it may confirm that no more results are
+# listed.  Less than the 1.5 s that an owner must be missing before another node claims its jobs.
 MAX_CONFIRM_AGE_MS = 1400.0
 
 
 class Duty(enum.Enum):
-    """What a node has to do for a job."""
+    """What a node must do for a job."""
 
     NONE = "none"
     RUN = "resumed"
@@ -28,7 +28,7 @@
 
 
 class OwnerIdentity(msgspec.Struct, frozen=True):
-    """A node and the start of its process."""
+    """A node and the incarnation of its process."""
 
     node_id: str
     boot: int
@@ -38,27 +38,28 @@
 
 
 def is_open(record: StoredJobRecord) -> bool:
-    """Whether items of the job may still get results."""
+    """Whether further results may still be added to the job."""
     return not record.ended and record.listed < record.total
 
 
 class MissingOwners(msgspec.Struct):
-    """Since when owners of jobs are not among the nodes that membership shows.
+    """Tracks since when owners of jobs have been missing from the membership view.
 
-    An owner that is missing for less than ``grace_ms`` may only be new to this node, whose own
-    view fills in the first second after its start, or be restarting, which takes under a second.
+    An owner that has been missing for less than ``grace_ms`` may not be in this node's view yet,
+    which fills in the first second after its start, or may be restarting, which takes less than a
+    second.
     """
 
     grace_ms: float = 1500.0
     _since_ms: dict[str, float] = msgspec.field(default_factory=dict)
 
     def record_present(self, present: Collection[str], now_ms: float) -> None:
-        """Take the nodes that are there now, leaving ones included."""
+        """Forget missing owners that are among the present nodes, which include leaving ones."""
         for node_id in [name for name in self._since_ms if name in present]:
             del self._since_ms[node_id]
 
     def is_gone(self, node_id: str, present: Collection[str], now_ms: float) -> bool:
-        """Whether ``node_id`` has been missing for long enough; notes it as missing if it is."""
+        """Whether ``node_id`` has been missing for ``grace_ms``; records when it went missing."""
         if node_id in present:
             return False
         since_ms = self._since_ms.setdefault(node_id, now_ms)
@@ -73,10 +74,10 @@
     owner_gone: bool,
     leaving: bool,
 ) -> Duty:
-    """Return this node's part in a job.
+    """Return what this node must do for a job.
 
-    ``accepting_nodes`` are the nodes that take jobs, this one included unless it is ``leaving``.
-    A node that was restarted claims its own jobs anew; others leave them to it unless it is gone.
+    ``accepting_nodes`` are the nodes that accept jobs, including this one unless it is ``leaving``.
+    A restarted node claims its own jobs again; other nodes do so only once it is gone.
     """
     if leaving or not is_open(record):
         return Duty.NONE
--- a/src/fescuedock/core/stored_jobs/pending_ends.py
+++ b/src/fescuedock/core/stored_jobs/pending_ends.py
@@ -1,8 +1,8 @@
-"""Ends of jobs that clients want and that are not recorded yet, and acceptances under way.
+"""Tracks job ends requested by clients but not recorded yet, and acceptances in progress.
 
-An end that could not be recorded is not lost with its call: while it is wanted here, no work of the
-job begins at this node, and it is tried again until it is recorded or it is known that there is no
-such job.  Until then an acceptance that was not settled may still store the job.
+An end that could not be recorded outlives its call: while it is pending, no work of the job begins
+at this node, and the node retries until the end is recorded or the job is known not to exist.  An
+acceptance with an unknown outcome may still store the job in the meantime.
 
 Pure: the caller passes the time.
 """
@@ -13,14 +13,14 @@
 
 __all__ = ["UnresolvedAcceptances", "PendingEnds"]
 
-# 100 clients that each end 40 jobs in one outage; some 150 bytes each.
+# 100 clients that each end 40 jobs during one outage, at about 150 bytes each.
 _MAX_ENDS = 4000
-# A neighbour tries for 0.9 s, and a write whose answer was lost may be held back for longer.
+# A neighbour tries for 0.9 s, and a write whose answer was lost may be delayed for longer.
 _UNRESOLVED_MS = 10_000.0
 
 
 class PendingEnds(msgspec.Struct):
-    """The jobs whose end is wanted at this node, and until when each is pursued."""
+    """The jobs with a pending end at this node, and until when each end is retried."""
 
     max_ends: int = _MAX_ENDS
     _until_ms: dict[str, float] = msgspec.field(default_factory=dict)
@@ -32,23 +32,26 @@
         return job_id in self._until_ms
 
     def add(self, job_id: str, until_ms: float) -> bool:
-        """Remember an end until ``until_ms``; False when there is no room for it."""
+        """Store an end, retried until ``until_ms``; return False when there is no room for it."""
         if job_id not in self._until_ms and len(self._until_ms) >= self.max_ends:
             return False
         self._until_ms[job_id] = max(until_ms, self._until_ms.get(job_id, until_ms))
         return True
 
     def is_expired(self, job_id: str, now_ms: float) -> bool:
-        """Whether an end has been pursued for as long as the job can have lived."""
+        """Whether an end has been retried for as long as the job can have existed."""
         return now_ms >= self._until_ms.get(job_id, float("-inf"))
 
     def discard(self, job_id: str) -> None:
-        """Forget an end that is recorded, that found no job, or that took too long."""
+        """Remove an end that is recorded, found no job, or has expired."""
         self._until_ms.pop(job_id, None)
 
 
 class UnresolvedAcceptances(msgspec.Struct):
-    """Acceptances of jobs that may still be stored, though neither store nor disks show them."""
+    """Acceptances that may still store a job, though neither the store nor a spool has it yet.
+
+    An acceptance with an unknown outcome may take effect for another ``unresolved_ms``.
+    """
 
     unresolved_ms: float = _UNRESOLVED_MS
     _running: Counter[str] = msgspec.field(default_factory=Counter)
@@ -58,7 +61,7 @@
         self._running[job_id] += 1
 
     def finish(self, job_id: str, now_ms: float, *, uncertain: bool) -> None:
-        """Record the end of a try; ``uncertain`` when it may still take effect."""
+        """Record the end of an attempt; ``uncertain`` when it may still take effect."""
         self._running[job_id] -= 1
         if not self._running[job_id]:
             del self._running[job_id]
@@ -68,5 +71,5 @@
             self._until_ms[job_id] = now_ms + self.unresolved_ms
 
     def may_store(self, job_id: str, now_ms: float) -> bool:
-        """Whether a try that this node knows of may still store the job."""
+        """Whether an attempt known to this node may still store the job."""
         return job_id in self._running or now_ms < self._until_ms.get(job_id, now_ms)
--- a/src/fescuedock/core/stored_jobs/permit_requests.py
+++ b/src/fescuedock/core/stored_jobs/permit_requests.py
@@ -1,10 +1,10 @@
-"""Which upstreams a node asks for permits for its waiting items.
+"""Chooses the upstreams from which a node requests permits for its waiting items.
 
-A few asks are open for each waiting item, at upstreams that are believed to have free slots.  More
-would find a slot hardly sooner, and each grant that finds no item any more costs messages and keeps
-the slot from other nodes meanwhile.
+A few requests are open for each waiting item, at upstreams that are believed to have free slots.
+More requests would hardly find a slot sooner, and each grant that arrives when no item is waiting
+costs messages and withholds the slot from other nodes in the meantime.
 
-Pure: the caller passes the randomness.
+Pure: the caller passes the random number generator.
 """
 
 import random
@@ -16,14 +16,16 @@
 
 
 class PermitRequestPolicy(msgspec.Struct, frozen=True):
-    """``per_item`` asks are open for each waiting item.
+    """Number of open permit requests and the preference for near upstreams.
 
-    Asking all 30 upstreams for each made 66 nodes give back more permits than they used; with three
-    an owner that is silent or full still leaves two others.
+    ``per_item`` requests are open for each waiting item.  With a request to each of 30 upstreams
+    per item, 66 nodes returned more permits than they used; with three, two others remain when an
+    owner is silent or full.
 
-    Upstreams of the node's own failure domain go first while they are not known to be full: an
-    item's body and events then cross no domain.  A ``far_share`` of the others is asked as if it
-    were near, so that an item does not wait for the slots of a busy domain beside idle ones.
+    Upstreams in the node's own failure domain are preferred while they are not known to be full,
+    so that an item's body and events cross no domain boundary.  A share ``far_share`` of the other
+    upstreams is ranked as if it were near, so that items do not wait for the slots of a busy domain
+    while other domains are idle.
     """
 
     per_item: int = 3
@@ -31,11 +33,11 @@
 
 
 class PermitRequestCandidate(msgspec.Struct, frozen=True):
-    """An upstream that is not being asked; ``free_slots`` is None when nothing fresh is known."""
+    """An upstream without an open request; ``free_slots`` is None when no recent load is known."""
 
     upstream_id: str
     free_slots: int | None = None
-    # In the failure domain of the node that asks.
+    # In the failure domain of the requesting node.
     is_near: bool = False
 
     @property
@@ -50,10 +52,10 @@
     policy: PermitRequestPolicy,
     rng: random.Random,
 ) -> list[str]:
-    """Return the upstreams to ask now, for items of one service.
+    """Return the upstreams to send a permit request to now, for items of one service.
 
-    Those that are known to be full come last; among the others chance decides, so that nodes which
-    know the same do not all ask the same owner.
+    Upstreams known to be full come last.  The order is otherwise random, so that nodes with the
+    same information do not all send their requests to the same owner.
     """
     room = policy.per_item * waiting_items - open_requests
     if room <= 0:
--- a/src/fescuedock/core/stored_jobs/pool.py
+++ b/src/fescuedock/core/stored_jobs/pool.py
@@ -1,4 +1,4 @@
-"""The items of all jobs that a node runs: which wait, which runs next, and what was learned.
+"""Chooses the next item to run among all jobs of a node, and learns run times from finished runs.
 
 Pure: the caller passes the time.
 """
@@ -22,17 +22,18 @@
 
 
 class UpstreamVersions(msgspec.Struct, frozen=True):
-    """The software version of an upstream, and those that upstreams of its service have now."""
+    """The software version of an upstream, and all versions that its service is running."""
 
     software_version: str
     served: frozenset[str]
 
 
 class ItemPool:
-    """Chooses among the items of ``jobs``; ``serves`` tells whether a service may run a job's.
+    """Chooses among the items of ``jobs``, fairly by customer.
 
-    ``restriction`` tells how an item may run, ``none_restricted`` that none is restricted.
-    Customers take turns, and ``priority`` gives that of a job's items.
+    ``serves`` returns whether a service may run a job's items, ``restriction`` how an item may run,
+    ``none_restricted`` whether all items are unrestricted, and ``priority`` the priority of a job's
+    items.
     """
 
     def __init__(
@@ -50,11 +51,11 @@
         self._priority = priority
         self._estimate = RunEstimate()
         self._run_share = RunShare()
-        # In which jobs with overdue items take turns; a job joins the next one.
+        # Current round-robin round of the jobs with overdue items; a new job joins the next round.
         self._overdue_round = 0
 
     def waiting(self, services: Iterable[str], now_ms: float) -> Counter[str]:
-        """Count the items that could start now, by the services that may run them."""
+        """Return the number of items that could start now, by the services that may run them."""
         services = list(services)
         counts: Counter[str] = Counter()
         for job in self._jobs():
@@ -65,7 +66,7 @@
         return counts
 
     def next_ready_ms(self, now_ms: float) -> float:
-        """Return when the next item that pauses may start; infinite when none does."""
+        """Return when the next pausing item may start; infinity when no item is pausing."""
         return min((job.next_ready_ms(now_ms) for job in self._jobs()), default=float("inf"))
 
     def choose(
@@ -77,10 +78,10 @@
         customer: str = "",
         versions: UpstreamVersions | None = None,
     ) -> ItemChoice | None:
-        """Return the item to run next at an upstream, or one further back in the order.
+        """Return the item to run at an upstream: the one at ``position`` of the order, or the last.
 
-        One of ``customer``, whose turn it is at the upstream, goes first; None when no item could
-        start there.
+        Items of ``customer``, to whose share the permit belongs, take precedence unless the
+        upstream has failed them.  Return None when no item could start there.
         """
         choices = self._choices(upstream_id, service, now_ms, versions)
         if not choices:
@@ -95,7 +96,7 @@
         return choices[min(position, len(choices) - 1)]
 
     def any_overdue(self, now_ms: float) -> bool:
-        """Whether there may be an overdue item; a look at the jobs alone."""
+        """Whether there may be an overdue item; checks only the due times of the jobs."""
         left_ms = self._estimate.left_ms(0)
         return any(
             is_overdue(BatchStage.LATE, job.due_ms - now_ms - left_ms) for job in self._jobs()
@@ -108,10 +109,11 @@
         now_ms: float,
         versions: UpstreamVersions | None = None,
     ) -> ItemChoice | None:
-        """Return the overdue item whose turn it is, whoever's it is.
+        """Return the next overdue item, regardless of its customer.
 
-        Jobs take turns, so that a large one holds up nobody, the longest overdue first.  An item
-        that the upstream has failed counts as due later, so that it is tried elsewhere first.
+        Jobs are served round-robin, the longest overdue first, so that a large job does not block
+        others.  An item that the upstream has failed is ranked as due later, so that it is tried
+        elsewhere first.
         """
         overdue = [
             choice
@@ -129,10 +131,10 @@
         return min(overdue, key=turn, default=None)
 
     def choose_isolated(self, service: str, now_ms: float) -> ItemChoice | None:
-        """Return the most urgent item of those that may only run alone.
+        """Return the most urgent item of those that may only run in isolation.
 
-        Those that gave less by their last runs come after others: what ends upstreams by a part of
-        its prompt is known by several works, and what is sound should not wait for it.
+        Items with more runs without output come later: harmful prompt parts crash the upstreams of
+        several units of work, and sound items should not wait behind those.
         """
         ranked = self._ranked("", service, now_ms)
         choices = (item for item in ranked if self._has_restriction(item.run, Standing.ALONE))
@@ -141,7 +143,7 @@
     def _choices(
         self, upstream_id: str, service: str, now_ms: float, versions: UpstreamVersions | None
     ) -> list[ItemChoice]:
-        """Return the items that may start at an upstream beside others, the next one first."""
+        """Return the items that may run concurrently with others at an upstream, next one first."""
         version = None if versions is None else versions.software_version
         choices = self._ranked(upstream_id, service, now_ms, version)
         if not self._none_restricted():
@@ -149,10 +151,10 @@
         return [item for item in choices if versions is None or self._may_start(item, versions)]
 
     def _may_start(self, choice: ItemChoice, versions: UpstreamVersions) -> bool:
-        """Whether an item may start at an upstream, if need be from the beginning.
+        """Whether an item may start at an upstream, from the beginning if the version differs.
 
-        An item waits for an upstream of the version that began it as long as what it has took to
-        make, so that beginning anew costs it about as much again at the most.
+        An item waits for an upstream of its own version for as long as its events so far took to
+        generate, so that restarting costs at most about the same time again.
         """
         run = choice.run
         if (
@@ -170,7 +172,7 @@
         whose = {(job.record.customer, self._priority(job.record)) for job in jobs}
         if len(whose) < 2:
             return ranked
-        # Imported when customers compete, which a start need not wait for.
+        # Imported only when customers compete, to keep it off the startup path.
         from fescuedock.core.stored_jobs.customer_order import (
             count_running_items,
             interleave_customers,
@@ -195,7 +197,7 @@
         now_ms: float,
         versions: UpstreamVersions | None = None,
     ) -> ItemChoice | None:
-        """Return ``choose_overdue`` and count it as its job's turn."""
+        """Return the item of ``choose_overdue`` and advance its job to the next round."""
         choice = self.choose_overdue(upstream_id, service, now_ms, versions)
         if choice is not None:
             self._overdue_round = choice.job.overdue_round
@@ -203,7 +205,7 @@
         return choice
 
     def start(self, run: ItemRun, now_ms: float) -> None:
-        """Note that an item runs, and learn from the time that it had to wait since it last did."""
+        """Record the start of a run, and learn from the item's wait since its last run."""
         if run.ran_ms > 0:
             self._run_share.observe(run.ran_ms, now_ms - run.ended_ms)
         run.start(now_ms)
@@ -217,7 +219,7 @@
         limit: int,
         now_ms: float,
     ) -> None:
-        """Take in how a run ended; an item ends for good after ``limit`` failures."""
+        """Apply the end of a run; an item ends permanently after ``limit`` failures."""
         ran_ms = now_ms - run.started_ms
         gained = run.last_event - run.started_event
         if end is ItemEnd.COMPLETED and gained > 0:
--- a/src/fescuedock/core/stored_jobs/run_estimates.py
+++ b/src/fescuedock/core/stored_jobs/run_estimates.py
@@ -1,4 +1,4 @@
-"""What batch items take, learned from those that ran: events, time between events, and waits.
+"""Estimates the run time of batch items from completed ones: events, event interval and waits.
 
 Pure: the caller passes the times.
 """
@@ -9,20 +9,21 @@
 
 
 class RunEstimate(msgspec.Struct):
-    """How many events items have and how long one takes.
+    """Moving averages of an item's number of events and of the time per event.
 
-    Until the first one the guess is a middling one: five seconds for 250 events.
+    ``gain`` is the weight of a new sample.  Until the first item has completed, the estimate is a
+    typical item: 250 events in five seconds.
     """
 
     gain: float = 0.1
     events: float = 250.0
-    # Mean distance of an item's events from their mean.
+    # Mean absolute deviation of the number of events.
     deviation: float = 50.0
     event_ms: float = 20.0
     _has_sample: bool = False
 
     def observe(self, events: int, event_ms: float) -> None:
-        """Take in a whole item, and the mean time between two of its events."""
+        """Add a completed item with its number of events and mean time between two events."""
         if events < 2 or event_ms <= 0:
             return
         if not self._has_sample:
@@ -35,19 +36,23 @@
         self.event_ms += self.gain * (event_ms - self.event_ms)
 
     def rerun_ms(self, events_done: int) -> float:
-        """Return how long it took, or would take again, to make what an item has so far."""
+        """Return the time to generate this many events, which a restart would take again."""
         return events_done * self.event_ms
 
     def left_ms(self, events_done: int) -> float:
-        """Return how long an item still has to run; a deviation at least, as some are longer."""
+        """Return the remaining run time of an item.
+
+        It is at least the mean deviation, as some items have more events than the mean.
+        """
         left = self.events - events_done
         return max(left, self.deviation, 1.0) * self.event_ms
 
 
 class RunShare(msgspec.Struct):
-    """Which share of the time items run, from their first run on; about the last 20 waits count.
+    """The share of time that items are running, from their first run on.
 
-    Online takes their slots now and then, so an item that needs 5 s may be done after 10.
+    A moving average over about the last 20 waits.  Online calls preempt slots of batch items, so an
+    item with 5 s of run time may take 10 s to complete.
     """
 
     gain: float = 0.05
@@ -59,6 +64,6 @@
         return self._run_ms / (self._run_ms + self._wait_ms)
 
     def observe(self, run_ms: float, wait_ms: float) -> None:
-        """Take in that an item ran for ``run_ms`` and then waited for ``wait_ms``, 0 at its end."""
+        """Add a run of ``run_ms`` and the wait after it, which is 0 for an item's last run."""
         self._run_ms += self.gain * (run_ms - self._run_ms)
         self._wait_ms += self.gain * (wait_ms - self._wait_ms)
--- a/src/fescuedock/core/stored_jobs/spools.py
+++ b/src/fescuedock/core/stored_jobs/spools.py
@@ -1,8 +1,8 @@
-"""Which disks keep a job while the metadata store is away, and what their answers mean.
+"""Chooses the spools that store a job while the metadata store is unavailable.
 
-A job counts as accepted once as many disks hold it as may be lost at once, and one more, each in a
-failure domain of its own as far as there are enough.  Until it is in the store no node may say that
-there is no such job.
+A job counts as accepted once one more disk holds it than may be lost at once, each in a failure
+domain of its own as far as there are enough domains.  Until the job is in the store, no node may
+answer that it does not exist.
 
 Pure: the caller passes the time.
 """
@@ -18,10 +18,10 @@
 
 
 def choose_spools(job_id: str, spools: Iterable[NodeRecord]) -> list[NodeRecord]:
-    """Return the spools in the order in which they are queried to keep a job.
+    """Return the spools in the order in which they are asked to store a job.
 
-    Every node has the same order for a job, so that one which comes again is written nowhere else;
-    spools of failure domains that come first again go behind those of new ones.
+    The order for a job is the same at every node, so that a resubmitted job goes to the same
+    spools.  The first spool of each failure domain precedes all further spools of any domain.
     """
     by_id = {spool.vm_id: spool for spool in spools}
     first: list[NodeRecord] = []
@@ -35,11 +35,11 @@
 
 
 class SilentSpools(msgspec.Struct):
-    """Which spools do not answer, and since when.
+    """Tracks the spools that do not answer, and since when.
 
-    One that has been silent for ``lost_after_ms`` is taken for lost with its disk: jobs that it
-    held have other copies, which were stored long since.  A machine that was taken away would
-    otherwise leave every question about an unknown job open for good.
+    A spool that has been silent for ``lost_after_ms`` is considered lost with its disk: its jobs
+    have other copies, which have been written to the store by then.  Otherwise a removed machine
+    would leave every query about an unknown job unanswered forever.
     """
 
     lost_after_ms: float = 60_000.0
@@ -55,10 +55,10 @@
         return vm_id in self._silent_since_ms
 
     def is_lost(self, vm_id: str, now_ms: float) -> bool:
-        """Whether a spool has been silent for so long that its answer is not waited for."""
+        """Whether a spool has been silent for so long that its answer is no longer awaited."""
         since_ms = self._silent_since_ms.get(vm_id, now_ms)
         return now_ms - since_ms >= self.lost_after_ms
 
     def may_hold(self, queried: Collection[str], denied: Collection[str], now_ms: float) -> bool:
-        """Whether any of the spools ``queried``, of which some have denied it, may hold a job."""
+        """Whether any of the ``queried`` spools may hold a job, apart from those in ``denied``."""
         return any(vm_id not in denied and not self.is_lost(vm_id, now_ms) for vm_id in queried)
--- a/src/fescuedock/core/stored_jobs/submission.py
+++ b/src/fescuedock/core/stored_jobs/submission.py
@@ -1,4 +1,4 @@
-"""Tells a submission that comes again from another one under the same identity."""
+"""Distinguishes a repeated submission of a job from a different one under the same identity."""
 
 import hashlib
 from collections.abc import Sequence
@@ -13,15 +13,15 @@
 
 
 def digest_of(items: Sequence[StoredItem]) -> str:
-    """Return what tells the items of a job from others."""
+    """Return a digest of the items of a job."""
     encoded = msgspec.msgpack.encode(items)
     return hashlib.blake2b(encoded, digest_size=_DIGEST_BYTES).hexdigest()
 
 
 def is_same_submission(known: StoredJobRecord, submitted: StoredJobRecord) -> bool:
-    """Whether two records of one identity are of the same items.
+    """Whether two records of one identity describe the same items.
 
-    Where one has no digest, as those of an earlier version, the number of items decides.
+    Records written by earlier versions have no digest; then the number of items is compared.
     """
     if known.items_digest and submitted.items_digest:
         return known.items_digest == submitted.items_digest
--- a/src/fescuedock/core/stored_jobs/urgency.py
+++ b/src/fescuedock/core/stored_jobs/urgency.py
@@ -1,9 +1,9 @@
-"""Which item of all jobs runs next, and how urgent it is among the items of other nodes.
+"""Ranks the items of all jobs by urgency, at their node and in the queues of owners.
 
-More work than slots makes every job late when what is due first always goes first: all items get
-on, none gets done.  So what has begun is finished first, the least that is left before more, and
-new items begin only where they can still be done at the pace that items really make: online takes
-slots away in between, and an item waits as long as it runs.
+Under overload, earliest-deadline-first makes every job late: all items progress and none completes.
+Therefore begun items are finished first, those with the least time left before others, and new
+items start only if they can still complete in time at the measured run share: online calls preempt
+slots, and an item may wait as long as it runs.
 
 Pure: the caller passes the time.
 """
@@ -21,10 +21,10 @@
 
 
 class ItemChoice(msgspec.Struct, frozen=True):
-    """An item that may run next, and how it stands against the time when its job is due.
+    """An item that may run next, and its urgency relative to its job's due time.
 
-    ``slack_ms`` is the time it may still wait if nothing interrupts it, below 0 when it is late
-    anyway; ``left_ms`` how long it still has to run.
+    ``slack_ms`` is the time for which the item may still wait if its run is not interrupted, below
+    0 when it will be late in any case; ``left_ms`` is its remaining run time.
     """
 
     job: StoredJob
@@ -32,16 +32,16 @@
     stage: BatchStage
     slack_ms: float
     left_ms: float
-    # Since the item last ran, or since its job came.
+    # Since the item's last run, or since its job was submitted.
     waited_ms: float = 0.0
 
     @property
     def is_overdue(self) -> bool:
-        """Whether it has turns of its own in the queues of owners."""
+        """Whether it gets the slots reserved for overdue items in the queues of owners."""
         return is_overdue(self.stage, self.slack_ms)
 
     def rank(self) -> tuple[int, float]:
-        """Return what this item is ordered by among items; the lower goes first."""
+        """Return the sort key of this item; lower keys run first."""
         return batch_rank(self.stage, self.left_ms, self.job.due_ms)
 
 
@@ -55,8 +55,8 @@
 ) -> list[ItemChoice]:
     """Return the items that could start at an upstream now, the next one first.
 
-    Items go back to an upstream that failed them only when no other may start.  With the
-    upstream's ``software_version``, what would begin anew there has all of its run left.
+    Items that failed at the upstream come last.  If the upstream's ``software_version`` is given,
+    items that would restart there from the beginning count with their full run time.
     """
     choices = [
         _choice(job, run, estimate, run_share, now_ms, software_version)
@@ -85,9 +85,9 @@
 
 
 def stage_of(time_ms: float, left_ms: float, run_share: float, *, begun: bool) -> BatchStage:
-    """Return how an item stands that is due in ``time_ms`` and has to run for ``left_ms``.
+    """Return the stage of an item that is due in ``time_ms`` with ``left_ms`` of run time left.
 
-    ``run_share`` is the share of the time that items run once they have begun.
+    ``run_share`` is the share of time that items are running once they have begun.
     """
     if time_ms < left_ms:
         return BatchStage.LATE
--- a/src/fescuedock/core/stored_jobs/work_gate.py
+++ b/src/fescuedock/core/stored_jobs/work_gate.py
@@ -1,10 +1,10 @@
-"""Whether a node may begin work of a job now: the one place that decides it.
+"""The single decision whether a node may begin work of a job now.
 
-A job comes to a node by several ways: submitted, passed on by a neighbour, claimed, resumed after a
-restart.  What was read on the way may have been overtaken before an item begins, so each beginning
-is judged by the newest record that the node knows, and by how long nobody has confirmed it.
+A job reaches a node in several ways: submitted, forwarded by a neighbour, claimed, or resumed after
+a restart.  The record read at that time may be outdated when an item begins, so each start is
+checked against the newest record known to the node and the time since it was confirmed.
 
-Pure: the caller passes the record and what it knows of its age.
+Pure: the caller passes the record and its age.
 """
 
 import enum
@@ -16,8 +16,9 @@
 
 __all__ = ["RecordFreshness", "WorkRefusal", "refusal_of"]
 
-# Of the time in which an item may still begin after an acknowledged end, what its own way takes:
-# half for a connection to the upstream (250 ms at the most), half for news that were on their way.
+# Part of the time in which an item may still begin after an acknowledged end that is reserved for
+# the start itself: half for a connection to the upstream (at most 250 ms), half for updates in
+# transit.
 _START_LATENCY_MS = 600.0
 
 
@@ -34,7 +35,7 @@
 
     @property
     def is_final(self) -> bool:
-        """Whether this node can never again begin work of the job, unless it claims it anew."""
+        """Whether this node can never begin work of the job unless it claims the job again."""
         return self not in (
             WorkRefusal.LEAVING,
             WorkRefusal.END_WANTED,
@@ -43,10 +44,10 @@
 
 
 class RecordFreshness(msgspec.Struct, frozen=True):
-    """How good a node's knowledge of all records is; ages in milliseconds.
+    """How current a node's copy of the job records is.
 
-    ``age_ms`` is the time since they were known to be current, ``agreed_age_ms`` the time since a
-    neighbour that was asked knew as much, and nothing newer.
+    ``age_ms`` is the time since the copy was known to be current, ``agreed_age_ms`` the time since
+    a queried neighbour had the same records and no newer ones.
     """
 
     age_ms: float
@@ -54,11 +55,11 @@
     agreed_age_ms: float = float("inf")
 
     def is_usable(self, max_age_ms: float) -> bool:
-        """Whether a record may be acted upon.
+        """Whether the node may act on a record.
 
-        While the store answers nobody no end is acknowledged either, so work goes on: stopping
-        would cost all jobs the length of an outage.  That it answers nobody is what neighbours say;
-        a node that hears from none of them may be the only one that is cut off.
+        While the store answers no node, no end is acknowledged either, so work continues: stopping
+        would delay all jobs by the length of the outage.  Neighbours must confirm that the store
+        answers no node, as a node that receives no answer from them may be partitioned alone.
         """
         if self.age_ms <= max_age_ms:
             return True
@@ -76,9 +77,9 @@
 ) -> WorkRefusal | None:
     """Return why no item of the job may begin at this node, or None when one may.
 
-    ``record`` is the newest that the node knows, None when there is none; ``end_bound_ms`` is how
-    long after an acknowledged end an item may still begin; ``end_pending`` says that a client asked
-    this node for an end which could not be recorded so far.
+    ``record`` is the newest one known to the node, None when there is none; ``end_bound_ms`` is how
+    long after an acknowledged end an item may still begin; ``end_pending`` is set when a client
+    requested an end from this node that is not recorded yet.
     """
     if record is None:
         return WorkRefusal.UNKNOWN
--- a/tests/test_item_permit_requests.py
+++ b/tests/test_item_permit_requests.py
@@ -1,4 +1,4 @@
-"""What a node's asks tell owners of the items that they are for."""
+"""What a node's permit requests report to owners about the items they are for."""
 
 import random
 import unittest
@@ -24,7 +24,7 @@
 
 
 class RefusingPermits:
-    """Refuses every ask, and keeps it."""
+    """Refuses every permit request and records it."""
 
     holder_id = "h1"
 
@@ -39,7 +39,7 @@
 
 class ItemAskerTest(unittest.TestCase):
     def asks_for(self, *jobs: StoredJob) -> list[PermitAsk]:
-        """Return what is asked of an upstream while items of jobs wait."""
+        """Return the permit requests sent to an upstream while items of ``jobs`` wait."""
         pool = ItemPool(lambda: jobs, lambda _record, _service: True)
         permits = RefusingPermits()
         view = FleetView("vm1")
@@ -66,7 +66,7 @@
     def job(self, name: str, due_ms: float) -> StoredJob:
         return StoredJob(job_record(name), [stored_item(name)], [], due_ms, 60_000.0)
 
-    def test_an_ask_tells_how_often_runs_of_the_item_gave_nothing(self) -> None:
+    def test_a_request_reports_the_runs_of_the_item_without_output(self) -> None:
         job = self.job("a", 60_000.0)
         [run] = job.ready_items(0.0)
         for at_ms in (-9000.0, -8000.0, -7000.0):
@@ -75,15 +75,15 @@
         [ask] = self.asks_for(job)
         self.assertEqual(ask.barren_runs, 3)
 
-    def test_an_overdue_item_is_asked_for_beside_items_that_can_be_on_time(self) -> None:
-        """Guards against late items that no owner ever heard of."""
+    def test_an_overdue_item_is_requested_along_with_items_that_can_be_on_time(self) -> None:
+        """Guards against late items for which no owner ever received a request."""
         jobs = [self.job(f"fresh-{number}", 60_000.0) for number in range(9)]
         asks = self.asks_for(*jobs, self.job("late", -9000.0))
         self.assertEqual(
             sorted(ask.stage for ask in asks), sorted((BatchStage.FRESH, BatchStage.LATE))
         )
 
-    def test_a_renewal_tells_it_too(self) -> None:
+    def test_a_renewal_reports_the_runs_without_output(self) -> None:
         held = HeldGrant(ask_for(WorkClass.BATCH, barren_runs=2), 0.0, 1000.0)
         self.assertEqual(held.as_held(10.0).barren_runs, 2)
 
--- a/tests/test_owner_confirmation.py
+++ b/tests/test_owner_confirmation.py
@@ -1,4 +1,4 @@
-"""What an owner vouches for when the only news that it has heard may be of any age."""
+"""An owner must not confirm its results as current from updates of unknown age."""
 
 import random
 import unittest
@@ -22,11 +22,12 @@
 
 
 class VouchTest(unittest.TestCase):
-    """An owner stood still, and another node took its job over and listed more.
+    """A paused owner whose job another node has taken over and listed further results of.
 
-    When the owner went on it found news in its socket, from a node that had begun to watch
-    meanwhile, whose clock it had never compared.  They counted as of now: asked for results, it
-    said that there were no more than it knew of, and a reader did not get what it had seen before.
+    After the pause the owner reads old updates from its socket.  Their sender may have begun to
+    watch during the pause, so that the owner has never compared clocks with it.  If such updates
+    counted as current, the owner would confirm that no more results exist, and a reader would miss
+    results that it had seen before.
     """
 
     def vouches(self, *, known_sender: bool) -> bool:
@@ -67,10 +68,10 @@
     async def silent(self, *_call: object) -> object:
         return AWAY
 
-    def test_late_news_of_a_known_sender_vouch_for_nothing(self) -> None:
+    def test_late_updates_of_a_known_sender_confirm_nothing(self) -> None:
         self.assertFalse(self.vouches(known_sender=True))
 
-    def test_late_news_of_an_unknown_sender_vouch_for_nothing(self) -> None:
+    def test_late_updates_of_an_unknown_sender_confirm_nothing(self) -> None:
         self.assertFalse(self.vouches(known_sender=False))
 
 
--- a/tests/test_owner_reads.py
+++ b/tests/test_owner_reads.py
@@ -1,4 +1,4 @@
-"""What an owner of a job says to readers, and when it does not vouch that there is no more."""
+"""Replies of a job's owner to readers, and when it does not confirm that they are current."""
 
 import unittest
 from types import SimpleNamespace
@@ -24,7 +24,7 @@
 
 class OwnerReadsTest(unittest.TestCase):
     def ask(self, listed: int | None, cached: int, known: int = 0, age_ms: float = 0.0):
-        """Ask an owner that has ``listed`` results and ``cached`` of them in its cache."""
+        """Read from an owner that has listed ``listed`` results and cached ``cached`` of them."""
         replies: list[ReadResultsReply] = []
 
         async def run() -> None:
@@ -46,12 +46,12 @@
         run_async(run)
         return replies[0]
 
-    def test_the_owner_tells_what_it_has_and_that_there_is_no_more(self) -> None:
+    def test_the_owner_returns_its_results_and_confirms_that_they_are_current(self) -> None:
         reply = self.ask(listed=2, cached=2, known=1)
         self.assertEqual([result.item_id for result in reply.group.results], ["1"])
         self.assertTrue(reply.current)
 
-    def test_an_owner_that_is_silent_is_logged_and_says_nothing(self) -> None:
+    def test_a_silent_owner_is_logged_and_gives_no_reply(self) -> None:
         lines: list[dict] = []
         replies: list[ReadResultsReply | None] = []
 
@@ -79,15 +79,15 @@
         [line] = [line for line in lines if line["message_type"] == "job_owner_silent"]
         self.assertEqual((line["owner"], line["reason"]), ("n-1", "no answer"))
 
-    def test_a_cache_that_forgot_results_vouches_for_nothing(self) -> None:
+    def test_an_owner_with_evicted_results_confirms_nothing(self) -> None:
         reply = self.ask(listed=2, cached=0)
         self.assertEqual((reply.group.results, reply.current), ([], False))
 
-    def test_old_knowledge_of_the_records_vouches_for_nothing(self) -> None:
+    def test_an_owner_with_old_records_confirms_nothing(self) -> None:
         reply = self.ask(listed=2, cached=2, age_ms=MAX_CONFIRM_AGE_MS + 1)
         self.assertEqual((len(reply.group.results), reply.current), (2, False))
 
-    def test_a_job_that_runs_here_no_more_is_vouched_for_only_when_it_is_complete(self) -> None:
+    def test_a_job_that_no_longer_runs_here_is_confirmed_only_when_complete(self) -> None:
         self.assertFalse(self.ask(listed=None, cached=2).current)
         self.assertTrue(self.ask(listed=None, cached=3).current)
 
--- a/tests/test_pending_ends.py
+++ b/tests/test_pending_ends.py
@@ -1,4 +1,4 @@
-"""Which ends a node remembers, and which acceptances may still store a job."""
+"""Pending job ends of a node, and acceptances that may still store a job."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 
 
 class WantedEndsTest(unittest.TestCase):
-    def test_an_end_is_wanted_until_it_is_settled(self) -> None:
+    def test_an_end_is_pending_until_it_is_discarded(self) -> None:
         ends = PendingEnds()
         self.assertNotIn("j", ends)
         self.assertTrue(ends.add("j", 100.0))
@@ -14,7 +14,7 @@
         ends.discard("j")
         self.assertNotIn("j", ends)
 
-    def test_an_end_that_comes_again_is_pursued_from_then_on(self) -> None:
+    def test_a_repeated_end_is_retried_until_the_latest_time(self) -> None:
         ends = PendingEnds()
         ends.add("j", 100.0)
         ends.add("j", 150.0)
@@ -22,7 +22,7 @@
         self.assertFalse(ends.is_expired("j", 149.0))
         self.assertTrue(ends.is_expired("j", 150.0))
 
-    def test_there_is_room_for_so_many_and_those_that_are_there_come_again(self) -> None:
+    def test_pending_ends_are_bounded_but_known_ones_may_be_repeated(self) -> None:
         ends = PendingEnds(max_ends=2)
         self.assertEqual([ends.add(name, 100.0) for name in "abab"], [True, True, True, True])
         self.assertFalse(ends.add("c", 100.0))
@@ -32,7 +32,7 @@
 
 
 class UnsettledAcceptancesTest(unittest.TestCase):
-    def test_a_job_may_be_stored_while_any_try_is_under_way(self) -> None:
+    def test_a_job_may_be_stored_while_any_attempt_is_in_progress(self) -> None:
         tries = UnresolvedAcceptances()
         tries.begin("j")
         tries.begin("j")
@@ -42,18 +42,18 @@
         tries.finish("j", 20.0, uncertain=False)
         self.assertFalse(tries.may_store("j", 20.0))
 
-    def test_a_try_that_nobody_is_sure_of_may_take_effect_for_a_while(self) -> None:
+    def test_an_uncertain_attempt_may_take_effect_for_a_while(self) -> None:
         tries = UnresolvedAcceptances(unresolved_ms=1000.0)
         tries.begin("j")
         tries.finish("j", 10.0, uncertain=True)
         self.assertTrue(tries.may_store("j", 1009.0))
         self.assertFalse(tries.may_store("j", 1010.0))
-        # A later try that failed for sure says nothing of the earlier one.
+        # A later attempt that surely failed does not resolve the earlier one.
         tries.begin("j")
         tries.finish("j", 20.0, uncertain=False)
         self.assertTrue(tries.may_store("j", 1009.0))
 
-    def test_nothing_is_kept_of_tries_that_are_over(self) -> None:
+    def test_finished_attempts_are_forgotten(self) -> None:
         tries = UnresolvedAcceptances(unresolved_ms=1000.0)
         for number in range(100):
             tries.begin(f"j{number}")
--- a/tests/test_stored_jobs_core.py
+++ b/tests/test_stored_jobs_core.py
@@ -1,4 +1,4 @@
-"""Stored jobs' decisions: items, asks, commits, owners, and what readers may be shown."""
+"""Decisions about stored jobs: items, permit requests, commits, ownership and the read cache."""
 
 import random
 import unittest
@@ -26,7 +26,7 @@
 
 
 def start_next(job: StoredJob, upstream_id: str = "i-1", now_ms: float = 0.0) -> ItemRun | None:
-    """Start the job's most urgent item; None when none may start."""
+    """Start and return the job's most urgent item, or return None when none may start."""
     choices = rank_items([job], upstream_id, RunEstimate(), RunShare(), now_ms)
     if not choices:
         return None
@@ -41,7 +41,7 @@
         self.assertTrue(run.add_events(events(1, 2, 3)))
         self.assertEqual(run.texts, ["word 0", "word 1", "word 2", "word 3"])
 
-    def test_a_gap_between_events_is_no_answer(self) -> None:
+    def test_events_after_a_gap_are_rejected(self) -> None:
         run = ItemRun(stored_item("a"))
         run.add_events(events(0, 1))
         self.assertFalse(run.add_events(events(3)))
@@ -62,7 +62,7 @@
         job.record_commit()
         self.assertEqual((job.listed_count, job.has_results, job.is_finished), (1, False, False))
 
-    def test_an_item_that_fails_too_often_is_given_up_and_not_sooner(self) -> None:
+    def test_an_item_is_given_up_after_max_failures_and_not_sooner(self) -> None:
         job = stored_job("a")
         for failures in range(3):
             self.assertFalse(job.has_results)
@@ -84,7 +84,7 @@
             self.assertEqual(job.ready_items(1000.0 * turn), [])
         self.assertFalse(job.has_results)
 
-    def test_interruptions_that_bring_nothing_are_paused_for_longer_each_time(self) -> None:
+    def test_pauses_double_after_interruptions_without_output(self) -> None:
         job = stored_job("a")
         pauses = []
         for _ in range(6):
@@ -106,19 +106,19 @@
         self.assertEqual(job.ready_items(run.not_before_ms), [run])
         self.assertEqual(job.next_ready_ms(run.not_before_ms), float("inf"))
 
-    def test_items_that_left_an_upstream_by_failure_go_there_last(self) -> None:
+    def test_items_that_failed_at_an_upstream_run_there_last(self) -> None:
         job = stored_job("a", "b")
         bad = start_next(job, "i-1", 0.0)
         job.finish(bad, ItemEnd.FAILED, "i-1", 5, 0.0)
         self.assertIsNot(start_next(job, "i-1", 5000.0), bad)
 
-    def test_nothing_is_given_up_before_its_time(self) -> None:
+    def test_items_are_given_up_only_after_give_up_ms(self) -> None:
         job = stored_job("a", give_up_ms=60_000.0)
         self.assertEqual(job.give_up(59_999.0), 0)
         self.assertEqual(job.give_up(60_000.0), 1)
         self.assertFalse(job.next_group(1000)[0].completed)
 
-    def test_a_group_holds_one_result_at_least_and_what_fits(self) -> None:
+    def test_a_group_holds_at_least_one_result_and_what_fits(self) -> None:
         job = stored_job("a", "b", "c")
         for _ in range(3):
             run = start_next(job, "i-1", 0.0)
@@ -130,7 +130,7 @@
         job.record_commit()
         self.assertTrue(job.is_finished)
 
-    def test_results_that_come_during_a_commit_are_not_counted_in(self) -> None:
+    def test_results_added_during_a_commit_are_not_part_of_it(self) -> None:
         job = stored_job("a", "b")
         first, second = start_next(job, "i-1", 0.0), start_next(job, "i-1", 0.0)
         job.finish(first, ItemEnd.COMPLETED, "i-1", 3, 0.0)
@@ -139,7 +139,7 @@
         job.record_commit()
         self.assertEqual((job.listed_count, job.has_results), (1, True))
 
-    def test_another_node_goes_on_where_one_had_got_to(self) -> None:
+    def test_another_node_resumes_from_stored_progress(self) -> None:
         job = stored_job("a", "b")
         run = start_next(job, "i-1", 0.0)
         run.add_events(events(0, 1))
@@ -151,7 +151,7 @@
 
 
 class AskingTest(unittest.TestCase):
-    """How many owners are asked for the items that wait, and which."""
+    """The number of permit requests for waiting items, and the upstreams they go to."""
 
     def choose(
         self, waiting: int, open_asks: int, *candidates: PermitRequestCandidate
@@ -160,7 +160,7 @@
             waiting, open_asks, candidates, PermitRequestPolicy(3), random.Random(1)
         )
 
-    def test_a_few_asks_are_open_for_each_item(self) -> None:
+    def test_a_few_requests_are_open_for_each_item(self) -> None:
         fleet = [PermitRequestCandidate(f"i-{number}") for number in range(30)]
         self.assertEqual(len(self.choose(1, 0, *fleet)), 3)
         self.assertEqual(len(self.choose(1, 2, *fleet)), 1)
@@ -168,7 +168,7 @@
         self.assertEqual(self.choose(0, 0, *fleet), [])
         self.assertEqual(len(set(self.choose(20, 0, *fleet))), 30)
 
-    def test_upstreams_known_to_be_full_are_asked_last(self) -> None:
+    def test_requests_go_to_full_upstreams_last(self) -> None:
         full = [PermitRequestCandidate(f"full-{number}", 0) for number in range(9)]
         chosen = self.choose(
             1, 0, *full, PermitRequestCandidate("free", 4), PermitRequestCandidate("unknown")
@@ -176,7 +176,7 @@
         self.assertEqual(set(chosen[:2]), {"free", "unknown"})
         self.assertIn(chosen[2], {item.upstream_id for item in full})
 
-    def test_nodes_that_know_the_same_do_not_all_ask_the_same(self) -> None:
+    def test_nodes_with_the_same_information_choose_different_upstreams(self) -> None:
         fleet = [PermitRequestCandidate(f"i-{number}", 4) for number in range(30)]
         first = {
             choose_upstreams(1, 0, fleet, PermitRequestPolicy(1), random.Random(n))[0]
@@ -185,7 +185,7 @@
         self.assertGreater(len(first), 15)
 
     def near_share(self, near_slots: int) -> float:
-        """Return how many of the asks for an item go to upstreams of the node's own domain."""
+        """Return the share of requests for an item that go to upstreams in the node's domain."""
         near = [
             PermitRequestCandidate(f"near-{number}", near_slots, is_near=True)
             for number in range(15)
@@ -199,11 +199,11 @@
         return sum(name.startswith("near") for name in chosen) / len(chosen)
 
     def test_most_items_stay_in_their_nodes_domain_while_it_has_room(self) -> None:
-        """Two thirds of the items sent their bodies to other domains; a few still may."""
+        """Guards against sending the bodies of two thirds of the items to other domains."""
         self.assertGreater(self.near_share(near_slots=4), 0.7)
         self.assertLess(self.near_share(near_slots=4), 0.95)
 
-    def test_items_go_elsewhere_when_their_own_domain_is_full(self) -> None:
+    def test_items_go_to_other_domains_when_their_own_is_full(self) -> None:
         self.assertEqual(self.near_share(near_slots=0), 0.0)
 
 
@@ -244,16 +244,16 @@
         self.assertIs(self.duty(owner_id="n-2"), Duty.NONE)
         self.assertIs(self.duty(owner_id="n-2", owner_gone=True), Duty.CLAIM)
 
-    def test_a_job_that_was_handed_on_is_claimed_at_once_but_not_by_a_leaving_node(self) -> None:
+    def test_a_released_job_is_claimed_at_once_but_not_by_a_leaving_node(self) -> None:
         self.assertIs(self.duty(owner_id=""), Duty.CLAIM)
         self.assertIs(self.duty(owner_id="", leaving=True), Duty.NONE)
         self.assertIs(self.duty(owner_id="n-1", owner_boot=5, leaving=True), Duty.NONE)
 
-    def test_closed_jobs_need_nobody(self) -> None:
+    def test_no_node_has_a_duty_for_closed_jobs(self) -> None:
         self.assertIs(self.duty(owner_id="", ended=True), Duty.NONE)
         self.assertIs(self.duty(owner_id="", total=3, listed=3), Duty.NONE)
 
-    def test_an_owner_is_gone_only_after_it_was_missing_for_long(self) -> None:
+    def test_an_owner_is_gone_only_after_it_was_missing_for_grace_ms(self) -> None:
         missing = MissingOwners(grace_ms=1500.0)
         self.assertFalse(missing.is_gone("n-2", {"n-1"}, 0.0))
         self.assertFalse(missing.is_gone("n-2", {"n-1"}, 1400.0))
@@ -268,13 +268,13 @@
         job = cache.open(job_record(total=3))
         self.assertFalse(job.is_complete)
         job.add(ResultGroup(0, [StoredResult("a", True, "x")]))
-        # Ended elsewhere, after another result had been listed.
+        # Another node ends the job after one more result was listed.
         cache.open(job_record(total=3, listed=2, ended=True))
         self.assertFalse(job.is_complete)
         job.add(ResultGroup(1, [StoredResult("b", True, "y")]))
         self.assertTrue(job.is_complete)
 
-    def test_groups_are_taken_without_a_gap_and_once(self) -> None:
+    def test_groups_are_added_once_and_without_a_gap(self) -> None:
         job = JobCache(1000).open(job_record())
         first = ResultGroup(0, [StoredResult("a", True, "x")])
         self.assertTrue(job.add(first))
@@ -282,14 +282,14 @@
         self.assertFalse(job.add(ResultGroup(2, [StoredResult("c", True, "z")])))
         self.assertEqual([item.item_id for item in job.results], ["a"])
 
-    def test_a_page_begins_where_asked_and_is_bounded(self) -> None:
+    def test_a_page_starts_at_the_requested_position_and_is_bounded(self) -> None:
         job = JobCache(1000).open(job_record())
         job.add(ResultGroup(0, [StoredResult(name, True, "x" * 40) for name in "abc"]))
         self.assertEqual([item.item_id for item in job.page(1, 50)], ["b"])
         self.assertEqual([item.item_id for item in job.page(0, 90)], ["a", "b"])
         self.assertEqual(job.page(3, 50), [])
 
-    def test_the_least_recently_used_jobs_go_first(self) -> None:
+    def test_the_least_recently_used_jobs_are_evicted_first(self) -> None:
         cache = JobCache(100)
         for name in ("j-1", "j-2", "j-3"):
             cache.open(job_record(name)).add(ResultGroup(0, [StoredResult("a", True, "x" * 60)]))
--- a/tests/test_stored_jobs_urgency.py
+++ b/tests/test_stored_jobs_urgency.py
@@ -1,4 +1,4 @@
-"""Which batch item runs next, at its node and in the queues of owners."""
+"""The order in which batch items run, at their node and in the queues of owners."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 
 
 def job_due(name: str, due_ms: float, events_done: int = 0) -> StoredJob:
-    """Return a job with one item that has got to ``events_done``."""
+    """Return a job with one item that has produced ``events_done`` events."""
     job = StoredJob(job_record(name), [stored_item(name)], [], due_ms, 60_000.0)
     [run] = job.ready_items(0.0)
     run.last_event = events_done - 1
@@ -22,14 +22,14 @@
 
 
 def half_pace() -> RunShare:
-    """Return the pace of items that wait as long as they run."""
+    """Return the run share of items that wait as long as they run."""
     pace = RunShare(gain=1.0)
     pace.observe(1000.0, 1000.0)
     return pace
 
 
 class OrderTest(unittest.TestCase):
-    """Items of 1 s whose runs are interrupted half of the time."""
+    """Items with 1 s of run time that are interrupted half of the time."""
 
     def first(self, *jobs: StoredJob, pace: RunShare | None = None) -> str:
         estimate = RunEstimate(events=100.0, deviation=10.0, event_ms=10.0)
@@ -39,19 +39,19 @@
     def test_of_new_items_the_one_that_is_due_first_runs_first(self) -> None:
         self.assertEqual(self.first(job_due("a", 9000.0), job_due("b", 5000.0)), "b")
 
-    def test_what_cannot_be_done_in_time_runs_after_all_that_can(self) -> None:
+    def test_items_that_will_be_late_run_after_those_that_can_be_on_time(self) -> None:
         self.assertEqual(self.first(job_due("a", 900.0), job_due("b", 5000.0)), "b")
 
-    def test_what_has_begun_is_finished_before_new_items_begin(self) -> None:
+    def test_begun_items_are_finished_before_new_items_begin(self) -> None:
         self.assertEqual(self.first(job_due("a", 5000.0), job_due("b", 9000.0, 10)), "b")
 
     def test_the_one_with_least_left_is_finished_first(self) -> None:
         self.assertEqual(self.first(job_due("a", 5000.0, 20), job_due("b", 9000.0, 60)), "b")
 
-    def test_what_another_wait_would_make_late_runs_first(self) -> None:
+    def test_an_item_that_another_wait_would_make_late_runs_first(self) -> None:
         self.assertEqual(self.first(job_due("a", 1000.0, 40), job_due("b", 9000.0, 60)), "a")
 
-    def test_nothing_new_begins_that_only_an_uninterrupted_run_would_get_done(self) -> None:
+    def test_an_item_that_only_an_uninterrupted_run_could_complete_does_not_begin(self) -> None:
         doubtful, safe = job_due("a", 1500.0), job_due("b", 9000.0)
         self.assertEqual(self.first(doubtful, safe), "b")
         self.assertEqual(self.first(doubtful, safe, pace=RunShare()), "a")
@@ -59,13 +59,13 @@
     def test_of_doubtful_items_the_one_with_the_best_chance_runs_first(self) -> None:
         self.assertEqual(self.first(job_due("a", 1200.0), job_due("b", 1800.0)), "b")
 
-    def test_what_has_got_further_needs_less_time(self) -> None:
+    def test_an_item_with_more_events_has_less_time_left(self) -> None:
         job = job_due("a", 900.0, 50)
         estimate = RunEstimate(events=100.0, deviation=10.0, event_ms=10.0)
         [choice] = rank_items([job], "i-1", estimate, half_pace(), 0.0)
         self.assertEqual((choice.left_ms, choice.slack_ms), (500.0, 400.0))
 
-    def test_stages_go_in_the_order_in_which_they_are_listed(self) -> None:
+    def test_stages_rank_in_the_order_in_which_they_are_listed(self) -> None:
         ranks = [batch_rank(stage, 1000.0, 1000.0)[0] for stage in BatchStage]
         self.assertEqual(ranks, sorted(ranks))
         self.assertIs(stage_of(999.0, 1000.0, 1.0, begun=True), BatchStage.LATE)
@@ -79,11 +79,11 @@
         estimate.observe(150, 4.0)
         self.assertEqual(estimate.events, 60.0)
 
-    def test_an_item_beyond_the_mean_has_a_spread_left(self) -> None:
+    def test_an_item_beyond_the_mean_has_one_deviation_left(self) -> None:
         estimate = RunEstimate(events=100.0, deviation=10.0, event_ms=10.0)
         self.assertEqual((estimate.left_ms(70), estimate.left_ms(120)), (300.0, 100.0))
 
-    def test_the_pace_counts_the_waits_between_runs(self) -> None:
+    def test_the_run_share_counts_the_waits_between_runs(self) -> None:
         pace = RunShare()
         self.assertEqual(pace.share, 1.0)
         for _ in range(200):
@@ -98,7 +98,7 @@
             pool.start(run, begin_ms)
             run.last_event += 1
             pool.finish(jobs[0], run, ItemEnd.INTERRUPTED, "i-1", 3, begin_ms + 100.0)
-        # 5 s of work, due in 20 s: safe, but not for items that run for a tenth of the time.
+        # 5 s of work due in 20 s is safe, but not at a run share of one tenth.
         jobs[:] = [job_due("b", 60_000.0)]
         self.assertIs(pool.choose("i-1", "s", 40_000.0).stage, BatchStage.DOUBTFUL)
         fresh = ItemPool(lambda: jobs, lambda _record, _service: True)
@@ -106,7 +106,7 @@
 
 
 class CustomersTest(unittest.TestCase):
-    """Jobs of two customers at one node; "big" has hundreds that are due first."""
+    """Two customers at one node; "big" has 200 jobs that are due before those of "small"."""
 
     def setUp(self) -> None:
         self.jobs = [self.job("big", f"b{number}", 5000.0) for number in range(200)]
@@ -123,7 +123,7 @@
         return StoredJob(record, [stored_item(name)], [], due_ms, 60_000.0)
 
     def start(self, count: int, customer: str = "") -> list[str]:
-        """Start items, and return whose they were."""
+        """Start ``count`` items and return their customers."""
         names = []
         for _ in range(count):
             choice = self.pool.choose("i-1", "s", 0.0, customer=customer)
@@ -131,12 +131,12 @@
             names.append(choice.job.record.customer)
         return names
 
-    def test_hundreds_of_jobs_do_not_keep_another_customers_items_waiting(self) -> None:
-        """By urgency alone the small customer's items came after all 200."""
+    def test_many_jobs_of_one_customer_do_not_delay_another_customer(self) -> None:
+        """Guards against ordering by urgency alone: the small customer came after all 200 jobs."""
         self.assertEqual(self.start(6).count("small"), 3)
 
     def test_a_late_item_does_not_go_before_one_that_can_still_be_done(self) -> None:
-        """Guards against turns that made another customer's items late for what was late anyway."""
+        """Guards against a round-robin that delays items in favour of one that is already late."""
         self.jobs = [self.job("small", "late", -1.0)]
         self.jobs += [self.job("big", f"b{number}", 60_000.0) for number in range(3)]
         self.assertEqual(self.start(4), ["big"] * 3 + ["small"])
@@ -169,7 +169,7 @@
 
 
 class OverdueTest(unittest.TestCase):
-    """Guards items that come last in every order against waiting for ever at their node."""
+    """Guards against starvation of items that rank last in every order at their node."""
 
     def setUp(self) -> None:
         self.jobs = [job_due(f"fresh-{number}", 60_000.0) for number in range(20)]
@@ -188,13 +188,13 @@
 
     def overdue(self, now_ms: float, versions: UpstreamVersions | None = None) -> str | None:
         choice = self.pool.choose_overdue("i-1", "s", now_ms, versions)
-        # The look at the jobs alone misses none.
+        # The check of the jobs alone must not miss an overdue item.
         self.assertTrue(choice is None or self.pool.any_overdue(now_ms))
         return None if choice is None else choice.run.item.item_id
 
     def test_an_item_is_overdue_some_time_after_its_last_chance(self) -> None:
         self.add("late", 4000.0)
-        # It takes five seconds as far as anybody knows.
+        # The initial estimate of the run time is 5 s.
         self.assertIsNone(self.overdue(900.0))
         self.assertFalse(self.pool.any_overdue(900.0))
         self.assertEqual(self.overdue(1100.0), "late")
@@ -206,7 +206,7 @@
         self.assertEqual(self.overdue(0.0), "late")
 
     def test_a_job_with_many_overdue_items_does_not_hold_up_one_that_is_due_later(self) -> None:
-        """Guards against an item that waited behind all items of a larger job."""
+        """Guards against an item that waits behind all items of a larger job."""
         items = [stored_item(f"big-{number}") for number in range(30)]
         self.jobs.append(StoredJob(job_record("big"), items, [], -9000.0, 60_000.0))
         self.add("small", -8000.0)
@@ -217,7 +217,7 @@
             taken.append(choice.job.job_id)
         self.assertEqual(taken, ["big", "small", "big", "big"])
 
-    def test_jobs_that_become_overdue_take_no_turns_from_those_before(self) -> None:
+    def test_jobs_that_become_overdue_later_do_not_delay_earlier_ones(self) -> None:
         items = [stored_item(f"big-{number}") for number in range(30)]
         self.jobs.append(StoredJob(job_record("big"), items, [], -9000.0, 60_000.0))
         taken = []
@@ -228,14 +228,14 @@
             taken.append(choice.job.job_id)
         self.assertGreaterEqual(taken.count("big"), 2)
 
-    def test_one_that_the_upstream_has_failed_is_tried_there_again_in_the_end(self) -> None:
+    def test_an_item_that_the_upstream_failed_is_retried_there_last(self) -> None:
         self.add("failed", -9000.0).avoided.add("i-1")
         self.add("other", -5000.0)
         self.assertEqual(self.overdue(0.0), "other")
         self.jobs.pop()
         self.assertEqual(self.overdue(0.0), "failed")
 
-    def test_one_of_another_version_begins_anew_when_it_has_waited(self) -> None:
+    def test_an_item_of_another_version_restarts_after_waiting(self) -> None:
         run = self.add("late", -30_000.0)
         run.last_event, run.software_version, run.ended_ms = 99, "v1", 100.0
         served = frozenset({"v1", "v2"})
--- a/tests/test_work_gate.py
+++ b/tests/test_work_gate.py
@@ -1,4 +1,4 @@
-"""The one place that decides whether a node may begin work of a job."""
+"""The decision whether a node may begin work of a job."""
 
 import unittest
 
@@ -52,7 +52,7 @@
     def test_an_open_job_of_this_process_may_begin(self) -> None:
         self.assertIsNone(judge(record()))
 
-    def test_each_reason_is_told(self) -> None:
+    def test_each_refusal_has_its_reason(self) -> None:
         cases = [
             (None, WorkRefusal.UNKNOWN),
             (record(ended=True), WorkRefusal.ENDED),
@@ -69,27 +69,27 @@
         self.assertIs(judge(record(), leaving=True), WorkRefusal.LEAVING)
         self.assertFalse(WorkRefusal.LEAVING.is_final)
 
-    def test_what_nobody_has_confirmed_for_long_holds_work_until_it_is(self) -> None:
+    def test_an_unconfirmed_record_holds_work_until_it_is_confirmed(self) -> None:
         self.assertIs(judge(record(), RecordFreshness(2401.0)), WorkRefusal.UNCONFIRMED)
         self.assertFalse(WorkRefusal.UNCONFIRMED.is_final)
         self.assertIsNone(judge(record(), RecordFreshness(2400.0)))
 
-    def test_an_end_that_is_not_recorded_yet_holds_work_until_it_is_settled(self) -> None:
+    def test_a_pending_end_holds_work_until_it_is_resolved(self) -> None:
         for known in (FRESH, RecordFreshness(9000.0), RecordFreshness(9000.0, True, 400.0)):
             with self.subTest(known=known):
                 self.assertIs(judge(record(), known, end_pending=True), WorkRefusal.END_WANTED)
-        # Nothing is dropped for it: it may be given up.
+        # The job is not dropped, as the pending end may expire without taking effect.
         self.assertFalse(WorkRefusal.END_WANTED.is_final)
         self.assertIs(judge(record(ended=True), end_pending=True), WorkRefusal.ENDED)
 
-    def test_an_outage_that_neighbours_share_holds_nothing(self) -> None:
+    def test_an_outage_confirmed_by_neighbours_holds_no_work(self) -> None:
         self.assertIsNone(judge(record(), RecordFreshness(9000.0, True, 400.0)))
         for known in (RecordFreshness(9000.0, True, 2401.0), RecordFreshness(9000.0, False, 400.0)):
             with self.subTest(known=known):
                 self.assertIs(judge(record(), known), WorkRefusal.UNCONFIRMED)
 
     @given(records, ages_ms, st.booleans(), ages_ms, st.booleans(), st.booleans())
-    def test_work_begins_only_of_an_open_job_that_is_owned_and_well_known(
+    def test_work_begins_only_for_an_open_owned_job_with_a_fresh_record(
         self,
         found: StoredJobRecord,
         age_ms: float,
