--- a/src/fescuedock/core/stored_jobs/customer_order.py
+++ b/src/fescuedock/core/stored_jobs/customer_order.py
@@ -34,13 +34,13 @@
     their order; running items count as already served, so a customer's first waiting item comes in
     the round after them.  Items that failed at this upstream stay last, for every customer.
     """
-    turns = Counter(running)
+    rounds = Counter(running)
     keyed = []
     for position, choice in enumerate(ranked):
         record = choice.job.record
         customer = record.customer or ""
         avoided = upstream_id in choice.run.avoided
         urgency = (priority(record), turn_rank(choice.stage))
-        keyed.append((avoided, urgency, turns[customer], position))
-        turns[customer] += 1
+        keyed.append((avoided, urgency, rounds[customer], position))
+        rounds[customer] += 1
     return [ranked[key[-1]] for key in sorted(keyed)]
--- a/src/fescuedock/core/stored_jobs/job.py
+++ b/src/fescuedock/core/stored_jobs/job.py
@@ -210,14 +210,14 @@
         run.running = False
         match end:
             case ItemEnd.COMPLETED:
-                self._add_result(run, completed=True)
+                self._end_item(run, completed=True)
             case ItemEnd.IMPOSSIBLE:
-                self._add_result(run, completed=False)
+                self._end_item(run, completed=False)
             case ItemEnd.FAILED:
                 run.failures += 1
                 run.avoided.add(upstream_id)
                 if run.failures >= max_failures:
-                    self._add_result(run, completed=False)
+                    self._end_item(run, completed=False)
                 else:
                     pause_ms = self._pauses.first_ms * 2 ** (run.failures - 1)
                     run.not_before_ms = now_ms + min(pause_ms, self._pauses.max_ms)
@@ -269,7 +269,7 @@
         """End every item that is not running, as not completed; return how many."""
         given_up = [run for run in self._open.values() if not run.running]
         for run in given_up:
-            self._add_result(run, completed=False)
+            self._end_item(run, completed=False)
         return len(given_up)
 
     def next_group(self, max_bytes: int) -> list[StoredResult]:
@@ -289,7 +289,7 @@
         del self._results[: self._committing]
         self._committing = 0
 
-    def _add_result(self, run: ItemRun, *, completed: bool) -> None:
+    def _end_item(self, run: ItemRun, *, completed: bool) -> None:
         self._open.pop(run.item.item_id, None)
         text = "\n".join(run.texts) if completed else ""
         self._results.append(StoredResult(run.item.item_id, completed, text))
--- a/src/fescuedock/core/stored_jobs/pool.py
+++ b/src/fescuedock/core/stored_jobs/pool.py
@@ -124,11 +124,11 @@
             if choice.job.overdue_round is None:
                 choice.job.overdue_round = self._overdue_round + 1
 
-        def turn(choice: ItemChoice) -> tuple[int, float]:
+        def order_key(choice: ItemChoice) -> tuple[int, float]:
             penalty_ms = _FAILED_UPSTREAM_PENALTY_MS if upstream_id in choice.run.avoided else 0.0
             return choice.job.overdue_round, choice.job.due_ms + penalty_ms
 
-        return min(overdue, key=turn, default=None)
+        return min(overdue, key=order_key, default=None)
 
     def choose_isolated(self, service: str, now_ms: float) -> ItemChoice | None:
         """Return the most urgent item of those that may only run in isolation.
@@ -169,8 +169,8 @@
     ) -> list[ItemChoice]:
         jobs = [job for job in self._jobs() if self._serves(job.record, service)]
         ranked = rank_items(jobs, upstream_id, self._estimate, self._run_share, now_ms, version)
-        whose = {(job.record.customer, self._priority(job.record)) for job in jobs}
-        if len(whose) < 2:
+        customer_priorities = {(job.record.customer, self._priority(job.record)) for job in jobs}
+        if len(customer_priorities) < 2:
             return ranked
         # Imported only when customers compete, to keep it off the startup path.
         from fescuedock.core.stored_jobs.customer_order import (
--- a/tests/test_item_permit_requests.py
+++ b/tests/test_item_permit_requests.py
@@ -30,15 +30,15 @@
 
     def __init__(self) -> None:
         self.loads: dict = {}
-        self.asks: list[PermitAsk] = []
+        self.requests: list[PermitAsk] = []
 
     async def ask(self, ask: PermitAsk, _timeout_ms: float) -> Err[Fault]:
-        self.asks.append(ask)
+        self.requests.append(ask)
         return Err(Fault(ResultCode.NO_CAPACITY, "full", 5000))
 
 
 class ItemAskerTest(unittest.TestCase):
-    def asks_for(self, *jobs: StoredJob) -> list[PermitAsk]:
+    def requests_for(self, *jobs: StoredJob) -> list[PermitAsk]:
         """Return the permit requests sent to an upstream while items of ``jobs`` wait."""
         pool = ItemPool(lambda: jobs, lambda _record, _service: True)
         permits = RefusingPermits()
@@ -61,7 +61,7 @@
                 await asker.run(lambda: 0.1)
 
         trio.run(run, clock=MockClock(autojump_threshold=0))
-        return permits.asks
+        return permits.requests
 
     def job(self, name: str, due_ms: float) -> StoredJob:
         return StoredJob(job_record(name), [stored_item(name)], [], due_ms, 60_000.0)
@@ -72,15 +72,15 @@
         for at_ms in (-9000.0, -8000.0, -7000.0):
             run.start(at_ms)
             job.finish(run, ItemEnd.INTERRUPTED, "u1", 3, at_ms)
-        [ask] = self.asks_for(job)
+        [ask] = self.requests_for(job)
         self.assertEqual(ask.barren_runs, 3)
 
     def test_an_overdue_item_is_requested_along_with_items_that_can_be_on_time(self) -> None:
         """Guards against late items for which no owner ever received a request."""
         jobs = [self.job(f"fresh-{number}", 60_000.0) for number in range(9)]
-        asks = self.asks_for(*jobs, self.job("late", -9000.0))
+        requests = self.requests_for(*jobs, self.job("late", -9000.0))
         self.assertEqual(
-            sorted(ask.stage for ask in asks), sorted((BatchStage.FRESH, BatchStage.LATE))
+            sorted(ask.stage for ask in requests), sorted((BatchStage.FRESH, BatchStage.LATE))
         )
 
     def test_a_renewal_reports_the_runs_without_output(self) -> None:
--- a/tests/test_item_versions.py
+++ b/tests/test_item_versions.py
@@ -122,10 +122,10 @@
             for version in ("v1", "v1.1")
         ]
         self.fresh.running = True
-        anew = self.pool.choose(
+        restarted = self.pool.choose(
             "i", "s", 9000.0, versions=UpstreamVersions("v1.1", frozenset(("v1.1",)))
         )
-        self.assertGreater(anew.left_ms, left_ms[0])
+        self.assertGreater(restarted.left_ms, left_ms[0])
 
     def test_events_of_another_version_replace_earlier_events(self) -> None:
         self.assertEqual(self.begun.resume_after("v1.1"), -1)
--- a/tests/test_owner_confirmation.py
+++ b/tests/test_owner_confirmation.py
@@ -21,7 +21,7 @@
 LATE_S = 5.0
 
 
-class VouchTest(unittest.TestCase):
+class StaleUpdateTest(unittest.TestCase):
     """A paused owner whose job another node has taken over and listed further results of.
 
     After the pause the owner reads old updates from its socket.  Their sender may have begun to
@@ -30,7 +30,7 @@
     results that it had seen before.
     """
 
-    def vouches(self, *, known_sender: bool) -> bool:
+    def confirms(self, *, known_sender: bool) -> bool:
         found: list[bool] = []
 
         async def run() -> None:
@@ -43,11 +43,11 @@
                 random.Random(1),
             )
             replicas.tables[PREFIX].replace([], 5, now_ms())
-            news = ReplicaNews(PREFIX, 5, 6, [], {}, 0, "n-2/1", int(now_ms()))
+            update = ReplicaNews(PREFIX, 5, 6, [], {}, 0, "n-2/1", int(now_ms()))
             if known_sender:
                 replicas._clocks.note_answer("n-2/1", now_ms(), now_ms())
             await trio.sleep(LATE_S)
-            await replicas.handlers()[ReplicaNews](news, None)
+            await replicas.handlers()[ReplicaNews](update, None)
             cache = JobCache(1000)
             results = [StoredResult(str(number), True, "x") for number in range(2)]
             cache.open(RECORD).add(ResultGroup(0, results))
@@ -69,10 +69,10 @@
         return AWAY
 
     def test_late_updates_of_a_known_sender_confirm_nothing(self) -> None:
-        self.assertFalse(self.vouches(known_sender=True))
+        self.assertFalse(self.confirms(known_sender=True))
 
     def test_late_updates_of_an_unknown_sender_confirm_nothing(self) -> None:
-        self.assertFalse(self.vouches(known_sender=False))
+        self.assertFalse(self.confirms(known_sender=False))
 
 
 if __name__ == "__main__":
--- a/tests/test_owner_reads.py
+++ b/tests/test_owner_reads.py
@@ -23,7 +23,7 @@
 
 
 class OwnerReadsTest(unittest.TestCase):
-    def ask(self, listed: int | None, cached: int, known: int = 0, age_ms: float = 0.0):
+    def read(self, listed: int | None, cached: int, known: int = 0, age_ms: float = 0.0):
         """Read from an owner that has listed ``listed`` results and cached ``cached`` of them."""
         replies: list[ReadResultsReply] = []
 
@@ -47,7 +47,7 @@
         return replies[0]
 
     def test_the_owner_returns_its_results_and_confirms_that_they_are_current(self) -> None:
-        reply = self.ask(listed=2, cached=2, known=1)
+        reply = self.read(listed=2, cached=2, known=1)
         self.assertEqual([result.item_id for result in reply.group.results], ["1"])
         self.assertTrue(reply.current)
 
@@ -80,16 +80,16 @@
         self.assertEqual((line["owner"], line["reason"]), ("n-1", "no answer"))
 
     def test_an_owner_with_evicted_results_confirms_nothing(self) -> None:
-        reply = self.ask(listed=2, cached=0)
+        reply = self.read(listed=2, cached=0)
         self.assertEqual((reply.group.results, reply.current), ([], False))
 
     def test_an_owner_with_old_records_confirms_nothing(self) -> None:
-        reply = self.ask(listed=2, cached=2, age_ms=MAX_CONFIRM_AGE_MS + 1)
+        reply = self.read(listed=2, cached=2, age_ms=MAX_CONFIRM_AGE_MS + 1)
         self.assertEqual((len(reply.group.results), reply.current), (2, False))
 
     def test_a_job_that_no_longer_runs_here_is_confirmed_only_when_complete(self) -> None:
-        self.assertFalse(self.ask(listed=None, cached=2).current)
-        self.assertTrue(self.ask(listed=None, cached=3).current)
+        self.assertFalse(self.read(listed=None, cached=2).current)
+        self.assertTrue(self.read(listed=None, cached=3).current)
 
 
 if __name__ == "__main__":
--- a/tests/test_pending_ends.py
+++ b/tests/test_pending_ends.py
@@ -33,33 +33,33 @@
 
 class UnsettledAcceptancesTest(unittest.TestCase):
     def test_a_job_may_be_stored_while_any_attempt_is_in_progress(self) -> None:
-        tries = UnresolvedAcceptances()
-        tries.begin("j")
-        tries.begin("j")
-        tries.finish("j", 10.0, uncertain=False)
-        self.assertTrue(tries.may_store("j", 10.0))
-        self.assertFalse(tries.may_store("other", 10.0))
-        tries.finish("j", 20.0, uncertain=False)
-        self.assertFalse(tries.may_store("j", 20.0))
+        acceptances = UnresolvedAcceptances()
+        acceptances.begin("j")
+        acceptances.begin("j")
+        acceptances.finish("j", 10.0, uncertain=False)
+        self.assertTrue(acceptances.may_store("j", 10.0))
+        self.assertFalse(acceptances.may_store("other", 10.0))
+        acceptances.finish("j", 20.0, uncertain=False)
+        self.assertFalse(acceptances.may_store("j", 20.0))
 
     def test_an_uncertain_attempt_may_take_effect_for_a_while(self) -> None:
-        tries = UnresolvedAcceptances(unresolved_ms=1000.0)
-        tries.begin("j")
-        tries.finish("j", 10.0, uncertain=True)
-        self.assertTrue(tries.may_store("j", 1009.0))
-        self.assertFalse(tries.may_store("j", 1010.0))
+        acceptances = UnresolvedAcceptances(unresolved_ms=1000.0)
+        acceptances.begin("j")
+        acceptances.finish("j", 10.0, uncertain=True)
+        self.assertTrue(acceptances.may_store("j", 1009.0))
+        self.assertFalse(acceptances.may_store("j", 1010.0))
         # A later attempt that surely failed does not resolve the earlier one.
-        tries.begin("j")
-        tries.finish("j", 20.0, uncertain=False)
-        self.assertTrue(tries.may_store("j", 1009.0))
+        acceptances.begin("j")
+        acceptances.finish("j", 20.0, uncertain=False)
+        self.assertTrue(acceptances.may_store("j", 1009.0))
 
     def test_finished_attempts_are_forgotten(self) -> None:
-        tries = UnresolvedAcceptances(unresolved_ms=1000.0)
+        acceptances = UnresolvedAcceptances(unresolved_ms=1000.0)
         for number in range(100):
-            tries.begin(f"j{number}")
-            tries.finish(f"j{number}", number * 100.0, uncertain=True)
-        self.assertLessEqual(len(tries._until_ms), 11)
-        self.assertEqual(len(tries._running), 0)
+            acceptances.begin(f"j{number}")
+            acceptances.finish(f"j{number}", number * 100.0, uncertain=True)
+        self.assertLessEqual(len(acceptances._until_ms), 11)
+        self.assertEqual(len(acceptances._running), 0)
 
 
 if __name__ == "__main__":
--- a/tests/test_stored_jobs_core.py
+++ b/tests/test_stored_jobs_core.py
@@ -78,10 +78,10 @@
 
     def test_an_interrupted_item_waits_a_little_and_is_never_given_up_for_it(self) -> None:
         job = stored_job("a")
-        for turn in range(50):
-            run = start_next(job, "i-1", 1000.0 * turn)
-            job.finish(run, ItemEnd.INTERRUPTED, "i-1", 3, 1000.0 * turn)
-            self.assertEqual(job.ready_items(1000.0 * turn), [])
+        for attempt in range(50):
+            run = start_next(job, "i-1", 1000.0 * attempt)
+            job.finish(run, ItemEnd.INTERRUPTED, "i-1", 3, 1000.0 * attempt)
+            self.assertEqual(job.ready_items(1000.0 * attempt), [])
         self.assertFalse(job.has_results)
 
     def test_pauses_double_after_interruptions_without_output(self) -> None:
@@ -150,14 +150,14 @@
         self.assertEqual(got, {run.item.item_id: 1, ({"a", "b"} - {run.item.item_id}).pop(): -1})
 
 
-class AskingTest(unittest.TestCase):
+class PermitRequestTest(unittest.TestCase):
     """The number of permit requests for waiting items, and the upstreams they go to."""
 
     def choose(
-        self, waiting: int, open_asks: int, *candidates: PermitRequestCandidate
+        self, waiting: int, open_requests: int, *candidates: PermitRequestCandidate
     ) -> list[str]:
         return choose_upstreams(
-            waiting, open_asks, candidates, PermitRequestPolicy(3), random.Random(1)
+            waiting, open_requests, candidates, PermitRequestPolicy(3), random.Random(1)
         )
 
     def test_a_few_requests_are_open_for_each_item(self) -> None:
--- a/tests/test_stored_jobs_urgency.py
+++ b/tests/test_stored_jobs_urgency.py
@@ -21,19 +21,19 @@
     return job
 
 
-def half_pace() -> RunShare:
+def half_run_share() -> RunShare:
     """Return the run share of items that wait as long as they run."""
-    pace = RunShare(gain=1.0)
-    pace.observe(1000.0, 1000.0)
-    return pace
+    run_share = RunShare(gain=1.0)
+    run_share.observe(1000.0, 1000.0)
+    return run_share
 
 
 class OrderTest(unittest.TestCase):
     """Items with 1 s of run time that are interrupted half of the time."""
 
-    def first(self, *jobs: StoredJob, pace: RunShare | None = None) -> str:
+    def first(self, *jobs: StoredJob, run_share: RunShare | None = None) -> str:
         estimate = RunEstimate(events=100.0, deviation=10.0, event_ms=10.0)
-        choices = rank_items(jobs, "i-1", estimate, pace or half_pace(), 0.0)
+        choices = rank_items(jobs, "i-1", estimate, run_share or half_run_share(), 0.0)
         return choices[0].run.item.item_id
 
     def test_of_new_items_the_one_that_is_due_first_runs_first(self) -> None:
@@ -54,7 +54,7 @@
     def test_an_item_that_only_an_uninterrupted_run_could_complete_does_not_begin(self) -> None:
         doubtful, safe = job_due("a", 1500.0), job_due("b", 9000.0)
         self.assertEqual(self.first(doubtful, safe), "b")
-        self.assertEqual(self.first(doubtful, safe, pace=RunShare()), "a")
+        self.assertEqual(self.first(doubtful, safe, run_share=RunShare()), "a")
 
     def test_of_doubtful_items_the_one_with_the_best_chance_runs_first(self) -> None:
         self.assertEqual(self.first(job_due("a", 1200.0), job_due("b", 1800.0)), "b")
@@ -62,7 +62,7 @@
     def test_an_item_with_more_events_has_less_time_left(self) -> None:
         job = job_due("a", 900.0, 50)
         estimate = RunEstimate(events=100.0, deviation=10.0, event_ms=10.0)
-        [choice] = rank_items([job], "i-1", estimate, half_pace(), 0.0)
+        [choice] = rank_items([job], "i-1", estimate, half_run_share(), 0.0)
         self.assertEqual((choice.left_ms, choice.slack_ms), (500.0, 400.0))
 
     def test_stages_rank_in_the_order_in_which_they_are_listed(self) -> None:
@@ -84,11 +84,11 @@
         self.assertEqual((estimate.left_ms(70), estimate.left_ms(120)), (300.0, 100.0))
 
     def test_the_run_share_counts_the_waits_between_runs(self) -> None:
-        pace = RunShare()
-        self.assertEqual(pace.share, 1.0)
+        run_share = RunShare()
+        self.assertEqual(run_share.share, 1.0)
         for _ in range(200):
-            pace.observe(1000.0, 3000.0)
-        self.assertAlmostEqual(pace.share, 0.25, places=2)
+            run_share.observe(1000.0, 3000.0)
+        self.assertAlmostEqual(run_share.share, 0.25, places=2)
 
     def test_a_pool_learns_from_the_wait_before_an_item_runs_again(self) -> None:
         jobs = [job_due("a", 90_000.0)]
@@ -210,23 +210,23 @@
         items = [stored_item(f"big-{number}") for number in range(30)]
         self.jobs.append(StoredJob(job_record("big"), items, [], -9000.0, 60_000.0))
         self.add("small", -8000.0)
-        taken = []
+        claimed = []
         for _ in range(4):
             choice = self.pool.claim_overdue("i-1", "s", 0.0)
             self.pool.start(choice.run, 0.0)
-            taken.append(choice.job.job_id)
-        self.assertEqual(taken, ["big", "small", "big", "big"])
+            claimed.append(choice.job.job_id)
+        self.assertEqual(claimed, ["big", "small", "big", "big"])
 
     def test_jobs_that_become_overdue_later_do_not_delay_earlier_ones(self) -> None:
         items = [stored_item(f"big-{number}") for number in range(30)]
         self.jobs.append(StoredJob(job_record("big"), items, [], -9000.0, 60_000.0))
-        taken = []
+        claimed = []
         for number in range(10):
             self.add(f"new-{number}", -8000.0)
             choice = self.pool.claim_overdue("i-1", "s", 0.0)
             self.pool.start(choice.run, 0.0)
-            taken.append(choice.job.job_id)
-        self.assertGreaterEqual(taken.count("big"), 2)
+            claimed.append(choice.job.job_id)
+        self.assertGreaterEqual(claimed.count("big"), 2)
 
     def test_an_item_that_the_upstream_failed_is_retried_there_last(self) -> None:
         self.add("failed", -9000.0).avoided.add("i-1")
