--- a/bench/batch_lean.py
+++ b/bench/batch_lean.py
@@ -195,7 +195,7 @@
         """Start every item that may run, as if each permit were granted at once."""
         answer = msgspec.json.encode({"text": "y" * self.job.answer_bytes})
         for upstream in itertools.cycle(f"u{number}" for number in range(UPSTREAMS)):
-            assignment = context.scheduler.take(SERVICE, upstream, lambda _name: 1.0, now_ms())
+            assignment = context.scheduler.claim(SERVICE, upstream, lambda _name: 1.0, now_ms())
             if assignment is None:
                 await context.signal.wait(50.0)
                 continue
--- a/src/fescuedock/batch/dispatch.py
+++ b/src/fescuedock/batch/dispatch.py
@@ -67,7 +67,7 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             while True:
-                self._context.scheduler.choose_loaded(now_ms())
+                self._context.scheduler.choose_loading_jobs(now_ms())
                 for upstream in list(self._context.view.upstreams.values()):
                     if self._is_wanted(upstream.upstream_id):
                         self._start(upstream.upstream_id)
@@ -133,7 +133,7 @@
         # As it is known now: the ask took a while, and the address may be another's since.
         upstream = self._context.view.upstreams.get(upstream_id)
         if self._is_wanted(upstream_id) and not grant.revoked.is_set():
-            assignment = scheduler.take(upstream.service, upstream_id, self._share_of, now_ms())
+            assignment = scheduler.claim(upstream.service, upstream_id, self._share_of, now_ms())
         if assignment is None:
             grant.end(_unused(grant))
             await trio.sleep(_EMPTY_GRANT_PAUSE_MS / 1000)
--- a/src/fescuedock/batch/main.py
+++ b/src/fescuedock/batch/main.py
@@ -138,7 +138,7 @@
     for task in runner.tasks:
         task.stop_attempts()
     with trio.move_on_after(timeout_s * (1 - _ITEMS_SHARE)):
-        while not all(task.run.saved or task.run.over for task in runner.tasks):
+        while not all(task.run.all_committed or task.run.over for task in runner.tasks):
             for task in runner.tasks:
                 if not task.run.in_flight:
                     task.run.release()
--- a/src/fescuedock/batch/runner.py
+++ b/src/fescuedock/batch/runner.py
@@ -13,10 +13,10 @@
 from fescuedock.core.batch.takeover import (
     OwnerAnswer,
     RunnerName,
-    SilenceLog,
-    Verdict,
-    chosen_runner,
-    judge,
+    SilentOwners,
+    TakeoverDecision,
+    decide_takeover,
+    preferred_runner,
 )
 from fescuedock.core.job_keys import job_key
 from fescuedock.log import log_event
@@ -56,7 +56,7 @@
         self._considering: set[str] = set()
         # Owners of jobs that are not ours, so that a scan costs no call of the service.
         self._owners: dict[str, str] = {}
-        self._silence = SilenceLog()
+        self._silence = SilentOwners()
         self._stopping = False
 
     async def handle(self, message: msgspec.Struct, _peer: ServerPeer) -> msgspec.Struct | None:
@@ -100,14 +100,14 @@
         others = [vm for vm in self._live_runners() if vm.vm_id != self._context.name.vm_id]
         for job_id in list(self._tasks):
             del self._tasks[job_id]
-            heir = chosen_runner(job_id, others)
+            heir = preferred_runner(job_id, others)
             if heir is not None:
                 channel = await self._channels.client(Address(heir.host, heir.batch_port))
                 channel.push(JobPush(job_id))
 
     async def pass_on(self, job_id: str) -> None:
         """Name an open job to the runner that should own it."""
-        chosen = chosen_runner(job_id, self._live_runners())
+        chosen = preferred_runner(job_id, self._live_runners())
         if chosen is None or chosen.vm_id == self._context.name.vm_id:
             self.push(JobPush(job_id))
             return
@@ -121,7 +121,7 @@
         job_id = message.job_id
         try:
             while not await self._is_ours_to_take(message):
-                if not self._silence.is_noted(job_id):
+                if not self._silence.is_silent(job_id):
                     return
                 # The owner may be gone and our view late; asking it costs the service nothing.
                 await trio.sleep(_SILENT_PAUSE_S)
@@ -135,7 +135,7 @@
         job_id = message.job_id
         known = self._owners.get(job_id)
         asked = known is not None and not message.cancelled
-        if asked and await self._verdict(job_id, known) is Verdict.LEAVE:
+        if asked and await self._verdict(job_id, known) is TakeoverDecision.LEAVE:
             return False
         record = await self._read(job_id)
         # From here on the record decides; if it cannot be read, the next scan tries again.
@@ -149,19 +149,19 @@
         self._owners[job_id] = record.owner
         if asked and record.owner == known:
             return True
-        if await self._verdict(job_id, record.owner) is Verdict.CLAIM:
+        if await self._verdict(job_id, record.owner) is TakeoverDecision.CLAIM:
             return True
         if message.cancelled:
             await self._tell_owner(record.owner, message)
         return False
 
-    async def _verdict(self, job_id: str, owner: str) -> Verdict:
+    async def _verdict(self, job_id: str, owner: str) -> TakeoverDecision:
         """Decide about a job that is recorded as ``owner``'s, asking it if need be."""
         vm = self._context.view.vms.get(RunnerName.parse(owner).vm_id)
         name = self._context.name
         silence_ms = self._context.settings.batch.takeover_silence_ms
-        verdict = judge(owner, name, vm, None, 0.0, silence_ms)
-        if verdict is not Verdict.ASK_OWNER:
+        verdict = decide_takeover(owner, name, vm, None, 0.0, silence_ms)
+        if verdict is not TakeoverDecision.QUERY_OWNER:
             return verdict
         answer = await self._ask_owner(job_id, owner, Address(vm.host, vm.batch_port))
         silent_ms = 0.0
@@ -169,7 +169,7 @@
             silent_ms = self._silence.silent_ms(job_id, now_ms())
         else:
             self._silence.clear(job_id)
-        return judge(owner, name, vm, answer, silent_ms, silence_ms)
+        return decide_takeover(owner, name, vm, answer, silent_ms, silence_ms)
 
     async def _ask_owner(self, job_id: str, owner: str, address: Address) -> OwnerAnswer:
         channel = await self._channels.client(address)
--- a/src/fescuedock/batch/scanner.py
+++ b/src/fescuedock/batch/scanner.py
@@ -9,7 +9,7 @@
 
 from fescuedock.batch.context import RunnerContext
 from fescuedock.batch.runner import Runner
-from fescuedock.core.batch.takeover import scans
+from fescuedock.core.batch.takeover import is_scanner
 from fescuedock.core.job_keys import open_jobs_prefix
 from fescuedock.log import log_event
 from fescuedock.schema.view import Program
@@ -28,7 +28,7 @@
     batch = context.settings.batch
     while True:
         vms = context.view.live_vms(Program.BATCH)
-        if scans(context.name.vm_id, vms, batch.scanners_per_domain):
+        if is_scanner(context.name.vm_id, vms, batch.scanners_per_domain):
             await _scan(context, runner)
         # Jittered, so that the domains' scanners spread over the interval.
         pause_ms = batch.scan_interval_ms * context.random.uniform(0.75, 1.25)
--- a/src/fescuedock/core/batch/assembly.py
+++ b/src/fescuedock/core/batch/assembly.py
@@ -5,7 +5,7 @@
 __all__ = ["AnswerAssembly", "can_stream"]
 
 # Requests whose answer is more than one text; they run without a stream and cannot be resumed.
-_WHOLE_ONLY = ("logprobs", "top_logprobs", "tools", "functions", "echo", "audio")
+_NOT_STREAMABLE = ("logprobs", "top_logprobs", "tools", "functions", "echo", "audio")
 _COUNTS = ("n", "best_of")
 _DATA = b"data: "
 
@@ -58,7 +58,7 @@
     prompt = body.get("prompt")
     several = isinstance(prompt, list) and len(prompt) > 1
     several = several or any(body.get(name) not in (None, 1) for name in _COUNTS)
-    return not several and not any(body.get(name) for name in _WHOLE_ONLY)
+    return not several and not any(body.get(name) for name in _NOT_STREAMABLE)
 
 
 class AnswerAssembly:
--- a/src/fescuedock/core/batch/commits.py
+++ b/src/fescuedock/core/batch/commits.py
@@ -9,8 +9,14 @@
 from enum import StrEnum, auto
 
 from fescuedock.core.batch.actions import ReadRecord, WriteRecord
-from fescuedock.core.batch.ranges import holds
-from fescuedock.core.batch.record import DuplicateItemError, OwnerChange, changed, claimed, is_final
+from fescuedock.core.batch.ranges import covers
+from fescuedock.core.batch.record import (
+    DuplicateItemError,
+    OwnerChange,
+    apply_change,
+    claimed,
+    is_final,
+)
 from fescuedock.core.batch.start_gate import KnownRecord
 from fescuedock.schema.batch import CommittedGroup, JobForecast, JobRecord, JobState, SegmentRef
 from fescuedock.schema.result_codes import ResultCode
@@ -18,7 +24,7 @@
 __all__ = ["CommitQueue", "Ownership"]
 
 _FIRST_RETRY_MS = 50.0
-_LAST_RETRY_MS = 5000.0
+_MAX_RETRY_MS = 5000.0
 
 
 class Ownership(StrEnum):
@@ -38,19 +44,19 @@
     """
 
     __slots__ = (
-        "_asked_epoch",
         "_busy",
         "_confirmed_at_ms",
-        "_doubted",
         "_failures",
         "_finish_at_s",
         "_folded",
         "_forecast",
         "_groups",
         "_marks",
+        "_maybe_stale",
         "_must_read",
         "_owner",
         "_random",
+        "_requested_epoch",
         "_retry_at_ms",
         "_revision",
         "_sent_at_ms",
@@ -67,11 +73,11 @@
         self.epoch = 0
         self._owner = owner
         self._random = random_
-        self._asked_epoch = 0
+        self._requested_epoch = 0
         self._revision = 0
         self._busy = False
         self._must_read = True
-        self._doubted = False
+        self._maybe_stale = False
         self._sent_at_ms = 0.0
         self._confirmed_at_ms = float("-inf")
         self._writing: JobRecord | None = None
@@ -104,7 +110,7 @@
     def known(self) -> KnownRecord:
         """What is known of the record, for the decision whether an item may begin."""
         owned = self.ownership is Ownership.OWNED
-        return KnownRecord(self.record, owned, self._confirmed_at_ms, self._doubted)
+        return KnownRecord(self.record, owned, self._confirmed_at_ms, self._maybe_stale)
 
     def add_group(self, group: CommittedGroup) -> None:
         self._groups.append(group)
@@ -120,7 +126,7 @@
         """Let ``manifest`` take the place of the first ``manifest.items`` groups."""
         self._folded = manifest
 
-    def report(self, forecast: list[JobForecast]) -> None:
+    def set_forecast(self, forecast: list[JobForecast]) -> None:
         """Record a forecast, or with an empty list that the deadline will be met after all."""
         self._forecast = forecast
 
@@ -128,10 +134,10 @@
         """Make the record final, once the rest is in."""
         self._finish_at_s = self._finish_at_s or at_s
 
-    def look(self) -> None:
+    def invalidate(self) -> None:
         """Read the record at the next chance: somebody says that it was changed."""
         self._must_read = True
-        self._doubted = True
+        self._maybe_stale = True
 
     def refresh(self) -> None:
         """Read the record at the next chance, as nothing has confirmed it for a while."""
@@ -159,29 +165,29 @@
     def on_record(self, record: JobRecord | None, revision: int) -> None:
         """Take what the service held when it was asked."""
         self._answered()
-        self._doubted = self._must_read
+        self._maybe_stale = self._must_read
         self._revision = revision
         self.record = record or self.record
         if record is None:
             self.ownership = Ownership.VANISHED
             return
-        self._settle(record)
+        self._apply_record(record)
 
     def on_written(self, revision: int) -> None:
         """The last write took effect."""
         self._answered()
         self._revision = revision
         self.record = self._writing
-        self._settle(self._writing)
+        self._apply_record(self._writing)
 
     def on_failed(self, code: ResultCode, now_ms: float) -> None:
         """The last call failed, or what became of it is unknown."""
         self._busy = False
         self._must_read = True
         if code is ResultCode.KV_CONFLICT:
-            self._doubted = True
+            self._maybe_stale = True
             return
-        delay_ms = min(_FIRST_RETRY_MS * 2**self._failures, _LAST_RETRY_MS)
+        delay_ms = min(_FIRST_RETRY_MS * 2**self._failures, _MAX_RETRY_MS)
         self._failures += 1
         self._retry_at_ms = now_ms + delay_ms * self._random.uniform(0.5, 1.5)
 
@@ -196,29 +202,29 @@
         self._failures = 0
         self._retry_at_ms = 0.0
 
-    def _settle(self, record: JobRecord) -> None:
+    def _apply_record(self, record: JobRecord) -> None:
         """Compare ``record`` with what was asked for, and keep only what is still to be written."""
         if self.epoch == 0:
-            self._settle_claim(record)
+            self._apply_claim(record)
         elif record.epoch != self.epoch:
             self.ownership = Ownership.LOST
         elif is_final(record):
             self.ownership = Ownership.FINAL
         else:
-            self._drop_settled(record)
+            self._drop_committed(record)
 
-    def _settle_claim(self, record: JobRecord) -> None:
+    def _apply_claim(self, record: JobRecord) -> None:
         if is_final(record):
             self.ownership = Ownership.FINAL
-        elif self._asked_epoch and record.epoch >= self._asked_epoch:
-            ours = record.epoch == self._asked_epoch and record.owner == self._owner
+        elif self._requested_epoch and record.epoch >= self._requested_epoch:
+            ours = record.epoch == self._requested_epoch and record.owner == self._owner
             self.ownership = Ownership.OWNED if ours else Ownership.LOST
             self.epoch = record.epoch if ours else 0
 
-    def _drop_settled(self, record: JobRecord) -> None:
-        self._groups = [item for item in self._groups if not holds(record.done, item.ranges[0][0])]
-        self._marks = [item for item in self._marks if not holds(record.marked, item[0])]
-        self._unmarks = [item for item in self._unmarks if holds(record.marked, item[0])]
+    def _drop_committed(self, record: JobRecord) -> None:
+        self._groups = [item for item in self._groups if not covers(record.done, item.ranges[0][0])]
+        self._marks = [item for item in self._marks if not covers(record.marked, item[0])]
+        self._unmarks = [item for item in self._unmarks if covers(record.marked, item[0])]
         if self._folded in record.manifests:
             self._folded = None
         if self._forecast == record.forecast:
@@ -226,7 +232,7 @@
 
     def _next_record(self) -> JobRecord | None:
         if self.epoch == 0:
-            self._asked_epoch = self.record.epoch + 1
+            self._requested_epoch = self.record.epoch + 1
             return claimed(self.record, self._owner)
         change = OwnerChange(
             groups=self._groups,
@@ -239,7 +245,7 @@
         if not change:
             return None
         try:
-            return changed(self.record, change)
+            return apply_change(self.record, change)
         except DuplicateItemError:
             # Somebody else's doing or a fault of ours; the next claim starts from the record.
             self.ownership = Ownership.LOST
--- a/src/fescuedock/core/batch/folding.py
+++ b/src/fescuedock/core/batch/folding.py
@@ -7,17 +7,17 @@
 __all__ = ["ManifestFolder"]
 
 # Numbers of result segments begin at 0.
-_NUMBER = -1
+_MANIFEST_NUMBER = -1
 _RETRY_MS = 1000.0
 
 
 class ManifestFolder:
-    """Folds ``groups_wanted`` groups at a time, and all of them when the job finishes."""
+    """Folds ``groups_per_manifest`` groups at a time, and all of them when the job finishes."""
 
-    __slots__ = ("_busy", "_folded", "_groups_wanted", "_retry_at_ms")
+    __slots__ = ("_busy", "_folded", "_groups_per_manifest", "_retry_at_ms")
 
-    def __init__(self, groups_wanted: int) -> None:
-        self._groups_wanted = groups_wanted
+    def __init__(self, groups_per_manifest: int) -> None:
+        self._groups_per_manifest = groups_per_manifest
         self._busy = False
         self._folded: SegmentRef | None = None
         self._retry_at_ms = 0.0
@@ -26,11 +26,11 @@
     def due_at_ms(self) -> float:
         return self._retry_at_ms
 
-    def knows(self, number: int) -> bool:
+    def is_manifest(self, number: int) -> bool:
         """Whether segment ``number`` is a manifest."""
-        return number == _NUMBER
+        return number == _MANIFEST_NUMBER
 
-    def settled(self, record: JobRecord) -> bool:
+    def is_folded(self, record: JobRecord) -> bool:
         """Return whether the record is as small as it can be made."""
         return not self._busy and len(record.groups) <= 1
 
@@ -40,11 +40,11 @@
             self._folded = None
         if self._busy or self._folded is not None or now_ms < self._retry_at_ms:
             return None
-        count = len(record.groups) if finishing else self._groups_wanted
+        count = len(record.groups) if finishing else self._groups_per_manifest
         if len(record.groups) < max(count, 2):
             return None
         self._busy = True
-        return PutSegment(_NUMBER, manifest_body(record.groups[:count]), count)
+        return PutSegment(_MANIFEST_NUMBER, manifest_body(record.groups[:count]), count)
 
     def on_segment(self, ref: SegmentRef) -> SegmentRef:
         """Take the written manifest; returns what the record should hold in place of groups."""
--- a/src/fescuedock/core/batch/forecast.py
+++ b/src/fescuedock/core/batch/forecast.py
@@ -8,13 +8,13 @@
 
 _WINDOW_MS = 60000.0
 _STEP_MS = 2000.0
-# Below both of these there is too little to judge by.
+# Below both of these there is too little to check by.
 _MIN_WATCHED_MS = 10000.0
 _MIN_ENDED = 20
 # A reported job must be this far on the safe side before the report is taken back.
-_CLEAR_SHARE = 0.1
+_WITHDRAW_MARGIN_SHARE = 0.1
 _REFRESH_MS = 30000.0
-_UNKNOWN_END_S = -1
+_NO_EXPECTED_END_S = -1
 
 
 class RateMeter:
@@ -34,7 +34,7 @@
             self._samples.popleft()
 
     def items_per_s(self, now_ms: float) -> float | None:
-        """Return the rate; None when too little was seen to judge."""
+        """Return the rate; None when too little was seen to check."""
         start_ms, ended_before = self._samples[0]
         span_ms = now_ms - start_ms
         ended = self._ended - ended_before
@@ -62,12 +62,12 @@
         """Count one item that got its result."""
         self._meter.on_ended(now_ms)
 
-    def judge(self, items_left: int, now_ms: float, now_s: int) -> list[JobForecast] | None:
+    def check(self, items_left: int, now_ms: float, now_s: int) -> list[JobForecast] | None:
         """Return a forecast to be recorded, an empty list to take it back, None for no change."""
         rate = self._rate(now_ms)
         slack_ms = self._slack_ms(items_left, rate, now_ms)
         if slack_ms >= 0:
-            return self._take_back(slack_ms, now_ms)
+            return self._withdraw(slack_ms, now_ms)
         if self._reported_at_ms is not None and now_ms - self._reported_at_ms < _REFRESH_MS:
             return None
         self._reported_at_ms = now_ms
@@ -83,8 +83,8 @@
             return left_ms
         return left_ms - items_left / rate * 1000.0 if rate else float("-inf")
 
-    def _take_back(self, slack_ms: float, now_ms: float) -> list[JobForecast] | None:
-        margin_ms = (self.deadline_ms - now_ms) * _CLEAR_SHARE
+    def _withdraw(self, slack_ms: float, now_ms: float) -> list[JobForecast] | None:
+        margin_ms = (self.deadline_ms - now_ms) * _WITHDRAW_MARGIN_SHARE
         if self._reported_at_ms is None or slack_ms < margin_ms:
             return None
         self._reported_at_ms = None
@@ -94,7 +94,7 @@
         left_s = max((self.deadline_ms - now_ms) / 1000.0, 1.0)
         return JobForecast(
             made_at_s=now_s,
-            expected_end_s=now_s + round(items_left / rate) if rate else _UNKNOWN_END_S,
+            expected_end_s=now_s + round(items_left / rate) if rate else _NO_EXPECTED_END_S,
             items_left=items_left,
             items_per_s=round(rate, 3),
             needed_items_per_s=round(items_left / left_s, 3),
--- a/src/fescuedock/core/batch/input_reader.py
+++ b/src/fescuedock/core/batch/input_reader.py
@@ -1,4 +1,4 @@
-"""Finds the input segment that holds the item wanted next, and reads one at a time."""
+"""Finds the input segment that holds the item item_number next, and reads one at a time."""
 
 from collections.abc import Sequence
 
@@ -27,15 +27,17 @@
         """Return the number of the first item of segment ``index``."""
         return self._starts[index]
 
-    def next_action(self, wanted: int, now_ms: float) -> ReadInput | None:
-        """Return the reading of the segment that has item ``wanted``."""
+    def next_action(self, item_number: int, now_ms: float) -> ReadInput | None:
+        """Return the reading of the segment that has item ``item_number``."""
         if self.busy or now_ms < self.due_at_ms:
             return None
         for index, ref in enumerate(self._refs):
-            if wanted < self._starts[index + 1]:
+            if item_number < self._starts[index + 1]:
                 self.busy = True
                 return ReadInput(index, ref)
-        raise ValueError(f"the input has {self._starts[-1]} items, item {wanted} was wanted")
+        raise ValueError(
+            f"the input has {self._starts[-1]} items, item {item_number} was requested"
+        )
 
     def on_read(self) -> None:
         self.busy = False
--- a/src/fescuedock/core/batch/items.py
+++ b/src/fescuedock/core/batch/items.py
@@ -20,15 +20,15 @@
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.settings import BatchSettings
 
-__all__ = ["AttemptEnd", "EndKind", "Isolation", "Item", "ItemQueue", "ItemVerdict"]
+__all__ = ["AttemptEnd", "EndKind", "Isolation", "Item", "ItemQueue", "ItemFailure"]
 
 # What the death of a worker adds to the suspicion of an item that had got no token there, or some.
-_SUSPICION = 1.0
-_SUSPICION_WITH_TOKENS = 0.5
-_SUSPECT_FROM = 1.0
-_ALONE_FROM = 2.0
+_DEATH_SUSPICION = 1.0
+_DEATH_SUSPICION_WITH_TOKENS = 0.5
+_MIN_SUSPECT_SUSPICION = 1.0
+_MIN_ISOLATED_SUSPICION = 2.0
 # Each death costs a worker and all that runs on it, so this is not the number of attempts.
-_ENDED_FROM = 3.0
+_MAX_SUSPICION = 3.0
 
 
 class EndKind(StrEnum):
@@ -94,12 +94,14 @@
 
     @property
     def isolation(self) -> Isolation:
-        if self.suspicion >= _ALONE_FROM:
+        if self.suspicion >= _MIN_ISOLATED_SUSPICION:
             return Isolation.ALONE
-        return Isolation.ONLY_SUSPECT if self.suspicion >= _SUSPECT_FROM else Isolation.NONE
+        return (
+            Isolation.ONLY_SUSPECT if self.suspicion >= _MIN_SUSPECT_SUSPICION else Isolation.NONE
+        )
 
 
-class ItemVerdict(msgspec.Struct, frozen=True):
+class ItemFailure(msgspec.Struct, frozen=True):
     """An item's end by our decision."""
 
     number: int
@@ -145,7 +147,7 @@
         return len(self._in_flight)
 
     @property
-    def wanted_item(self) -> int | None:
+    def next_unread_item(self) -> int | None:
         """The next fresh item when its line is not at hand; None when no line is wanted."""
         if self._cursor >= self._ended.size or self._has_line():
             return None
@@ -164,7 +166,7 @@
         """Return the items that wait for another attempt."""
         return [number for _, number, _ in self._waiting]
 
-    def holds(self, item: Item) -> bool:
+    def is_in_flight(self, item: Item) -> bool:
         """Whether ``item`` is in flight."""
         return self._in_flight.get(item.number) is item
 
@@ -196,14 +198,14 @@
             return Item(self._cursor, self._window[self._cursor - self._window_start])
         return None
 
-    def take(
+    def claim(
         self, upstream_id: str, allowed: Isolation, now_ms: float, fresh: bool = True
     ) -> Item | None:
         """Take the next item for ``upstream_id``.
 
         ``allowed`` is the strictest isolation that the upstream can give now.
         """
-        item = self._take_waiting(upstream_id, allowed, now_ms)
+        item = self._claim_waiting(upstream_id, allowed, now_ms)
         if item is None and fresh and self._may_start_fresh():
             item = Item(self._cursor, self._window[self._cursor - self._window_start])
             self._held_bytes += len(item.line)
@@ -214,16 +216,16 @@
             self._in_flight[item.number] = item
         return item
 
-    def on_ended(self, number: int, end: AttemptEnd, now_ms: float) -> ItemVerdict | None:
-        """Judge a failed attempt: a verdict ends the item, None means that it waits again."""
+    def on_ended(self, number: int, end: AttemptEnd, now_ms: float) -> ItemFailure | None:
+        """Judge a failed attempt: a failure ends the item, None means that it waits again."""
         item = self._in_flight.pop(number)
         if self.non_idempotent and end.kind not in _NOT_RUN:
-            verdict = self._judge_once_only(item, end)
+            failure = self._evaluate_non_idempotent(item, end)
         else:
-            verdict = self._judge(item, end, now_ms)
-        if verdict is not None:
+            failure = self._evaluate_failure(item, end, now_ms)
+        if failure is not None:
             self._held_bytes -= len(item.line)
-        return verdict
+        return failure
 
     def release(self, number: int) -> Item:
         """Forget an item in flight that has its result."""
@@ -231,9 +233,9 @@
         self._held_bytes -= len(item.line)
         return item
 
-    def _judge(self, item: Item, end: AttemptEnd, now_ms: float) -> ItemVerdict | None:
+    def _evaluate_failure(self, item: Item, end: AttemptEnd, now_ms: float) -> ItemFailure | None:
         if end.kind is EndKind.HARMFUL:
-            return ItemVerdict(item.number, ResultCode.ITEM_ISOLATED, _text(end), item.line)
+            return ItemFailure(item.number, ResultCode.ITEM_ISOLATED, _text(end), item.line)
         progressed = end.tokens > item.tokens
         item.text, item.tokens = end.text, end.tokens
         item.software_version = end.software_version
@@ -243,26 +245,26 @@
         item.avoid = item.upstream_id
         if end.kind is EndKind.DIED:
             item.deaths += 1
-            item.suspicion += _SUSPICION_WITH_TOKENS if progressed else _SUSPICION
+            item.suspicion += _DEATH_SUSPICION_WITH_TOKENS if progressed else _DEATH_SUSPICION
         item.failures += end.kind is EndKind.SERVER_ERROR
         # What was generated may be what makes the next attempt fail.
-        if end.kind is EndKind.SERVER_ERROR or item.suspicion >= _SUSPECT_FROM:
+        if end.kind is EndKind.SERVER_ERROR or item.suspicion >= _MIN_SUSPECT_SUSPICION:
             item.text, item.tokens = "", 0
-        if item.suspicion >= min(self._settings.item_attempts, _ENDED_FROM):
+        if item.suspicion >= min(self._settings.item_attempts, _MAX_SUSPICION):
             message = f"{item.deaths} workers died while they ran the item"
-            return ItemVerdict(item.number, ResultCode.ITEM_ISOLATED, message, item.line)
+            return ItemFailure(item.number, ResultCode.ITEM_ISOLATED, message, item.line)
         if item.failures >= self._settings.item_attempts:
             message = f"{item.failures} attempts failed; the last one: {_text(end)}"
-            return ItemVerdict(item.number, ResultCode.ITEM_IMPOSSIBLE, message, item.line)
+            return ItemFailure(item.number, ResultCode.ITEM_IMPOSSIBLE, message, item.line)
         self._wait(item, now_ms + self._backoff_ms(item))
         return None
 
-    def _judge_once_only(self, item: Item, end: AttemptEnd) -> ItemVerdict:
+    def _evaluate_non_idempotent(self, item: Item, end: AttemptEnd) -> ItemFailure:
         if end.kind is EndKind.SERVER_ERROR:
             message = f"the call was made once and failed: {_text(end)}"
-            return ItemVerdict(item.number, ResultCode.UPSTREAM_ERROR, message, item.line)
+            return ItemFailure(item.number, ResultCode.UPSTREAM_ERROR, message, item.line)
         message = f"the call was made once and its result is lost ({end.kind.value})"
-        return ItemVerdict(item.number, ResultCode.ITEM_UNKNOWN, message, item.line)
+        return ItemFailure(item.number, ResultCode.ITEM_UNKNOWN, message, item.line)
 
     def _wait(self, item: Item, ready_at_ms: float) -> None:
         item.ready_at_ms = ready_at_ms
@@ -274,11 +276,11 @@
         capped_ms = min(delay_ms, self._settings.max_retry_backoff_ms)
         return capped_ms * self._random.uniform(0.5, 1.5)
 
-    def _take_waiting(self, upstream_id: str, allowed: Isolation, now_ms: float) -> Item | None:
+    def _claim_waiting(self, upstream_id: str, allowed: Isolation, now_ms: float) -> Item | None:
         ready = [entry for entry in self._waiting if entry[0] <= now_ms]
         for entry in sorted(ready, key=lambda entry: entry[:2]):
             item = entry[2]
-            if _suits(item.isolation, allowed) and self._may_run_on(item, upstream_id, now_ms):
+            if _is_allowed(item.isolation, allowed) and self._may_run_on(item, upstream_id, now_ms):
                 self._waiting.remove(entry)
                 heapq.heapify(self._waiting)
                 return item
@@ -286,15 +288,17 @@
 
     def _may_run_on(self, item: Item, upstream_id: str, now_ms: float) -> bool:
         # When no other upstream has taken it for a while, there may be no other.
-        patience_ms = self._settings.retry_backoff_ms
-        return item.avoid != upstream_id or now_ms >= item.ready_at_ms + patience_ms
+        avoid_ms = self._settings.retry_backoff_ms
+        return item.avoid != upstream_id or now_ms >= item.ready_at_ms + avoid_ms
 
     def _may_start_fresh(self) -> bool:
         # Retries that pile up mean trouble that fresh items would only add to.
         settings = self._settings
-        crowded = self._held_bytes >= settings.buffer_bytes
+        buffer_full = self._held_bytes >= settings.buffer_bytes
         return (
-            self._has_line() and not crowded and len(self._waiting) < settings.max_items_in_flight
+            self._has_line()
+            and not buffer_full
+            and len(self._waiting) < settings.max_items_in_flight
         )
 
     def _has_line(self) -> bool:
@@ -304,7 +308,7 @@
         self._cursor = self._ended.next_missing(self._cursor)
 
 
-def _suits(wanted: Isolation, allowed: Isolation) -> bool:
+def _is_allowed(wanted: Isolation, allowed: Isolation) -> bool:
     return _STRICTNESS.index(wanted) <= _STRICTNESS.index(allowed)
 
 
--- a/src/fescuedock/core/batch/job.py
+++ b/src/fescuedock/core/batch/job.py
@@ -1,7 +1,7 @@
 """The state machine of one job in the hands of one runner; docs/BATCH.md has its table.
 
 The daemon carries out what ``poll`` returns and reports back through the ``on_`` calls, in any
-order; when it has a permit it asks ``take`` for an item.
+order; when it has a permit it asks ``claim`` for an item.
 """
 
 import random
@@ -21,7 +21,7 @@
 from fescuedock.core.batch.commits import CommitQueue, Ownership
 from fescuedock.core.batch.folding import ManifestFolder
 from fescuedock.core.batch.items import AttemptEnd, Isolation, Item
-from fescuedock.core.batch.start_gate import StartRefusal, read_due_ms, refusal_of
+from fescuedock.core.batch.start_gate import StartRefusal, next_read_ms, refusal_of
 from fescuedock.core.batch.work import JobWork
 from fescuedock.schema.batch import JobRecord, JobState, SegmentRef
 from fescuedock.schema.result_codes import ResultCode
@@ -45,7 +45,7 @@
 
 _WORKING = frozenset({JobPhase.RECOVERING, JobPhase.RUNNING, JobPhase.STOPPING, JobPhase.FINISHING})
 _ENDS = frozenset({JobPhase.FINISHED, JobPhase.LOST, JobPhase.VANISHED})
-_END_OF = {
+_END_PHASES = {
     Ownership.FINAL: JobPhase.FINISHED,
     Ownership.LOST: JobPhase.LOST,
     Ownership.VANISHED: JobPhase.VANISHED,
@@ -139,10 +139,10 @@
     @property
     def deadline_ms(self) -> float:
         """The deadline on the monotonic clock, once the job is claimed."""
-        return self._work.watch.deadline_ms if self._work else float("inf")
+        return self._work.deadline_watch.deadline_ms if self._work else float("inf")
 
     @property
-    def saved(self) -> bool:
+    def all_committed(self) -> bool:
         """Whether every result so far is committed."""
         return self._commits.idle and (self._work is None or self._work.results.empty)
 
@@ -163,7 +163,7 @@
         commit = self._commits.next_action(moment.now_ms)
         if commit is not None:
             actions.append(commit)
-        if self._commits.ownership in _END_OF and not self.over:
+        if self._commits.ownership in _END_PHASES and not self.over:
             actions += self._advance(moment)
         return actions
 
@@ -185,10 +185,10 @@
         self._released = True
         self._commits.remove_marks(self._work.unused_marks())
 
-    def expect_rate(self, items_per_s: float) -> None:
+    def set_expected_rate(self, items_per_s: float) -> None:
         """Judge the deadline by this rate until the job has one of its own."""
         if self._work is not None:
-            self._work.watch.prior_items_per_s = items_per_s
+            self._work.deadline_watch.prior_items_per_s = items_per_s
 
     # Items.
 
@@ -202,17 +202,17 @@
             return Isolation.NONE
         return self._work.items.strictest_ready(now_ms)
 
-    def take(self, upstream_id: str, allowed: Isolation, now_ms: float) -> Item | None:
+    def claim(self, upstream_id: str, allowed: Isolation, now_ms: float) -> Item | None:
         """Take an item to run on ``upstream_id``; answer with ``on_attempt_ended``."""
         if not self._can_start(now_ms):
             return None
-        return self._work.take(upstream_id, allowed, now_ms)
+        return self._work.claim(upstream_id, allowed, now_ms)
 
     def start_refusal(self, now_ms: float) -> StartRefusal | None:
         """Return why no item may begin by what is known of the job's record, None when one may."""
-        known, most_age_ms = self._commits.known, self._settings.record_age_ms
+        known, max_age_ms = self._commits.known, self._settings.record_age_ms
         kv_away = self._kv_away()
-        return refusal_of(known, now_ms, most_age_ms=most_age_ms, kv_away=kv_away)
+        return refusal_of(known, now_ms, max_age_ms=max_age_ms, kv_away=kv_away)
 
     def on_attempt_ended(self, item: Item, end: AttemptEnd, now_ms: float) -> ResultCode | None:
         """Take the end of an attempt; of a job that is over it changes nothing.
@@ -238,7 +238,7 @@
         """An entry or scanner names the job; a cancel holds it until the record is read."""
         if cancelled and self.phase not in (JobPhase.STOPPING, JobPhase.FINISHING):
             self._stop_due = True
-            self._commits.look()
+            self._commits.invalidate()
 
     def on_log_page(self, records: Sequence[bytes], now_ms: float) -> None:
         self._work.on_log_page(records, now_ms)
@@ -250,7 +250,7 @@
         self._work.on_logged()
 
     def on_segment(self, number: int, ref: SegmentRef) -> None:
-        if self._folder.knows(number):
+        if self._folder.is_manifest(number):
             self._commits.fold(self._folder.on_segment(ref))
             return
         group = self._work.results.on_segment(number, ref)
@@ -258,7 +258,7 @@
             self._commits.add_group(group)
 
     def on_segment_failed(self, number: int, now_ms: float) -> None:
-        if self._folder.knows(number):
+        if self._folder.is_manifest(number):
             self._folder.on_failed(now_ms)
         else:
             self._work.results.on_segment_failed(number, now_ms)
@@ -274,7 +274,7 @@
     def _advance(self, moment: Moment) -> list[Action]:
         """Move to the phase that the record, the items and the results call for."""
         actions: list[Action] = []
-        end = _END_OF.get(self._commits.ownership)
+        end = _END_PHASES.get(self._commits.ownership)
         if end is not None:
             self._end(end, actions)
         elif self.phase is JobPhase.CLAIMING and self._commits.ownership is Ownership.OWNED:
@@ -314,19 +314,19 @@
     def _poll_work(self, moment: Moment) -> list[Action]:
         work, now_ms = self._work, moment.now_ms
         if self.phase is JobPhase.RUNNING:
-            self._decide(moment)
+            self._queue_changes(moment)
         flush = self.phase is JobPhase.FINISHING or self._released
         puts = work.next_puts(now_ms, flush)
         next_ones = (self._next_read(now_ms), work.next_log_write(), self._next_fold(moment))
         return [*puts, *(action for action in next_ones if action is not None)]
 
-    def _decide(self, moment: Moment) -> None:
-        """Mark items that come next, and judge the deadline."""
+    def _queue_changes(self, moment: Moment) -> None:
+        """Mark items that come next, and check the deadline."""
         if not self._released:
             self._commits.add_marks(self._work.next_marks())
-        forecast = self._work.judge(moment.now_ms, moment.now_s)
+        forecast = self._work.check_deadline(moment.now_ms, moment.now_s)
         if forecast is not None:
-            self._commits.report(forecast)
+            self._commits.set_forecast(forecast)
 
     def _next_read(self, now_ms: float) -> ReadLog | ReadInput | None:
         if self.phase is JobPhase.RECOVERING:
@@ -337,9 +337,9 @@
 
     def _next_fold(self, moment: Moment) -> PutSegment | None:
         """Return the manifest to be written, if any; at the end also make the record final."""
-        finishing = self.phase is JobPhase.FINISHING and self.saved
+        finishing = self.phase is JobPhase.FINISHING and self.all_committed
         put = self._folder.next_action(self.record, finishing, moment.now_ms)
-        if finishing and self._folder.settled(self.record):
+        if finishing and self._folder.is_folded(self.record):
             self._commits.finish(moment.now_s)
         return put
 
@@ -352,12 +352,12 @@
             return float("inf")
         if not self.in_flight and not (self._is_open and self._work.peek(now_ms)):
             return float("inf")
-        return read_due_ms(self._commits.known, self._settings.record_age_ms)
+        return next_read_ms(self._commits.known, self._settings.record_age_ms)
 
     @property
     def _is_open(self) -> bool:
         """Whether there is room for another item, as far as this runner is concerned."""
-        return self.phase is JobPhase.RUNNING and not self._released and not self._work.crowded
+        return self.phase is JobPhase.RUNNING and not self._released and not self._work.buffer_full
 
     def _can_start(self, now_ms: float) -> bool:
         # Every item passes here, whichever way the job came to this runner.
--- a/src/fescuedock/core/batch/ranges.py
+++ b/src/fescuedock/core/batch/ranges.py
@@ -1,9 +1,9 @@
-"""Sets of item numbers, and half-open ranges of them as the job record holds them."""
+"""Sets of item numbers, and half-open ranges of them as the job record covers them."""
 
 from bisect import bisect_right
 from collections.abc import Iterable, Sequence
 
-__all__ = ["ItemSet", "holds", "to_ranges"]
+__all__ = ["ItemSet", "covers", "to_ranges"]
 
 _IN = 1
 
@@ -68,7 +68,7 @@
     return ranges
 
 
-def holds(ranges: Sequence[Sequence[int]], number: int) -> bool:
+def covers(ranges: Sequence[Sequence[int]], number: int) -> bool:
     """Return whether sorted half-open ``ranges`` cover ``number``."""
     index = bisect_right(ranges, number, key=lambda item: item[0])
     return index > 0 and number < ranges[index - 1][1]
--- a/src/fescuedock/core/batch/record.py
+++ b/src/fescuedock/core/batch/record.py
@@ -15,7 +15,7 @@
     "DuplicateItemError",
     "OwnerChange",
     "cancel_requested",
-    "changed",
+    "apply_change",
     "claimed",
     "decode_record",
     "encode_record",
@@ -76,7 +76,7 @@
     return msgspec.structs.replace(record, state=JobState.CANCELLING)
 
 
-def changed(record: JobRecord, change: OwnerChange) -> JobRecord:
+def apply_change(record: JobRecord, change: OwnerChange) -> JobRecord:
     """Return the record with ``change`` applied.
 
     Raises ``DuplicateItemError`` rather than commit an item a second time.
--- a/src/fescuedock/core/batch/recovery.py
+++ b/src/fescuedock/core/batch/recovery.py
@@ -23,7 +23,7 @@
     unknown when they may not.
     """
 
-    __slots__ = ("_due_at_ms", "_failures", "_reading", "_skipped", "done", "reused")
+    __slots__ = ("_due_at_ms", "_failures", "_incomplete", "_reading", "done", "reused")
 
     def __init__(self, needed: bool) -> None:
         self.done = not needed
@@ -31,7 +31,7 @@
         self._failures = 0
         self._due_at_ms = 0.0
         self._reading = False
-        self._skipped = False
+        self._incomplete = False
 
     @property
     def due_at_ms(self) -> float:
@@ -41,7 +41,7 @@
         if self.done or self._reading or now_ms < self._due_at_ms:
             return None
         self._reading = True
-        self._skipped = False
+        self._incomplete = False
         return ReadLog()
 
     def results(self, records: Sequence[bytes], ended: ItemSet) -> Iterator[LoggedResult]:
@@ -51,15 +51,15 @@
             if result.item_number not in ended:
                 yield result
 
-    def skip(self) -> None:
+    def mark_incomplete(self) -> None:
         """A result did not fit; the log must be read again."""
-        self._skipped = True
+        self._incomplete = True
 
     def on_end(self, complete: bool, now_ms: float) -> None:
         """The reading ended; ``complete`` says that a store was read to its end."""
         self._reading = False
         if complete:
-            self.done = not self._skipped
+            self.done = not self._incomplete
             return
         self._failures += 1
         self.done = self._failures >= _ATTEMPTS
--- a/src/fescuedock/core/batch/results.py
+++ b/src/fescuedock/core/batch/results.py
@@ -108,7 +108,7 @@
         put.running = False
         put.due_at_ms = now_ms + _PUT_RETRY_MS
 
-    def knows(self, number: int) -> bool:
+    def has_segment(self, number: int) -> bool:
         """Whether segment ``number`` is one of this builder's."""
         return number in self._puts
 
@@ -116,9 +116,9 @@
         settings, group = self._settings, self._open
         age_ms = now_ms - group.opened_at_ms
         full = len(group.numbers) >= settings.group_items
-        heavy = group.size_bytes >= settings.segment_bytes
+        large = group.size_bytes >= settings.segment_bytes
         aged = age_ms >= settings.group_age_ms and len(group.numbers) >= settings.group_min_items
-        return full or heavy or aged or age_ms >= settings.group_max_age_ms
+        return full or large or aged or age_ms >= settings.group_max_age_ms
 
     def _seal(self) -> None:
         group, self._open = self._open, _Group()
--- a/src/fescuedock/core/batch/scheduler.py
+++ b/src/fescuedock/core/batch/scheduler.py
@@ -1,8 +1,9 @@
 """Which job gets the next permit of an upstream, among the jobs of one runner.
 
-Jobs that must have nearly all of their service's rate to make the deadline go first, least slack
-before more.  Every few turns, and when no job is urgent, members take turns by their shares.  A job
-that cannot make it even so is not urgent any more: it would only take others with it.
+Jobs that need nearly the full rate of their service to meet the deadline go first, ordered by
+slack.  Every few rounds, and when no job is urgent, members get slots in proportion to their
+shares.  A job that cannot meet its deadline even at the full rate is not urgent: running it first
+would only make other jobs late as well.
 """
 
 from collections.abc import Callable, Iterable
@@ -24,9 +25,9 @@
 _URGENT_SHARE = 0.4
 # It is urgent as well when it has no time to spare for a takeover and the last commits.
 _URGENT_MS = 60000.0
-_FAIR_TURN_EVERY = 4
+_FAIR_ROUND_INTERVAL = 4
 # A job that would be late by more than this share of the time left cannot make it.
-_HOPELESS_SHARE = 0.1
+_INFEASIBLE_SHARE = 0.1
 # Jobs that may hold a segment of their input in memory.
 _MAX_LOADED_JOBS = 8
 
@@ -46,12 +47,12 @@
 
     in_flight: int = 0
     suspects: int = 0
-    alone: bool = False
+    isolated: bool = False
     reserved: bool = False
 
-    def allows(self) -> Isolation | None:
+    def max_isolation(self) -> Isolation | None:
         """Return the strictest isolation that can be given; None when nothing may start."""
-        if self.alone:
+        if self.isolated:
             return None
         if not self.in_flight:
             return Isolation.ALONE
@@ -65,11 +66,11 @@
 
     __slots__ = (
         "_meters",
+        "_round",
         "_runs",
         "_settings",
-        "_turn",
         "_upstreams",
-        "_used",
+        "_used_by_member",
         "in_flight",
     )
 
@@ -77,9 +78,9 @@
         self._settings = settings
         self._runs: dict[str, JobRun] = {}
         self._upstreams: dict[str, _Upstream] = {}
-        self._used: dict[str, float] = {}
+        self._used_by_member: dict[str, float] = {}
         self._meters: dict[str, RateMeter] = {}
-        self._turn = 0
+        self._round = 0
         self.in_flight = 0
 
     @property
@@ -102,14 +103,14 @@
         meter = self._meters.get(service)
         return meter.items_per_s(now_ms) if meter else None
 
-    def choose_loaded(self, now_ms: float) -> None:
+    def choose_loading_jobs(self, now_ms: float) -> None:
         """Let the jobs with the least slack hold input, and no others.
 
         Also tells each job what rate to expect before it has one of its own.
         """
         working = [run for run in self._runs.values() if run.record is not None]
         for run in working:
-            run.expect_rate(self.items_per_s(run.record.service, now_ms) or 0.0)
+            run.set_expected_rate(self.items_per_s(run.record.service, now_ms) or 0.0)
         working.sort(key=lambda run: self.slack_ms(run, now_ms))
         for index, run in enumerate(working):
             run.may_load = index < _MAX_LOADED_JOBS
@@ -121,7 +122,7 @@
         ready = self._ready(service, now_ms)
         return min(ready, key=lambda run: self.slack_ms(run, now_ms), default=None)
 
-    def take(
+    def claim(
         self, service: str, upstream_id: str, share_of: ShareOf, now_ms: float
     ) -> Assignment | None:
         """Return what to run on ``upstream_id``, for which there is a permit."""
@@ -129,9 +130,9 @@
         if allowed is None:
             return None
         for run in self._ordered(list(self._ready(service, now_ms)), now_ms):
-            item = run.take(upstream_id, allowed, now_ms)
+            item = run.claim(upstream_id, allowed, now_ms)
             if item is not None:
-                self._started(run, item, share_of)
+                self._record_start(run, item, share_of)
                 return Assignment(run, item, item.isolation, upstream_id, service)
         return None
 
@@ -141,7 +142,7 @@
         upstream.in_flight -= 1
         upstream.suspects -= assignment.isolation is not Isolation.NONE
         if assignment.isolation is Isolation.ALONE:
-            upstream.alone = False
+            upstream.isolated = False
         if not upstream.in_flight and not upstream.reserved:
             del self._upstreams[assignment.upstream_id]
         self.in_flight -= 1
@@ -168,10 +169,10 @@
         if upstream is None:
             return Isolation.ALONE
         self._reserve(service, upstream, now_ms)
-        return upstream.allows()
+        return upstream.max_isolation()
 
     def _reserve(self, service: str, upstream: _Upstream, now_ms: float) -> None:
-        """Let one upstream run empty when an item must run alone and finds none empty."""
+        """Let one upstream run empty when an item must run isolated and finds none empty."""
         runs = self._ready(service, now_ms)
         strict = (run.strictest_isolation(now_ms) is Isolation.ALONE for run in runs)
         if not any(strict):
@@ -182,10 +183,12 @@
     def _ordered(self, ready: list[JobRun], now_ms: float) -> list[JobRun]:
         if len(ready) < 2:
             return ready
-        self._turn += 1
+        self._round += 1
         by_slack = sorted(ready, key=lambda run: self.slack_ms(run, now_ms))
-        by_member = sorted(by_slack, key=lambda run: self._used.get(run.record.member, 0.0))
-        if self._turn % _FAIR_TURN_EVERY == 0:
+        by_member = sorted(
+            by_slack, key=lambda run: self._used_by_member.get(run.record.member, 0.0)
+        )
+        if self._round % _FAIR_ROUND_INTERVAL == 0:
             return by_member
         urgent = [run for run in by_slack if self._is_urgent(run, now_ms)]
         return urgent + [run for run in by_member if run not in urgent]
@@ -193,24 +196,28 @@
     def _is_urgent(self, run: JobRun, now_ms: float) -> bool:
         left_ms = run.deadline_ms - now_ms
         slack_ms = self.slack_ms(run, now_ms)
-        if slack_ms < -left_ms * _HOPELESS_SHARE:
+        if slack_ms < -left_ms * _INFEASIBLE_SHARE:
             return False
         return slack_ms < max(left_ms * _URGENT_SHARE, _URGENT_MS)
 
-    def _started(self, run: JobRun, item: Item, share_of: ShareOf) -> None:
-        self._count_use(run.record.member, share_of)
+    def _record_start(self, run: JobRun, item: Item, share_of: ShareOf) -> None:
+        self._charge_member(run.record.member, share_of)
         upstream = self._upstreams.setdefault(item.upstream_id, _Upstream())
         upstream.in_flight += 1
         upstream.suspects += item.isolation is not Isolation.NONE
         if item.isolation is Isolation.ALONE:
-            upstream.alone = True
+            upstream.isolated = True
             upstream.reserved = False
         self.in_flight += 1
 
-    def _count_use(self, member: str, share_of: ShareOf) -> None:
+    def _charge_member(self, member: str, share_of: ShareOf) -> None:
         """Charge one item to ``member``; who was away starts level with the least used."""
         present = {run.record.member for run in self._runs.values() if run.record is not None}
-        others = [self._used.get(name, 0.0) for name in present if name in self._used]
-        start = self._used.get(member, min(others, default=0.0))
-        self._used = {name: used for name, used in self._used.items() if name in present}
-        self._used[member] = start + 1.0 / max(share_of(member), 1e-9)
+        others = [
+            self._used_by_member.get(name, 0.0) for name in present if name in self._used_by_member
+        ]
+        start = self._used_by_member.get(member, min(others, default=0.0))
+        self._used_by_member = {
+            name: used for name, used in self._used_by_member.items() if name in present
+        }
+        self._used_by_member[member] = start + 1.0 / max(share_of(member), 1e-9)
--- a/src/fescuedock/core/batch/start_gate.py
+++ b/src/fescuedock/core/batch/start_gate.py
@@ -14,7 +14,7 @@
 from fescuedock.core.batch.record import is_final
 from fescuedock.schema.batch import JobRecord, JobState
 
-__all__ = ["KnownRecord", "StartRefusal", "read_due_ms", "refusal_of"]
+__all__ = ["KnownRecord", "StartRefusal", "next_read_ms", "refusal_of"]
 
 # Share of the largest age at which a record in use is read again; the rest is for a second try.
 _READ_SHARE = 2 / 3
@@ -25,7 +25,7 @@
 
     NOT_OWNED = "this runner does not own the job"
     ENDED = "the job was cancelled or is final"
-    DOUBTED = "the record was changed, or is said to be, and was not read since"
+    MAYBE_STALE = "the record was changed, or is said to be, and was not read since"
     UNCONFIRMED = "the record was not confirmed for too long"
 
 
@@ -33,17 +33,17 @@
     """What a runner knows of a job.
 
     ``confirmed_at_ms`` is when the last call was sent whose answer showed ``record`` as current;
-    ``doubted`` says that something points to a newer one.
+    ``maybe_stale`` says that something points to a newer one.
     """
 
     record: JobRecord | None
     owned: bool
     confirmed_at_ms: float
-    doubted: bool
+    maybe_stale: bool
 
 
 def refusal_of(
-    known: KnownRecord, now_ms: float, *, most_age_ms: float, kv_away: bool
+    known: KnownRecord, now_ms: float, *, max_age_ms: float, kv_away: bool
 ) -> StartRefusal | None:
     """Return why no item of the job may begin, or None when one may.
 
@@ -54,13 +54,13 @@
         return StartRefusal.NOT_OWNED
     if known.record.state is JobState.CANCELLING or is_final(known.record):
         return StartRefusal.ENDED
-    if known.doubted:
-        return StartRefusal.DOUBTED
-    if now_ms - known.confirmed_at_ms > most_age_ms and not kv_away:
+    if known.maybe_stale:
+        return StartRefusal.MAYBE_STALE
+    if now_ms - known.confirmed_at_ms > max_age_ms and not kv_away:
         return StartRefusal.UNCONFIRMED
     return None
 
 
-def read_due_ms(known: KnownRecord, most_age_ms: float) -> float:
+def next_read_ms(known: KnownRecord, max_age_ms: float) -> float:
     """Return when the record of a job in work is to be read, unless a commit confirms it before."""
-    return known.confirmed_at_ms + most_age_ms * _READ_SHARE
+    return known.confirmed_at_ms + max_age_ms * _READ_SHARE
--- a/src/fescuedock/core/batch/takeover.py
+++ b/src/fescuedock/core/batch/takeover.py
@@ -11,14 +11,22 @@
 from fescuedock.core.rendezvous import choose_name, rank_names
 from fescuedock.schema.view import VmRecord
 
-__all__ = ["OwnerAnswer", "RunnerName", "SilenceLog", "Verdict", "chosen_runner", "judge", "scans"]
-
-
-class Verdict(StrEnum):
+__all__ = [
+    "OwnerAnswer",
+    "RunnerName",
+    "SilentOwners",
+    "TakeoverDecision",
+    "preferred_runner",
+    "decide_takeover",
+    "is_scanner",
+]
+
+
+class TakeoverDecision(StrEnum):
     """What to do about a job."""
 
     CLAIM = auto()
-    ASK_OWNER = auto()
+    QUERY_OWNER = auto()
     LEAVE = auto()
 
 
@@ -45,7 +53,7 @@
         return f"{self.vm_id}/{self.incarnation}"
 
 
-class SilenceLog:
+class SilentOwners:
     """Remembers since when the owner of a job has not answered."""
 
     __slots__ = ("_since_ms",)
@@ -57,7 +65,7 @@
         """Note that the owner is silent; returns for how long it has been."""
         return now_ms - self._since_ms.setdefault(job_id, now_ms)
 
-    def is_noted(self, job_id: str) -> bool:
+    def is_silent(self, job_id: str) -> bool:
         """Whether the job's owner was silent when it was last asked."""
         return job_id in self._since_ms
 
@@ -65,36 +73,36 @@
         self._since_ms.pop(job_id, None)
 
 
-def judge(
+def decide_takeover(
     owner: str,
     me: RunnerName,
     owner_vm: VmRecord | None,
     answer: OwnerAnswer | None,
     silent_ms: float,
     takeover_silence_ms: float,
-) -> Verdict:
+) -> TakeoverDecision:
     """Decide about a job that ``me`` does not run; ``answer`` is None before the owner was asked.
 
     ``owner_vm`` is None when the view does not show the owner's VM.
     """
     if not owner or owner_vm is None or owner_vm.vm_id == me.vm_id:
-        return Verdict.CLAIM
+        return TakeoverDecision.CLAIM
     if answer is None:
-        return Verdict.ASK_OWNER
+        return TakeoverDecision.QUERY_OWNER
     if answer is OwnerAnswer.NOT_RUNNING:
-        return Verdict.CLAIM
+        return TakeoverDecision.CLAIM
     if answer is OwnerAnswer.SILENT and silent_ms >= takeover_silence_ms:
-        return Verdict.CLAIM
-    return Verdict.LEAVE
+        return TakeoverDecision.CLAIM
+    return TakeoverDecision.LEAVE
 
 
-def chosen_runner(job_id: str, vms: list[VmRecord]) -> VmRecord | None:
+def preferred_runner(job_id: str, vms: list[VmRecord]) -> VmRecord | None:
     """Return the VM whose runner should own the job, of ``vms`` that can."""
     by_id = {vm.vm_id: vm for vm in vms}
     return by_id.get(choose_name(job_id, by_id))
 
 
-def scans(vm_id: str, vms: list[VmRecord], scanners_per_domain: int) -> bool:
+def is_scanner(vm_id: str, vms: list[VmRecord], scanners_per_domain: int) -> bool:
     """Return whether ``vm_id`` is one of its failure domain's scanners of the open jobs."""
     domain = next((vm.failure_domain for vm in vms if vm.vm_id == vm_id), None)
     names = [vm.vm_id for vm in vms if vm.failure_domain == domain]
--- a/src/fescuedock/core/batch/work.py
+++ b/src/fescuedock/core/batch/work.py
@@ -19,7 +19,7 @@
 
 __all__ = ["JobWork"]
 
-_JUDGE_EVERY_MS = 2000.0
+_FORECAST_INTERVAL_MS = 2000.0
 
 
 class JobWork:
@@ -27,16 +27,16 @@
 
     __slots__ = (
         "_ended",
+        "_forecast_due_ms",
         "_gate",
         "_input",
         "_job_id",
-        "_judge_due_ms",
         "_log",
         "_settings",
+        "deadline_watch",
         "items",
         "recovery",
         "results",
-        "watch",
     )
 
     def __init__(
@@ -53,11 +53,11 @@
         self._gate = MarkGate(record, settings.mark_items)
         self._input = InputReader(record.input)
         self._log = ResultLog(settings.buffer_bytes)
-        self._judge_due_ms = 0.0
+        self._forecast_due_ms = 0.0
         self.items = ItemQueue(self._ended, record.non_idempotent, settings, random_)
         self.recovery = LogRecovery(needed=record.epoch > 1)
         self.results = GroupBuilder(settings)
-        self.watch = DeadlineWatch(deadline_ms, now_ms)
+        self.deadline_watch = DeadlineWatch(deadline_ms, now_ms)
 
     @property
     def items_left(self) -> int:
@@ -65,29 +65,29 @@
         return self._ended.size - len(self._ended)
 
     @property
-    def crowded(self) -> bool:
+    def buffer_full(self) -> bool:
         """Whether the results in memory are as many as the settings allow."""
         return self.results.buffered_bytes >= self._settings.buffer_bytes
 
     def due_ms(self) -> list[float]:
         """Return the times at which there is something new to do by itself."""
         due = [self.results.due_at_ms(), self._input.due_at_ms, self.recovery.due_at_ms]
-        return [*due, self._judge_due_ms]
+        return [*due, self._forecast_due_ms]
 
     def peek(self, now_ms: float) -> Item | None:
         """Return the item that would probably run next, without taking it."""
         return self.items.peek(now_ms, self._fresh_allowed())
 
-    def take(self, upstream_id: str, allowed: Isolation, now_ms: float) -> Item | None:
+    def claim(self, upstream_id: str, allowed: Isolation, now_ms: float) -> Item | None:
         """Take an item to run on ``upstream_id``."""
-        item = self.items.take(upstream_id, allowed, now_ms, self._fresh_allowed())
+        item = self.items.claim(upstream_id, allowed, now_ms, self._fresh_allowed())
         if item is not None:
             self._gate.on_dispatched(item.number)
         return item
 
     def on_attempt_ended(self, item: Item, end: AttemptEnd, now_ms: float) -> ResultCode | None:
         """Take the end of an attempt; returns the item's code when this was its end too."""
-        if not self.items.holds(item):
+        if not self.items.is_in_flight(item):
             return None
         job_id, number, line = self._job_id, item.number, item.line
         if end.kind is EndKind.DONE:
@@ -100,18 +100,18 @@
             text = rejected_line(job_id, number, line, end.status, end.body)
             self._end_item(LoggedResult(number, False, text), now_ms)
             return ResultCode.UPSTREAM_REJECTED
-        verdict = self.items.on_ended(number, end, now_ms)
-        if verdict is None:
+        failure = self.items.on_ended(number, end, now_ms)
+        if failure is None:
             return None
-        text = failed_line(job_id, number, line, verdict.code, verdict.message)
+        text = failed_line(job_id, number, line, failure.code, failure.message)
         self._end_item(LoggedResult(number, False, text), now_ms)
-        return verdict.code
+        return failure.code
 
     def on_log_page(self, records: Sequence[bytes], now_ms: float) -> None:
         """Take over the results of a page of the former owner's log, as far as they fit."""
         for result in self.recovery.results(records, self._ended):
-            if self.crowded:
-                self.recovery.skip()
+            if self.buffer_full:
+                self.recovery.mark_incomplete()
                 return
             self._ended.add(result.item_number)
             self.recovery.reused += 1
@@ -140,9 +140,9 @@
         return self.recovery.next_action(now_ms) if room else None
 
     def next_input_read(self, now_ms: float) -> ReadInput | None:
-        """Return the reading of the input segment that is wanted next."""
-        wanted = self.items.wanted_item
-        return None if wanted is None else self._input.next_action(wanted, now_ms)
+        """Return the reading of the input segment that is item_number next."""
+        item_number = self.items.next_unread_item
+        return None if item_number is None else self._input.next_action(item_number, now_ms)
 
     def next_log_write(self) -> AppendLog | None:
         """Return the results that are to go to the log."""
@@ -150,14 +150,14 @@
 
     def next_puts(self, now_ms: float, flush: bool) -> list[PutSegment]:
         """Return the segments to be written; ``flush`` closes the open group as it is."""
-        self.results.seal_due(now_ms, flush or self.crowded)
+        self.results.seal_due(now_ms, flush or self.buffer_full)
         return self.results.puts(now_ms)
 
     def next_marks(self) -> list[list[int]]:
         """Return the items of a non-idempotent job to be marked now; mostly none."""
         if not self._gate.ahead:
             return []
-        return self._gate.wanted(self.items.fresh_numbers(self._gate.ahead))
+        return self._gate.next_marks(self.items.fresh_numbers(self._gate.ahead))
 
     def unused_marks(self) -> list[list[int]]:
         """Return the marked items that were not dispatched."""
@@ -165,12 +165,12 @@
             return []
         return to_ranges(self._gate.unused() + self.items.waiting_numbers())
 
-    def judge(self, now_ms: float, now_s: int) -> list[JobForecast] | None:
-        """Return a new forecast to be recorded, empty to take one back, None for no change."""
-        if now_ms < self._judge_due_ms:
+    def check_deadline(self, now_ms: float, now_s: int) -> list[JobForecast] | None:
+        """Return a new forecast to be recorded, empty to claim one back, None for no change."""
+        if now_ms < self._forecast_due_ms:
             return None
-        self._judge_due_ms = now_ms + _JUDGE_EVERY_MS
-        return self.watch.judge(self.items_left, now_ms, now_s)
+        self._forecast_due_ms = now_ms + _FORECAST_INTERVAL_MS
+        return self.deadline_watch.check(self.items_left, now_ms, now_s)
 
     def _end_unresolved(self, start: int, lines: list[bytes], now_ms: float) -> None:
         """End the items that a former owner may have dispatched and that may not run again."""
@@ -185,7 +185,7 @@
         if not self._ended.add(result.item_number):
             return
         self.results.add(result, now_ms)
-        self.watch.on_ended(now_ms)
+        self.deadline_watch.on_ended(now_ms)
         self._log.add(result)
 
     def _fresh_allowed(self) -> bool:
--- a/src/fescuedock/entry/job_acceptance.py
+++ b/src/fescuedock/entry/job_acceptance.py
@@ -10,7 +10,7 @@
 
 from fescuedock.address import Address
 from fescuedock.core.acceptance import SERVICE_PREFIX, check_file
-from fescuedock.core.batch.takeover import RunnerName, chosen_runner
+from fescuedock.core.batch.takeover import RunnerName, preferred_runner
 from fescuedock.core.claims import is_non_idempotent
 from fescuedock.core.job_identity import (
     JobRequest,
@@ -70,7 +70,7 @@
 async def push_job(context: EntryContext, record: JobRecord, *, cancelled: bool = False) -> None:
     """Tell the runners that own the job or should; what gets lost is found by the scanners."""
     runners = context.view.live_vms(Program.BATCH)
-    chosen = chosen_runner(record.job_id, runners)
+    chosen = preferred_runner(record.job_id, runners)
     owner_id = RunnerName.parse(record.owner).vm_id
     told = {vm.vm_id: vm for vm in runners if vm.vm_id == owner_id or vm == chosen}
     message = JobPush(job_id=record.job_id, cancelled=cancelled)
--- a/tests/builders/batch.py
+++ b/tests/builders/batch.py
@@ -32,13 +32,13 @@
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.settings import BatchSettings
 
-__all__ = ["DONE", "JobWorld", "Runner", "batch_settings", "input_line", "job_record"]
+__all__ = ["DONE", "BatchJobHarness", "Runner", "batch_settings", "input_line", "job_record"]
 
 JOB_ID = "batch_1"
 DONE = AttemptEnd(EndKind.DONE, 200, b'{"choices":[]}')
 HOUR_S = 3600
-_WAYS_TO_LOSE = ("before", "after", "after", "late")
-_BAD_ENDS = [kind for kind in EndKind if kind is not EndKind.DONE]
+_LOSS_MODES = ("before", "after", "after", "late")
+_FAILED_ENDS = [kind for kind in EndKind if kind is not EndKind.DONE]
 
 
 def batch_settings(**changes: int) -> BatchSettings:
@@ -74,7 +74,7 @@
     return msgspec.structs.replace(record, **changes)
 
 
-class JobWorld:
+class BatchJobHarness:
     """The record of one job under compare-and-swap, its segments and its log, with an oracle.
 
     ``committed`` counts, by item, the committed result lines; ``sent`` the attempts that may have
@@ -193,59 +193,59 @@
 class Runner:
     """One incarnation of a runner with its ``JobRun``; actions wait until ``perform`` is called."""
 
-    world: JobWorld
+    harness: BatchJobHarness
     name: str
     seed: int = 0
     waiting: list[Action] = field(default_factory=list)
-    flying: list[Item] = field(default_factory=list)
+    in_flight: list[Item] = field(default_factory=list)
     # Of reads, as they were when the service was asked.
-    answers: list[Callable[[], None]] = field(default_factory=list)
-    told_of_cancel: bool = False
+    held_answers: list[Callable[[], None]] = field(default_factory=list)
+    cancel_pushed: bool = False
 
     def __post_init__(self) -> None:
-        chance = random.Random(self.seed)
+        rng = random.Random(self.seed)
         # All runners know at once of an outage.
-        settings, kv_away = self.world.settings, lambda: self.world.kv_down
-        self.run = JobRun(JOB_ID, self.name, settings, chance, kv_away)
+        settings, kv_away = self.harness.settings, lambda: self.harness.kv_down
+        self.run = JobRun(JOB_ID, self.name, settings, rng, kv_away)
 
     def poll(self) -> None:
-        """Let the machine decide; stops take effect at once, the rest waits."""
-        for action in self.run.poll(self.world.moment):
+        """Let the machine decide; stops claim effect at once, the rest waits."""
+        for action in self.run.poll(self.harness.moment):
             match action:
                 case StopAttempts():
                     self.stop_attempts()
                 case CleanUp():
-                    self.world.open = False
-                    self.world.log.clear()
+                    self.harness.open = False
+                    self.harness.log.clear()
                 case _:
                     self.waiting.append(action)
 
     def stop_attempts(self) -> None:
-        for item in list(self.flying):
+        for item in list(self.in_flight):
             self.end(item, AttemptEnd(EndKind.STOPPED))
 
-    def take(self, upstream_id: str = "u1") -> Item | None:
+    def claim(self, upstream_id: str = "u1") -> Item | None:
         """Start one attempt, if the machine has an item."""
-        item = self.run.take(upstream_id, Isolation.ALONE, self.world.now_ms)
+        item = self.run.claim(upstream_id, Isolation.ALONE, self.harness.now_ms)
         if item is not None:
-            assert not self.told_of_cancel, "begun after a push of the cancel"
-            self.world.check_start(self.run.epoch)
-            self.world.sent[item.number] += 1
-            self.flying.append(item)
+            assert not self.cancel_pushed, "begun after a push of the cancel"
+            self.harness.check_start(self.run.epoch)
+            self.harness.sent[item.number] += 1
+            self.in_flight.append(item)
         return item
 
     def end(self, item: Item, end: AttemptEnd = DONE) -> None:
         """End one attempt."""
-        self.flying.remove(item)
+        self.in_flight.remove(item)
         if end.kind in (EndKind.NOT_SENT, EndKind.BUSY):
-            self.world.sent[item.number] -= 1
-        self.run.on_attempt_ended(item, end, self.world.now_ms)
+            self.harness.sent[item.number] -= 1
+        self.run.on_attempt_ended(item, end, self.harness.now_ms)
 
     def perform(self, action: Action, lost: str = "") -> None:
         """Carry ``action`` out.
 
         ``lost`` is empty, ``before`` (no effect, no answer), ``after`` (effect, no answer), or
-        ``late`` (no answer, and the effect comes with ``world.late_writes``).
+        ``late`` (no answer, and the effect comes with ``harness.late_writes``).
         """
         self.waiting.remove(action)
         match action:
@@ -259,70 +259,70 @@
                 self._other(action, lost)
 
     def _read(self, lost: str) -> None:
-        self.world.kv_calls += 1
-        if self.world.kv_down or lost:
-            self.run.on_kv_failed(ResultCode.KV_UNAVAILABLE, self.world.now_ms)
+        self.harness.kv_calls += 1
+        if self.harness.kv_down or lost:
+            self.run.on_kv_failed(ResultCode.KV_UNAVAILABLE, self.harness.now_ms)
         else:
-            self.run.on_record(self.world.record, self.world.revision)
+            self.run.on_record(self.harness.record, self.harness.revision)
 
-    def ask(self, action: ReadRecord) -> None:
-        """Let the service answer a read now; the answer comes with ``hear``."""
+    def hold_answer(self, action: ReadRecord) -> None:
+        """Let the service answer a read now; the answer comes with ``deliver_answers``."""
         self.waiting.remove(action)
-        record, revision = self.world.record, self.world.revision
-        self.answers.append(lambda: self.run.on_record(record, revision))
+        record, revision = self.harness.record, self.harness.revision
+        self.held_answers.append(lambda: self.run.on_record(record, revision))
 
-    def hear(self) -> None:
-        """Take the answers that were on their way."""
-        answers, self.answers = self.answers, []
-        for answer in answers:
+    def deliver_answers(self) -> None:
+        """Take the held_answers that were on their way."""
+        held_answers, self.held_answers = self.held_answers, []
+        for answer in held_answers:
             answer()
 
     def _write(self, action: WriteRecord, lost: str) -> None:
-        world = self.world
-        world.kv_calls += 1
-        if world.kv_down:
-            self.run.on_kv_failed(ResultCode.KV_UNAVAILABLE, world.now_ms)
+        harness = self.harness
+        harness.kv_calls += 1
+        if harness.kv_down:
+            self.run.on_kv_failed(ResultCode.KV_UNAVAILABLE, harness.now_ms)
             return
         # As bytes: what the machine does to its structs later must not change what was sent.
         sent = decode_record(encode_record(action.record))
         if lost == "late":
-            world.late_writes.append(lambda: world.write(sent, action.expected_revision))
+            harness.late_writes.append(lambda: harness.write(sent, action.expected_revision))
         revision = None
         if lost in ("", "after"):
-            revision = world.write(sent, action.expected_revision)
+            revision = harness.write(sent, action.expected_revision)
         if revision is not None:
             assert sent.owner == self.name, f"{self.name} wrote over {sent.owner}"
         if lost:
-            self.run.on_kv_failed(ResultCode.KV_UNKNOWN, world.now_ms)
+            self.run.on_kv_failed(ResultCode.KV_UNKNOWN, harness.now_ms)
         elif revision is None:
-            self.run.on_kv_failed(ResultCode.KV_CONFLICT, world.now_ms)
+            self.run.on_kv_failed(ResultCode.KV_CONFLICT, harness.now_ms)
         else:
             self.run.on_written(revision)
 
     def _put(self, action: PutSegment, lost: str) -> None:
-        ref = None if lost == "before" else self.world.put(action.body, action.items)
+        ref = None if lost == "before" else self.harness.put(action.body, action.items)
         if lost or ref is None:
-            self.run.on_segment_failed(action.number, self.world.now_ms)
+            self.run.on_segment_failed(action.number, self.harness.now_ms)
         else:
             self.run.on_segment(action.number, ref)
 
     def _other(self, action: Action, lost: str) -> None:
-        world, run = self.world, self.run
+        harness, run = self.harness, self.run
         match action:
             case AppendLog():
                 if lost != "before":
-                    world.log += action.records
+                    harness.log += action.records
                 run.on_logged()
             case ReadLog():
                 # Both stores' copies of the log come, the second one in another order.
-                for page in (world.log, world.log[::-1]) if not lost else ():
-                    run.on_log_page(page, world.now_ms)
-                run.on_log_end(not lost, world.now_ms)
+                for page in (harness.log, harness.log[::-1]) if not lost else ():
+                    run.on_log_page(page, harness.now_ms)
+                run.on_log_end(not lost, harness.now_ms)
             case ReadInput() if lost:
-                run.on_input_failed(world.now_ms)
+                run.on_input_failed(harness.now_ms)
             case ReadInput():
-                lines = item_lines(world.segments[action.ref.segment_hash])
-                run.on_input(action.index, lines, world.now_ms)
+                lines = item_lines(harness.segments[action.ref.segment_hash])
+                run.on_input(action.index, lines, harness.now_ms)
 
     def step(self) -> None:
         """Poll once and carry out all that waits, without a fault."""
@@ -332,24 +332,24 @@
 
     def fill(self) -> None:
         """Start attempts until the machine gives out no more items."""
-        while self.take() is not None:
+        while self.claim() is not None:
             pass
 
-    def stumble(self, rounds: int, chance: random.Random, faults: float = 0.15) -> None:
+    def work_with_faults(self, rounds: int, rng: random.Random, faults: float = 0.15) -> None:
         """Run, with each call and each attempt failing in some way at the rate of ``faults``."""
         for _ in range(rounds):
             self.poll()
             for action in list(self.waiting):
-                if chance.random() < 0.8:
-                    wrong = chance.random() < faults
-                    self.perform(action, chance.choice(_WAYS_TO_LOSE) if wrong else "")
-            while chance.random() < 0.9 and self.take() is not None:
+                if rng.random() < 0.8:
+                    wrong = rng.random() < faults
+                    self.perform(action, rng.choice(_LOSS_MODES) if wrong else "")
+            while rng.random() < 0.9 and self.claim() is not None:
                 pass
-            for item in list(self.flying):
-                if chance.random() < 0.6:
-                    wrong = chance.random() < faults
-                    self.end(item, AttemptEnd(chance.choice(_BAD_ENDS), 500) if wrong else DONE)
-            self.world.now_ms += 250.0
+            for item in list(self.in_flight):
+                if rng.random() < 0.6:
+                    wrong = rng.random() < faults
+                    self.end(item, AttemptEnd(rng.choice(_FAILED_ENDS), 500) if wrong else DONE)
+            self.harness.now_ms += 250.0
 
     def work(self, rounds: int = 400, until: Callable[[], bool] = lambda: False) -> None:
         """Run as a daemon on a healthy platform would, until the job is over here."""
@@ -358,6 +358,6 @@
                 return
             self.step()
             self.fill()
-            for item in list(self.flying):
+            for item in list(self.in_flight):
                 self.end(item)
-            self.world.now_ms += 250.0
+            self.harness.now_ms += 250.0
--- a/tests/test_batch_decisions.py
+++ b/tests/test_batch_decisions.py
@@ -8,21 +8,21 @@
 from fescuedock.core.batch.answers import failed_line, rejected_line, succeeded_line
 from fescuedock.core.batch.assembly import AnswerAssembly, can_stream
 from fescuedock.core.batch.items import AttemptEnd, EndKind, Isolation
-from fescuedock.core.batch.ranges import ItemSet, holds, to_ranges
+from fescuedock.core.batch.ranges import ItemSet, covers, to_ranges
 from fescuedock.core.batch.scheduler import ItemScheduler
 from fescuedock.core.batch.takeover import (
     OwnerAnswer,
     RunnerName,
-    SilenceLog,
-    Verdict,
-    chosen_runner,
-    judge,
-    scans,
+    SilentOwners,
+    TakeoverDecision,
+    decide_takeover,
+    is_scanner,
+    preferred_runner,
 )
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.settings import BatchSettings
 from fescuedock.schema.view import VmRecord, VmState
-from tests.builders.batch import DONE, JobWorld, Runner, batch_settings, input_line
+from tests.builders.batch import DONE, BatchJobHarness, Runner, batch_settings, input_line
 
 _NUMBERS = strategies.sets(strategies.integers(0, 199))
 _SERVICE = "trip-desk"
@@ -47,18 +47,20 @@
         self.now_ms = 1000.0
 
     def add(self, name: str, *, member: str = "gent", items: int = 200, due_s: int = 3600) -> None:
-        world = JobWorld(items, self.settings)
-        record = msgspec.structs.replace(world.record, job_id=name, member=member, deadline_s=due_s)
-        world.value = msgspec.msgpack.encode(record)
-        runner = Runner(world, f"vm/{name}")
+        harness = BatchJobHarness(items, self.settings)
+        record = msgspec.structs.replace(
+            harness.record, job_id=name, member=member, deadline_s=due_s
+        )
+        harness.value = msgspec.msgpack.encode(record)
+        runner = Runner(harness, f"vm/{name}")
         runner.run.job_id = name
         for _ in range(4):
             runner.step()
         self.runners[name] = runner
         self.scheduler.add(runner.run)
 
-    def take(self, upstream_id: str = "u1"):
-        return self.scheduler.take(_SERVICE, upstream_id, lambda _member: 1.0, self.now_ms)
+    def claim(self, upstream_id: str = "u1"):
+        return self.scheduler.claim(_SERVICE, upstream_id, lambda _member: 1.0, self.now_ms)
 
     def end(self, assignment, end: AttemptEnd = DONE) -> None:
         self.scheduler.on_ended(assignment, self.now_ms)
@@ -68,7 +70,7 @@
         """Run items one after the other; returns how many each job got."""
         counts = dict.fromkeys(self.runners, 0)
         for _ in range(turns):
-            assignment = self.take()
+            assignment = self.claim()
             counts[assignment.run.job_id] += 1
             self.now_ms += 100.0
             self.end(assignment)
@@ -114,21 +116,21 @@
         fleet = _Fleet()
         fleet.scheduler = ItemScheduler(batch_settings(max_items_in_flight=3))
         fleet.add("a")
-        self.assertEqual(sum(fleet.take() is not None for _ in range(9)), 3)
+        self.assertEqual(sum(fleet.claim() is not None for _ in range(9)), 3)
 
     def test_suspects_run_singly_and_then_alone(self):
         fleet = _Fleet()
         fleet.add("a")
-        first, second = fleet.take(), fleet.take()
+        first, second = fleet.claim(), fleet.claim()
         fleet.end(first, AttemptEnd(EndKind.DIED))
         fleet.end(second, AttemptEnd(EndKind.DIED))
         fleet.now_ms += 10000.0
-        suspect = fleet.take("u2")
+        suspect = fleet.claim("u2")
         self.assertIs(suspect.isolation, Isolation.ONLY_SUSPECT)
-        beside = fleet.take("u2")
+        beside = fleet.claim("u2")
         self.assertIs(beside.isolation, Isolation.NONE, "one suspect for each upstream")
         fleet.end(suspect, AttemptEnd(EndKind.DIED))
-        self.assertIs(fleet.take("u3").isolation, Isolation.ONLY_SUSPECT)
+        self.assertIs(fleet.claim("u3").isolation, Isolation.ONLY_SUSPECT)
 
     def test_an_item_that_was_getting_tokens_is_suspected_less(self):
         fleet = _Fleet()
@@ -136,7 +138,7 @@
         fleet.add("a")
         seen = []
         for number in range(1, 7):
-            assignment = fleet.take(f"u{number}")
+            assignment = fleet.claim(f"u{number}")
             seen.append(assignment.isolation)
             tokens = assignment.item.tokens + 5
             fleet.end(assignment, AttemptEnd(EndKind.DIED, text="x" * tokens, tokens=tokens))
@@ -149,47 +151,47 @@
         fleet = _Fleet()
         fleet.settings = _fleet_settings(max_items_in_flight=99, item_attempts=4)
         fleet.add("a")
-        bad = fleet.take("u1")
+        bad = fleet.claim("u1")
         fleet.end(bad, AttemptEnd(EndKind.DIED))
         fleet.now_ms += 10000.0
-        bad = fleet.take("u2")
+        bad = fleet.claim("u2")
         fleet.end(bad, AttemptEnd(EndKind.DIED))
-        other = fleet.take("u3")
+        other = fleet.claim("u3")
         fleet.now_ms += 20000.0
-        self.assertIsNone(fleet.take("u3"), "the upstream runs empty for the suspect")
+        self.assertIsNone(fleet.claim("u3"), "the upstream runs empty for the suspect")
         fleet.end(other)
-        alone = fleet.take("u3")
+        alone = fleet.claim("u3")
         self.assertIs(alone.item, bad.item)
         self.assertIs(alone.isolation, Isolation.ALONE)
-        self.assertIsNone(fleet.take("u3"))
+        self.assertIsNone(fleet.claim("u3"))
         fleet.end(alone)
-        self.assertIsNotNone(fleet.take("u3"))
+        self.assertIsNotNone(fleet.claim("u3"))
 
 
 class TakeoverTest(unittest.TestCase):
     ME = RunnerName("vm-1", "b")
 
-    def _judge(self, owner, vm, answer=None, silent_ms=0.0) -> Verdict:
-        return judge(owner, self.ME, vm, answer, silent_ms, 10000.0)
+    def _judge(self, owner, vm, answer=None, silent_ms=0.0) -> TakeoverDecision:
+        return decide_takeover(owner, self.ME, vm, answer, silent_ms, 10000.0)
 
     def test_who_is_gone_or_never_was_loses_the_job(self):
-        self.assertIs(self._judge("", None), Verdict.CLAIM)
-        self.assertIs(self._judge("vm-2/a", None), Verdict.CLAIM)
-        self.assertIs(self._judge("vm-1/a", _vm("vm-1")), Verdict.CLAIM)
+        self.assertIs(self._judge("", None), TakeoverDecision.CLAIM)
+        self.assertIs(self._judge("vm-2/a", None), TakeoverDecision.CLAIM)
+        self.assertIs(self._judge("vm-1/a", _vm("vm-1")), TakeoverDecision.CLAIM)
 
     def test_a_live_owner_is_asked_and_keeps_what_it_runs(self):
         vm = _vm("vm-2")
-        self.assertIs(self._judge("vm-2/a", vm), Verdict.ASK_OWNER)
-        self.assertIs(self._judge("vm-2/a", vm, OwnerAnswer.RUNNING), Verdict.LEAVE)
-        self.assertIs(self._judge("vm-2/a", vm, OwnerAnswer.NOT_RUNNING), Verdict.CLAIM)
+        self.assertIs(self._judge("vm-2/a", vm), TakeoverDecision.QUERY_OWNER)
+        self.assertIs(self._judge("vm-2/a", vm, OwnerAnswer.RUNNING), TakeoverDecision.LEAVE)
+        self.assertIs(self._judge("vm-2/a", vm, OwnerAnswer.NOT_RUNNING), TakeoverDecision.CLAIM)
 
     def test_silence_counts_after_a_while(self):
-        log = SilenceLog()
+        log = SilentOwners()
         vm = _vm("vm-2")
         for now_ms, verdict in (
-            (0.0, Verdict.LEAVE),
-            (9999.0, Verdict.LEAVE),
-            (1e4, Verdict.CLAIM),
+            (0.0, TakeoverDecision.LEAVE),
+            (9999.0, TakeoverDecision.LEAVE),
+            (1e4, TakeoverDecision.CLAIM),
         ):
             silent_ms = log.silent_ms("job", now_ms)
             self.assertIs(self._judge("vm-2/a", vm, OwnerAnswer.SILENT, silent_ms), verdict)
@@ -198,18 +200,18 @@
 
     def test_each_domain_has_its_scanners_whatever_the_fleet(self):
         vms = [_vm(f"vm-{number}", f"domain-{number % 3}") for number in range(9)]
-        chosen = [vm for vm in vms if scans(vm.vm_id, vms, 1)]
+        chosen = [vm for vm in vms if is_scanner(vm.vm_id, vms, 1)]
         self.assertEqual({vm.failure_domain for vm in chosen}, {vm.failure_domain for vm in vms})
         self.assertEqual(len(chosen), 3)
-        self.assertEqual(sum(scans(vm.vm_id, vms, 2) for vm in vms), 6)
+        self.assertEqual(sum(is_scanner(vm.vm_id, vms, 2) for vm in vms), 6)
 
     def test_a_job_moves_only_when_its_runner_goes(self):
         vms = [_vm(f"vm-{number}") for number in range(9)]
         for job in range(50):
-            chosen = chosen_runner(f"job-{job}", vms)
+            chosen = preferred_runner(f"job-{job}", vms)
             rest = [vm for vm in vms if vm is not vms[job % 9]]
             if chosen is not vms[job % 9]:
-                self.assertIs(chosen_runner(f"job-{job}", rest), chosen)
+                self.assertIs(preferred_runner(f"job-{job}", rest), chosen)
 
 
 class ItemSetTest(unittest.TestCase):
@@ -223,7 +225,7 @@
         self.assertEqual(items.ranges(), to_ranges(union))
         for number in range(200):
             self.assertEqual(number in items, number in union)
-            self.assertEqual(holds(items.ranges(), number), number in union)
+            self.assertEqual(covers(items.ranges(), number), number in union)
             missing = next((item for item in range(number, 200) if item not in union), 200)
             self.assertEqual(items.next_missing(number), missing)
 
--- a/tests/test_batch_dispatch_address.py
+++ b/tests/test_batch_dispatch_address.py
@@ -19,7 +19,7 @@
 from fescuedock.core.quarantine import FREE
 from fescuedock.schema.config import Configuration, ServiceKind, ServiceSpec
 from fescuedock.schema.view import UpstreamKind, UpstreamRecord
-from tests.builders.batch import JobWorld, Runner, batch_settings
+from tests.builders.batch import BatchJobHarness, Runner, batch_settings
 
 BEFORE = UpstreamRecord("u1", "r", "d", "127.0.0.1", 1, UpstreamKind.ENGINE, "trip-desk")
 AFTER = msgspec.structs.replace(BEFORE, port=2)
@@ -46,8 +46,8 @@
     """
 
     def test_an_item_goes_where_its_upstream_is_when_the_permit_comes(self) -> None:
-        world = JobWorld(20, batch_settings())
-        runner = Runner(world, "vm-1/a")
+        harness = BatchJobHarness(20, batch_settings())
+        runner = Runner(harness, "vm-1/a")
         for _ in range(4):
             runner.step()
         self.assertIs(runner.run.phase, JobPhase.RUNNING)
@@ -71,10 +71,10 @@
 
         async def test() -> None:
             context = SimpleNamespace(
-                settings=SimpleNamespace(batch=world.settings),
+                settings=SimpleNamespace(batch=harness.settings),
                 view=view,
                 upstreams=UpstreamClients(engine, None),
-                scheduler=ItemScheduler(world.settings),
+                scheduler=ItemScheduler(harness.settings),
                 permits=SimpleNamespace(holder_id="h", ask=ask),
                 metrics=None,
                 signal=WorkSignal(),
--- a/tests/test_batch_starts.py
+++ b/tests/test_batch_starts.py
@@ -28,16 +28,16 @@
 from fescuedock.schema.config import Configuration, ServiceKind, ServiceSpec
 from fescuedock.schema.permits import AttemptOutcome
 from fescuedock.schema.view import UpstreamKind, UpstreamRecord
-from tests.builders.batch import JobWorld, Runner, batch_settings
+from tests.builders.batch import BatchJobHarness, Runner, batch_settings
 
 _ITEMS = 20
 _AGE_MS = batch_settings().record_age_ms
 _UPSTREAM = UpstreamRecord("u1", "r", "d", "127.0.0.1", 1, UpstreamKind.ENGINE, "trip-desk")
 
 
-def running(world: JobWorld) -> Runner:
+def running(harness: BatchJobHarness) -> Runner:
     """Return a runner that has claimed the job and has items at hand; none has begun."""
-    runner = Runner(world, "vm-1/a")
+    runner = Runner(harness, "vm-1/a")
     for _ in range(4):
         runner.step()
     assert runner.run.phase is JobPhase.RUNNING
@@ -51,149 +51,149 @@
 
 class LostPushTest(unittest.TestCase):
     def test_a_runner_that_hears_nothing_reads_the_record_before_it_is_too_old(self) -> None:
-        world = JobWorld(_ITEMS, batch_settings())
-        runner = running(world)
-        item = runner.take()
-        world.cancel()
-        cancelled_ms = world.now_ms
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        runner = running(harness)
+        item = runner.claim()
+        harness.cancel()
+        cancelled_ms = harness.now_ms
         # The item takes long, so that there is no commit.
-        while runner.flying:
-            self.assertLessEqual(world.now_ms - cancelled_ms, _AGE_MS)
-            world.now_ms = max(world.now_ms + 1.0, runner.run.wake_at_ms(world.now_ms))
+        while runner.in_flight:
+            self.assertLessEqual(harness.now_ms - cancelled_ms, _AGE_MS)
+            harness.now_ms = max(harness.now_ms + 1.0, runner.run.wake_at_ms(harness.now_ms))
             runner.step()
             runner.poll()
-        self.assertIsNone(runner.take())
-        self.assertEqual(world.sent, {item.number: 1})
+        self.assertIsNone(runner.claim())
+        self.assertEqual(harness.sent, {item.number: 1})
         runner.work()
-        self.assertIs(world.record.state, JobState.CANCELLED)
+        self.assertIs(harness.record.state, JobState.CANCELLED)
 
     def test_a_runner_whose_reads_get_no_answer_begins_nothing_for_long(self) -> None:
-        world = JobWorld(_ITEMS, batch_settings())
-        runner = running(world)
-        self.assertIsNotNone(runner.take())
-        world.now_ms += _AGE_MS + 1.0
-        self.assertIsNone(runner.take())
-        self.assertIsNone(runner.run.peek(world.now_ms))
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        runner = running(harness)
+        self.assertIsNotNone(runner.claim())
+        harness.now_ms += _AGE_MS + 1.0
+        self.assertIsNone(runner.claim())
+        self.assertIsNone(runner.run.peek(harness.now_ms))
         runner.poll()
         perform(runner, ReadRecord, "before")
-        self.assertIsNone(runner.take())
-        world.now_ms += 1000.0
+        self.assertIsNone(runner.claim())
+        harness.now_ms += 1000.0
         runner.step()
-        self.assertIsNotNone(runner.take())
+        self.assertIsNotNone(runner.claim())
 
     def test_the_age_counts_from_the_sending_of_the_call(self) -> None:
-        world = JobWorld(_ITEMS, batch_settings())
-        runner = running(world)
-        world.now_ms += _AGE_MS
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        runner = running(harness)
+        harness.now_ms += _AGE_MS
         runner.poll()
-        old_record, old_revision = world.record, world.revision
-        world.cancel()
-        world.now_ms += _AGE_MS + 1.0
+        old_record, old_revision = harness.record, harness.revision
+        harness.cancel()
+        harness.now_ms += _AGE_MS + 1.0
         # The answer is of before the cancel and was long on its way.
         runner.waiting.clear()
         runner.run.on_record(old_record, old_revision)
-        self.assertIsNone(runner.take())
+        self.assertIsNone(runner.claim())
 
     def test_while_the_service_answers_nobody_items_go_on(self) -> None:
-        world = JobWorld(_ITEMS, batch_settings())
-        runner = running(world)
-        world.kv_down = True
-        world.now_ms += 10 * _AGE_MS
-        self.assertIsNotNone(runner.take())
-        world.kv_down = False
-        self.assertIsNone(runner.take())
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        runner = running(harness)
+        harness.kv_down = True
+        harness.now_ms += 10 * _AGE_MS
+        self.assertIsNotNone(runner.claim())
+        harness.kv_down = False
+        self.assertIsNone(runner.claim())
         runner.step()
         runner.step()
-        self.assertIsNotNone(runner.take())
+        self.assertIsNotNone(runner.claim())
 
     def test_a_job_with_nothing_to_run_costs_no_read(self) -> None:
-        world = JobWorld(_ITEMS, batch_settings())
-        runner = Runner(world, "vm-1/a")
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        runner = Runner(harness, "vm-1/a")
         runner.run.may_load = False
         for _ in range(4):
             runner.step()
         for _ in range(20):
-            world.now_ms += _AGE_MS
+            harness.now_ms += _AGE_MS
             runner.poll()
             self.assertNotIn(ReadRecord(), runner.waiting)
             for action in list(runner.waiting):
                 runner.perform(action)
 
     def test_a_job_in_work_costs_a_read_each_two_seconds_at_most(self) -> None:
-        world = JobWorld(_ITEMS, batch_settings())
-        runner = running(world)
-        runner.take()
-        calls = world.kv_calls
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        runner = running(harness)
+        runner.claim()
+        calls = harness.kv_calls
         for _ in range(240):
-            world.now_ms += 250.0
+            harness.now_ms += 250.0
             runner.step()
-        self.assertLessEqual(world.kv_calls - calls, 60 / 2 + 1)
-        self.assertGreater(world.kv_calls - calls, 60 / 3)
+        self.assertLessEqual(harness.kv_calls - calls, 60 / 2 + 1)
+        self.assertGreater(harness.kv_calls - calls, 60 / 3)
 
 
 class OvertakenTest(unittest.TestCase):
     def test_a_read_under_way_when_the_push_comes_does_not_end_the_hold(self) -> None:
-        world = JobWorld(_ITEMS, batch_settings())
-        runner = running(world)
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        runner = running(harness)
         runner.run.on_pushed(cancelled=True)
         runner.poll()
-        old_record, old_revision = world.record, world.revision
-        world.cancel()
+        old_record, old_revision = harness.record, harness.revision
+        harness.cancel()
         runner.run.on_pushed(cancelled=True)
         runner.waiting.clear()
         runner.run.on_record(old_record, old_revision)
-        self.assertIsNone(runner.take())
+        self.assertIsNone(runner.claim())
         runner.step()
-        self.assertIsNone(runner.take())
+        self.assertIsNone(runner.claim())
         self.assertTrue(runner.run.record.state is JobState.CANCELLING)
 
     def test_a_claim_that_a_cancel_overtakes_begins_nothing(self) -> None:
-        world = JobWorld(_ITEMS, batch_settings())
-        world.write(claimed(world.record, "vm-0/x"), world.revision)
-        runner = Runner(world, "vm-1/a")
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        harness.write(claimed(harness.record, "vm-0/x"), harness.revision)
+        runner = Runner(harness, "vm-1/a")
         runner.step()
         runner.step()
         runner.poll()
         # The former owner's log takes long to read, and the push of the cancel is lost.
-        world.cancel()
-        world.now_ms += _AGE_MS + 1.0
+        harness.cancel()
+        harness.now_ms += _AGE_MS + 1.0
         perform(runner, ReadLog)
         for _ in range(4):
             runner.step()
-            self.assertIsNone(runner.take())
+            self.assertIsNone(runner.claim())
         runner.work()
-        self.assertIs(world.record.state, JobState.CANCELLED)
-        self.assertFalse(world.sent)
+        self.assertIs(harness.record.state, JobState.CANCELLED)
+        self.assertFalse(harness.sent)
 
     def test_a_refused_write_begins_nothing_until_the_record_is_read(self) -> None:
-        world = JobWorld(_ITEMS, batch_settings())
-        runner = running(world)
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        runner = running(harness)
         for _ in range(3):
-            runner.end(runner.take())
+            runner.end(runner.claim())
         while not any(isinstance(item, WriteRecord) for item in runner.waiting):
             runner.poll()
             for action in list(runner.waiting):
                 if not isinstance(action, WriteRecord):
                     runner.perform(action)
-        world.cancel()
+        harness.cancel()
         perform(runner, WriteRecord)
-        self.assertIsNone(runner.take())
+        self.assertIsNone(runner.claim())
 
     def test_a_record_under_another_epoch_begins_nothing_before_the_next_poll(self) -> None:
-        world = JobWorld(_ITEMS, batch_settings())
-        runner = running(world)
-        world.write(claimed(world.record, "vm-2/b"), world.revision)
-        runner.run.on_record(world.record, world.revision)
-        self.assertIsNone(runner.take())
-        self.assertIsNone(runner.run.peek(world.now_ms))
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        runner = running(harness)
+        harness.write(claimed(harness.record, "vm-2/b"), harness.revision)
+        runner.run.on_record(harness.record, harness.revision)
+        self.assertIsNone(runner.claim())
+        self.assertIsNone(runner.run.peek(harness.now_ms))
 
     def test_a_former_owner_that_nobody_told_begins_nothing_for_long(self) -> None:
-        world = JobWorld(_ITEMS, batch_settings())
-        former = running(world)
-        second = Runner(world, "vm-2/b")
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        former = running(harness)
+        second = Runner(harness, "vm-2/b")
         second.work(until=lambda: second.run.phase is JobPhase.RUNNING)
-        world.now_ms += _AGE_MS + 1.0
-        self.assertIsNone(former.take())
+        harness.now_ms += _AGE_MS + 1.0
+        self.assertIsNone(former.claim())
 
 
 class _Engine:
@@ -217,7 +217,9 @@
         yield
 
 
-def _context(world: JobWorld, engine: _Engine, configuration: Configuration) -> SimpleNamespace:
+def _context(
+    harness: BatchJobHarness, engine: _Engine, configuration: Configuration
+) -> SimpleNamespace:
     return SimpleNamespace(
         view=SimpleNamespace(
             configuration=configuration,
@@ -225,7 +227,7 @@
             verdict_on=lambda _work_id, _parts=(): FREE,
         ),
         upstreams=UpstreamClients(engine, None),
-        scheduler=ItemScheduler(world.settings),
+        scheduler=ItemScheduler(harness.settings),
         metrics=None,
         work_changed=lambda: None,
     )
@@ -250,13 +252,13 @@
 class DispatchTest(unittest.TestCase):
     def dispatch_one(self, services: dict[str, ServiceSpec], *, cancelled: bool) -> _Engine:
         """Start one item, at once followed by a cancel if told so; return the upstream's engine."""
-        world = JobWorld(_ITEMS, batch_settings())
-        run = running(world).run
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        run = running(harness).run
         engine = _Engine()
         ended: list[object] = []
 
         async def test() -> None:
-            context = _context(world, engine, Configuration(services=services))
+            context = _context(harness, engine, Configuration(services=services))
             context.scheduler.add(run)
             task = JobTask(context, run)
             dispatcher = Dispatcher(context, lambda _job_id: task)
@@ -279,15 +281,15 @@
         self.assertEqual(self.dispatch_one(services, cancelled=True).opened, 0)
         self.assertEqual(self.dispatch_one(services, cancelled=False).opened, 1)
 
-    def overtake(self, happens: Callable[[JobWorld, Runner, SimpleNamespace], None]) -> None:
+    def overtake(self, happens: Callable[[BatchJobHarness, Runner, SimpleNamespace], None]) -> None:
         """Let something happen while an item's connection is opened; the item must not be sent."""
-        world = JobWorld(_ITEMS, batch_settings())
-        runner = running(world)
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        runner = running(harness)
         engine = _Engine(connect_s=0.2)
         ended: list[object] = []
 
         async def test() -> None:
-            context = _context(world, engine, Configuration())
+            context = _context(harness, engine, Configuration())
             context.scheduler.add(runner.run)
             task = JobTask(context, runner.run)
             dispatcher = Dispatcher(context, lambda _job_id: task)
@@ -298,7 +300,7 @@
                 await dispatcher._use("u1", grant)
                 [item] = runner.run._work.items._in_flight.values()
                 await trio.sleep(0.1)
-                happens(world, runner, context)
+                happens(harness, runner, context)
                 await trio.sleep(1)
                 self.assertEqual((engine.ports, engine.opened), ([1], 0))
                 # The item is back in its job, unharmed, and the upstream is not blamed.
@@ -311,10 +313,10 @@
         trio.run(test, clock=trio.testing.MockClock(autojump_threshold=0))
 
     def test_an_item_whose_job_is_cancelled_while_its_runner_connects_is_not_sent(self) -> None:
-        def cancel(world: JobWorld, runner: Runner, _context: SimpleNamespace) -> None:
-            world.cancel()
+        def cancel(harness: BatchJobHarness, runner: Runner, _context: SimpleNamespace) -> None:
+            harness.cancel()
             # Heard of, and the state machine that stops attempts was not looked at since.
-            runner.run.on_record(world.record, world.revision)
+            runner.run.on_record(harness.record, harness.revision)
 
         self.overtake(cancel)
 
@@ -324,7 +326,7 @@
             with self.subTest(change):
 
                 def show(
-                    _world: JobWorld,
+                    _world: BatchJobHarness,
                     _runner: Runner,
                     context: SimpleNamespace,
                     change: dict | None = change,
@@ -337,18 +339,18 @@
                 self.overtake(show)
 
     def test_an_item_whose_permit_lapses_meanwhile_is_not_sent(self) -> None:
-        def lapse(_world: JobWorld, _runner: Runner, context: SimpleNamespace) -> None:
+        def lapse(_world: BatchJobHarness, _runner: Runner, context: SimpleNamespace) -> None:
             context.grant.sendable_until_ms = 0.0
 
         self.overtake(lapse)
 
     def test_an_item_goes_to_the_address_that_is_known_when_its_permit_is_there(self) -> None:
-        world = JobWorld(_ITEMS, batch_settings())
-        run = running(world).run
+        harness = BatchJobHarness(_ITEMS, batch_settings())
+        run = running(harness).run
         engine = _Engine()
 
         async def test() -> None:
-            context = _context(world, engine, Configuration())
+            context = _context(harness, engine, Configuration())
             context.scheduler.add(run)
             task = JobTask(context, run)
             dispatcher = Dispatcher(context, lambda _job_id: task)
@@ -361,7 +363,7 @@
                 return Ok(granted)
 
             context.permits = SimpleNamespace(holder_id="h", ask=ask)
-            context.settings = SimpleNamespace(batch=world.settings)
+            context.settings = SimpleNamespace(batch=harness.settings)
             async with trio.open_nursery() as nursery:
                 dispatcher._nursery = nursery
                 with trio.move_on_after(0.015):
--- a/tests/test_batch_stateful.py
+++ b/tests/test_batch_stateful.py
@@ -1,9 +1,10 @@
 """Several runners and one job under every kind of fault, against an oracle of committed items.
 
-``JobWorld`` checks at each write that takes effect: no item committed twice, none gone, no count
-going down, every line readable.  At each start of an item its runner was not told of a cancel, and
-no cancel or claim of another runner is older than a record in use may be.  After each example the
-faults end, a last runner comes, and the job must become whole, or end when a cancel was recorded.
+``BatchJobHarness`` checks at each write that takes effect that no item is committed twice or lost,
+no count decreases and every line is readable.  At each start of an item it checks that its runner
+has not received a cancel, and that no cancel or claim by another runner is older than the age up to
+which a record may be used.  After each example the faults end and a last runner starts; the job
+must then complete, or end as cancelled if a cancel was recorded.
 """
 
 import random
@@ -16,7 +17,7 @@
 from fescuedock.core.batch.items import AttemptEnd, EndKind
 from fescuedock.core.batch.record import is_final
 from fescuedock.schema.batch import JobState
-from tests.builders.batch import DONE, JobWorld, Runner, batch_settings
+from tests.builders.batch import DONE, BatchJobHarness, Runner, batch_settings
 
 _ITEMS = 17
 _RUNNERS = 3
@@ -35,7 +36,7 @@
 
     @initialize(non_idempotent=strategies.booleans())
     def accept(self, non_idempotent):
-        self.world = JobWorld(_ITEMS, batch_settings(), non_idempotent)
+        self.harness = BatchJobHarness(_ITEMS, batch_settings(), non_idempotent)
         self.non_idempotent = non_idempotent
         self.incarnations = 0
         self.runners = [self._new_runner() for _ in range(_RUNNERS)]
@@ -44,7 +45,7 @@
 
     def _new_runner(self):
         self.incarnations += 1
-        return Runner(self.world, f"vm-{self.incarnations}/x", self.incarnations)
+        return Runner(self.harness, f"vm-{self.incarnations}/x", self.incarnations)
 
     @rule(slot=_SLOT, rounds=_ROUNDS)
     def work(self, slot, rounds):
@@ -52,16 +53,16 @@
         self.runners[slot].work(rounds)
 
     @rule(slot=_SLOT, rounds=_ROUNDS, seed=strategies.integers(0, 999))
-    def stumble(self, slot, rounds, seed):
+    def work_with_faults(self, slot, rounds, seed):
         """A stretch in which calls, answers and attempts fail now and then."""
-        self.runners[slot].stumble(rounds, random.Random(seed))
+        self.runners[slot].work_with_faults(rounds, random.Random(seed))
 
     @rule(slot=_SLOT, rounds=_ROUNDS, seed=strategies.integers(0, 999))
     def lose_and_take_over(self, slot, rounds, seed):
         """A runner is lost in the middle of its work and another one comes."""
-        self.runners[slot].stumble(rounds, random.Random(seed))
+        self.runners[slot].work_with_faults(rounds, random.Random(seed))
         self.runners[slot] = self._new_runner()
-        self.runners[slot].stumble(rounds, random.Random(seed + 1))
+        self.runners[slot].work_with_faults(rounds, random.Random(seed + 1))
 
     @rule(slot=_SLOT)
     def poll(self, slot):
@@ -78,23 +79,23 @@
         """A read is answered at once, and what comes of it is on its way for a while."""
         runner = self.runners[slot]
         for action in list(runner.waiting):
-            if isinstance(action, ReadRecord) and not self.world.kv_down:
-                runner.ask(action)
+            if isinstance(action, ReadRecord) and not self.harness.kv_down:
+                runner.hold_answer(action)
 
     @rule(slot=_SLOT)
     def hear_answers(self, slot):
-        self.runners[slot].hear()
+        self.runners[slot].deliver_answers()
 
     @rule(slot=_SLOT, count=strategies.integers(1, 4))
     def start_items(self, slot, count):
         for _ in range(count):
-            self.runners[slot].take()
+            self.runners[slot].claim()
 
     @rule(slot=_SLOT, which=_WHICH, end=_ENDS)
     def end_item(self, slot, which, end):
         runner = self.runners[slot]
-        if runner.flying:
-            runner.end(runner.flying[which % len(runner.flying)], end)
+        if runner.in_flight:
+            runner.end(runner.in_flight[which % len(runner.in_flight)], end)
 
     @rule(slot=_SLOT)
     def kill(self, slot):
@@ -126,24 +127,24 @@
     )
     def cancel(self, lucky, pushed, reading, pause_ms, slot):
         """The cancel may find the runner in the middle of a read, or paused, with items ready."""
-        if lucky or self.world.kv_down or is_final(self.world.record):
+        if lucky or self.harness.kv_down or is_final(self.harness.record):
             return
         runner = self.runners[slot]
         # So that there are lines of input at hand, if the job is this runner's.
         runner.step()
-        if is_final(self.world.record):
+        if is_final(self.harness.record):
             return
         if reading:
             runner.run.on_pushed(True)
             runner.poll()
             self.answer_slowly(slot)
-        self.world.cancel()
+        self.harness.cancel()
         self.cancelled = True
         if pushed:
             runner.run.on_pushed(True)
-            runner.told_of_cancel = True
-        self.world.now_ms += pause_ms
-        runner.hear()
+            runner.cancel_pushed = True
+        self.harness.now_ms += pause_ms
+        runner.deliver_answers()
         runner.fill()
 
     @rule(slot=_SLOT, cancelled=strategies.booleans())
@@ -154,40 +155,40 @@
     @rule(weight=strategies.integers(0, 3))
     def switch_kv(self, weight):
         """The service is up three times out of four."""
-        self.world.kv_down = weight == 0
+        self.harness.kv_down = weight == 0
 
     @rule()
     def land_late_writes(self):
-        late, self.world.late_writes = self.world.late_writes, []
+        late, self.harness.late_writes = self.harness.late_writes, []
         for write in late:
             write()
 
     @rule(pause_ms=strategies.sampled_from([10.0, 500.0, 30000.0]))
     def pass_time(self, pause_ms):
-        self.world.now_ms += pause_ms
+        self.harness.now_ms += pause_ms
 
     def teardown(self):
-        if not hasattr(self, "world"):
+        if not hasattr(self, "harness"):
             return
-        self.world.kv_down = False
+        self.harness.kv_down = False
         self.land_late_writes()
         final = self._new_runner()
         final.work()
         # The others wake up and find that the job is no longer theirs.
         for runner in self.runners:
-            runner.hear()
+            runner.deliver_answers()
             runner.work(60)
         self._check_end()
 
     def _check_end(self):
-        record = self.world.record
+        record = self.harness.record
         assert is_final(record), record
-        assert not self.world.open
+        assert not self.harness.open
         if not self.cancelled:
             assert record.state is JobState.COMPLETED
-            assert set(self.world.committed) == set(range(_ITEMS))
+            assert set(self.harness.committed) == set(range(_ITEMS))
         if self.non_idempotent:
-            assert max(self.world.sent.values(), default=0) <= 1, self.world.sent
+            assert max(self.harness.sent.values(), default=0) <= 1, self.harness.sent
 
 
 BatchStatefulTest = BatchMachine.TestCase
--- a/tests/test_entry_jobs.py
+++ b/tests/test_entry_jobs.py
@@ -9,7 +9,7 @@
 from openai.types import Batch
 
 from fescuedock.address import Address
-from fescuedock.core.batch.record import OwnerChange, changed, decode_record, encode_record
+from fescuedock.core.batch.record import OwnerChange, apply_change, decode_record, encode_record
 from fescuedock.core.job_keys import job_key
 from fescuedock.net.channel import ServerPeer, serve_channel
 from fescuedock.schema.batch import (
@@ -452,7 +452,7 @@
             found = await get(key, **options)
             site.entry.kv.get = get
             record = stored(site.entry, batch.id)
-            replace(site.entry, changed(record, OwnerChange(groups=[group])))
+            replace(site.entry, apply_change(record, OwnerChange(groups=[group])))
             return found
 
         site.entry.kv.get = commit_after_read
@@ -509,13 +509,14 @@
         errors = [b'{"custom_id":"item-3"}\n']
         old = [await self._group(site, outputs[:1], 0), await self._group(site, outputs[1:2], 2)]
         manifest = (await stores.put_segment(msgspec.msgpack.encode(JobManifest(old)), 2)).unwrap()
-        record = changed(stored(site.entry, job_id), OwnerChange(groups=old, folded=manifest))
-        record = changed(record, OwnerChange(groups=[await self._group(site, outputs[2:], 1)]))
+        record = apply_change(stored(site.entry, job_id), OwnerChange(groups=old, folded=manifest))
+        record = apply_change(record, OwnerChange(groups=[await self._group(site, outputs[2:], 1)]))
         replace(site.entry, record)
         ref = (await stores.put_segment(errors[0], 1)).unwrap()
         last = CommittedGroup(errors=[ref], ranges=[[3, 4]], failed=1)
         replace(
-            site.entry, changed(record, OwnerChange(groups=[last], finished_at_s=1_800_000_100))
+            site.entry,
+            apply_change(record, OwnerChange(groups=[last], finished_at_s=1_800_000_100)),
         )
         return outputs, errors
 
