--- a/src/fescuedock/core/batch/actions.py
+++ b/src/fescuedock/core/batch/actions.py
@@ -1,4 +1,4 @@
-"""What a job's state machine asks its daemon to do; an ``on_`` call of the machine answers it."""
+"""Actions that a job's state machine requests; the daemon reports each through an ``on_`` call."""
 
 import msgspec
 
@@ -36,9 +36,9 @@
 
 
 class AppendLog(msgspec.Struct, frozen=True):
-    """Append ``records`` to the job's result log; answer with ``on_logged``, whatever came of it.
+    """Append ``records`` to the job's result log; answer with ``on_logged``, also after a failure.
 
-    The log only saves work after a takeover, so a failure loses nothing that was promised.
+    The log only saves work after a takeover, so a failure loses no acknowledged result.
     """
 
     records: tuple[bytes, ...]
@@ -64,7 +64,7 @@
 
 
 class CleanUp(msgspec.Struct, frozen=True):
-    """Drop the job's entry in the index of open jobs, and its result log."""
+    """Delete the job's entry in the index of open jobs, and its result log."""
 
 
 Action = (
--- a/src/fescuedock/core/batch/answers.py
+++ b/src/fescuedock/core/batch/answers.py
@@ -1,4 +1,4 @@
-"""Input lines and result lines of a job, in the shape of the OpenAI batch files."""
+"""Input lines and result lines of a job, in the format of the OpenAI batch files."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 
 
 class ItemLine(msgspec.Struct):
-    """One line of the input; ``body`` is the request's JSON as it stands."""
+    """One line of the input; ``body`` is the request's unparsed JSON."""
 
     custom_id: str = ""
     method: str = "POST"
@@ -45,7 +45,7 @@
 
 
 def read_line(line: bytes) -> ItemLine:
-    """Return the parts of an input line, which was checked when the job was accepted."""
+    """Parse an input line, which was validated when the job was accepted."""
     return _read_line(line)
 
 
@@ -55,7 +55,7 @@
 
 
 def rejected_line(job_id: str, number: int, line: bytes, status: int, body: bytes) -> bytes:
-    """Return the error line of an item that its upstream refused for good."""
+    """Return the error line of an item that its upstream rejected permanently."""
     message = f"the upstream answered HTTP {status}: the request can never succeed"
     error = _error(ResultCode.UPSTREAM_REJECTED, message)
     return _with_response(job_id, number, line, status, body, error)
--- a/src/fescuedock/core/batch/assembly.py
+++ b/src/fescuedock/core/batch/assembly.py
@@ -1,10 +1,10 @@
-"""Puts the events of a streamed answer together to the JSON of an answer that is not streamed."""
+"""Assembles the events of a streamed answer into the JSON of a non-streamed answer."""
 
 import msgspec
 
 __all__ = ["AnswerAssembly", "can_stream"]
 
-# Requests whose answer is more than one text; they run without a stream and cannot be resumed.
+# Fields of requests whose answer is more than one text; these are not streamed and cannot resume.
 _NOT_STREAMABLE = ("logprobs", "top_logprobs", "tools", "functions", "echo", "audio")
 _COUNTS = ("n", "best_of")
 _DATA = b"data: "
@@ -54,7 +54,7 @@
 
 
 def can_stream(body: dict) -> bool:
-    """Return whether an answer to ``body`` can be put together from its stream."""
+    """Return whether an answer to ``body`` can be assembled from its stream."""
     prompt = body.get("prompt")
     several = isinstance(prompt, list) and len(prompt) > 1
     several = several or any(body.get(name) not in (None, 1) for name in _COUNTS)
@@ -62,7 +62,7 @@
 
 
 class AnswerAssembly:
-    """Gathers one answer; ``text`` and ``tokens`` are what was generated before, at a resume."""
+    """Collects one answer; on a resume, ``text`` and ``tokens`` are the output generated so far."""
 
     __slots__ = ("_chat", "_last", "_parts", "_usage", "tokens")
 
@@ -78,7 +78,7 @@
         return "".join(self._parts)
 
     def add(self, data: bytes, text: str, finished: bool) -> None:
-        """Take one event: its raw ``data``, the ``text`` of its token, and whether it ends it."""
+        """Add an event: its raw ``data``, its token's ``text``, and whether it ends the answer."""
         if text:
             self._parts.append(text)
             self.tokens += 1
@@ -90,7 +90,7 @@
             self._last = _read_chunk(data.strip().removeprefix(_DATA))
 
     def body(self) -> bytes:
-        """Return the whole answer's JSON."""
+        """Return the JSON of the complete answer."""
         last = self._last
         reason = last.choices[0].finish_reason if last.choices else None
         if self._chat:
--- a/src/fescuedock/core/batch/commits.py
+++ b/src/fescuedock/core/batch/commits.py
@@ -1,8 +1,8 @@
-"""Brings an owner's changes into the job's record, one compare-and-swap at a time.
+"""Writes an owner's changes to the job's record, one compare-and-swap at a time.
 
-The queue never assumes what became of a write.  After any answer but a plain success it reads the
-record and looks there: a group whose items are done was committed, a record under another epoch
-belongs to somebody else.  The revision makes a delayed duplicate of a write fail.
+The queue never assumes the outcome of a write.  After any answer other than success it reads the
+record again: a group whose items are done was committed, a record with another epoch belongs to
+another owner.  The expected revision makes a delayed duplicate of a write fail.
 """
 
 import random
@@ -28,7 +28,7 @@
 
 
 class Ownership(StrEnum):
-    """What the queue knows of its right to write the record."""
+    """Whether the queue may write the record, as far as it knows."""
 
     CLAIMING = auto()
     OWNED = auto()
@@ -40,7 +40,7 @@
 class CommitQueue:
     """Claims one job for ``owner`` and then writes its changes.
 
-    ``owner`` must be unique to this run of this program.
+    ``owner`` must be unique to this process.
     """
 
     __slots__ = (
@@ -92,14 +92,14 @@
 
     @property
     def idle(self) -> bool:
-        """Whether everything that was added is in the record."""
+        """Whether every added change is in the record."""
         waiting = self._groups or self._marks or self._unmarks or self._folded
         waiting = waiting or self._forecast is not None
         return not self._busy and not self._must_read and not waiting
 
     @property
     def retry_at_ms(self) -> float:
-        """When ``next_action`` has something new after a failure."""
+        """When ``next_action`` may return an action again after a failure."""
         return self._retry_at_ms
 
     @property
@@ -108,7 +108,7 @@
 
     @property
     def known(self) -> KnownRecord:
-        """What is known of the record, for the decision whether an item may begin."""
+        """The known state of the record, for the decision whether an item may begin."""
         owned = self.ownership is Ownership.OWNED
         return KnownRecord(self.record, owned, self._confirmed_at_ms, self._maybe_stale)
 
@@ -119,40 +119,40 @@
         self._marks += ranges
 
     def remove_marks(self, ranges: list[list[int]]) -> None:
-        """Take back marks of items that were never dispatched and never will be by this owner."""
+        """Remove marks of items that this owner has not dispatched and never will."""
         self._unmarks += ranges
 
     def fold(self, manifest: SegmentRef) -> None:
-        """Let ``manifest`` take the place of the first ``manifest.items`` groups."""
+        """Replace the first ``manifest.items`` groups in the record by ``manifest``."""
         self._folded = manifest
 
     def set_forecast(self, forecast: list[JobForecast]) -> None:
-        """Record a forecast, or with an empty list that the deadline will be met after all."""
+        """Record a forecast, or clear it with an empty list once the deadline will be met."""
         self._forecast = forecast
 
     def finish(self, at_s: int) -> None:
-        """Make the record final, once the rest is in."""
+        """Make the record final together with the changes that are still queued."""
         self._finish_at_s = self._finish_at_s or at_s
 
     def invalidate(self) -> None:
-        """Read the record at the next chance: somebody says that it was changed."""
+        """Read the record as soon as possible, after a notification that it was changed."""
         self._must_read = True
         self._maybe_stale = True
 
     def refresh(self) -> None:
-        """Read the record at the next chance, as nothing has confirmed it for a while."""
-        # The answer to a call under way will confirm it.
+        """Read the record as soon as possible, as it has not been confirmed for a while."""
+        # The answer to a call in progress will confirm it.
         if not self._busy:
             self._must_read = True
 
     def next_action(self, now_ms: float) -> ReadRecord | WriteRecord | None:
-        """Return the next call on the key-value service; None while there is none to make."""
+        """Return the next call to the key-value service, or None if there is none to make."""
         if self._busy or now_ms < self._retry_at_ms:
             return None
         if self.ownership not in (Ownership.CLAIMING, Ownership.OWNED):
             return None
         if self._must_read:
-            # Not at the answer: a change that is told in between needs another read.
+            # Cleared now, not at the answer: a change reported in between needs another read.
             self._must_read = False
             self._send(now_ms)
             return ReadRecord()
@@ -163,7 +163,7 @@
         return WriteRecord(self._writing, self._revision)
 
     def on_record(self, record: JobRecord | None, revision: int) -> None:
-        """Take what the service held when it was asked."""
+        """Apply the record as the service returned it."""
         self._answered()
         self._maybe_stale = self._must_read
         self._revision = revision
@@ -174,14 +174,14 @@
         self._apply_record(record)
 
     def on_written(self, revision: int) -> None:
-        """The last write took effect."""
+        """Handle the success of the last write."""
         self._answered()
         self._revision = revision
         self.record = self._writing
         self._apply_record(self._writing)
 
     def on_failed(self, code: ResultCode, now_ms: float) -> None:
-        """The last call failed, or what became of it is unknown."""
+        """Handle the failure or unknown outcome of the last call."""
         self._busy = False
         self._must_read = True
         if code is ResultCode.KV_CONFLICT:
@@ -196,14 +196,14 @@
         self._sent_at_ms = now_ms
 
     def _answered(self) -> None:
-        # An answer may be long on its way, and tells of no change that came after it was asked for.
+        # An answer may be delayed, and does not show changes made after the call was sent.
         self._confirmed_at_ms = self._sent_at_ms
         self._busy = False
         self._failures = 0
         self._retry_at_ms = 0.0
 
     def _apply_record(self, record: JobRecord) -> None:
-        """Compare ``record`` with what was asked for, and keep only what is still to be written."""
+        """Compare ``record`` with the queued changes, and keep only those not yet written."""
         if self.epoch == 0:
             self._apply_claim(record)
         elif record.epoch != self.epoch:
@@ -247,6 +247,6 @@
         try:
             return apply_change(self.record, change)
         except DuplicateItemError:
-            # Somebody else's doing or a fault of ours; the next claim starts from the record.
+            # Caused by another writer or a local fault; the next claim starts from the record.
             self.ownership = Ownership.LOST
             return None
--- a/src/fescuedock/core/batch/folding.py
+++ b/src/fescuedock/core/batch/folding.py
@@ -1,4 +1,4 @@
-"""Moves committed groups from the record to manifest segments, so that the record stays small."""
+"""Moves committed groups from the record to manifest segments to keep the record small."""
 
 from fescuedock.core.batch.actions import PutSegment
 from fescuedock.core.batch.results import manifest_body, without_copies
@@ -6,7 +6,7 @@
 
 __all__ = ["ManifestFolder"]
 
-# Numbers of result segments begin at 0.
+# Distinct from the numbers of result segments, which begin at 0.
 _MANIFEST_NUMBER = -1
 _RETRY_MS = 1000.0
 
@@ -27,15 +27,15 @@
         return self._retry_at_ms
 
     def is_manifest(self, number: int) -> bool:
-        """Whether segment ``number`` is a manifest."""
+        """Return whether segment ``number`` is a manifest."""
         return number == _MANIFEST_NUMBER
 
     def is_folded(self, record: JobRecord) -> bool:
-        """Return whether the record is as small as it can be made."""
+        """Return whether no further folding can make the record smaller."""
         return not self._busy and len(record.groups) <= 1
 
     def next_action(self, record: JobRecord, finishing: bool, now_ms: float) -> PutSegment | None:
-        """Return the manifest to be written now, if any."""
+        """Return the manifest to write now, if any."""
         if self._folded is not None and self._folded in record.manifests:
             self._folded = None
         if self._busy or self._folded is not None or now_ms < self._retry_at_ms:
@@ -47,7 +47,7 @@
         return PutSegment(_MANIFEST_NUMBER, manifest_body(record.groups[:count]), count)
 
     def on_segment(self, ref: SegmentRef) -> SegmentRef:
-        """Take the written manifest; returns what the record should hold in place of groups."""
+        """Handle the written manifest; return the reference that replaces its groups."""
         self._busy = False
         self._folded = without_copies(ref)
         return self._folded
--- a/src/fescuedock/core/batch/forecast.py
+++ b/src/fescuedock/core/batch/forecast.py
@@ -1,4 +1,4 @@
-"""Whether a job will make its deadline, from the rate at which its items ended lately."""
+"""Predicts whether a job will meet its deadline, from the recent rate at which its items end."""
 
 from collections import deque
 
@@ -8,10 +8,10 @@
 
 _WINDOW_MS = 60000.0
 _STEP_MS = 2000.0
-# Below both of these there is too little to check by.
+# With less than both of these there is too little data for a rate.
 _MIN_WATCHED_MS = 10000.0
 _MIN_ENDED = 20
-# A reported job must be this far on the safe side before the report is taken back.
+# A forecast is withdrawn once the slack exceeds this share of the time left.
 _WITHDRAW_MARGIN_SHARE = 0.1
 _REFRESH_MS = 30000.0
 _NO_EXPECTED_END_S = -1
@@ -34,7 +34,7 @@
             self._samples.popleft()
 
     def items_per_s(self, now_ms: float) -> float | None:
-        """Return the rate; None when too little was seen to check."""
+        """Return the rate, or None when there is too little data."""
         start_ms, ended_before = self._samples[0]
         span_ms = now_ms - start_ms
         ended = self._ended - ended_before
@@ -44,10 +44,10 @@
 
 
 class DeadlineWatch:
-    """Reports when the rate of one job does not meet its deadline, and when it does again.
+    """Reports when one job's rate is too low for its deadline, and when it is sufficient again.
 
     ``deadline_ms`` is on the clock of ``now_ms``.  Until the job has a rate of its own,
-    ``prior_items_per_s`` stands for it, if above 0.
+    ``prior_items_per_s`` is used if it is above 0.
     """
 
     __slots__ = ("_meter", "_reported_at_ms", "deadline_ms", "prior_items_per_s")
@@ -63,7 +63,7 @@
         self._meter.on_ended(now_ms)
 
     def check(self, items_left: int, now_ms: float, now_s: int) -> list[JobForecast] | None:
-        """Return a forecast to be recorded, an empty list to take it back, None for no change."""
+        """Return a forecast to record, an empty list to withdraw it, or None for no change."""
         rate = self._rate(now_ms)
         slack_ms = self._slack_ms(items_left, rate, now_ms)
         if slack_ms >= 0:
--- a/src/fescuedock/core/batch/input_reader.py
+++ b/src/fescuedock/core/batch/input_reader.py
@@ -1,4 +1,4 @@
-"""Finds the input segment that holds the item item_number next, and reads one at a time."""
+"""Finds the input segment of the next item, and reads one segment at a time."""
 
 from collections.abc import Sequence
 
@@ -11,7 +11,7 @@
 
 
 class InputReader:
-    """Reads the input of one job in order; nothing of it is kept here."""
+    """Reads the input of one job in order; does not store what it reads."""
 
     __slots__ = ("_refs", "_starts", "busy", "due_at_ms")
 
@@ -28,7 +28,10 @@
         return self._starts[index]
 
     def next_action(self, item_number: int, now_ms: float) -> ReadInput | None:
-        """Return the reading of the segment that has item ``item_number``."""
+        """Return the read of the segment that contains ``item_number``, or None if not due.
+
+        Raise ``ValueError`` when the input has no such item.
+        """
         if self.busy or now_ms < self.due_at_ms:
             return None
         for index, ref in enumerate(self._refs):
--- a/src/fescuedock/core/batch/items.py
+++ b/src/fescuedock/core/batch/items.py
@@ -1,13 +1,13 @@
-"""The items of one job: which may run now, where, and when one that failed has had its chances.
+"""The items of one job: which may run now, on which upstream, and when a failed item is final.
 
-Fresh items come in order from the input segment at hand.  An item that failed waits, jittered, and
-avoids the upstream where it failed.  An item that was in flight when a worker died may be the
-cause, less so if it was getting tokens: what kills a worker mostly does so at its start.  By its
-suspicion it runs as others do, as the only suspect of an upstream, or alone there, and at last it
-is ended.
+Fresh items come in order from the loaded input segment.  A failed item waits with jittered backoff
+and avoids the upstream where it failed.  An item that was in flight when a worker died may be the
+cause; it is less likely to be if it was receiving tokens, as harmful items mostly kill a worker at
+their start.  Depending on its suspicion an item runs like any other, as the only suspect of an
+upstream, or in isolation; at the maximum it fails permanently.
 
-Memory is bounded by the input segment at hand, and by the number and bytes of the items in flight
-or waiting.
+Memory is bounded by the loaded input segment, and by the number and bytes of the items in flight or
+waiting.
 """
 
 import heapq
@@ -22,17 +22,17 @@
 
 __all__ = ["AttemptEnd", "EndKind", "Isolation", "Item", "ItemQueue", "ItemFailure"]
 
-# What the death of a worker adds to the suspicion of an item that had got no token there, or some.
+# Added to the suspicion of an item when a worker dies before, or after, it returned tokens of it.
 _DEATH_SUSPICION = 1.0
 _DEATH_SUSPICION_WITH_TOKENS = 0.5
 _MIN_SUSPECT_SUSPICION = 1.0
 _MIN_ISOLATED_SUSPICION = 2.0
-# Each death costs a worker and all that runs on it, so this is not the number of attempts.
+# Independent of the number of attempts, as each death costs a worker and everything running on it.
 _MAX_SUSPICION = 3.0
 
 
 class EndKind(StrEnum):
-    """How an attempt ended, as far as the item is concerned."""
+    """How an attempt ended, from the point of view of its item."""
 
     DONE = auto()
     REJECTED = auto()
@@ -42,17 +42,17 @@
     DIED = auto()
     REVOKED = auto()
     STOPPED = auto()
-    # Not sent, as what it had been chosen by did not hold any more.
+    # Not sent, as the conditions under which it was chosen no longer held.
     WITHDRAWN = auto()
-    # Not sent, as upstreams ended each time while they ran the same work.
+    # Not sent, as upstreams crashed each time they ran the same work.
     HARMFUL = auto()
 
 
 class AttemptEnd(msgspec.Struct, frozen=True):
-    """One attempt's end; ``text`` and ``tokens`` are what was generated, for a later resume.
+    """The end of one attempt; ``text`` and ``tokens`` are its output so far, for a later resume.
 
-    ``software_version`` is that of the upstream which wrote them.  For ``DONE`` and ``REJECTED``
-    the body is the upstream's answer; for others a message.
+    ``software_version`` is that of the upstream which generated them.  ``body`` is the upstream's
+    answer for ``DONE`` and ``REJECTED``, and a message otherwise.
     """
 
     kind: EndKind
@@ -64,14 +64,17 @@
 
 
 class Isolation(StrEnum):
-    """What may run beside an item on its upstream, of the same runner."""
+    """Which items of the same runner may run concurrently with an item on its upstream.
+
+    ``ONLY_SUSPECT`` admits items without suspicion, ``ALONE`` none.
+    """
 
     NONE = auto()
     ONLY_SUSPECT = auto()
     ALONE = auto()
 
 
-# Ends that say nothing against the item or the upstream, and those that tell that it never ran.
+# Ends that count against neither the item nor the upstream, and ends of attempts that never ran.
 _NO_FAULT = (EndKind.REVOKED, EndKind.STOPPED, EndKind.WITHDRAWN)
 _NOT_RUN = (EndKind.NOT_SENT, EndKind.BUSY, EndKind.WITHDRAWN, EndKind.HARMFUL)
 _STRICTNESS = (Isolation.NONE, Isolation.ONLY_SUSPECT, Isolation.ALONE)
@@ -102,7 +105,7 @@
 
 
 class ItemFailure(msgspec.Struct, frozen=True):
-    """An item's end by our decision."""
+    """The permanent failure of an item, as decided by the runner."""
 
     number: int
     code: ResultCode
@@ -111,7 +114,7 @@
 
 
 class ItemQueue:
-    """Hands out the items of a job that have no result yet; ``ended`` is shared with the job."""
+    """Hands out the items of a job without a result; ``ended`` is shared with the job."""
 
     __slots__ = (
         "_cursor",
@@ -136,7 +139,7 @@
         self._cursor = 0
         self._window: list[bytes] = []
         self._window_start = 0
-        # Of the lines in flight or waiting.
+        # Total size of the lines in flight or waiting.
         self._held_bytes = 0
         self._in_flight: dict[int, Item] = {}
         self._waiting: list[tuple[float, int, Item]] = []
@@ -148,14 +151,14 @@
 
     @property
     def next_unread_item(self) -> int | None:
-        """The next fresh item when its line is not at hand; None when no line is wanted."""
+        """The next fresh item if its line is not loaded; None when no line is needed."""
         if self._cursor >= self._ended.size or self._has_line():
             return None
         return self._cursor
 
     @property
     def next_fresh(self) -> int:
-        """The next item that was never taken, or the number of items."""
+        """The next item that was never claimed, or the number of items if there is none."""
         return self._cursor
 
     @property
@@ -163,7 +166,7 @@
         return self._waiting[0][0] if self._waiting else float("inf")
 
     def waiting_numbers(self) -> list[int]:
-        """Return the items that wait for another attempt."""
+        """Return the items that are waiting for another attempt."""
         return [number for _, number, _ in self._waiting]
 
     def is_in_flight(self, item: Item) -> bool:
@@ -171,17 +174,17 @@
         return self._in_flight.get(item.number) is item
 
     def strictest_ready(self, now_ms: float) -> Isolation:
-        """Return the strictest isolation that a waiting item needs which may run now."""
+        """Return the strictest isolation required by the waiting items that may run now."""
         ready = [item.isolation for at_ms, _, item in self._waiting if at_ms <= now_ms]
         return max(ready, key=_STRICTNESS.index, default=Isolation.NONE)
 
     def load(self, start: int, lines: list[bytes]) -> None:
-        """Take the lines of the items from ``start`` on."""
+        """Load the lines of the items from ``start`` on."""
         self._window_start, self._window = start, lines
         self._skip()
 
     def fresh_numbers(self, limit: int) -> list[int]:
-        """Return up to ``limit`` fresh items at hand without taking them."""
+        """Return up to ``limit`` fresh loaded items without claiming them."""
         found: list[int] = []
         number = self._cursor
         end = self._window_start + len(self._window)
@@ -191,7 +194,7 @@
         return found
 
     def peek(self, now_ms: float, fresh: bool = True) -> Item | None:
-        """Return an item that may run now, without taking it."""
+        """Return an item that may run now, without claiming it."""
         if self._waiting and self._waiting[0][0] <= now_ms:
             return self._waiting[0][2]
         if fresh and self._may_start_fresh():
@@ -201,9 +204,9 @@
     def claim(
         self, upstream_id: str, allowed: Isolation, now_ms: float, fresh: bool = True
     ) -> Item | None:
-        """Take the next item for ``upstream_id``.
+        """Claim the next item for ``upstream_id``.
 
-        ``allowed`` is the strictest isolation that the upstream can give now.
+        ``allowed`` is the strictest isolation that the upstream can provide now.
         """
         item = self._claim_waiting(upstream_id, allowed, now_ms)
         if item is None and fresh and self._may_start_fresh():
@@ -217,7 +220,7 @@
         return item
 
     def on_ended(self, number: int, end: AttemptEnd, now_ms: float) -> ItemFailure | None:
-        """Judge a failed attempt: a failure ends the item, None means that it waits again."""
+        """Handle a failed attempt; return the item's failure, or None if it waits for a retry."""
         item = self._in_flight.pop(number)
         if self.non_idempotent and end.kind not in _NOT_RUN:
             failure = self._evaluate_non_idempotent(item, end)
@@ -228,7 +231,7 @@
         return failure
 
     def release(self, number: int) -> Item:
-        """Forget an item in flight that has its result."""
+        """Remove an item in flight that has its result, and return it."""
         item = self._in_flight.pop(number)
         self._held_bytes -= len(item.line)
         return item
@@ -247,7 +250,7 @@
             item.deaths += 1
             item.suspicion += _DEATH_SUSPICION_WITH_TOKENS if progressed else _DEATH_SUSPICION
         item.failures += end.kind is EndKind.SERVER_ERROR
-        # What was generated may be what makes the next attempt fail.
+        # The generated text may itself make the next attempt fail.
         if end.kind is EndKind.SERVER_ERROR or item.suspicion >= _MIN_SUSPECT_SUSPICION:
             item.text, item.tokens = "", 0
         if item.suspicion >= min(self._settings.item_attempts, _MAX_SUSPICION):
@@ -287,12 +290,12 @@
         return None
 
     def _may_run_on(self, item: Item, upstream_id: str, now_ms: float) -> bool:
-        # When no other upstream has taken it for a while, there may be no other.
+        # If no other upstream has claimed the item for a while, there may be no other one.
         avoid_ms = self._settings.retry_backoff_ms
         return item.avoid != upstream_id or now_ms >= item.ready_at_ms + avoid_ms
 
     def _may_start_fresh(self) -> bool:
-        # Retries that pile up mean trouble that fresh items would only add to.
+        # Accumulating retries indicate a fault that fresh items would aggravate.
         settings = self._settings
         buffer_full = self._held_bytes >= settings.buffer_bytes
         return (
--- a/src/fescuedock/core/batch/job.py
+++ b/src/fescuedock/core/batch/job.py
@@ -1,7 +1,7 @@
-"""The state machine of one job in the hands of one runner; docs/BATCH.md has its table.
+"""The state machine of one job at one runner; docs/BATCH.md has its transition table.
 
-The daemon carries out what ``poll`` returns and reports back through the ``on_`` calls, in any
-order; when it has a permit it asks ``claim`` for an item.
+The daemon executes the actions that ``poll`` returns and reports their outcome through the ``on_``
+calls, in any order; with a permit it calls ``claim`` for an item.
 """
 
 import random
@@ -31,7 +31,7 @@
 
 
 class JobPhase(StrEnum):
-    """Where the job stands in this runner.  The last three are ends."""
+    """Phase of the job at this runner; the last three are final."""
 
     CLAIMING = auto()
     RECOVERING = auto()
@@ -53,7 +53,7 @@
 
 
 class Moment(msgspec.Struct, frozen=True):
-    """One moment on the monotonic clock and in Unix time, which deadlines are in."""
+    """A point in time on the monotonic clock and in Unix time; deadlines are in Unix time."""
 
     now_ms: float
     now_s: int
@@ -62,8 +62,8 @@
 class JobRun:
     """Runs job ``job_id`` under ``owner``, the unique name of this runner.
 
-    ``may_load`` is set by the scheduler; without it no input is read.  ``kv_away`` tells whether
-    the key-value service answers nobody.
+    ``may_load`` is set by the scheduler; without it no input is read.  ``kv_away`` returns whether
+    the key-value service is unavailable to all VMs.
     """
 
     __slots__ = (
@@ -95,7 +95,7 @@
         self._random = random_
         self._commits = CommitQueue(owner, random_)
         self._folder = ManifestFolder(settings.manifest_groups)
-        # There from the claim on.
+        # Set once the job is claimed.
         self._work: JobWork | None = None
         self._kv_away = kv_away
         self._released = False
@@ -113,12 +113,12 @@
 
     @property
     def over(self) -> bool:
-        """Whether this runner has nothing more to do with the job."""
+        """Whether the job has ended for this runner."""
         return self.phase in _ENDS
 
     @property
     def completed(self) -> bool:
-        """Whether the job is whole."""
+        """Whether every item of the job has a committed result."""
         record = self.record
         return record is not None and record.state is JobState.COMPLETED
 
@@ -133,7 +133,7 @@
 
     @property
     def reused(self) -> int:
-        """Results of a former owner that were taken from the log."""
+        """Number of results recovered from the log of a former owner."""
         return self._work.recovery.reused if self._work else 0
 
     @property
@@ -151,10 +151,10 @@
         """Bytes of results in memory."""
         return self._work.results.buffered_bytes if self._work else 0
 
-    # What to do.
+    # Actions.
 
     def poll(self, moment: Moment) -> list[Action]:
-        """Advance, and return what is to be done now."""
+        """Advance the state machine and return the actions to execute now."""
         actions = self._advance(moment)
         if self.phase in _WORKING:
             actions += self._poll_work(moment)
@@ -168,17 +168,17 @@
         return actions
 
     def wake_at_ms(self, now_ms: float) -> float:
-        """Return when ``poll`` has something new, if nothing is reported before."""
+        """Return when to call ``poll`` next if no outcome is reported before."""
         due = [self._folder.due_at_ms, self._commits.retry_at_ms, self._read_due_ms(now_ms)]
         if self._work is not None:
             due += self._work.due_ms()
         return min((at_ms for at_ms in due if at_ms > now_ms), default=float("inf"))
 
     def release(self) -> None:
-        """Prepare for a planned stop: start nothing more, and commit what there is.
+        """Prepare for a planned stop: start no more items, and commit all results.
 
-        Marks of items that were not dispatched are taken back, so that the next owner runs them.
-        To be called when no attempt is in flight any more.
+        Removes the marks of items that were not dispatched, so that the next owner runs them.  Call
+        this only when no attempt is in flight.
         """
         if self._released or self._work is None:
             return
@@ -186,42 +186,42 @@
         self._commits.remove_marks(self._work.unused_marks())
 
     def set_expected_rate(self, items_per_s: float) -> None:
-        """Judge the deadline by this rate until the job has one of its own."""
+        """Use this rate for the deadline forecast until the job has one of its own."""
         if self._work is not None:
             self._work.deadline_watch.prior_items_per_s = items_per_s
 
     # Items.
 
     def peek(self, now_ms: float) -> Item | None:
-        """Return the item that would probably run next, without taking it."""
+        """Return the item that would probably run next, without claiming it."""
         return self._work.peek(now_ms) if self._can_start(now_ms) else None
 
     def strictest_isolation(self, now_ms: float) -> Isolation:
-        """Return the strictest isolation that an item which could run now needs."""
+        """Return the strictest isolation required by the items that could run now."""
         if not self._can_start(now_ms):
             return Isolation.NONE
         return self._work.items.strictest_ready(now_ms)
 
     def claim(self, upstream_id: str, allowed: Isolation, now_ms: float) -> Item | None:
-        """Take an item to run on ``upstream_id``; answer with ``on_attempt_ended``."""
+        """Claim an item to run on ``upstream_id``; report its end with ``on_attempt_ended``."""
         if not self._can_start(now_ms):
             return None
         return self._work.claim(upstream_id, allowed, now_ms)
 
     def start_refusal(self, now_ms: float) -> StartRefusal | None:
-        """Return why no item may begin by what is known of the job's record, None when one may."""
+        """Return why no item may begin according to the known record, or None when one may."""
         known, max_age_ms = self._commits.known, self._settings.record_age_ms
         kv_away = self._kv_away()
         return refusal_of(known, now_ms, max_age_ms=max_age_ms, kv_away=kv_away)
 
     def on_attempt_ended(self, item: Item, end: AttemptEnd, now_ms: float) -> ResultCode | None:
-        """Take the end of an attempt; of a job that is over it changes nothing.
+        """Handle the end of an attempt; ignored when the job is over.
 
-        Returns the item's code when this was its end, else None.
+        Return the item's result code if the item has ended, else None.
         """
         return None if self.over else self._work.on_attempt_ended(item, end, now_ms)
 
-    # Answers.
+    # Outcomes of actions.
 
     def on_record(self, record: JobRecord | None, revision: int) -> None:
         self._commits.on_record(record, revision)
@@ -235,7 +235,7 @@
         self._commits.on_failed(code, now_ms)
 
     def on_pushed(self, cancelled: bool) -> None:
-        """An entry or scanner names the job; a cancel holds it until the record is read."""
+        """Handle a push from an entry or scanner; a cancel holds items until the record is read."""
         if cancelled and self.phase not in (JobPhase.STOPPING, JobPhase.FINISHING):
             self._stop_due = True
             self._commits.invalidate()
@@ -269,10 +269,10 @@
     def on_input_failed(self, now_ms: float) -> None:
         self._work.on_input_failed(now_ms)
 
-    # Inside.
+    # Internal.
 
     def _advance(self, moment: Moment) -> list[Action]:
-        """Move to the phase that the record, the items and the results call for."""
+        """Enter the phase that follows from the record, the items and the results."""
         actions: list[Action] = []
         end = _END_PHASES.get(self._commits.ownership)
         if end is not None:
@@ -321,7 +321,7 @@
         return [*puts, *(action for action in next_ones if action is not None)]
 
     def _queue_changes(self, moment: Moment) -> None:
-        """Mark items that come next, and check the deadline."""
+        """Queue marks for the next items, and a changed deadline forecast."""
         if not self._released:
             self._commits.add_marks(self._work.next_marks())
         forecast = self._work.check_deadline(moment.now_ms, moment.now_s)
@@ -336,7 +336,7 @@
         return None
 
     def _next_fold(self, moment: Moment) -> PutSegment | None:
-        """Return the manifest to be written, if any; at the end also make the record final."""
+        """Return the manifest to write, if any; once all is folded, make the record final."""
         finishing = self.phase is JobPhase.FINISHING and self.all_committed
         put = self._folder.next_action(self.record, finishing, moment.now_ms)
         if finishing and self._folder.is_folded(self.record):
@@ -344,9 +344,9 @@
         return put
 
     def _read_due_ms(self, now_ms: float) -> float:
-        """Return when the record is to be read for the items in flight, or those that may begin.
+        """Return when to read the record for the items in flight, or those that may begin.
 
-        A job in which nothing runs or could costs no read.
+        A job without items in flight or ready to start causes no reads.
         """
         if self.phase is not JobPhase.RUNNING:
             return float("inf")
@@ -356,11 +356,11 @@
 
     @property
     def _is_open(self) -> bool:
-        """Whether there is room for another item, as far as this runner is concerned."""
+        """Whether this runner can start another item, regardless of the record."""
         return self.phase is JobPhase.RUNNING and not self._released and not self._work.buffer_full
 
     def _can_start(self, now_ms: float) -> bool:
-        # Every item passes here, whichever way the job came to this runner.
+        # Every start of an item is checked here, however the job reached this runner.
         if not self._is_open:
             return False
         return self.start_refusal(now_ms) is None
--- a/src/fescuedock/core/batch/marks.py
+++ b/src/fescuedock/core/batch/marks.py
@@ -1,7 +1,7 @@
-"""Lets the items of a non-idempotent job run only after a committed mark, and then once.
+"""Runs each item of a non-idempotent job at most once, and only after its mark is committed.
 
-Whoever takes the job over cannot know which of the marked items ran.  So few are marked ahead, and
-those without a result end as unknown.
+After a takeover the new owner cannot know which of the marked items ran.  Therefore only a few
+items are marked ahead, and those without a result end as unknown.
 """
 
 from fescuedock.core.batch.ranges import ItemSet, covers, to_ranges
@@ -11,7 +11,7 @@
 
 
 class MarkGate:
-    """Marks ``ahead`` items at once.  The items of idempotent jobs all pass."""
+    """Marks up to ``ahead`` items at once; allows every item of an idempotent job."""
 
     __slots__ = ("_ahead", "_enabled", "_own_marks", "_previously_marked", "_requested")
 
@@ -27,12 +27,12 @@
         return not self._enabled or (number < self._own_marks.size and number in self._own_marks)
 
     def on_dispatched(self, number: int) -> None:
-        """Note that a marked item may run from now on."""
+        """Record that a marked item may be running from now on."""
         if self._enabled:
             self._own_marks.discard(number)
 
     def unused(self) -> list[int]:
-        """Return the items that are marked and were not dispatched."""
+        """Return the marked items that were not dispatched."""
         return [number for start, end in self._own_marks.ranges() for number in range(start, end)]
 
     def unresolved(self, start: int, end: int) -> list[int]:
@@ -40,7 +40,7 @@
         return [number for number in range(start, end) if covers(self._previously_marked, number)]
 
     def next_marks(self, fresh: list[int]) -> list[list[int]]:
-        """Return the ranges to mark now, given the items that come next; mostly none."""
+        """Return the ranges to mark now, given the next fresh items; usually none."""
         if not self._enabled or self._requested or not fresh or fresh[0] in self._own_marks:
             return []
         self._requested = [number for number in fresh if number not in self._own_marks][
@@ -49,7 +49,7 @@
         return to_ranges(self._requested)
 
     def on_record(self, record: JobRecord) -> None:
-        """Open the gate for the marks that are in ``record``, read or written under our epoch."""
+        """Allow the items whose marks are in ``record``, read or written under the own epoch."""
         if self._requested and covers(record.marked, self._requested[-1]):
             for number in self._requested:
                 self._own_marks.add(number)
--- a/src/fescuedock/core/batch/ranges.py
+++ b/src/fescuedock/core/batch/ranges.py
@@ -1,4 +1,4 @@
-"""Sets of item numbers, and half-open ranges of them as the job record covers them."""
+"""Sets of item numbers, and the half-open ranges in which the job record stores them."""
 
 from bisect import bisect_right
 from collections.abc import Iterable, Sequence
@@ -9,7 +9,7 @@
 
 
 class ItemSet:
-    """A set of numbers below ``size``, at one byte for each possible number."""
+    """A set of numbers below ``size`` that uses one byte per possible number."""
 
     __slots__ = ("_count", "_flags")
 
@@ -30,7 +30,7 @@
         return len(self._flags)
 
     def add(self, number: int) -> bool:
-        """Add ``number``; False when it was there already."""
+        """Add ``number``; return False when it was already in the set."""
         if self._flags[number]:
             return False
         self._flags[number] = _IN
--- a/src/fescuedock/core/batch/record.py
+++ b/src/fescuedock/core/batch/record.py
@@ -1,7 +1,7 @@
 """Transitions of a job's record: each returns a new record to be written by compare-and-swap.
 
-The record changes in no other way, so what these functions keep is what holds: the epoch only
-rises, an item is committed once, counts never go down, a final record stays as it is.
+The record changes in no other way, so these functions maintain its invariants: the epoch only
+increases, an item is committed once, counts never decrease, and a final record never changes.
 """
 
 from collections.abc import Sequence
@@ -30,15 +30,15 @@
 
 
 class DuplicateItemError(ValueError):
-    """A group holds an item that already has a committed result."""
+    """A group contains an item that already has a committed result."""
 
 
 class OwnerChange(msgspec.Struct):
-    """What a job's owner wants to add to the record in one write.
+    """Changes that a job's owner adds to the record in one write.
 
-    ``folded`` is a manifest segment that takes the place of the first ``folded.items`` groups.
-    ``unmarks`` are items that were marked and surely not dispatched.
-    ``forecast`` of None leaves the forecast as it is.
+    ``folded`` is a manifest segment that replaces the first ``folded.items`` groups.
+    ``unmarks`` are marked items that were certainly not dispatched.
+    ``forecast`` of None leaves the forecast unchanged.
     """
 
     groups: Sequence[CommittedGroup] = ()
@@ -60,7 +60,7 @@
 
 
 def is_final(record: JobRecord) -> bool:
-    """Return whether the record will never change again."""
+    """Return whether the record can no longer change."""
     return record.state in _FINAL
 
 
@@ -70,7 +70,7 @@
 
 
 def cancel_requested(record: JobRecord) -> JobRecord:
-    """Return the record with the cancel recorded; the same one when it is already final."""
+    """Return the record with the cancel recorded; unchanged when it is cancelling or final."""
     if record.state is not JobState.RUNNING:
         return record
     return msgspec.structs.replace(record, state=JobState.CANCELLING)
@@ -79,7 +79,7 @@
 def apply_change(record: JobRecord, change: OwnerChange) -> JobRecord:
     """Return the record with ``change`` applied.
 
-    Raises ``DuplicateItemError`` rather than commit an item a second time.
+    Raise ``DuplicateItemError`` if an item would be committed a second time.
     """
     after = msgspec.structs.replace(record)
     if change.groups:
@@ -100,7 +100,10 @@
 
 
 def finished(record: JobRecord, at_s: int) -> JobRecord:
-    """Return the final record: completed when every item has a result, else cancelled."""
+    """Return the final record: completed when every item has a result, else cancelled.
+
+    Raise ``ValueError`` if items are left and the job was not cancelled.
+    """
     if record.succeeded + record.failed < record.item_count:
         if record.state is not JobState.CANCELLING:
             raise ValueError(f"job {record.job_id} has items left and was not cancelled")
--- a/src/fescuedock/core/batch/recovery.py
+++ b/src/fescuedock/core/batch/recovery.py
@@ -1,4 +1,4 @@
-"""Reads the result log that a former owner left, and takes over what was not committed."""
+"""Recovers uncommitted results from the result log of a former owner."""
 
 from collections.abc import Iterator, Sequence
 
@@ -17,10 +17,10 @@
 
 
 class LogRecovery:
-    """Reads a log as often as it takes to get all of it through a bounded buffer.
+    """Reads a log repeatedly until all of it has passed through a bounded buffer.
 
-    After several failures it gives up: the items without a known result run again, or end as
-    unknown when they may not.
+    Gives up after several failures: items without a known result then run again, or end as unknown
+    if they may not run twice.
     """
 
     __slots__ = ("_due_at_ms", "_failures", "_incomplete", "_reading", "done", "reused")
@@ -45,18 +45,18 @@
         return ReadLog()
 
     def results(self, records: Sequence[bytes], ended: ItemSet) -> Iterator[LoggedResult]:
-        """Give the results in a page whose items have none yet; both stores' copies come."""
+        """Yield the results of a page whose items have none yet; pages of both copies arrive."""
         for record in records:
             result = _decode(record)
             if result.item_number not in ended:
                 yield result
 
     def mark_incomplete(self) -> None:
-        """A result did not fit; the log must be read again."""
+        """Record that a result did not fit in the buffer, so the log must be read again."""
         self._incomplete = True
 
     def on_end(self, complete: bool, now_ms: float) -> None:
-        """The reading ended; ``complete`` says that a store was read to its end."""
+        """Handle the end of a read; ``complete`` is set when a store was read to its end."""
         self._reading = False
         if complete:
             self.done = not self._incomplete
--- a/src/fescuedock/core/batch/result_log.py
+++ b/src/fescuedock/core/batch/result_log.py
@@ -1,4 +1,4 @@
-"""Results on their way to the job's log, where a next owner finds what was not committed."""
+"""Buffers results for the job's log, from which a later owner recovers uncommitted ones."""
 
 import msgspec
 
@@ -13,7 +13,7 @@
 class ResultLog:
     """Appends one batch of records at a time.
 
-    Over ``limit_bytes`` that wait, results are left out: that costs work after a takeover only.
+    Drops results while ``limit_bytes`` are waiting, which only costs work after a takeover.
     """
 
     __slots__ = ("_busy", "_limit_bytes", "_waiting", "_waiting_bytes")
@@ -41,5 +41,5 @@
         return AppendLog(records)
 
     def on_logged(self) -> None:
-        """The last append ended, well or not."""
+        """Handle the end of the last append, successful or not."""
         self._busy = False
--- a/src/fescuedock/core/batch/results.py
+++ b/src/fescuedock/core/batch/results.py
@@ -1,7 +1,7 @@
-"""Results on their way from an attempt to a committed group.
+"""Collects the results of attempts into groups to be committed.
 
-A result is final only once its group is committed.  Until then it stands in a result log, as bytes
-in memory, or in a segment; the bytes in memory are bounded by ``BatchSettings.buffer_bytes``.
+A result is final only once its group is committed.  Until then it is in the result log, in memory
+or in a segment; the bytes in memory are bounded by ``BatchSettings.buffer_bytes``.
 """
 
 import msgspec
@@ -39,7 +39,7 @@
 
 
 class _Put(msgspec.Struct):
-    """One segment of a sealed group; its body is kept until a store has it."""
+    """One segment of a sealed group; its body is retained until a store has written it."""
 
     group: _Group
     action: PutSegment
@@ -65,7 +65,7 @@
         return not self._open.numbers and not self._puts
 
     def add(self, result: LoggedResult, now_ms: float) -> None:
-        """Take one result; the caller sees to it that an item comes once."""
+        """Add one result; the caller ensures that each item is added once."""
         group = self._open
         if not group.numbers:
             group.opened_at_ms = now_ms
@@ -80,7 +80,7 @@
             self._seal()
 
     def due_at_ms(self) -> float:
-        """When the open group must be closed or a segment tried again."""
+        """Return when the open group must be closed or a segment retried."""
         due = [put.due_at_ms for put in self._puts.values() if not put.running]
         if self._open.numbers:
             due.append(self._open.opened_at_ms + self._settings.group_max_age_ms)
@@ -89,14 +89,14 @@
         return min(due, default=float("inf"))
 
     def puts(self, now_ms: float) -> list[PutSegment]:
-        """Return the segments to be written now."""
+        """Return the segments to write now."""
         due = [put for put in self._puts.values() if not put.running and put.due_at_ms <= now_ms]
         for put in due:
             put.running = True
         return [put.action for put in due]
 
     def on_segment(self, number: int, ref: SegmentRef) -> CommittedGroup | None:
-        """Take a written segment; returns its group when it was the last one missing."""
+        """Handle a written segment; return its group if it was the last one missing."""
         put = self._puts.pop(number)
         self.buffered_bytes -= len(put.action.body)
         put.refs.append(without_copies(ref))
@@ -109,7 +109,7 @@
         put.due_at_ms = now_ms + _PUT_RETRY_MS
 
     def has_segment(self, number: int) -> bool:
-        """Whether segment ``number`` is one of this builder's."""
+        """Return whether segment ``number`` belongs to this builder."""
         return number in self._puts
 
     def _is_due(self, now_ms: float) -> bool:
@@ -144,5 +144,5 @@
 
 
 def without_copies(ref: SegmentRef) -> SegmentRef:
-    """Return ``ref`` as the record holds it: copies move, and are found by the hash."""
+    """Return ``ref`` as stored in the record: copies may move, and are located by the hash."""
     return msgspec.structs.replace(ref, copies=[])
--- a/src/fescuedock/core/batch/scheduler.py
+++ b/src/fescuedock/core/batch/scheduler.py
@@ -1,4 +1,4 @@
-"""Which job gets the next permit of an upstream, among the jobs of one runner.
+"""Chooses which of a runner's jobs gets the next permit of an upstream.
 
 Jobs that need nearly the full rate of their service to meet the deadline go first, ordered by
 slack.  Every few rounds, and when no job is urgent, members get slots in proportion to their
@@ -17,23 +17,23 @@
 
 __all__ = ["Assignment", "ItemScheduler", "ShareOf"]
 
-# Weight of a member among those who wait.
+# Returns the weight of a member among the waiting members.
 ShareOf = Callable[[str], float]
 
-# A job is urgent when its slack is below this share of the time to its deadline.  That must be more
-# than the share of the fair turns, or an urgent job would miss the deadline because of them.
+# A job is urgent when its slack is below this share of the time to its deadline.  The share must
+# exceed that of the fair rounds, or these would make an urgent job miss its deadline.
 _URGENT_SHARE = 0.4
-# It is urgent as well when it has no time to spare for a takeover and the last commits.
+# A job is also urgent when its slack does not cover a takeover and the last commits.
 _URGENT_MS = 60000.0
 _FAIR_ROUND_INTERVAL = 4
-# A job that would be late by more than this share of the time left cannot make it.
+# A job that would be late by more than this share of the time left cannot meet its deadline.
 _INFEASIBLE_SHARE = 0.1
-# Jobs that may hold a segment of their input in memory.
+# Number of jobs that may hold a segment of their input in memory.
 _MAX_LOADED_JOBS = 8
 
 
 class Assignment(msgspec.Struct, frozen=True):
-    """One item to be run now."""
+    """One item to run now, and where."""
 
     run: JobRun
     item: Item
@@ -51,7 +51,7 @@
     reserved: bool = False
 
     def max_isolation(self) -> Isolation | None:
-        """Return the strictest isolation that can be given; None when nothing may start."""
+        """Return the strictest isolation available, or None when no item may start."""
         if self.isolated:
             return None
         if not self.in_flight:
@@ -62,7 +62,7 @@
 
 
 class ItemScheduler:
-    """Holds the runner's jobs and what is in flight where."""
+    """Schedules the items of a runner's jobs, and tracks those in flight by upstream."""
 
     __slots__ = (
         "_meters",
@@ -95,18 +95,18 @@
         self._runs.pop(run.job_id, None)
 
     def services(self) -> set[str]:
-        """Return the services that have jobs here."""
+        """Return the services of this runner's jobs."""
         return {run.record.service for run in self._runs.values() if run.record is not None}
 
     def items_per_s(self, service: str, now_ms: float) -> float | None:
-        """Return the rate of the service's items over all jobs here; None when unknown."""
+        """Return the rate of the service's items over all jobs of this runner; None if unknown."""
         meter = self._meters.get(service)
         return meter.items_per_s(now_ms) if meter else None
 
     def choose_loading_jobs(self, now_ms: float) -> None:
-        """Let the jobs with the least slack hold input, and no others.
+        """Allow only the jobs with the least slack to load input.
 
-        Also tells each job what rate to expect before it has one of its own.
+        Also sets the rate that each job expects before it has one of its own.
         """
         working = [run for run in self._runs.values() if run.record is not None]
         for run in working:
@@ -125,7 +125,7 @@
     def claim(
         self, service: str, upstream_id: str, share_of: ShareOf, now_ms: float
     ) -> Assignment | None:
-        """Return what to run on ``upstream_id``, for which there is a permit."""
+        """Claim an item to run on ``upstream_id``, for which the caller holds a permit."""
         allowed = self._allowed(service, upstream_id, now_ms)
         if allowed is None:
             return None
@@ -137,7 +137,7 @@
         return None
 
     def on_ended(self, assignment: Assignment, now_ms: float) -> None:
-        """Take back an assignment, however its attempt ended."""
+        """Release an assignment after its attempt ended, whatever the outcome."""
         upstream = self._upstreams[assignment.upstream_id]
         upstream.in_flight -= 1
         upstream.suspects -= assignment.isolation is not Isolation.NONE
@@ -150,7 +150,7 @@
         meter.on_ended(now_ms)
 
     def slack_ms(self, run: JobRun, now_ms: float) -> float:
-        """Return the time to spare if the job had its service's whole rate."""
+        """Return the slack of a job if it had the full rate of its service."""
         left_ms = run.deadline_ms - now_ms
         rate = self.items_per_s(run.record.service, now_ms)
         return left_ms - run.items_left / rate * 1000.0 if rate else left_ms
@@ -172,7 +172,7 @@
         return upstream.max_isolation()
 
     def _reserve(self, service: str, upstream: _Upstream, now_ms: float) -> None:
-        """Let one upstream run empty when an item must run isolated and finds none empty."""
+        """Drain one upstream when an item must run in isolation and no upstream is idle."""
         runs = self._ready(service, now_ms)
         strict = (run.strictest_isolation(now_ms) is Isolation.ALONE for run in runs)
         if not any(strict):
@@ -211,7 +211,7 @@
         self.in_flight += 1
 
     def _charge_member(self, member: str, share_of: ShareOf) -> None:
-        """Charge one item to ``member``; who was away starts level with the least used."""
+        """Charge one item to ``member``; a new member starts at the lowest use of the others."""
         present = {run.record.member for run in self._runs.values() if run.record is not None}
         others = [
             self._used_by_member.get(name, 0.0) for name in present if name in self._used_by_member
--- a/src/fescuedock/core/batch/start_gate.py
+++ b/src/fescuedock/core/batch/start_gate.py
@@ -1,10 +1,10 @@
-"""Whether an item of a job may begin now: the one place that decides it.
+"""The single decision whether an item of a job may begin now.
 
-A job comes to a runner by several ways: pushed, found by a scanner, handed over, claimed again
-after a restart.  Whatever was read on the way may have been overtaken since, so each beginning is
-judged by the newest record that the runner knows, and by how long ago that was known to be current.
+A job reaches a runner in several ways: pushed, found by a scanner, transferred, or claimed again
+after a restart.  The record read at that time may be outdated, so each start is checked against the
+newest record known to the runner and the time since it was confirmed to be current.
 
-Pure: the caller passes what it knows and what time it is.
+Pure: the caller passes the known record and the time.
 """
 
 import enum
@@ -16,7 +16,7 @@
 
 __all__ = ["KnownRecord", "StartRefusal", "next_read_ms", "refusal_of"]
 
-# Share of the largest age at which a record in use is read again; the rest is for a second try.
+# Share of the maximum age at which a record in use is read again; the rest allows a second try.
 _READ_SHARE = 2 / 3
 
 
@@ -30,10 +30,10 @@
 
 
 class KnownRecord(msgspec.Struct, frozen=True):
-    """What a runner knows of a job.
+    """A runner's knowledge of a job's record.
 
-    ``confirmed_at_ms`` is when the last call was sent whose answer showed ``record`` as current;
-    ``maybe_stale`` says that something points to a newer one.
+    ``confirmed_at_ms`` is the sending time of the last call whose answer showed ``record`` as
+    current; ``maybe_stale`` is set when a notification or conflict indicates a newer record.
     """
 
     record: JobRecord | None
@@ -47,8 +47,9 @@
 ) -> StartRefusal | None:
     """Return why no item of the job may begin, or None when one may.
 
-    ``kv_away`` says that the key-value service answers nobody.  Then no cancel is acknowledged and
-    no job is claimed either, so work goes on: stopping would cost all jobs the length of an outage.
+    ``kv_away`` is set while the key-value service is unavailable to all VMs.  Then no cancel is
+    acknowledged and no job is claimed either, so work continues: stopping would delay all jobs by
+    the length of the outage.
     """
     if known.record is None or not known.owned:
         return StartRefusal.NOT_OWNED
@@ -62,5 +63,5 @@
 
 
 def next_read_ms(known: KnownRecord, max_age_ms: float) -> float:
-    """Return when the record of a job in work is to be read, unless a commit confirms it before."""
+    """Return when to read the record of a running job, unless a commit confirms it before."""
     return known.confirmed_at_ms + max_age_ms * _READ_SHARE
--- a/src/fescuedock/core/batch/takeover.py
+++ b/src/fescuedock/core/batch/takeover.py
@@ -1,7 +1,7 @@
-"""When a runner should claim a job that somebody names to it.
+"""Decides when a runner claims a job that was pushed to it or found by a scan.
 
-Being wrong costs work that is done twice, never a wrong result: the epoch decides whose commit
-counts.  So silence and membership are evidence enough.
+A wrong claim costs duplicate work but never a wrong result, as the epoch decides whose commits take
+effect.  Therefore silence and membership are sufficient evidence that an owner has failed.
 """
 
 from enum import StrEnum, auto
@@ -23,7 +23,7 @@
 
 
 class TakeoverDecision(StrEnum):
-    """What to do about a job."""
+    """What to do about a job that another runner may own."""
 
     CLAIM = auto()
     QUERY_OWNER = auto()
@@ -31,7 +31,7 @@
 
 
 class OwnerAnswer(StrEnum):
-    """What the recorded owner says when asked whether it runs the job."""
+    """Answer of the recorded owner to the query whether it runs the job."""
 
     RUNNING = auto()
     NOT_RUNNING = auto()
@@ -39,7 +39,7 @@
 
 
 class RunnerName(msgspec.Struct, frozen=True):
-    """The name under which a runner claims: its VM, and an incarnation for each start."""
+    """The name under which a runner claims jobs: its VM and the incarnation of its process."""
 
     vm_id: str
     incarnation: str
@@ -54,7 +54,7 @@
 
 
 class SilentOwners:
-    """Remembers since when the owner of a job has not answered."""
+    """Tracks since when the owner of each job has not answered."""
 
     __slots__ = ("_since_ms",)
 
@@ -62,11 +62,11 @@
         self._since_ms: dict[str, float] = {}
 
     def silent_ms(self, job_id: str, now_ms: float) -> float:
-        """Note that the owner is silent; returns for how long it has been."""
+        """Record that the owner is silent; return for how long it has been."""
         return now_ms - self._since_ms.setdefault(job_id, now_ms)
 
     def is_silent(self, job_id: str) -> bool:
-        """Whether the job's owner was silent when it was last asked."""
+        """Return whether the job's owner was silent at the last query."""
         return job_id in self._since_ms
 
     def clear(self, job_id: str) -> None:
@@ -81,9 +81,9 @@
     silent_ms: float,
     takeover_silence_ms: float,
 ) -> TakeoverDecision:
-    """Decide about a job that ``me`` does not run; ``answer`` is None before the owner was asked.
+    """Decide about a job that ``me`` does not run; ``answer`` is None before the owner is queried.
 
-    ``owner_vm`` is None when the view does not show the owner's VM.
+    ``owner_vm`` is None when the owner's VM is not in the view.
     """
     if not owner or owner_vm is None or owner_vm.vm_id == me.vm_id:
         return TakeoverDecision.CLAIM
@@ -97,13 +97,13 @@
 
 
 def preferred_runner(job_id: str, vms: list[VmRecord]) -> VmRecord | None:
-    """Return the VM whose runner should own the job, of ``vms`` that can."""
+    """Return the VM of ``vms`` whose runner should own the job."""
     by_id = {vm.vm_id: vm for vm in vms}
     return by_id.get(choose_name(job_id, by_id))
 
 
 def is_scanner(vm_id: str, vms: list[VmRecord], scanners_per_domain: int) -> bool:
-    """Return whether ``vm_id`` is one of its failure domain's scanners of the open jobs."""
+    """Return whether ``vm_id`` is one of the VMs that scan open jobs for its failure domain."""
     domain = next((vm.failure_domain for vm in vms if vm.vm_id == vm_id), None)
     names = [vm.vm_id for vm in vms if vm.failure_domain == domain]
     return vm_id in rank_names(f"scanner/{domain}", names)[:scanners_per_domain]
--- a/src/fescuedock/core/batch/work.py
+++ b/src/fescuedock/core/batch/work.py
@@ -1,4 +1,4 @@
-"""The items of a claimed job, from its input to results that are ready to be committed."""
+"""Runs the items of a claimed job, from the input lines to results ready to be committed."""
 
 import random
 from collections.abc import Sequence
@@ -23,7 +23,10 @@
 
 
 class JobWork:
-    """Set up from the record as it was claimed; ``deadline_ms`` is on the clock of ``now_ms``."""
+    """The work on one job, created from the claimed record.
+
+    ``deadline_ms`` is on the clock of ``now_ms``.
+    """
 
     __slots__ = (
         "_ended",
@@ -61,32 +64,32 @@
 
     @property
     def items_left(self) -> int:
-        """Items without a result, committed or not."""
+        """Number of items without a result, committed or not."""
         return self._ended.size - len(self._ended)
 
     @property
     def buffer_full(self) -> bool:
-        """Whether the results in memory are as many as the settings allow."""
+        """Whether the results in memory have reached ``BatchSettings.buffer_bytes``."""
         return self.results.buffered_bytes >= self._settings.buffer_bytes
 
     def due_ms(self) -> list[float]:
-        """Return the times at which there is something new to do by itself."""
+        """Return the times at which an action becomes due without any outcome being reported."""
         due = [self.results.due_at_ms(), self._input.due_at_ms, self.recovery.due_at_ms]
         return [*due, self._forecast_due_ms]
 
     def peek(self, now_ms: float) -> Item | None:
-        """Return the item that would probably run next, without taking it."""
+        """Return the item that would probably run next, without claiming it."""
         return self.items.peek(now_ms, self._fresh_allowed())
 
     def claim(self, upstream_id: str, allowed: Isolation, now_ms: float) -> Item | None:
-        """Take an item to run on ``upstream_id``."""
+        """Claim an item to run on ``upstream_id``."""
         item = self.items.claim(upstream_id, allowed, now_ms, self._fresh_allowed())
         if item is not None:
             self._gate.on_dispatched(item.number)
         return item
 
     def on_attempt_ended(self, item: Item, end: AttemptEnd, now_ms: float) -> ResultCode | None:
-        """Take the end of an attempt; returns the item's code when this was its end too."""
+        """Handle the end of an attempt; return the item's result code if the item has ended."""
         if not self.items.is_in_flight(item):
             return None
         job_id, number, line = self._job_id, item.number, item.line
@@ -108,7 +111,7 @@
         return failure.code
 
     def on_log_page(self, records: Sequence[bytes], now_ms: float) -> None:
-        """Take over the results of a page of the former owner's log, as far as they fit."""
+        """Recover the results in a page of the former owner's log, as far as they fit."""
         for result in self.recovery.results(records, self._ended):
             if self.buffer_full:
                 self.recovery.mark_incomplete()
@@ -121,7 +124,7 @@
         self._log.on_logged()
 
     def on_input(self, index: int, lines: list[bytes], now_ms: float) -> None:
-        """Take the lines of an input segment."""
+        """Load the lines of an input segment."""
         self._input.on_read()
         start = self._input.start_of(index)
         self._end_unresolved(start, lines, now_ms)
@@ -131,30 +134,30 @@
         self._input.on_failed(now_ms)
 
     def on_record(self, record: JobRecord) -> None:
-        """Take the record as it is now under our epoch."""
+        """Apply the current record under the own epoch."""
         self._gate.on_record(record)
 
     def next_log_read(self, now_ms: float) -> ReadLog | None:
-        """Return the reading of the former owner's log, when there is room for its results."""
+        """Return the read of the former owner's log if there is room for its results."""
         room = self.results.buffered_bytes <= self._settings.buffer_bytes // 2
         return self.recovery.next_action(now_ms) if room else None
 
     def next_input_read(self, now_ms: float) -> ReadInput | None:
-        """Return the reading of the input segment that is item_number next."""
+        """Return the read of the next input segment, if one is needed."""
         item_number = self.items.next_unread_item
         return None if item_number is None else self._input.next_action(item_number, now_ms)
 
     def next_log_write(self) -> AppendLog | None:
-        """Return the results that are to go to the log."""
+        """Return the results to append to the log."""
         return self._log.next_action()
 
     def next_puts(self, now_ms: float, flush: bool) -> list[PutSegment]:
-        """Return the segments to be written; ``flush`` closes the open group as it is."""
+        """Return the segments to write; ``flush`` closes the open group early."""
         self.results.seal_due(now_ms, flush or self.buffer_full)
         return self.results.puts(now_ms)
 
     def next_marks(self) -> list[list[int]]:
-        """Return the items of a non-idempotent job to be marked now; mostly none."""
+        """Return the items of a non-idempotent job to mark now; usually none."""
         if not self._gate.ahead:
             return []
         return self._gate.next_marks(self.items.fresh_numbers(self._gate.ahead))
@@ -166,14 +169,14 @@
         return to_ranges(self._gate.unused() + self.items.waiting_numbers())
 
     def check_deadline(self, now_ms: float, now_s: int) -> list[JobForecast] | None:
-        """Return a new forecast to be recorded, empty to claim one back, None for no change."""
+        """Return a new forecast to record, an empty list to withdraw it, or None for no change."""
         if now_ms < self._forecast_due_ms:
             return None
         self._forecast_due_ms = now_ms + _FORECAST_INTERVAL_MS
         return self.deadline_watch.check(self.items_left, now_ms, now_s)
 
     def _end_unresolved(self, start: int, lines: list[bytes], now_ms: float) -> None:
-        """End the items that a former owner may have dispatched and that may not run again."""
+        """End the items that a former owner may have dispatched and that must not run again."""
         message = "the call may have been made before its runner was lost"
         for number in self._gate.unresolved(start, start + len(lines)):
             code, line = ResultCode.ITEM_UNKNOWN, lines[number - start]
@@ -181,7 +184,7 @@
             self._end_item(LoggedResult(number, False, text), now_ms)
 
     def _end_item(self, result: LoggedResult, now_ms: float) -> None:
-        """Take an item's one result; any further one is dropped here."""
+        """Store the first result of an item; drop any further one."""
         if not self._ended.add(result.item_number):
             return
         self.results.add(result, now_ms)
--- a/tests/builders/batch.py
+++ b/tests/builders/batch.py
@@ -1,4 +1,4 @@
-"""A job, its record and stores in memory, and runners whose every call can fail in every way."""
+"""In-memory harness of one batch job: record, stores, and runners with fault injection per call."""
 
 import random
 from collections import Counter
@@ -57,7 +57,7 @@
 
 
 def job_record(item_count: int, input_refs: list[SegmentRef], **changes: object) -> JobRecord:
-    """Return the record of a job as it is accepted, due in an hour."""
+    """Return the record of a newly accepted job that is due in an hour."""
     record = JobRecord(
         job_id=JOB_ID,
         member="gent",
@@ -75,11 +75,11 @@
 
 
 class BatchJobHarness:
-    """The record of one job under compare-and-swap, its segments and its log, with an oracle.
+    """The record of one job under compare-and-swap, its segments, its log and a test oracle.
 
-    ``committed`` counts, by item, the committed result lines; ``sent`` the attempts that may have
-    run.  The record is checked at each write that takes effect, and the runner's right at each
-    attempt.
+    By item, ``committed`` counts the committed result lines and ``sent`` the attempts that may have
+    run.  Checks the record at each write that takes effect, and at each start of an item that its
+    runner may begin one.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         self.sent: Counter[int] = Counter()
         self.committed: Counter[int] = Counter()
         self.late_writes: list[Callable[[], object]] = []
-        # When the present owner claimed the job, and when its cancel was recorded.
+        # When the current owner claimed the job, and when the cancel was recorded.
         self.claimed_at_ms = float("inf")
         self.cancelled_at_ms = float("inf")
         lines = [input_line(number) for number in range(item_count)]
@@ -121,7 +121,7 @@
         return SegmentRef(name, items, len(body), ["store-1", "store-2"])
 
     def write(self, record: JobRecord, expected_revision: int) -> int | None:
-        """Write the record if it is at ``expected_revision``, and check what it says."""
+        """Write the record if it is at ``expected_revision``, and check its invariants."""
         if expected_revision != self.revision:
             return None
         before = self.record
@@ -139,7 +139,7 @@
         self.write(cancel_requested(self.record), self.revision)
 
     def result_lines(self) -> list[dict]:
-        """Return every committed line, as the output and error files have them."""
+        """Return every committed line of the output and error files."""
         groups = [
             group
             for ref in self.record.manifests
@@ -159,9 +159,9 @@
         return lines
 
     def check_start(self, epoch: int) -> None:
-        """Check that an item may begin under ``epoch``, by what its runner could know.
+        """Check that an item may begin under ``epoch``, as far as its runner can know.
 
-        Nothing tells a runner what happened just before the service went away.
+        Skipped during an outage, as a runner cannot learn of changes just before it.
         """
         if self.kv_down:
             return
@@ -191,25 +191,25 @@
 
 @dataclass(eq=False)
 class Runner:
-    """One incarnation of a runner with its ``JobRun``; actions wait until ``perform`` is called."""
+    """One incarnation of a runner and its ``JobRun``; actions wait until ``perform`` is called."""
 
     harness: BatchJobHarness
     name: str
     seed: int = 0
     waiting: list[Action] = field(default_factory=list)
     in_flight: list[Item] = field(default_factory=list)
-    # Of reads, as they were when the service was asked.
+    # Delayed answers of reads, with the record as of the time of the read.
     held_answers: list[Callable[[], None]] = field(default_factory=list)
     cancel_pushed: bool = False
 
     def __post_init__(self) -> None:
         rng = random.Random(self.seed)
-        # All runners know at once of an outage.
+        # All runners notice an outage at once.
         settings, kv_away = self.harness.settings, lambda: self.harness.kv_down
         self.run = JobRun(JOB_ID, self.name, settings, rng, kv_away)
 
     def poll(self) -> None:
-        """Let the machine decide; stops claim effect at once, the rest waits."""
+        """Poll the state machine; execute stops and clean-ups at once and queue other actions."""
         for action in self.run.poll(self.harness.moment):
             match action:
                 case StopAttempts():
@@ -225,7 +225,7 @@
             self.end(item, AttemptEnd(EndKind.STOPPED))
 
     def claim(self, upstream_id: str = "u1") -> Item | None:
-        """Start one attempt, if the machine has an item."""
+        """Start one attempt, if the state machine has an item."""
         item = self.run.claim(upstream_id, Isolation.ALONE, self.harness.now_ms)
         if item is not None:
             assert not self.cancel_pushed, "begun after a push of the cancel"
@@ -242,10 +242,10 @@
         self.run.on_attempt_ended(item, end, self.harness.now_ms)
 
     def perform(self, action: Action, lost: str = "") -> None:
-        """Carry ``action`` out.
+        """Execute ``action``.
 
         ``lost`` is empty, ``before`` (no effect, no answer), ``after`` (effect, no answer), or
-        ``late`` (no answer, and the effect comes with ``harness.late_writes``).
+        ``late`` (no answer, and the effect is delayed until ``harness.late_writes`` are called).
         """
         self.waiting.remove(action)
         match action:
@@ -266,13 +266,13 @@
             self.run.on_record(self.harness.record, self.harness.revision)
 
     def hold_answer(self, action: ReadRecord) -> None:
-        """Let the service answer a read now; the answer comes with ``deliver_answers``."""
+        """Perform a read now, but hold its answer until ``deliver_answers``."""
         self.waiting.remove(action)
         record, revision = self.harness.record, self.harness.revision
         self.held_answers.append(lambda: self.run.on_record(record, revision))
 
     def deliver_answers(self) -> None:
-        """Take the held_answers that were on their way."""
+        """Deliver the held answers."""
         held_answers, self.held_answers = self.held_answers, []
         for answer in held_answers:
             answer()
@@ -283,7 +283,7 @@
         if harness.kv_down:
             self.run.on_kv_failed(ResultCode.KV_UNAVAILABLE, harness.now_ms)
             return
-        # As bytes: what the machine does to its structs later must not change what was sent.
+        # Copied through bytes, so that later changes to the machine's structs do not affect it.
         sent = decode_record(encode_record(action.record))
         if lost == "late":
             harness.late_writes.append(lambda: harness.write(sent, action.expected_revision))
@@ -314,7 +314,7 @@
                     harness.log += action.records
                 run.on_logged()
             case ReadLog():
-                # Both stores' copies of the log come, the second one in another order.
+                # The pages of both copies arrive, the second one in another order.
                 for page in (harness.log, harness.log[::-1]) if not lost else ():
                     run.on_log_page(page, harness.now_ms)
                 run.on_log_end(not lost, harness.now_ms)
@@ -325,18 +325,18 @@
                 run.on_input(action.index, lines, harness.now_ms)
 
     def step(self) -> None:
-        """Poll once and carry out all that waits, without a fault."""
+        """Poll once and execute all waiting actions without faults."""
         self.poll()
         for action in list(self.waiting):
             self.perform(action)
 
     def fill(self) -> None:
-        """Start attempts until the machine gives out no more items."""
+        """Start attempts until the state machine has no further item."""
         while self.claim() is not None:
             pass
 
     def work_with_faults(self, rounds: int, rng: random.Random, faults: float = 0.15) -> None:
-        """Run, with each call and each attempt failing in some way at the rate of ``faults``."""
+        """Run for some rounds; each call and attempt fails with probability ``faults``."""
         for _ in range(rounds):
             self.poll()
             for action in list(self.waiting):
@@ -352,7 +352,7 @@
             self.harness.now_ms += 250.0
 
     def work(self, rounds: int = 400, until: Callable[[], bool] = lambda: False) -> None:
-        """Run as a daemon on a healthy platform would, until the job is over here."""
+        """Run without faults until the job is over at this runner or ``until`` returns true."""
         for _ in range(rounds):
             if self.run.over or until():
                 return
--- a/tests/test_batch_decisions.py
+++ b/tests/test_batch_decisions.py
@@ -1,4 +1,4 @@
-"""Which job gets a permit, where suspects run, who takes a job over, and the small parts."""
+"""Scheduling, isolation of suspects, takeover, item sets, and result lines of batch jobs."""
 
 import unittest
 
@@ -33,12 +33,12 @@
 
 
 def _fleet_settings(**changes: int) -> BatchSettings:
-    # No call is made once the items are at hand, so the records must do for all of a test.
+    # No call is made once the items are loaded, so the record must stay valid for the whole test.
     return batch_settings(segment_items=200, record_age_ms=3_600_000, **changes)
 
 
 class _Fleet:
-    """A scheduler with jobs; each has items at hand."""
+    """A scheduler with jobs whose items are loaded."""
 
     def __init__(self) -> None:
         self.settings = _fleet_settings(max_items_in_flight=1000)
@@ -67,7 +67,7 @@
         assignment.run.on_attempt_ended(assignment.item, end, self.now_ms)
 
     def served(self, turns: int) -> dict[str, int]:
-        """Run items one after the other; returns how many each job got."""
+        """Run ``turns`` items one after the other; return how many of them each job got."""
         counts = dict.fromkeys(self.runners, 0)
         for _ in range(turns):
             assignment = self.claim()
@@ -78,7 +78,7 @@
 
 
 class SchedulerTest(unittest.TestCase):
-    def test_members_take_turns_when_nothing_is_urgent(self):
+    def test_members_share_slots_equally_when_nothing_is_urgent(self):
         fleet = _Fleet()
         fleet.add("a1", member="manizales")
         fleet.add("a2", member="manizales")
@@ -86,7 +86,7 @@
         counts = fleet.served(100)
         self.assertAlmostEqual(counts["b"], 50, delta=2)
 
-    def test_a_job_with_little_slack_goes_first_but_not_alone(self):
+    def test_a_job_with_little_slack_goes_first_but_not_exclusively(self):
         fleet = _Fleet()
         fleet.add("tight", member="a", due_s=26)
         fleet.add("loose", member="b")
@@ -95,7 +95,7 @@
         self.assertGreaterEqual(counts["tight"], 40)
         self.assertGreaterEqual(counts["loose"], 60 // 4 - 1)
 
-    def test_a_job_that_cannot_make_it_does_not_take_others_with_it(self):
+    def test_a_job_that_cannot_meet_its_deadline_does_not_delay_others(self):
         fleet = _Fleet()
         fleet.add("hopeless", member="a", due_s=6)
         fleet.add("feasible", member="b", due_s=30)
@@ -104,7 +104,7 @@
         self.assertLess(fleet.now_ms, 30000.0)
         self.assertGreater(fleet.runners["hopeless"].run.items_left, 0)
 
-    def test_a_newcomer_does_not_catch_up_on_what_it_never_waited_for(self):
+    def test_a_new_member_gets_no_credit_for_the_time_before(self):
         fleet = _Fleet()
         fleet.add("old", member="a")
         fleet.served(60)
@@ -118,7 +118,7 @@
         fleet.add("a")
         self.assertEqual(sum(fleet.claim() is not None for _ in range(9)), 3)
 
-    def test_suspects_run_singly_and_then_alone(self):
+    def test_an_upstream_runs_one_suspect_at_a_time(self):
         fleet = _Fleet()
         fleet.add("a")
         first, second = fleet.claim(), fleet.claim()
@@ -132,7 +132,7 @@
         fleet.end(suspect, AttemptEnd(EndKind.DIED))
         self.assertIs(fleet.claim("u3").isolation, Isolation.ONLY_SUSPECT)
 
-    def test_an_item_that_was_getting_tokens_is_suspected_less(self):
+    def test_an_item_that_received_tokens_is_suspected_less(self):
         fleet = _Fleet()
         fleet.settings = _fleet_settings(item_attempts=4)
         fleet.add("a")
@@ -147,7 +147,7 @@
         expected = [Isolation.NONE] * 2 + [Isolation.ONLY_SUSPECT] * 2 + [Isolation.ALONE] * 2
         self.assertEqual(seen, expected)
 
-    def test_a_twofold_suspect_waits_for_an_empty_upstream_and_keeps_it(self):
+    def test_an_isolated_item_waits_for_an_idle_upstream_and_blocks_it(self):
         fleet = _Fleet()
         fleet.settings = _fleet_settings(max_items_in_flight=99, item_attempts=4)
         fleet.add("a")
@@ -174,18 +174,18 @@
     def _judge(self, owner, vm, answer=None, silent_ms=0.0) -> TakeoverDecision:
         return decide_takeover(owner, self.ME, vm, answer, silent_ms, 10000.0)
 
-    def test_who_is_gone_or_never_was_loses_the_job(self):
+    def test_a_job_without_a_live_owner_is_claimed(self):
         self.assertIs(self._judge("", None), TakeoverDecision.CLAIM)
         self.assertIs(self._judge("vm-2/a", None), TakeoverDecision.CLAIM)
         self.assertIs(self._judge("vm-1/a", _vm("vm-1")), TakeoverDecision.CLAIM)
 
-    def test_a_live_owner_is_asked_and_keeps_what_it_runs(self):
+    def test_a_live_owner_is_queried_and_retains_the_jobs_it_runs(self):
         vm = _vm("vm-2")
         self.assertIs(self._judge("vm-2/a", vm), TakeoverDecision.QUERY_OWNER)
         self.assertIs(self._judge("vm-2/a", vm, OwnerAnswer.RUNNING), TakeoverDecision.LEAVE)
         self.assertIs(self._judge("vm-2/a", vm, OwnerAnswer.NOT_RUNNING), TakeoverDecision.CLAIM)
 
-    def test_silence_counts_after_a_while(self):
+    def test_a_silent_owner_loses_the_job_after_a_while(self):
         log = SilentOwners()
         vm = _vm("vm-2")
         for now_ms, verdict in (
@@ -198,14 +198,14 @@
         log.clear("job")
         self.assertEqual(log.silent_ms("job", 2e4), 0.0)
 
-    def test_each_domain_has_its_scanners_whatever_the_fleet(self):
+    def test_each_domain_has_its_own_scanners(self):
         vms = [_vm(f"vm-{number}", f"domain-{number % 3}") for number in range(9)]
         chosen = [vm for vm in vms if is_scanner(vm.vm_id, vms, 1)]
         self.assertEqual({vm.failure_domain for vm in chosen}, {vm.failure_domain for vm in vms})
         self.assertEqual(len(chosen), 3)
         self.assertEqual(sum(is_scanner(vm.vm_id, vms, 2) for vm in vms), 6)
 
-    def test_a_job_moves_only_when_its_runner_goes(self):
+    def test_a_job_moves_only_when_its_runner_leaves(self):
         vms = [_vm(f"vm-{number}") for number in range(9)]
         for job in range(50):
             chosen = preferred_runner(f"job-{job}", vms)
@@ -240,16 +240,16 @@
         self.assertEqual(decoded["response"]["body"], {"a": [1, 2]})
         self.assertIsNone(decoded["error"])
 
-    def test_an_error_says_what_may_be_concluded(self):
+    def test_an_error_line_states_its_outcome(self):
         line = failed_line("batch_1", 3, input_line(3), ResultCode.ITEM_UNKNOWN, "lost")
         error = msgspec.json.decode(line)["error"]
         self.assertEqual((error["number"], error["outcome"]), (ResultCode.ITEM_UNKNOWN, "unknown"))
 
-    def test_a_body_that_is_not_json_is_kept_as_text(self):
+    def test_a_body_that_is_not_json_becomes_text(self):
         line = rejected_line("batch_1", 3, input_line(3), 400, b"<html>\n\xff")
         self.assertEqual(msgspec.json.decode(line)["response"]["body"], "<html>\n\ufffd")
 
-    def test_a_streamed_answer_becomes_a_whole_one_after_a_resume(self):
+    def test_a_resumed_stream_becomes_a_complete_answer(self):
         answer = AnswerAssembly(chat=True, text="Dear ", tokens=1)
         head = {"id": "x", "created": 5, "model": "m"}
         token = {**head, "choices": [{"delta": {"content": "all"}, "finish_reason": None}]}
--- a/tests/test_batch_job.py
+++ b/tests/test_batch_job.py
@@ -1,4 +1,4 @@
-"""One job through lost answers, outages, takeovers, cancels and items that cannot be done."""
+"""One batch job under lost answers, outages, takeovers, cancels and items that always fail."""
 
 import unittest
 from collections import Counter
@@ -26,7 +26,7 @@
 
 
 class LostAnswerTest(unittest.TestCase):
-    """The answer of each write of a runner in turn is lost, in each loss_mode it can be."""
+    """Loses the answer of each single write of a runner, in each loss mode."""
 
     def _walk(self, non_idempotent: bool) -> int:
         writes = 0
@@ -46,7 +46,7 @@
             writes += 1
 
     def _run_losing(self, harness: BatchJobHarness, nth: int, loss_mode: str) -> int:
-        """Run a job whose write number ``nth`` gets no answer; returns the writes it made."""
+        """Run a job whose write number ``nth`` gets no answer; return the number of writes."""
         runner = Runner(harness, "vm-1/a")
         seen = 0
         for _ in range(_MAX_ROUNDS):
@@ -75,7 +75,7 @@
 
 
 class OutageTest(unittest.TestCase):
-    def test_items_go_on_for_an_hour_without_the_key_value_service(self):
+    def test_items_run_for_an_hour_without_the_key_value_service(self):
         harness = BatchJobHarness(_ITEMS, batch_settings())
         runner = Runner(harness, "vm-1/a")
         runner.work(until=lambda: len(harness.committed) >= 3)
@@ -93,10 +93,10 @@
         self.assertEqual(runner.run.phase, JobPhase.FINISHED)
         self.assertEqual(harness.committed, _ONCE_EACH)
         self.assertEqual(harness.sent, _ONCE_EACH)
-        # All groups that waited went in at once: read, groups, manifest and end.
+        # All waiting groups are committed at once: a read, then groups, manifest and end.
         self.assertLessEqual(harness.kv_calls - calls_before, 5)
 
-    def test_stores_away_stop_new_items_before_memory_fills(self):
+    def test_unavailable_stores_stop_new_items_before_memory_fills(self):
         settings = batch_settings(buffer_bytes=1024)
         harness = BatchJobHarness(_ITEMS, settings)
         runner = Runner(harness, "vm-1/a")
@@ -140,7 +140,7 @@
 
 
 class TakeoverTest(unittest.TestCase):
-    def test_a_kill_at_each_tenth_repeats_what_was_in_flight_at_most(self):
+    def test_a_kill_at_each_tenth_repeats_only_items_in_flight(self):
         for tenth in range(1, 10):
             harness = BatchJobHarness(100, batch_settings())
             first = Runner(harness, "vm-1/a")
@@ -155,7 +155,7 @@
                 self.assertEqual(sum(harness.sent.values()) - 100, in_flight)
                 self.assertLessEqual(in_flight, harness.settings.max_items_in_flight)
 
-    def test_a_paused_owner_that_wakes_changes_nothing_and_stops_its_streams(self):
+    def test_a_resumed_former_owner_changes_nothing_and_stops_its_streams(self):
         harness = BatchJobHarness(_ITEMS, batch_settings())
         paused = Runner(harness, "vm-1/a")
         paused.work(until=lambda: len(harness.committed) >= 6)
@@ -172,7 +172,7 @@
         self.assertEqual(paused.in_flight, [])
         self.assertEqual(harness.value, value)
 
-    def test_of_two_that_claim_at_once_one_owns_the_job(self):
+    def test_one_of_two_concurrent_claims_wins(self):
         harness = BatchJobHarness(_ITEMS, batch_settings())
         first, second = Runner(harness, "vm-1/a"), Runner(harness, "vm-2/b")
         first.step()
@@ -185,7 +185,7 @@
         self.assertEqual(first.run.phase, JobPhase.FINISHED)
         self.assertEqual(harness.record.epoch, 1)
 
-    def test_a_planned_stop_leaves_nothing_to_repeat_and_no_mark(self):
+    def test_a_planned_stop_leaves_no_repeated_item_and_no_mark(self):
         harness = BatchJobHarness(_ITEMS, batch_settings(), non_idempotent=True)
         first = Runner(harness, "vm-1/a")
         first.work(until=lambda: sum(harness.sent.values()) >= 7)
@@ -244,7 +244,7 @@
         self.assertEqual(harness.record.state, JobState.CANCELLED)
         self.assertLessEqual(sum(harness.sent.values()) - sent, 3 * harness.settings.segment_items)
 
-    def test_a_cancel_while_the_owner_is_dead_takes(self):
+    def test_a_cancel_while_the_owner_is_dead_takes_effect(self):
         harness, _dead = self._running()
         harness.cancel()
         sent = sum(harness.sent.values())
@@ -265,7 +265,7 @@
 
 
 class ImpossibleItemTest(unittest.TestCase):
-    """One item fails in one loss_mode each time; the others are not affected."""
+    """One item fails at each attempt in the same way; the other items are not affected."""
 
     def _run_bad(self, end: AttemptEnd) -> tuple[BatchJobHarness, dict]:
         harness = BatchJobHarness(_ITEMS, batch_settings(item_attempts=3))
@@ -299,7 +299,7 @@
         self.assertEqual(harness.sent[7], 3)
         self.assertEqual(line["error"]["number"], ResultCode.ITEM_ISOLATED)
 
-    def test_revocation_keeps_what_was_generated_and_costs_no_attempt(self):
+    def test_revocation_retains_the_output_and_costs_no_attempt(self):
         harness = BatchJobHarness(1, batch_settings())
         runner = Runner(harness, "vm-1/a")
         for tokens in range(1, 10):
@@ -329,7 +329,7 @@
         cancelling = msgspec.structs.replace(record, state=JobState.CANCELLING)
         self.assertEqual(finished(cancelling, 5).state, JobState.CANCELLED)
 
-    def test_the_forecast_comes_early_and_is_taken_back(self):
+    def test_the_forecast_is_reported_early_and_withdrawn(self):
         harness = BatchJobHarness(400, batch_settings(group_items=10))
         runner = Runner(harness, "vm-1/a")
         runner.work(until=lambda: runner.run.phase is JobPhase.RUNNING)
--- a/tests/test_batch_starts.py
+++ b/tests/test_batch_starts.py
@@ -1,7 +1,7 @@
-"""No item of a batch job begins on knowledge that no longer holds, whichever way its runner came.
+"""No item of a batch job begins on an outdated record.
 
-Each test has one way: a cancel whose push is lost, a claim that a cancel overtakes, a read that was
-under way when the push came, a job that another runner took, a call that is refused or unanswered.
+Each test covers one cause: a cancel whose push is lost, a claim overtaken by a cancel, a read sent
+before the push, a takeover by another runner, or a call that is refused or unanswered.
 """
 
 import unittest
@@ -36,7 +36,7 @@
 
 
 def running(harness: BatchJobHarness) -> Runner:
-    """Return a runner that has claimed the job and has items at hand; none has begun."""
+    """Return a runner that has claimed the job and loaded items, none of which has begun."""
     runner = Runner(harness, "vm-1/a")
     for _ in range(4):
         runner.step()
@@ -45,18 +45,18 @@
 
 
 def perform(runner: Runner, kind: type, lost: str = "") -> None:
-    """Carry out the first waiting action of a kind."""
+    """Execute the first waiting action of a kind."""
     runner.perform(next(item for item in runner.waiting if isinstance(item, kind)), lost)
 
 
 class LostPushTest(unittest.TestCase):
-    def test_a_runner_that_hears_nothing_reads_the_record_before_it_is_too_old(self) -> None:
+    def test_a_runner_without_a_push_reads_the_record_before_it_is_too_old(self) -> None:
         harness = BatchJobHarness(_ITEMS, batch_settings())
         runner = running(harness)
         item = runner.claim()
         harness.cancel()
         cancelled_ms = harness.now_ms
-        # The item takes long, so that there is no commit.
+        # The item is long, so that no commit confirms the record.
         while runner.in_flight:
             self.assertLessEqual(harness.now_ms - cancelled_ms, _AGE_MS)
             harness.now_ms = max(harness.now_ms + 1.0, runner.run.wake_at_ms(harness.now_ms))
@@ -67,7 +67,7 @@
         runner.work()
         self.assertIs(harness.record.state, JobState.CANCELLED)
 
-    def test_a_runner_whose_reads_get_no_answer_begins_nothing_for_long(self) -> None:
+    def test_a_runner_with_unanswered_reads_soon_begins_no_items(self) -> None:
         harness = BatchJobHarness(_ITEMS, batch_settings())
         runner = running(harness)
         self.assertIsNotNone(runner.claim())
@@ -89,12 +89,12 @@
         old_record, old_revision = harness.record, harness.revision
         harness.cancel()
         harness.now_ms += _AGE_MS + 1.0
-        # The answer is of before the cancel and was long on its way.
+        # A delayed answer from before the cancel.
         runner.waiting.clear()
         runner.run.on_record(old_record, old_revision)
         self.assertIsNone(runner.claim())
 
-    def test_while_the_service_answers_nobody_items_go_on(self) -> None:
+    def test_items_begin_while_the_service_is_unavailable_to_all(self) -> None:
         harness = BatchJobHarness(_ITEMS, batch_settings())
         runner = running(harness)
         harness.kv_down = True
@@ -106,7 +106,7 @@
         runner.step()
         self.assertIsNotNone(runner.claim())
 
-    def test_a_job_with_nothing_to_run_costs_no_read(self) -> None:
+    def test_a_job_with_nothing_to_run_causes_no_reads(self) -> None:
         harness = BatchJobHarness(_ITEMS, batch_settings())
         runner = Runner(harness, "vm-1/a")
         runner.run.may_load = False
@@ -119,7 +119,7 @@
             for action in list(runner.waiting):
                 runner.perform(action)
 
-    def test_a_job_in_work_costs_a_read_each_two_seconds_at_most(self) -> None:
+    def test_a_running_job_causes_at_most_one_read_in_two_seconds(self) -> None:
         harness = BatchJobHarness(_ITEMS, batch_settings())
         runner = running(harness)
         runner.claim()
@@ -132,7 +132,7 @@
 
 
 class OvertakenTest(unittest.TestCase):
-    def test_a_read_under_way_when_the_push_comes_does_not_end_the_hold(self) -> None:
+    def test_a_read_sent_before_a_push_does_not_end_the_hold(self) -> None:
         harness = BatchJobHarness(_ITEMS, batch_settings())
         runner = running(harness)
         runner.run.on_pushed(cancelled=True)
@@ -147,14 +147,14 @@
         self.assertIsNone(runner.claim())
         self.assertTrue(runner.run.record.state is JobState.CANCELLING)
 
-    def test_a_claim_that_a_cancel_overtakes_begins_nothing(self) -> None:
+    def test_a_claim_overtaken_by_a_cancel_begins_no_items(self) -> None:
         harness = BatchJobHarness(_ITEMS, batch_settings())
         harness.write(claimed(harness.record, "vm-0/x"), harness.revision)
         runner = Runner(harness, "vm-1/a")
         runner.step()
         runner.step()
         runner.poll()
-        # The former owner's log takes long to read, and the push of the cancel is lost.
+        # Reading the former owner's log takes long, and the push of the cancel is lost.
         harness.cancel()
         harness.now_ms += _AGE_MS + 1.0
         perform(runner, ReadLog)
@@ -165,7 +165,7 @@
         self.assertIs(harness.record.state, JobState.CANCELLED)
         self.assertFalse(harness.sent)
 
-    def test_a_refused_write_begins_nothing_until_the_record_is_read(self) -> None:
+    def test_no_item_begins_between_a_refused_write_and_the_next_read(self) -> None:
         harness = BatchJobHarness(_ITEMS, batch_settings())
         runner = running(harness)
         for _ in range(3):
@@ -179,7 +179,7 @@
         perform(runner, WriteRecord)
         self.assertIsNone(runner.claim())
 
-    def test_a_record_under_another_epoch_begins_nothing_before_the_next_poll(self) -> None:
+    def test_no_item_begins_under_another_epoch_even_before_the_next_poll(self) -> None:
         harness = BatchJobHarness(_ITEMS, batch_settings())
         runner = running(harness)
         harness.write(claimed(harness.record, "vm-2/b"), harness.revision)
@@ -187,7 +187,7 @@
         self.assertIsNone(runner.claim())
         self.assertIsNone(runner.run.peek(harness.now_ms))
 
-    def test_a_former_owner_that_nobody_told_begins_nothing_for_long(self) -> None:
+    def test_a_former_owner_that_was_not_notified_soon_begins_no_items(self) -> None:
         harness = BatchJobHarness(_ITEMS, batch_settings())
         former = running(harness)
         second = Runner(harness, "vm-2/b")
@@ -197,7 +197,7 @@
 
 
 class _Engine:
-    """Counts the streams that are opened after a connection of ``connect_s``; none gets a token."""
+    """Counts the streams opened, each after ``connect_s``; no stream receives a token."""
 
     def __init__(self, connect_s: float = 0.0) -> None:
         self.opened = 0
@@ -234,7 +234,7 @@
 
 
 def _grant(ended: list[object]) -> SimpleNamespace:
-    """Return a permit that stays good."""
+    """Return a permit that does not expire."""
     return SimpleNamespace(
         permit_id="p",
         upstream_id="u1",
@@ -251,7 +251,7 @@
 
 class DispatchTest(unittest.TestCase):
     def dispatch_one(self, services: dict[str, ServiceSpec], *, cancelled: bool) -> _Engine:
-        """Start one item, at once followed by a cancel if told so; return the upstream's engine."""
+        """Start one item, followed at once by a cancel if ``cancelled``; return the engine."""
         harness = BatchJobHarness(_ITEMS, batch_settings())
         run = running(harness).run
         engine = _Engine()
@@ -276,13 +276,13 @@
         trio.run(test, clock=trio.testing.MockClock(autojump_threshold=0))
         return engine
 
-    def test_a_cancel_between_the_choice_of_an_item_and_its_start_stops_it(self) -> None:
+    def test_a_cancel_between_the_claim_of_an_item_and_its_start_stops_it(self) -> None:
         services = {_UPSTREAM.service: ServiceSpec(ServiceKind.MODEL)}
         self.assertEqual(self.dispatch_one(services, cancelled=True).opened, 0)
         self.assertEqual(self.dispatch_one(services, cancelled=False).opened, 1)
 
     def overtake(self, happens: Callable[[BatchJobHarness, Runner, SimpleNamespace], None]) -> None:
-        """Let something happen while an item's connection is opened; the item must not be sent."""
+        """Call ``happens`` while an item's connection is opened; the item must not be sent."""
         harness = BatchJobHarness(_ITEMS, batch_settings())
         runner = running(harness)
         engine = _Engine(connect_s=0.2)
@@ -303,7 +303,7 @@
                 happens(harness, runner, context)
                 await trio.sleep(1)
                 self.assertEqual((engine.ports, engine.opened), ([1], 0))
-                # The item is back in its job, unharmed, and the upstream is not blamed.
+                # The item waits again without a failure, and its upstream is not avoided.
                 self.assertEqual(runner.run.in_flight, 0)
                 self.assertEqual((item.failures, item.deaths, item.avoid), (0, 0, ""))
                 [permit] = ended
@@ -315,12 +315,12 @@
     def test_an_item_whose_job_is_cancelled_while_its_runner_connects_is_not_sent(self) -> None:
         def cancel(harness: BatchJobHarness, runner: Runner, _context: SimpleNamespace) -> None:
             harness.cancel()
-            # Heard of, and the state machine that stops attempts was not looked at since.
+            # The record is received, but the state machine has not been polled to stop attempts.
             runner.run.on_record(harness.record, harness.revision)
 
         self.overtake(cancel)
 
-    def test_an_item_is_not_sent_to_an_upstream_that_moves_or_leaves_meanwhile(self) -> None:
+    def test_an_item_is_not_sent_to_an_upstream_that_moved_or_left_meanwhile(self) -> None:
         changes = ({"port": 2}, {"host": "127.0.0.2"}, {"leaving": True}, None)
         for change in changes:
             with self.subTest(change):
@@ -344,7 +344,7 @@
 
         self.overtake(lapse)
 
-    def test_an_item_goes_to_the_address_that_is_known_when_its_permit_is_there(self) -> None:
+    def test_an_item_goes_to_the_address_known_when_its_permit_arrives(self) -> None:
         harness = BatchJobHarness(_ITEMS, batch_settings())
         run = running(harness).run
         engine = _Engine()
@@ -358,7 +358,7 @@
 
             async def ask(_ask: object, _timeout_ms: float, _parts: object = ()) -> Ok:
                 await trio.sleep(0.01)
-                # Another server has the address by the time that the permit is there.
+                # Another server has the address by the time the permit arrives.
                 context.view.upstreams["u1"] = replace(_UPSTREAM, port=2)
                 return Ok(granted)
 
--- a/tests/test_batch_stateful.py
+++ b/tests/test_batch_stateful.py
@@ -1,4 +1,4 @@
-"""Several runners and one job under every kind of fault, against an oracle of committed items.
+"""Several runners of one batch job under all kinds of faults, checked by an oracle.
 
 ``BatchJobHarness`` checks at each write that takes effect that no item is committed twice or lost,
 no count decreases and every line is readable.  At each start of an item it checks that its runner
@@ -32,7 +32,7 @@
 
 
 class BatchMachine(RuleBasedStateMachine):
-    """Rules act on one of a few slots, each with the current incarnation of a runner."""
+    """Rules act on one of a few slots, each holding the current incarnation of a runner."""
 
     @initialize(non_idempotent=strategies.booleans())
     def accept(self, non_idempotent):
@@ -49,17 +49,17 @@
 
     @rule(slot=_SLOT, rounds=_ROUNDS)
     def work(self, slot, rounds):
-        """A stretch without faults of the network; the service may still be down."""
+        """Run without network faults; the key-value service may still be down."""
         self.runners[slot].work(rounds)
 
     @rule(slot=_SLOT, rounds=_ROUNDS, seed=strategies.integers(0, 999))
     def work_with_faults(self, slot, rounds, seed):
-        """A stretch in which calls, answers and attempts fail now and then."""
+        """Run with occasional failures of calls, answers and attempts."""
         self.runners[slot].work_with_faults(rounds, random.Random(seed))
 
     @rule(slot=_SLOT, rounds=_ROUNDS, seed=strategies.integers(0, 999))
     def lose_and_take_over(self, slot, rounds, seed):
-        """A runner is lost in the middle of its work and another one comes."""
+        """Replace a runner in the middle of its work by another incarnation."""
         self.runners[slot].work_with_faults(rounds, random.Random(seed))
         self.runners[slot] = self._new_runner()
         self.runners[slot].work_with_faults(rounds, random.Random(seed + 1))
@@ -76,7 +76,7 @@
 
     @rule(slot=_SLOT)
     def answer_slowly(self, slot):
-        """A read is answered at once, and what comes of it is on its way for a while."""
+        """Perform the waiting reads, but hold their answers."""
         runner = self.runners[slot]
         for action in list(runner.waiting):
             if isinstance(action, ReadRecord) and not self.harness.kv_down:
@@ -99,12 +99,12 @@
 
     @rule(slot=_SLOT)
     def kill(self, slot):
-        """The runner is lost with all it holds; another incarnation comes in its place."""
+        """Replace a runner, with the loss of its state, by another incarnation."""
         self.runners[slot] = self._new_runner()
 
     @rule(slot=_SLOT)
     def stop(self, slot):
-        """A planned stop: no attempt is in flight any more, and unused marks are taken back."""
+        """Stop a runner as planned: stop its attempts and remove its unused marks."""
         runner = self.runners[slot]
         runner.stop_attempts()
         runner.run.release()
@@ -113,7 +113,7 @@
 
     @rule(slot=_SLOT)
     def name_again(self, slot):
-        """A scanner names the job to a runner that had given it up."""
+        """Push the job to a runner for which it was over, as a scanner does."""
         if self.runners[slot].run.over:
             self.runners[slot] = self._new_runner()
 
@@ -126,11 +126,11 @@
         slot=_SLOT,
     )
     def cancel(self, lucky, pushed, reading, pause_ms, slot):
-        """The cancel may find the runner in the middle of a read, or paused, with items ready."""
+        """Cancel the job, possibly during a read or pause of a runner with items ready."""
         if lucky or self.harness.kv_down or is_final(self.harness.record):
             return
         runner = self.runners[slot]
-        # So that there are lines of input at hand, if the job is this runner's.
+        # Loads input lines if this runner owns the job.
         runner.step()
         if is_final(self.harness.record):
             return
@@ -149,12 +149,12 @@
 
     @rule(slot=_SLOT, cancelled=strategies.booleans())
     def push(self, slot, cancelled):
-        """A push is only a hint: one that is wrong changes nothing."""
+        """Push the job to a runner; a wrong push must have no effect."""
         self.runners[slot].run.on_pushed(cancelled)
 
     @rule(weight=strategies.integers(0, 3))
     def switch_kv(self, weight):
-        """The service is up three times out of four."""
+        """Switch the key-value service; it is up in three cases out of four."""
         self.harness.kv_down = weight == 0
 
     @rule()
@@ -174,7 +174,7 @@
         self.land_late_writes()
         final = self._new_runner()
         final.work()
-        # The others wake up and find that the job is no longer theirs.
+        # The other runners resume and must detect that they no longer own the job.
         for runner in self.runners:
             runner.deliver_answers()
             runner.work(60)
