--- a/src/fescuedock/agent/config_service.py
+++ b/src/fescuedock/agent/config_service.py
@@ -13,7 +13,7 @@
 from fescuedock.core.config.node import Action, ConfigNode, Pull, PushTo, ReadRecord, ReadRevision
 from fescuedock.core.config.record import Refusal
 from fescuedock.core.config.republish import plan_republish
-from fescuedock.core.config.spread import Standing, is_serving
+from fescuedock.core.config.spread import ConfirmationState, is_serving
 from fescuedock.core.config.writer import Accepted, PatchWriter, Put, Read, WriterStep
 from fescuedock.faults import Fault
 from fescuedock.kv import KvStore
@@ -79,7 +79,7 @@
         self._changed = trio.Event()
         self._copied = trio.Event()
         self._seen_version = 0
-        self._seen_standing = Standing.EMPTY
+        self._seen_standing = ConfirmationState.EMPTY
 
     @property
     def current_version(self) -> int:
@@ -99,12 +99,14 @@
     @property
     def unconfirmed(self) -> bool:
         """Whether the age is over ``config_confirm_ms``."""
-        return self._node.standing(now_ms()) is not Standing.CONFIRMED
+        return self._node.confirmation_state(now_ms()) is not ConfirmationState.CONFIRMED
 
     @property
     def serving(self) -> bool:
         """Whether the cut-off policy lets the entry of this VM take new requests."""
-        return is_serving(self._node.standing(now_ms()), self._settings.agent.config_cut_off)
+        return is_serving(
+            self._node.confirmation_state(now_ms()), self._settings.agent.config_cut_off
+        )
 
     @property
     def kv_away(self) -> bool:
@@ -128,7 +130,7 @@
             self._node.on_peer_version(vm, version, now_ms())
             self._wake.set()
         else:
-            self._node.replica.hear(version, now_ms())
+            self._node.replica.record_peer_version(version, now_ms())
 
     async def wait_changed(self, seen_version: int) -> None:
         """Return when the version in force is above ``seen_version``."""
@@ -172,28 +174,28 @@
         self._wake_if_due()
 
     async def _read_revision(self) -> None:
-        asked_at_ms = now_ms()
+        requested_at_ms = now_ms()
         revision = None
         match await self._kv.get_range(self._key, limit=1, keys_only=True):
             case Ok(page):
                 found = [entry for entry in page.entries if entry.key == self._key]
                 revision = found[0].mod_revision if found else 0
-        for action in self._node.on_revision(revision, asked_at_ms):
+        for action in self._node.on_revision(revision, requested_at_ms):
             await self._perform(action)
 
     async def _read_record(self) -> None:
-        asked_at_ms = now_ms()
+        requested_at_ms = now_ms()
         match await self._kv.get(self._key):
             case Ok(None):
-                self._node.on_record(None, 0, asked_at_ms)
+                self._node.on_record(None, 0, requested_at_ms)
             case Ok(entry):
-                self._node.on_record(entry.value, entry.mod_revision, asked_at_ms)
+                self._node.on_record(entry.value, entry.mod_revision, requested_at_ms)
 
     async def _pull(self, vm: VmRecord, message: ConfigPull) -> None:
-        asked_at_ms = now_ms()
+        requested_at_ms = now_ms()
         match await self._call_peer(vm, message, self._node.limits.pull_timeout_ms):
             case Ok(ConfigPush() as answer):
-                self._node.on_push(answer, asked_at_ms, now_ms())
+                self._node.on_push(answer, requested_at_ms, now_ms())
             case _:
                 self._node.on_pull_failed(vm)
 
@@ -209,7 +211,7 @@
             self._changed = trio.Event()
             self._wake.set()
             log_event("config_in_force", version=self._seen_version)
-        standing = self._node.standing(now_ms())
+        standing = self._node.confirmation_state(now_ms())
         if standing is not self._seen_standing:
             self._seen_standing = standing
             log_event("config_standing", standing=standing.value, alarm=self.alarm)
@@ -235,14 +237,14 @@
             return SubmitPatchReply(step.code.value, step.version, list(step.problems))
         self._copied = trio.Event()
         # A read that is under way may still show the version before.
-        self._node.replica.hear(self._node.version, now_ms())
+        self._node.replica.record_peer_version(self._node.version, now_ms())
         self._note_changes()
         with trio.move_on_after(_FIRST_COPY_MS / 1000):
             await self._copied.wait()
         return SubmitPatchReply(ResultCode.OK.value, step.version)
 
     async def _on_republish(self, message: RepublishConfig, _peer: ServerPeer) -> SubmitPatchReply:
-        asked_at_ms = now_ms()
+        requested_at_ms = now_ms()
         code = ResultCode.KV_UNAVAILABLE
         found = await self._kv.get(self._key)
         if isinstance(found, Ok):
@@ -251,7 +253,7 @@
             code = await self._republish(plan_republish(self._node.replica, value, revision))
         if code is ResultCode.OK:
             self._node.replica.alarm = None
-            self._node.replica.confirm(asked_at_ms)
+            self._node.replica.confirm(requested_at_ms)
         version = self._node.version
         log_event("config_republished", actor=message.actor, version=version, code=code.name)
         return SubmitPatchReply(code.value, version)
@@ -284,14 +286,14 @@
         return step
 
     async def _write_step(self, writer: PatchWriter, step: Read | Put) -> WriterStep | None:
-        asked_at_ms = now_ms()
+        requested_at_ms = now_ms()
         if isinstance(step, Put):
             outcome = await self._kv.put_if(self._key, step.value, step.expected_revision)
-            return writer.on_put(outcome, asked_at_ms)
+            return writer.on_put(outcome, requested_at_ms)
         match await self._kv.get(self._key):
             case Ok(None):
-                return writer.on_read(None, 0, asked_at_ms)
+                return writer.on_read(None, 0, requested_at_ms)
             case Ok(entry):
-                return writer.on_read(entry.value, entry.mod_revision, asked_at_ms)
+                return writer.on_read(entry.value, entry.mod_revision, requested_at_ms)
             case Err(_):
                 return None
--- a/src/fescuedock/core/batch/commits.py
+++ b/src/fescuedock/core/batch/commits.py
@@ -217,9 +217,9 @@
         if is_final(record):
             self.ownership = Ownership.FINAL
         elif self._requested_epoch and record.epoch >= self._requested_epoch:
-            ours = record.epoch == self._requested_epoch and record.owner == self._owner
-            self.ownership = Ownership.OWNED if ours else Ownership.LOST
-            self.epoch = record.epoch if ours else 0
+            is_own_claim = record.epoch == self._requested_epoch and record.owner == self._owner
+            self.ownership = Ownership.OWNED if is_own_claim else Ownership.LOST
+            self.epoch = record.epoch if is_own_claim else 0
 
     def _drop_committed(self, record: JobRecord) -> None:
         self._groups = [item for item in self._groups if not covers(record.done, item.ranges[0][0])]
--- a/src/fescuedock/core/config/check.py
+++ b/src/fescuedock/core/config/check.py
@@ -17,30 +17,30 @@
 _FORBIDDEN_IN_NAMES = ("/", "?", "#")
 
 
-def find_problems(document: object, former: object = None) -> list[str]:
+def find_problems(document: object, previous: object = None) -> list[str]:
     """Return one line for each problem of ``document`` (decoded JSON); none when it is valid.
 
-    Each line begins with the path of the value that is wrong.  Entries that ``former``, a document
-    which was checked before, has just so are not looked at one by one again.
+    Each line begins with the path of the value that is wrong.  Entries that ``previous``, a
+    document which was checked before, has just so are not looked at one by one again.
     """
-    problems = list(_check_value(_changed(document, former), Configuration, ""))
+    problems = list(_check_value(_changed_entries(document, previous), Configuration, ""))
     if problems:
         return problems
     try:
         configuration = msgspec.convert(document, Configuration)
     except msgspec.ValidationError:
-        # The former one was checked by an older schema.
+        # The previous one was checked by an older schema.
         return list(_check_value(document, Configuration, ""))
     return [*_check_services(configuration), *_check_references(configuration)]
 
 
-def _changed(document: object, former: object) -> object:
-    """Return ``document`` without the entries of its sections that ``former`` has just so."""
-    if not isinstance(document, Mapping) or not isinstance(former, Mapping):
+def _changed_entries(document: object, previous: object) -> object:
+    """Return ``document`` without the entries of its sections that ``previous`` has just so."""
+    if not isinstance(document, Mapping) or not isinstance(previous, Mapping):
         return document
     changed: dict[str, object] = {}
     for section, entries in document.items():
-        known = former.get(section)
+        known = previous.get(section)
         if isinstance(entries, Mapping) and isinstance(known, Mapping):
             entries = {
                 name: value
--- a/src/fescuedock/core/config/node.py
+++ b/src/fescuedock/core/config/node.py
@@ -16,13 +16,13 @@
     empty_record,
     encode_record,
 )
-from fescuedock.core.config.replica import AlarmKind, Offer, Replica
+from fescuedock.core.config.replica import AlarmKind, OfferResult, Replica
 from fescuedock.core.config.spread import (
+    ConfirmationState,
     SpreadLimits,
-    Standing,
-    live,
+    confirmation_state,
+    live_vms,
     pick_targets,
-    standing,
     watchers_of,
 )
 from fescuedock.schema.config import ConfigDelta, ConfigPull, ConfigPush
@@ -31,7 +31,7 @@
 __all__ = ["Action", "ConfigNode", "Pull", "PushTo", "ReadRecord", "ReadRevision"]
 
 # In a push: the sender's version was never confirmed.  In a pull: no answer is told of.
-_NO_CONFIRMATION = -1
+_UNKNOWN_AGE = -1
 
 
 class ReadRevision(msgspec.Struct, frozen=True):
@@ -69,27 +69,27 @@
     random: Random
     limits: SpreadLimits = msgspec.field(default_factory=SpreadLimits)
     replica: Replica = msgspec.field(default_factory=Replica)
-    _heard: tuple[int, VmRecord] | None = None
+    _newest_peer: tuple[int, VmRecord] | None = None
     _pull_due_ms: float = inf
     _confirm_due_ms: float = -inf
-    _passed_on: int = 0
+    _pushed_version: int = 0
     _confirm_failures: int = 0
     # When the service last answered any VM, as far as is known here; at the latest then.
-    _answered_at_ms: float = -inf
-    _tell_due: bool = False
+    _kv_answered_at_ms: float = -inf
+    _notify_due: bool = False
 
     @property
     def version(self) -> int:
         return self.replica.version
 
-    def standing(self, now_ms: float) -> Standing:
+    def confirmation_state(self, now_ms: float) -> ConfirmationState:
         """Judge how well the version in force is confirmed."""
         known = self.vms()
-        return standing(
+        return confirmation_state(
             now_ms - self.replica.confirmed_at_ms,
             self.confirm_limit_ms,
             self.version,
-            len(live(known)),
+            len(live_vms(known)),
             len(known),
         )
 
@@ -100,45 +100,47 @@
         was answered has told it.
         """
         known = self.vms()
-        age_ms = now_ms - max(self.replica.confirmed_at_ms, self._answered_at_ms)
+        age_ms = now_ms - max(self.replica.confirmed_at_ms, self._kv_answered_at_ms)
         limit_ms = self.confirm_limit_ms / 2
-        judged = standing(age_ms, limit_ms, self.version, len(live(known)), len(known))
-        return judged is Standing.UNCONFIRMED
+        judged = confirmation_state(
+            age_ms, limit_ms, self.version, len(live_vms(known)), len(known)
+        )
+        return judged is ConfirmationState.UNCONFIRMED
 
     def next_due_ms(self) -> float:
         """Return when ``tick`` has to be called at the latest."""
-        return -inf if self._tell_due else min(self._pull_due_ms, self._confirm_due_ms)
+        return -inf if self._notify_due else min(self._pull_due_ms, self._confirm_due_ms)
 
     def on_peer_version(self, vm: VmRecord, version: int, now_ms: float) -> None:
         """Note a version that a membership message of ``vm`` carried."""
-        self.replica.hear(version, now_ms)
-        if version <= self.version or (self._heard and version < self._heard[0]):
+        self.replica.record_peer_version(version, now_ms)
+        if version <= self.version or (self._newest_peer and version < self._newest_peer[0]):
             return
         # The newest sender is the likeliest to answer.
-        self._heard = (version, vm)
+        self._newest_peer = (version, vm)
         # A push is probably on its way; a pull at once would double its bytes.
         delay_ms = self.limits.pull_delay_ms * (0.5 + self.random.random())
         self._pull_due_ms = min(self._pull_due_ms, now_ms + delay_ms)
 
     def tick(self, now_ms: float) -> list[Action]:
         """Return what is due now."""
-        actions: list[Action] = self.take_pushes(now_ms)
+        actions: list[Action] = self.next_pushes(now_ms)
         if now_ms >= self._pull_due_ms:
-            actions += self._pull_heard(now_ms)
+            actions += self._pull_newest(now_ms)
         if now_ms >= self._confirm_due_ms:
             actions += self._confirm(now_ms)
-        if self._tell_due:
-            actions += self._tell_answered(now_ms)
+        if self._notify_due:
+            actions += self._notify_kv_answer(now_ms)
         return actions
 
-    def take_pushes(self, now_ms: float) -> list[Action]:
+    def next_pushes(self, now_ms: float) -> list[Action]:
         """Return the pushes that a new version calls for, once for each version."""
-        if self.version <= self._passed_on:
+        if self.version <= self._pushed_version:
             return []
-        deltas = self.replica.deltas_after(max(self._passed_on, self.version - 1))
-        self._passed_on = self.version
-        if self._heard and self._heard[0] <= self.version:
-            self._heard, self._pull_due_ms = None, inf
+        deltas = self.replica.deltas_after(max(self._pushed_version, self.version - 1))
+        self._pushed_version = self.version
+        if self._newest_peer and self._newest_peer[0] <= self.version:
+            self._newest_peer, self._pull_due_ms = None, inf
         targets = pick_targets(self.vms(), self.vm_id, self.limits.push_targets, self.random)
         if not targets:
             return []
@@ -148,16 +150,16 @@
     def on_pull(self, message: ConfigPull, now_ms: float) -> ConfigPush:
         """Answer the pull of another VM."""
         if message.answered_age_ms >= 0:
-            self._note_answered(now_ms - message.answered_age_ms)
+            self._record_kv_answer(now_ms - message.answered_age_ms)
         if message.whole_record:
-            return self._push(now_ms, (), whole=True)
+            return self._push(now_ms, (), full=True)
         if message.have_version >= self.version:
             return self._push(now_ms, ())
         deltas = self.replica.deltas_after(message.have_version)
-        return self._push(now_ms, deltas, whole=not deltas)
+        return self._push(now_ms, deltas, full=not deltas)
 
-    def on_push(self, message: ConfigPush, asked_at_ms: float, now_ms: float) -> Offer:
-        """Take a push, or the answer to a pull that was sent at ``asked_at_ms``.
+    def on_push(self, message: ConfigPush, requested_at_ms: float, now_ms: float) -> OfferResult:
+        """Take a push, or the answer to a pull that was sent at ``requested_at_ms``.
 
         An age is counted from then on; a push that came unasked does not confirm anything.
         """
@@ -167,20 +169,20 @@
         if message.record:
             self._offer_bytes(message.record, source, message.kv_revision)
         # A read that is under way may still show the version before.
-        self.replica.hear(self.version, now_ms)
+        self.replica.record_peer_version(self.version, now_ms)
         if message.version > self.version:
-            self._hear_from(source, message.version, now_ms)
-            return Offer.GAP
+            self._record_peer_version(source, message.version, now_ms)
+            return OfferResult.GAP
         if message.version < self.version:
-            return Offer.KNOWN
+            return OfferResult.KNOWN
         if message.chain_hash != self.replica.record.chain_hash:
             self.replica.raise_alarm(AlarmKind.FORKED, source, message.version)
-            return Offer.REFUSED
-        if message.confirmed_age_ms != _NO_CONFIRMATION:
-            self.replica.confirm(asked_at_ms - message.confirmed_age_ms)
+            return OfferResult.REFUSED
+        if message.confirmed_age_ms != _UNKNOWN_AGE:
+            self.replica.confirm(requested_at_ms - message.confirmed_age_ms)
             # Watchers answer many such pulls; what they know is no news in their domain.
-            self._note_answered(now_ms - message.confirmed_age_ms, tell=False)
-        return Offer.APPLIED
+            self._record_kv_answer(now_ms - message.confirmed_age_ms, notify=False)
+        return OfferResult.APPLIED
 
     def on_pull_failed(self, vm: VmRecord) -> None:
         """Note that ``vm`` did not answer, so that another is asked.
@@ -188,29 +190,29 @@
         Whoever else has the version says so on its next membership message.
         """
         self._confirm_failures += 1
-        if self._heard and self._heard[1].vm_id == vm.vm_id:
-            self._heard, self._pull_due_ms = None, inf
+        if self._newest_peer and self._newest_peer[1].vm_id == vm.vm_id:
+            self._newest_peer, self._pull_due_ms = None, inf
 
-    def on_revision(self, revision: int | None, asked_at_ms: float) -> list[Action]:
+    def on_revision(self, revision: int | None, requested_at_ms: float) -> list[Action]:
         """Take the revision of the record's key (0: no such key; None: the service is away)."""
         if revision is None:
-            return self._ask_a_peer()
-        self._note_answered(asked_at_ms)
+            return self._pull_from_peer()
+        self._record_kv_answer(requested_at_ms)
         if revision == self.replica.kv_revision and revision:
-            self.replica.confirm(asked_at_ms)
+            self.replica.confirm(requested_at_ms)
             return []
         return [ReadRecord()]
 
-    def on_record(self, value: bytes | None, revision: int, asked_at_ms: float) -> None:
+    def on_record(self, value: bytes | None, revision: int, requested_at_ms: float) -> None:
         """Take the record's bytes, None when there is no record."""
         try:
             record = empty_record() if value is None else decode_record(value)
         except BadRecordError:
             self.replica.raise_alarm(AlarmKind.CORRUPT, "key-value service", 0)
             return
-        self.replica.observe_kv(record, revision, asked_at_ms)
+        self.replica.observe_kv(record, revision, requested_at_ms)
 
-    def _hear_from(self, vm_id: str, version: int, now_ms: float) -> None:
+    def _record_peer_version(self, vm_id: str, version: int, now_ms: float) -> None:
         for vm in self.vms():
             if vm.vm_id == vm_id:
                 self.on_peer_version(vm, version, now_ms)
@@ -222,26 +224,26 @@
             self.replica.raise_alarm(AlarmKind.CORRUPT, source, 0)
 
     def _push(
-        self, now_ms: float, deltas: Sequence[ConfigDelta], *, whole: bool = False
+        self, now_ms: float, deltas: Sequence[ConfigDelta], *, full: bool = False
     ) -> ConfigPush:
         age_ms = now_ms - self.replica.confirmed_at_ms
         return ConfigPush(
             vm_id=self.vm_id,
             version=self.version,
             chain_hash=self.replica.record.chain_hash,
-            confirmed_age_ms=_NO_CONFIRMATION if age_ms == inf else int(age_ms) + 1,
+            confirmed_age_ms=_UNKNOWN_AGE if age_ms == inf else int(age_ms) + 1,
             kv_revision=self.replica.kv_revision,
             deltas=list(deltas),
-            record=encode_record(self.replica.record) if whole else b"",
+            record=encode_record(self.replica.record) if full else b"",
         )
 
-    def _pull_heard(self, now_ms: float) -> list[Action]:
+    def _pull_newest(self, now_ms: float) -> list[Action]:
         self._pull_due_ms = inf
-        if self._heard is None:
+        if self._newest_peer is None:
             return []
         # Asked again after a timeout, should the answer be lost.
         self._pull_due_ms = now_ms + self.limits.pull_timeout_ms
-        return [Pull(self._heard[1], self._pull_message())]
+        return [Pull(self._newest_peer[1], self._pull_message())]
 
     def _confirm(self, now_ms: float) -> list[Action]:
         """Watchers ask the key-value service, others ask a watcher of their failure domain.
@@ -261,24 +263,24 @@
             actions.append(ReadRevision())
         return actions
 
-    def _ask_a_peer(self) -> list[Action]:
+    def _pull_from_peer(self) -> list[Action]:
         """The service is away: whoever is ahead, or confirmed by another way, is in some peer."""
         targets = pick_targets(self.vms(), self.vm_id, 1, self.random)
         return [Pull(vm, self._pull_message()) for vm in targets]
 
-    def _note_answered(self, at_ms: float, *, tell: bool = True) -> None:
+    def _record_kv_answer(self, at_ms: float, *, notify: bool = True) -> None:
         """Note that the service answered some VM; have it told if that is news here."""
-        if tell and at_ms - self._answered_at_ms >= self.confirm_limit_ms / 4:
-            self._tell_due = True
-        self._answered_at_ms = max(self._answered_at_ms, at_ms)
+        if notify and at_ms - self._kv_answered_at_ms >= self.confirm_limit_ms / 4:
+            self._notify_due = True
+        self._kv_answered_at_ms = max(self._kv_answered_at_ms, at_ms)
 
-    def _tell_answered(self, now_ms: float) -> list[Action]:
+    def _notify_kv_answer(self, now_ms: float) -> list[Action]:
         """Tell a few VMs that the service answers; those to whom it is news pass it on."""
-        self._tell_due = False
-        message = self._pull_message(int(now_ms - self._answered_at_ms))
+        self._notify_due = False
+        message = self._pull_message(int(now_ms - self._kv_answered_at_ms))
         targets = pick_targets(self.vms(), self.vm_id, self.limits.push_targets, self.random)
         return [Pull(vm, message) for vm in targets]
 
-    def _pull_message(self, answered_age_ms: int = _NO_CONFIRMATION) -> ConfigPull:
+    def _pull_message(self, answered_age_ms: int = _UNKNOWN_AGE) -> ConfigPull:
         chain_hash = self.replica.record.chain_hash
         return ConfigPull(self.version, chain_hash, answered_age_ms=answered_age_ms)
--- a/src/fescuedock/core/config/record.py
+++ b/src/fescuedock/core/config/record.py
@@ -20,7 +20,7 @@
     "MAX_RECORD_BYTES",
     "BadRecordError",
     "Refusal",
-    "advance",
+    "apply_delta",
     "apply_request",
     "chain_agrees",
     "decode_record",
@@ -37,9 +37,9 @@
 # The key-value service holds values up to a megabyte.
 MAX_RECORD_BYTES = 1_000_000
 # What a compressed record may unfold to, so that a bad one cannot fill our memory.
-_MAX_UNFOLDED_BYTES = 16_000_000
+_MAX_DECOMPRESSED_BYTES = 16_000_000
 # A patch up to this size is kept in the record, so that who reads the record can pass the patch on.
-_MAX_KEPT_PATCH_BYTES = 32_000
+_MAX_STORED_PATCH_BYTES = 32_000
 _COMPRESSION_LEVEL = 6
 _EMPTY_DOCUMENT = b"{}"
 
@@ -81,9 +81,9 @@
     """Return the next record and its delta (without a revision), or why there is none."""
     if request.base_version != record.version:
         return Err(Refusal(ResultCode.STALE_VERSION, record.version))
-    former = msgspec.json.decode(record.document)
-    document = merge_patch(former, request.patch)
-    problems = find_problems(document, former)
+    previous = msgspec.json.decode(record.document)
+    document = merge_patch(previous, request.patch)
+    problems = find_problems(document, previous)
     if problems:
         return Err(Refusal(ResultCode.INVALID_PATCH, record.version, tuple(problems)))
     applied = AppliedPatch(
@@ -102,7 +102,7 @@
     return Ok((successor, ConfigDelta(patch, successor.patches[-1], 0)))
 
 
-def advance(record: ConfigRecord, delta: ConfigDelta) -> ConfigRecord | None:
+def apply_delta(record: ConfigRecord, delta: ConfigDelta) -> ConfigRecord | None:
     """Return the record that ``delta`` makes of ``record``; None when its chain does not agree."""
     if delta.applied.version != record.version + 1:
         return None
@@ -143,9 +143,9 @@
 
 def decode_record(data: bytes) -> ConfigRecord:
     """Read a record; ``BadRecordError`` when it is none or its own chain does not agree."""
-    unfolding = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        plain = unfolding.decompress(data, _MAX_UNFOLDED_BYTES)
+        plain = decompressor.decompress(data, _MAX_DECOMPRESSED_BYTES)
         record = _unpacker.decode(plain)
     except (zlib.error, msgspec.MsgspecError) as error:
         raise BadRecordError(f"not a configuration record: {error}") from error
@@ -160,8 +160,8 @@
     newest = record.patches[-1]
     if (newest.version, newest.chain_hash) != (record.version, record.chain_hash):
         return False
-    former_hash = record.patches[-2].chain_hash if len(record.patches) > 1 else ""
-    return _chain_hash(former_hash, newest, record.document) == record.chain_hash
+    previous_hash = record.patches[-2].chain_hash if len(record.patches) > 1 else ""
+    return _chain_hash(previous_hash, newest, record.document) == record.chain_hash
 
 
 def _successor(
@@ -175,13 +175,13 @@
         chain_hash=chain_hash,
         document=encoded,
         patches=[*record.patches, applied][-MAX_PATCHES:],
-        last_patch=patch if len(patch) <= _MAX_KEPT_PATCH_BYTES else b"",
+        last_patch=patch if len(patch) <= _MAX_STORED_PATCH_BYTES else b"",
     )
 
 
-def _chain_hash(former_hash: str, applied: AppliedPatch, document: bytes) -> str:
+def _chain_hash(previous_hash: str, applied: AppliedPatch, document: bytes) -> str:
     identity = (
-        former_hash,
+        previous_hash,
         applied.version,
         applied.patch_id,
         applied.patch_hash,
--- a/src/fescuedock/core/config/replica.py
+++ b/src/fescuedock/core/config/replica.py
@@ -12,13 +12,13 @@
 
 import msgspec
 
-from fescuedock.core.config.record import advance, chain_agrees, empty_record, last_delta
+from fescuedock.core.config.record import apply_delta, chain_agrees, empty_record, last_delta
 from fescuedock.schema.config import ConfigDelta, ConfigRecord
 
-__all__ = ["Alarm", "AlarmKind", "Offer", "Replica"]
+__all__ = ["Alarm", "AlarmKind", "OfferResult", "Replica"]
 
 # Enough for those who missed a few messages; who missed more takes the whole record.
-_KEPT_DELTAS = 32
+_MAX_DELTAS = 32
 
 
 class AlarmKind(StrEnum):
@@ -38,7 +38,7 @@
     own_version: int
 
 
-class Offer(StrEnum):
+class OfferResult(StrEnum):
     """What became of a record or delta that was offered."""
 
     APPLIED = "applied"
@@ -56,10 +56,10 @@
     kv_revision: int = 0
     confirmed_at_ms: float = -inf
     # The highest version that any peer said it has, and when that was first heard.
-    heard_version: int = 0
-    heard_at_ms: float = -inf
+    highest_seen_version: int = 0
+    highest_seen_at_ms: float = -inf
     alarm: Alarm | None = None
-    _deltas: deque[ConfigDelta] = msgspec.field(default_factory=lambda: deque(maxlen=_KEPT_DELTAS))
+    _deltas: deque[ConfigDelta] = msgspec.field(default_factory=lambda: deque(maxlen=_MAX_DELTAS))
 
     @property
     def version(self) -> int:
@@ -70,82 +70,89 @@
         """Whether it was ever known that nothing newer existed."""
         return self.confirmed_at_ms > -inf
 
-    def hear(self, version: int, now_ms: float) -> None:
+    def record_peer_version(self, version: int, now_ms: float) -> None:
         """Note a version that a peer has, whether or not it is known here."""
-        if version > self.heard_version:
-            self.heard_version = version
-            self.heard_at_ms = now_ms
+        if version > self.highest_seen_version:
+            self.highest_seen_version = version
+            self.highest_seen_at_ms = now_ms
 
-    def offer_record(self, record: ConfigRecord, source: str, kv_revision: int = 0) -> Offer:
+    def offer_record(self, record: ConfigRecord, source: str, kv_revision: int = 0) -> OfferResult:
         """Take a whole record that ``source`` shows, if it is a later one of the same chain."""
         if record.version < self.version:
-            return Offer.KNOWN
+            return OfferResult.KNOWN
         if not chain_agrees(self.record, record):
             return self._refuse(AlarmKind.FORKED, source, record.version)
         if record.version == self.version:
             self.kv_revision = kv_revision or self.kv_revision
-            return Offer.KNOWN
+            return OfferResult.KNOWN
         self._deltas.clear()
         self._apply(record, kv_revision)
         delta = last_delta(record, kv_revision)
         if delta is not None:
             self._deltas.append(delta)
-        return Offer.APPLIED
+        return OfferResult.APPLIED
 
-    def offer_delta(self, delta: ConfigDelta) -> Offer:
+    def offer_delta(self, delta: ConfigDelta) -> OfferResult:
         """Take the next version; ``GAP`` when the whole record is needed."""
         if delta.applied.version <= self.version:
-            return Offer.KNOWN
-        successor = advance(self.record, delta)
+            return OfferResult.KNOWN
+        successor = apply_delta(self.record, delta)
         if successor is None:
-            return Offer.GAP
+            return OfferResult.GAP
         self._apply(successor, delta.kv_revision)
         self._deltas.append(delta)
-        return Offer.APPLIED
+        return OfferResult.APPLIED
 
     def accept(self, record: ConfigRecord, delta: ConfigDelta) -> None:
         """Take the version that this VM itself wrote."""
-        if delta.applied.version == self.version + 1 and self.offer_delta(delta) is Offer.APPLIED:
+        if (
+            delta.applied.version == self.version + 1
+            and self.offer_delta(delta) is OfferResult.APPLIED
+        ):
             return
         self.offer_record(record, "own write", delta.kv_revision)
 
-    def observe_kv(self, record: ConfigRecord, kv_revision: int, asked_at_ms: float) -> Offer:
-        """Take what the key-value service held at or after ``asked_at_ms``.
+    def observe_kv(
+        self, record: ConfigRecord, kv_revision: int, requested_at_ms: float
+    ) -> OfferResult:
+        """Take what the key-value service held at or after ``requested_at_ms``.
 
         It must not be older than what any VM had before then: such a record was restored.  A read
         that was under way while the version in force here was written proves nothing.
         """
-        if record.version < self.version and self._learned_since(asked_at_ms):
-            return Offer.OVERTAKEN
-        lowest = self.heard_version if self.heard_at_ms <= asked_at_ms else 0
+        if record.version < self.version and self._first_seen_after(requested_at_ms):
+            return OfferResult.OVERTAKEN
+        lowest = self.highest_seen_version if self.highest_seen_at_ms <= requested_at_ms else 0
         if record.version < max(self.version, lowest):
             return self._refuse(AlarmKind.REVERTED, "key-value service", record.version)
         offer = self.offer_record(record, "key-value service", kv_revision)
-        if offer is not Offer.REFUSED:
-            self.confirm(asked_at_ms)
+        if offer is not OfferResult.REFUSED:
+            self.confirm(requested_at_ms)
             self.alarm = None
         return offer
 
-    def _learned_since(self, asked_at_ms: float) -> bool:
-        """Whether the version in force here was first heard of after ``asked_at_ms``."""
-        return self.heard_version >= self.version and self.heard_at_ms > asked_at_ms
+    def _first_seen_after(self, requested_at_ms: float) -> bool:
+        """Whether the version in force here was first heard of after ``requested_at_ms``."""
+        return (
+            self.highest_seen_version >= self.version and self.highest_seen_at_ms > requested_at_ms
+        )
 
-    def confirm(self, asked_at_ms: float) -> None:
-        """Note that the version in force was the newest at or after ``asked_at_ms``."""
-        self.confirmed_at_ms = max(self.confirmed_at_ms, asked_at_ms)
+    def confirm(self, requested_at_ms: float) -> None:
+        """Note that the version in force was the newest at or after ``requested_at_ms``."""
+        self.confirmed_at_ms = max(self.confirmed_at_ms, requested_at_ms)
 
     def raise_alarm(self, kind: AlarmKind, source: str, offered_version: int) -> None:
         self.alarm = Alarm(kind, source, offered_version, self.version)
 
     def deltas_after(self, version: int) -> Sequence[ConfigDelta]:
         """Return the kept deltas from ``version`` to the one in force; empty when they lack one."""
-        wanted = [delta for delta in self._deltas if delta.applied.version > version]
-        return wanted if len(wanted) == self.version - version else ()
+        deltas = [delta for delta in self._deltas if delta.applied.version > version]
+        return deltas if len(deltas) == self.version - version else ()
 
     def _apply(self, record: ConfigRecord, kv_revision: int) -> None:
         self.record = record
         self.kv_revision = kv_revision
 
-    def _refuse(self, kind: AlarmKind, source: str, offered_version: int) -> Offer:
+    def _refuse(self, kind: AlarmKind, source: str, offered_version: int) -> OfferResult:
         self.raise_alarm(kind, source, offered_version)
-        return Offer.REFUSED
+        return OfferResult.REFUSED
--- a/src/fescuedock/core/config/republish.py
+++ b/src/fescuedock/core/config/republish.py
@@ -31,7 +31,7 @@
     except BadRecordError:
         stored = empty_record()
     own = replica.record
-    if own.version < replica.heard_version:
+    if own.version < replica.highest_seen_version:
         # Another VM has a later one, which must be the one that is written.
         return Refusal(ResultCode.CONFIG_UNCONFIRMED, own.version)
     if stored.version > own.version or not chain_agrees(stored, own):
--- a/src/fescuedock/core/config/spread.py
+++ b/src/fescuedock/core/config/spread.py
@@ -15,7 +15,14 @@
 from fescuedock.schema.settings import CutOff
 from fescuedock.schema.view import VmRecord, VmState
 
-__all__ = ["Standing", "SpreadLimits", "is_serving", "pick_targets", "standing", "watchers_of"]
+__all__ = [
+    "ConfirmationState",
+    "SpreadLimits",
+    "is_serving",
+    "pick_targets",
+    "confirmation_state",
+    "watchers_of",
+]
 
 _WATCHER_KEY = "config"
 
@@ -30,7 +37,7 @@
     pull_timeout_ms: float = 1000
 
 
-class Standing(StrEnum):
+class ConfirmationState(StrEnum):
     """What a VM can say about the version it has."""
 
     CONFIRMED = "confirmed"
@@ -42,40 +49,40 @@
     EMPTY = "empty"
 
 
-def live(vms: Sequence[VmRecord]) -> list[VmRecord]:
+def live_vms(vms: Sequence[VmRecord]) -> list[VmRecord]:
     """Return those whose agents can be called."""
     return [vm for vm in vms if vm.state is not VmState.GONE and vm.agent_port]
 
 
 def watchers_of(vms: Sequence[VmRecord], failure_domain: str, count: int) -> list[str]:
     """Return the identities of the VMs that watch for ``failure_domain``, best choice first."""
-    names = [vm.vm_id for vm in live(vms) if vm.failure_domain == failure_domain]
+    names = [vm.vm_id for vm in live_vms(vms) if vm.failure_domain == failure_domain]
     return rank_names(_WATCHER_KEY, names)[:count]
 
 
 def pick_targets(
     vms: Sequence[VmRecord], own_vm_id: str, count: int, random: Random
 ) -> list[VmRecord]:
-    """Pick up to ``count`` other live VMs at random."""
-    others = [vm for vm in live(vms) if vm.vm_id != own_vm_id]
+    """Pick up to ``count`` other live_vms VMs at random."""
+    others = [vm for vm in live_vms(vms) if vm.vm_id != own_vm_id]
     return random.sample(others, min(count, len(others)))
 
 
-def standing(
+def confirmation_state(
     confirmed_age_ms: float, confirm_limit_ms: float, version: int, reached: int, known: int
-) -> Standing:
+) -> ConfirmationState:
     """Judge the age of the last confirmation, with ``reached`` of ``known`` VMs within reach."""
     if confirmed_age_ms <= confirm_limit_ms:
-        return Standing.CONFIRMED
+        return ConfirmationState.CONFIRMED
     if not version:
-        return Standing.EMPTY
-    return Standing.UNCONFIRMED if 2 * reached > known else Standing.CUT_OFF
+        return ConfirmationState.EMPTY
+    return ConfirmationState.UNCONFIRMED if 2 * reached > known else ConfirmationState.CUT_OFF
 
 
-def is_serving(now: Standing, cut_off: CutOff) -> bool:
-    """Whether a VM of that standing takes new requests."""
-    if now is Standing.CONFIRMED:
+def is_serving(state: ConfirmationState, cut_off: CutOff) -> bool:
+    """Whether a VM of that confirmation_state takes new requests."""
+    if state is ConfirmationState.CONFIRMED:
         return True
-    if now is Standing.EMPTY or cut_off is CutOff.REFUSE:
+    if state is ConfirmationState.EMPTY or cut_off is CutOff.REFUSE:
         return False
-    return now is Standing.UNCONFIRMED or cut_off is CutOff.SERVE
+    return state is ConfirmationState.UNCONFIRMED or cut_off is CutOff.SERVE
--- a/src/fescuedock/core/config/writer.py
+++ b/src/fescuedock/core/config/writer.py
@@ -19,7 +19,7 @@
     find_applied,
     patch_hash,
 )
-from fescuedock.core.config.replica import AlarmKind, Offer, Replica
+from fescuedock.core.config.replica import AlarmKind, OfferResult, Replica
 from fescuedock.faults import Fault
 from fescuedock.schema.config import AppliedPatch, ConfigDelta, ConfigRecord, PatchRequest
 from fescuedock.schema.result_codes import ResultCode
@@ -62,33 +62,33 @@
     _record: ConfigRecord | None = None
     _delta: ConfigDelta | None = None
 
-    def on_read(self, value: bytes | None, revision: int, asked_at_ms: float) -> WriterStep:
+    def on_read(self, value: bytes | None, revision: int, requested_at_ms: float) -> WriterStep:
         """Take the record's bytes (None: there is no record) and decide."""
         try:
             record = empty_record() if value is None else decode_record(value)
         except BadRecordError:
             self.replica.raise_alarm(AlarmKind.CORRUPT, "key-value service", 0)
-            return self._refused(ResultCode.CONFIG_REVERTED)
+            return self._refusal(ResultCode.CONFIG_REVERTED)
         applied = find_applied(record, self.request.patch_id)
-        if applied is not None and self._is_ours(record):
-            self._accept(revision, asked_at_ms)
+        if applied is not None and self._is_own_write(record):
+            self._accept(revision, requested_at_ms)
         else:
-            offer = self.replica.observe_kv(record, revision, asked_at_ms)
-            if offer is Offer.OVERTAKEN:
+            offer = self.replica.observe_kv(record, revision, requested_at_ms)
+            if offer is OfferResult.OVERTAKEN:
                 return Read()
-            if offer is Offer.REFUSED:
-                return self._refused(ResultCode.CONFIG_REVERTED)
+            if offer is OfferResult.REFUSED:
+                return self._refusal(ResultCode.CONFIG_REVERTED)
         if applied is not None:
-            return self._settled(applied)
+            return self._resolve_applied(applied)
         if self._put is not None and self._put.expected_revision == revision:
             return self._put
-        return self._lost_to(record) if self.uncertain else self._prepare(record, revision)
+        return self._resolve_lost(record) if self.uncertain else self._prepare(record, revision)
 
-    def on_put(self, outcome: Result[int, Fault], asked_at_ms: float) -> WriterStep | None:
+    def on_put(self, outcome: Result[int, Fault], requested_at_ms: float) -> WriterStep | None:
         """Take the outcome of the write that ``Put`` asked for."""
         match outcome:
             case Ok(revision):
-                self._accept(revision, asked_at_ms)
+                self._accept(revision, requested_at_ms)
                 return Accepted(self._record.version)
             case Err(fault) if fault.code is ResultCode.KV_CONFLICT:
                 return Read()
@@ -98,7 +98,7 @@
 
     def give_up(self) -> Refusal:
         """Return the truthful answer when there is no time left to find out more."""
-        return self._refused(ResultCode.KV_UNAVAILABLE)
+        return self._refusal(ResultCode.KV_UNAVAILABLE)
 
     def _prepare(self, record: ConfigRecord, revision: int) -> WriterStep:
         match apply_request(record, self.request, self.accepted_at_s):
@@ -109,20 +109,20 @@
         self._put = Put(encode_record(self._record), revision)
         return self._put
 
-    def _accept(self, revision: int, asked_at_ms: float) -> None:
+    def _accept(self, revision: int, requested_at_ms: float) -> None:
         delta = msgspec.structs.replace(self._delta, kv_revision=revision)
         self.replica.accept(self._record, delta)
-        self.replica.confirm(asked_at_ms)
+        self.replica.confirm(requested_at_ms)
 
-    def _is_ours(self, record: ConfigRecord) -> bool:
+    def _is_own_write(self, record: ConfigRecord) -> bool:
         return self._record is not None and self._record.chain_hash == record.chain_hash
 
-    def _settled(self, applied: AppliedPatch) -> WriterStep:
+    def _resolve_applied(self, applied: AppliedPatch) -> WriterStep:
         if applied.patch_hash != patch_hash(self.request):
             return Refusal(ResultCode.PATCH_ID_REUSED, self.replica.version)
         return Accepted(applied.version)
 
-    def _lost_to(self, record: ConfigRecord) -> WriterStep:
+    def _resolve_lost(self, record: ConfigRecord) -> WriterStep:
         """The key has moved on from the revision that our uncertain write named.
 
         Our write can no longer succeed; it did before only if the record forgot it since.
@@ -130,9 +130,9 @@
         made = self.request.base_version + 1
         if any(applied.version == made for applied in record.patches):
             return Refusal(ResultCode.STALE_VERSION, record.version)
-        return self._refused(ResultCode.KV_UNKNOWN)
+        return self._refusal(ResultCode.KV_UNKNOWN)
 
-    def _refused(self, code: ResultCode) -> Refusal:
+    def _refusal(self, code: ResultCode) -> Refusal:
         if self.uncertain:
             code = ResultCode.KV_UNKNOWN
         return Refusal(code, self.replica.version)
--- a/tests/builders/config.py
+++ b/tests/builders/config.py
@@ -16,8 +16,8 @@
 from fescuedock.schema.view import VmRecord, VmState
 
 __all__ = [
-    "Cell",
-    "Fate",
+    "KvCell",
+    "CallOutcome",
     "config_document",
     "member_patch",
     "node_of",
@@ -26,7 +26,7 @@
 ]
 
 
-class Fate(StrEnum):
+class CallOutcome(StrEnum):
     """What becomes of one call to the cell."""
 
     ANSWERED = "answered"
@@ -37,7 +37,7 @@
 
 
 @dataclass(slots=True)
-class Cell:
+class KvCell:
     """One key of the key-value service; ``writes`` are those that took effect."""
 
     value: bytes | None = None
@@ -47,8 +47,8 @@
     now_ms: float = 0.0
     late: list[Callable[[], object]] = field(default_factory=list)
 
-    def put(self, value: bytes, expected_revision: int, fate: Fate) -> Result[int, Fault]:
-        """Compare and swap under ``fate``."""
+    def put(self, value: bytes, expected_revision: int, outcome: CallOutcome) -> Result[int, Fault]:
+        """Compare and swap under ``outcome``."""
 
         def execute() -> Result[int, Fault]:
             if self.revision != expected_revision:
@@ -58,13 +58,13 @@
             self.written_ms.append(self.now_ms)
             return Ok(self.revision)
 
-        if fate is Fate.REFUSED:
+        if outcome is CallOutcome.REFUSED:
             return _err(ResultCode.KV_UNAVAILABLE)
-        if fate is Fate.ANSWERED:
+        if outcome is CallOutcome.ANSWERED:
             return execute()
-        if fate is Fate.LOST_AFTER:
+        if outcome is CallOutcome.LOST_AFTER:
             execute()
-        if fate is Fate.LATE:
+        if outcome is CallOutcome.LATE:
             self.late.append(execute)
         return _err(ResultCode.KV_UNKNOWN)
 
--- a/tests/test_config_decisions.py
+++ b/tests/test_config_decisions.py
@@ -20,9 +20,14 @@
     empty_record,
     encode_record,
 )
-from fescuedock.core.config.replica import AlarmKind, Offer, Replica
+from fescuedock.core.config.replica import AlarmKind, OfferResult, Replica
 from fescuedock.core.config.republish import plan_republish
-from fescuedock.core.config.spread import Standing, is_serving, standing, watchers_of
+from fescuedock.core.config.spread import (
+    ConfirmationState,
+    confirmation_state,
+    is_serving,
+    watchers_of,
+)
 from fescuedock.core.config.writer import Accepted, PatchWriter, Put, Read
 from fescuedock.faults import Fault
 from fescuedock.schema.config import ConfigPull, PatchRequest
@@ -169,7 +174,7 @@
 
     def test_a_restarted_vm_refuses_what_is_older_than_its_peers_have(self):
         self.replica = Replica()
-        self.replica.hear(3, 10)
+        self.replica.record_peer_version(3, 10)
         old = encode_record(self.chain[2])
         step = self.writer(member_patch(2, "new")).on_read(old, 9, 11)
         self.assertEqual(step.code, ResultCode.CONFIG_REVERTED)
@@ -177,9 +182,9 @@
 
     def test_a_read_that_began_before_the_peer_was_heard_proves_nothing(self):
         self.replica = Replica()
-        self.replica.hear(3, 10)
-        offer = self.replica.observe_kv(self.chain[2], 9, asked_at_ms=9)
-        self.assertEqual(offer, Offer.APPLIED)
+        self.replica.record_peer_version(3, 10)
+        offer = self.replica.observe_kv(self.chain[2], 9, requested_at_ms=9)
+        self.assertEqual(offer, OfferResult.APPLIED)
 
     def test_garbage_in_the_service_is_an_alarm_and_no_base(self):
         step = self.writer(member_patch(3, "new")).on_read(b"garbage", 9, 0)
@@ -193,7 +198,7 @@
         fork = encode_record(records(2, "fork")[2])
         refused = plan_republish(self.replica, fork, 5)
         self.assertEqual(refused.code, ResultCode.CONFIG_REVERTED)
-        self.replica.hear(4, 0)
+        self.replica.record_peer_version(4, 0)
         self.assertEqual(plan_republish(self.replica, old, 5).code, ResultCode.CONFIG_UNCONFIRMED)
 
 
@@ -207,15 +212,15 @@
         self.node.replica.offer_record(self.chain[2], "vm-b", 7)
         writer.replica.offer_record(self.chain[3], "own write", 8)
         pushed = writer.on_pull(ConfigPull(2), now_ms=10)
-        self.assertEqual(self.node.on_push(pushed, -inf, now_ms=10), Offer.APPLIED)
+        self.assertEqual(self.node.on_push(pushed, -inf, now_ms=10), OfferResult.APPLIED)
         self.assertEqual(self.node.version, 3)
 
     def test_it_is_no_sign_of_a_restored_service(self):
         older = encode_record(self.chain[2])
-        self.node.on_record(older, 7, asked_at_ms=5)
+        self.node.on_record(older, 7, requested_at_ms=5)
         self.assertIsNone(self.node.replica.alarm)
         self.assertFalse(self.node.replica.ever_confirmed)
-        self.node.on_record(older, 7, asked_at_ms=15)
+        self.node.on_record(older, 7, requested_at_ms=15)
         self.assertEqual(self.node.replica.alarm.kind, AlarmKind.REVERTED)
 
     def test_a_patch_is_not_refused_for_it_but_built_on_a_new_read(self):
@@ -229,7 +234,7 @@
         replica = Replica(record=records(3)[3])
         for version in (3, 5):
             offer = replica.offer_record(records(5, "fork")[version], "vm-b")
-            self.assertEqual(offer, Offer.REFUSED)
+            self.assertEqual(offer, OfferResult.REFUSED)
             self.assertEqual(replica.alarm.kind, AlarmKind.FORKED)
         self.assertEqual(replica.version, 3)
 
@@ -237,11 +242,11 @@
         chain = records(3)
         request = member_patch(3, "next")
         _, delta = apply_request(chain[3], request, 0).unwrap()
-        self.assertEqual(Replica(record=chain[2]).offer_delta(delta), Offer.GAP)
+        self.assertEqual(Replica(record=chain[2]).offer_delta(delta), OfferResult.GAP)
         fork = Replica(record=records(3, "fork")[3])
-        self.assertEqual(fork.offer_delta(delta), Offer.GAP)
+        self.assertEqual(fork.offer_delta(delta), OfferResult.GAP)
         self.assertEqual(fork.version, 3)
-        self.assertEqual(Replica(record=chain[3]).offer_delta(delta), Offer.APPLIED)
+        self.assertEqual(Replica(record=chain[3]).offer_delta(delta), OfferResult.APPLIED)
 
     def test_a_changed_document_is_no_record(self):
         record = records(2)[2]
@@ -254,7 +259,7 @@
         asker, watcher = (node_of(vm, vms) for vm in vms)
         watcher.replica.confirm(1000)
         answer = watcher.on_pull(ConfigPull(0), now_ms=5000)
-        asker.on_push(answer, asked_at_ms=4990, now_ms=5010)
+        asker.on_push(answer, requested_at_ms=4990, now_ms=5010)
         self.assertAlmostEqual(asker.replica.confirmed_at_ms, 990, delta=2)
 
     def test_a_vm_that_is_ahead_and_silent_is_not_asked_for_ever(self):
@@ -292,14 +297,18 @@
         self.assertFalse(node.kv_away(7501), "half of the VMs may know better")
 
     def judge(self, age_ms, version, reached, known):
-        return standing(age_ms, 15000, version, reached, known)
+        return confirmation_state(age_ms, 15000, version, reached, known)
 
     def test_what_a_vm_says_and_serves_when_it_cannot_confirm(self):
         cases = [
-            (self.judge(15000, 7, 1, 9), Standing.CONFIRMED, {*CutOff}),
-            (self.judge(15001, 7, 5, 9), Standing.UNCONFIRMED, {CutOff.SERVE, CutOff.MAJORITY}),
-            (self.judge(15001, 7, 4, 8), Standing.CUT_OFF, {CutOff.SERVE}),
-            (self.judge(15001, 0, 9, 9), Standing.EMPTY, set()),
+            (self.judge(15000, 7, 1, 9), ConfirmationState.CONFIRMED, {*CutOff}),
+            (
+                self.judge(15001, 7, 5, 9),
+                ConfirmationState.UNCONFIRMED,
+                {CutOff.SERVE, CutOff.MAJORITY},
+            ),
+            (self.judge(15001, 7, 4, 8), ConfirmationState.CUT_OFF, {CutOff.SERVE}),
+            (self.judge(15001, 0, 9, 9), ConfirmationState.EMPTY, set()),
         ]
         for found, expected, serving in cases:
             self.assertEqual(found, expected)
--- a/tests/test_config_kv_away.py
+++ b/tests/test_config_kv_away.py
@@ -11,10 +11,10 @@
 RUN_MS = 120_000.0
 # How old a record may be on which a runner begins items, and how long after an answer is looked.
 RECORD_AGE_MS = BatchSettings(port=1).record_age_ms
-LOOK_MS = 500.0
+CHECK_MS = 500.0
 
 
-class PartlyAwayTest(unittest.TestCase):
+class PartialOutageTest(unittest.TestCase):
     """The service turned away five of six VMs and served the one that recorded a cancel.
 
     The five reached each other and the sixth all the while.  A runner asks whether the service
@@ -38,7 +38,7 @@
             for node in nodes.values():
                 answered = self.act(nodes, node, served, now_ms)
                 answered_ms = now_ms if answered else answered_ms
-            if answered_ms and 0 <= now_ms - answered_ms - RECORD_AGE_MS <= LOOK_MS:
+            if answered_ms and 0 <= now_ms - answered_ms - RECORD_AGE_MS <= CHECK_MS:
                 wrong_ms += [now_ms for node in nodes.values() if node.kv_away(now_ms)]
         self.assertGreater(answered_ms, 0.0)
         self.assertEqual(wrong_ms, [])
--- a/tests/test_config_stateful.py
+++ b/tests/test_config_stateful.py
@@ -20,11 +20,11 @@
 from fescuedock.core.config.writer import Accepted, PatchWriter, Put, Read
 from fescuedock.schema.config import ConfigPull
 from fescuedock.schema.result_codes import ResultCode
-from tests.builders.config import Cell, Fate, member_patch, node_of, vm_record
+from tests.builders.config import CallOutcome, KvCell, member_patch, node_of, vm_record
 
 VMS = [vm_record(f"vm-{n}", "hall") for n in range(4)]
 INDEXES = st.integers(0, len(VMS) - 1)
-FATES = st.sampled_from([*[Fate.ANSWERED] * 6, *Fate])
+CALL_OUTCOMES = st.sampled_from([*[CallOutcome.ANSWERED] * 6, *CallOutcome])
 NOT_RUN = (
     ResultCode.STALE_VERSION,
     ResultCode.INVALID_PATCH,
@@ -51,11 +51,11 @@
 
     def __init__(self):
         super().__init__()
-        self.cell = Cell()
+        self.cell = KvCell()
         self.nodes = [node_of(vm, VMS, n) for n, vm in enumerate(VMS)]
         self.now_ms = 0.0
         self.names = itertools.count()
-        self.told_accepted = {}
+        self.reported_accepted = {}
         self.uses_not_run = set()
         self.bases = {}
         self.highest = [0] * len(VMS)
@@ -70,13 +70,13 @@
         self.bases[request.patch_id] = request.base_version
         return Change(vm_index, PatchWriter(request, node.replica, next(self.names)))
 
-    @rule(target=changes, vm_index=INDEXES, fate=FATES, gives_up=st.booleans())
-    def submit_and_write(self, vm_index, fate, gives_up):
+    @rule(target=changes, vm_index=INDEXES, call_outcome=CALL_OUTCOMES, gives_up=st.booleans())
+    def submit_and_write(self, vm_index, call_outcome, gives_up):
         """The usual course of a patch up to its write, whose answer may be lost."""
         change = self.submit(vm_index, 0, 1)
-        for step_fate in (Fate.ANSWERED, fate):
+        for step_outcome in (CallOutcome.ANSWERED, call_outcome):
             if not isinstance(change.step, Accepted | Refusal):
-                self.go_on(change, step_fate)
+                self.go_on(change, step_outcome)
         if gives_up:
             self.give_up(change)
         return change
@@ -86,8 +86,8 @@
         replica = self.nodes[vm_index].replica
         return Change(vm_index, PatchWriter(change.writer.request, replica, next(self.names)))
 
-    @rule(target=changes, change=consumes(changes), fate=FATES)
-    def go_on(self, change, fate):
+    @rule(target=changes, change=consumes(changes), call_outcome=CALL_OUTCOMES)
+    def go_on(self, change, call_outcome):
         """Carry out the next step of a change."""
         step = change.step or Read()
         if isinstance(step, Accepted | Refusal):
@@ -98,29 +98,32 @@
         self.now_ms += 1
         if isinstance(step, Put):
             self.cell.now_ms = self.now_ms
-            outcome = self.cell.put(step.value, step.expected_revision, fate)
+            outcome = self.cell.put(step.value, step.expected_revision, call_outcome)
             change.step = change.writer.on_put(outcome, self.now_ms)
-        elif fate is Fate.ANSWERED:
+        elif call_outcome is CallOutcome.ANSWERED:
             change.step = change.writer.on_read(self.cell.value, self.cell.revision, self.now_ms)
         else:
             change.step = None
-        return self._told(change)
+        return self._after_step(change)
 
     @rule(change=consumes(changes))
     def give_up(self, change):
         if not isinstance(change.step, Accepted | Refusal):
-            self._note(change, change.writer.give_up())
+            self._record_answer(change, change.writer.give_up())
 
-    def _told(self, change):
+    def _after_step(self, change):
         if isinstance(change.step, Accepted | Refusal):
-            self._note(change, change.step)
+            self._record_answer(change, change.step)
             return multiple()
         return change
 
-    def _note(self, change, answer):
+    def _record_answer(self, change, answer):
         request = change.writer.request
         if isinstance(answer, Accepted):
-            assert self.told_accepted.setdefault(request.patch_id, answer.version) == answer.version
+            assert (
+                self.reported_accepted.setdefault(request.patch_id, answer.version)
+                == answer.version
+            )
         elif answer.code in NOT_RUN:
             self.uses_not_run.add(change.writer.accepted_at_s)
 
@@ -165,8 +168,8 @@
     @rule(message=messages)
     def deliver(self, message):
         """Deliver once more; messages that are never chosen are lost."""
-        vm_index, push, asked_at_ms = message
-        self.nodes[vm_index].on_push(push, asked_at_ms, self.now_ms)
+        vm_index, push, requested_at_ms = message
+        self.nodes[vm_index].on_push(push, requested_at_ms, self.now_ms)
 
     @rule(target=messages, sender=INDEXES, receiver=INDEXES, whole=st.booleans())
     def ask(self, sender, receiver, whole):
@@ -185,7 +188,7 @@
     def promises_hold(self):
         for value in self.cell.writes[len(self.records) - 1 :]:
             self._check_write(decode_record(value))
-        self._check_told()
+        self._check_reported()
         for index, node in enumerate(self.nodes):
             self._check_node(index, node)
 
@@ -200,10 +203,10 @@
         assert record.patches[-1].accepted_at_s not in self.uses_not_run
         self.records.append(record)
 
-    def _check_told(self):
+    def _check_reported(self):
         """Nothing accepted is lost, whatever else was written since."""
         made = {item.patch_id: item.version for item in self.records[-1].patches}
-        for patch_id, version in self.told_accepted.items():
+        for patch_id, version in self.reported_accepted.items():
             assert made[patch_id] == version
         members = msgspec.json.decode(self.records[-1].document).get("members", {})
         assert set(members) == set(made)
--- a/tests/test_orders_stateful.py
+++ b/tests/test_orders_stateful.py
@@ -17,11 +17,11 @@
 from fescuedock.schema.orders import OrderRecord
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.settings import OrderSettings
-from tests.builders.config import Cell, Fate
+from tests.builders.config import CallOutcome, KvCell
 
 SETTINGS = OrderSettings(lease_ms=10000, margin_ms=1000, longest_order_ms=15000, retry_ms=100)
 AGENTS = st.integers(0, 1)
-FATES = st.sampled_from([*[Fate.ANSWERED] * 6, *Fate])
+FATES = st.sampled_from([*[CallOutcome.ANSWERED] * 6, *CallOutcome])
 # Within what margin_ms allows for over a lease.
 CLOCK_RATES = (0.95, 1.05)
 TRAVELS_MS = st.sampled_from([0, 200, 9000, 14000])
@@ -71,7 +71,7 @@
 
     @initialize(checks=st.booleans())
     def begin(self, checks):
-        self.cell = Cell()
+        self.cell = KvCell()
         self.engine = Engine(checks)
         self.now_ms = 0.0
         self.version = 1
@@ -112,7 +112,7 @@
         agent = self.agents[index]
         decided, agent.decided = agent.decided, None
         match decided:
-            case ReadRecord() if fate is Fate.ANSWERED:
+            case ReadRecord() if fate is CallOutcome.ANSWERED:
                 value, revision = self.cell.value, self.cell.revision
                 record = msgspec.msgpack.decode(value, type=OrderRecord) if value else None
                 agent.answer = lambda: agent.holder.on_read(record, revision, self._clock(agent))
@@ -212,7 +212,7 @@
                     return
                 self.pass_time(min(1000, ends_ms - self.now_ms))
             else:
-                self.perform(index, Fate.ANSWERED, travels_ms)
+                self.perform(index, CallOutcome.ANSWERED, travels_ms)
 
     # --- promises ------------------------------------------------------------------------------
 
@@ -254,7 +254,7 @@
         world.change_configuration()
         world.run_smoothly(1, pause_ms, 0)
         for _ in range(45):
-            world.perform(0, Fate.ANSWERED, 14000)
+            world.perform(0, CallOutcome.ANSWERED, 14000)
             world.hear(0)
             world.run_smoothly(0, 0, 14000)
             world.run_smoothly(1, 1000, 0)
@@ -275,7 +275,7 @@
                 world.change_configuration()
             world.decide(0)
         else:
-            world.perform(0, Fate.ANSWERED, travels_ms)
+            world.perform(0, CallOutcome.ANSWERED, travels_ms)
 
 
 OrdersMachine.TestCase.settings = settings(
