--- a/src/fescuedock/core/config/check.py
+++ b/src/fescuedock/core/config/check.py
@@ -1,4 +1,4 @@
-"""Checks a whole configuration and names every problem in it, not just the first."""
+"""Validates a complete configuration and reports every problem in it, not just the first."""
 
 from collections.abc import Iterator, Mapping
 from functools import cache
@@ -11,17 +11,17 @@
 __all__ = ["find_problems"]
 
 _MAX_SHOWN_CHARACTERS = 60
-# A value here may be a key that was pasted in clear; it must not get into answers and logs.
+# A value here may be a key pasted in plain text, which must not appear in answers and logs.
 _SECRET_FIELD = "key_hashes"
-# Service names are a path segment of /services/{service}/; names with these would not be reached.
+# Service names are a path segment of /services/{service}/; names with these are unreachable.
 _FORBIDDEN_IN_NAMES = ("/", "?", "#")
 
 
 def find_problems(document: object, previous: object = None) -> list[str]:
     """Return one line for each problem of ``document`` (decoded JSON); none when it is valid.
 
-    Each line begins with the path of the value that is wrong.  Entries that ``previous``, a
-    document which was checked before, has just so are not looked at one by one again.
+    Each line begins with the path of the wrong value.  Entries that are equal in ``previous``, a
+    document that was validated before, are not checked one by one again.
     """
     problems = list(_check_value(_changed_entries(document, previous), Configuration, ""))
     if problems:
@@ -29,13 +29,13 @@
     try:
         configuration = msgspec.convert(document, Configuration)
     except msgspec.ValidationError:
-        # The previous one was checked by an older schema.
+        # The previous document was validated by an older schema.
         return list(_check_value(document, Configuration, ""))
     return [*_check_services(configuration), *_check_references(configuration)]
 
 
 def _changed_entries(document: object, previous: object) -> object:
-    """Return ``document`` without the entries of its sections that ``previous`` has just so."""
+    """Return ``document`` without the entries of its sections that are equal in ``previous``."""
     if not isinstance(document, Mapping) or not isinstance(previous, Mapping):
         return document
     changed: dict[str, object] = {}
@@ -132,7 +132,7 @@
 
 
 def _check_callable_names(services: Mapping[str, ServiceSpec]) -> Iterator[str]:
-    """Callers name a model or adapter without its service, so each name must be unique."""
+    """Check that names of models and adapters are unique; calls name them without a service."""
     seen: dict[str, str] = {}
     for service_name, service in services.items():
         for model_name, model in service.models.items():
@@ -146,7 +146,7 @@
 
 
 def _check_references(configuration: Configuration) -> Iterator[str]:
-    """Check names of models; an upstream may be named before the VM list shows it."""
+    """Check references to models; upstreams may be configured before the VM list shows them."""
     models = {name for service in configuration.services.values() for name in service.models}
     for upstream_id, policy in configuration.upstreams.items():
         for position, name in enumerate(policy.models):
--- a/src/fescuedock/core/config/merge.py
+++ b/src/fescuedock/core/config/merge.py
@@ -10,7 +10,7 @@
 def merge_patch(target: JsonValue, patch: JsonValue) -> JsonValue:
     """Return ``target`` changed by ``patch``; neither argument is changed.
 
-    A member that is null in the patch is removed, an object is merged, anything else replaces.
+    A member that is null in the patch is removed, an object is merged, any other value replaces.
     """
     if not isinstance(patch, Mapping):
         return patch
--- a/src/fescuedock/core/config/node.py
+++ b/src/fescuedock/core/config/node.py
@@ -1,7 +1,7 @@
-"""What one agent does about the configuration: confirm, push and pull, decided without I/O.
+"""Decides when one agent confirms, pushes and pulls the configuration, without I/O.
 
-The shell carries out the actions that ``tick`` and the message methods return, and reports each
-one's outcome to ``on_revision``, ``on_record`` or ``on_push``.
+The caller executes the actions that ``tick`` and the message methods return, and reports their
+outcome to ``on_revision``, ``on_record`` or ``on_push``.
 """
 
 from collections.abc import Callable, Sequence
@@ -30,12 +30,12 @@
 
 __all__ = ["Action", "ConfigNode", "Pull", "PushTo", "ReadRecord", "ReadRevision"]
 
-# In a push: the sender's version was never confirmed.  In a pull: no answer is told of.
+# In a push: the sender's version was never confirmed.  In a pull: reports no answer of the service.
 _UNKNOWN_AGE = -1
 
 
 class ReadRevision(msgspec.Struct, frozen=True):
-    """Ask the key-value service for the revision of the record's key, without its value."""
+    """Request the revision of the record's key from the key-value service, without its value."""
 
 
 class ReadRecord(msgspec.Struct, frozen=True):
@@ -43,7 +43,7 @@
 
 
 class Pull(msgspec.Struct, frozen=True):
-    """Send ``message`` to ``vm`` and give its answer to ``on_push``."""
+    """Send ``message`` to ``vm`` and pass its answer to ``on_push``."""
 
     vm: VmRecord
     message: ConfigPull
@@ -60,7 +60,7 @@
 
 
 class ConfigNode(msgspec.Struct):
-    """The configuration's state on one VM.  ``vms`` gives all VMs that membership knows."""
+    """The state of the configuration on one VM; ``vms`` returns all VMs known to membership."""
 
     vm_id: str
     failure_domain: str
@@ -74,7 +74,7 @@
     _confirm_due_ms: float = -inf
     _pushed_version: int = 0
     _confirm_failures: int = 0
-    # When the service last answered any VM, as far as is known here; at the latest then.
+    # Latest known time at which the service answered any VM.
     _kv_answered_at_ms: float = -inf
     _notify_due: bool = False
 
@@ -83,7 +83,7 @@
         return self.replica.version
 
     def confirmation_state(self, now_ms: float) -> ConfirmationState:
-        """Judge how well the version in force is confirmed."""
+        """Return how well the version in force is confirmed."""
         known = self.vms()
         return confirmation_state(
             now_ms - self.replica.confirmed_at_ms,
@@ -94,10 +94,10 @@
         )
 
     def kv_away(self, now_ms: float) -> bool:
-        """Whether the service answers nobody: this VM reaches most others, and none of them knew.
+        """Whether the service answers no VM: this VM reaches most others, and none had an answer.
 
-        Judged after half of the limit, by when this VM has asked the service itself, and whoever
-        was answered has told it.
+        Decided after half of the limit.  By then this VM has queried the service itself, and any
+        VM that received an answer has notified this one.
         """
         known = self.vms()
         age_ms = now_ms - max(self.replica.confirmed_at_ms, self._kv_answered_at_ms)
@@ -108,22 +108,22 @@
         return judged is ConfirmationState.UNCONFIRMED
 
     def next_due_ms(self) -> float:
-        """Return when ``tick`` has to be called at the latest."""
+        """Return the latest time for the next call of ``tick``."""
         return -inf if self._notify_due else min(self._pull_due_ms, self._confirm_due_ms)
 
     def on_peer_version(self, vm: VmRecord, version: int, now_ms: float) -> None:
-        """Note a version that a membership message of ``vm`` carried."""
+        """Handle the version in a membership message from ``vm``."""
         self.replica.record_peer_version(version, now_ms)
         if version <= self.version or (self._newest_peer and version < self._newest_peer[0]):
             return
-        # The newest sender is the likeliest to answer.
+        # The most recent sender is the most likely to answer.
         self._newest_peer = (version, vm)
-        # A push is probably on its way; a pull at once would double its bytes.
+        # A push is probably in transit; an immediate pull would transfer the bytes twice.
         delay_ms = self.limits.pull_delay_ms * (0.5 + self.random.random())
         self._pull_due_ms = min(self._pull_due_ms, now_ms + delay_ms)
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Return what is due now."""
+        """Return the actions that are due now."""
         actions: list[Action] = self.next_pushes(now_ms)
         if now_ms >= self._pull_due_ms:
             actions += self._pull_newest(now_ms)
@@ -134,7 +134,7 @@
         return actions
 
     def next_pushes(self, now_ms: float) -> list[Action]:
-        """Return the pushes that a new version calls for, once for each version."""
+        """Return the pushes for a new version, once per version."""
         if self.version <= self._pushed_version:
             return []
         deltas = self.replica.deltas_after(max(self._pushed_version, self.version - 1))
@@ -144,11 +144,11 @@
         targets = pick_targets(self.vms(), self.vm_id, self.limits.push_targets, self.random)
         if not targets:
             return []
-        # Without deltas it tells the version alone, and who lacks it pulls the record.
+        # Without deltas the push carries only the version, and VMs that lack it pull the record.
         return [PushTo(tuple(targets), self._push(now_ms, deltas))]
 
     def on_pull(self, message: ConfigPull, now_ms: float) -> ConfigPush:
-        """Answer the pull of another VM."""
+        """Return the answer to the pull of another VM."""
         if message.answered_age_ms >= 0:
             self._record_kv_answer(now_ms - message.answered_age_ms)
         if message.whole_record:
@@ -159,16 +159,16 @@
         return self._push(now_ms, deltas, full=not deltas)
 
     def on_push(self, message: ConfigPush, requested_at_ms: float, now_ms: float) -> OfferResult:
-        """Take a push, or the answer to a pull that was sent at ``requested_at_ms``.
+        """Handle a push, or the answer to a pull that was sent at ``requested_at_ms``.
 
-        An age is counted from then on; a push that came unasked does not confirm anything.
+        The confirmation age is counted from that time; an unsolicited push confirms nothing.
         """
         source = message.vm_id
         for delta in message.deltas:
             self.replica.offer_delta(delta)
         if message.record:
             self._offer_bytes(message.record, source, message.kv_revision)
-        # A read that is under way may still show the version before.
+        # A read in progress may still return the previous version.
         self.replica.record_peer_version(self.version, now_ms)
         if message.version > self.version:
             self._record_peer_version(source, message.version, now_ms)
@@ -180,21 +180,21 @@
             return OfferResult.REFUSED
         if message.confirmed_age_ms != _UNKNOWN_AGE:
             self.replica.confirm(requested_at_ms - message.confirmed_age_ms)
-            # Watchers answer many such pulls; what they know is no news in their domain.
+            # Watchers answer many such pulls; their domain already knows of the answer.
             self._record_kv_answer(now_ms - message.confirmed_age_ms, notify=False)
         return OfferResult.APPLIED
 
     def on_pull_failed(self, vm: VmRecord) -> None:
-        """Note that ``vm`` did not answer, so that another is asked.
+        """Record that ``vm`` did not answer, so that the next pull goes to another VM.
 
-        Whoever else has the version says so on its next membership message.
+        Other VMs with the version announce it in their next membership message.
         """
         self._confirm_failures += 1
         if self._newest_peer and self._newest_peer[1].vm_id == vm.vm_id:
             self._newest_peer, self._pull_due_ms = None, inf
 
     def on_revision(self, revision: int | None, requested_at_ms: float) -> list[Action]:
-        """Take the revision of the record's key (0: no such key; None: the service is away)."""
+        """Handle the revision of the record's key (0: no such key; None: service unavailable)."""
         if revision is None:
             return self._pull_from_peer()
         self._record_kv_answer(requested_at_ms)
@@ -204,7 +204,7 @@
         return [ReadRecord()]
 
     def on_record(self, value: bytes | None, revision: int, requested_at_ms: float) -> None:
-        """Take the record's bytes, None when there is no record."""
+        """Handle the record's bytes, None when there is no record."""
         try:
             record = empty_record() if value is None else decode_record(value)
         except BadRecordError:
@@ -241,14 +241,15 @@
         self._pull_due_ms = inf
         if self._newest_peer is None:
             return []
-        # Asked again after a timeout, should the answer be lost.
+        # Retried after a timeout in case the answer is lost.
         self._pull_due_ms = now_ms + self.limits.pull_timeout_ms
         return [Pull(self._newest_peer[1], self._pull_message())]
 
     def _confirm(self, now_ms: float) -> list[Action]:
-        """Watchers ask the key-value service, others ask a watcher of their failure domain.
+        """Return the actions that confirm the version in force.
 
-        Who got no confirmation that way for half of the limit asks the service too.
+        Watchers query the key-value service, other VMs a watcher of their failure domain.  A VM
+        without a confirmation for half of the limit queries the service as well.
         """
         watchers = watchers_of(self.vms(), self.failure_domain, self.limits.watchers_per_domain)
         jitter = 0.75 + 0.5 * self.random.random()
@@ -264,18 +265,18 @@
         return actions
 
     def _pull_from_peer(self) -> list[Action]:
-        """The service is away: whoever is ahead, or confirmed by another way, is in some peer."""
+        """Return a pull from a random peer, which may have a newer version or confirmation."""
         targets = pick_targets(self.vms(), self.vm_id, 1, self.random)
         return [Pull(vm, self._pull_message()) for vm in targets]
 
     def _record_kv_answer(self, at_ms: float, *, notify: bool = True) -> None:
-        """Note that the service answered some VM; have it told if that is news here."""
+        """Record that the service answered some VM; notify others if it is new information."""
         if notify and at_ms - self._kv_answered_at_ms >= self.confirm_limit_ms / 4:
             self._notify_due = True
         self._kv_answered_at_ms = max(self._kv_answered_at_ms, at_ms)
 
     def _notify_kv_answer(self, now_ms: float) -> list[Action]:
-        """Tell a few VMs that the service answers; those to whom it is news pass it on."""
+        """Notify a few VMs that the service answers; those that did not know forward it."""
         self._notify_due = False
         message = self._pull_message(int(now_ms - self._kv_answered_at_ms))
         targets = pick_targets(self.vms(), self.vm_id, self.limits.push_targets, self.random)
--- a/src/fescuedock/core/config/record.py
+++ b/src/fescuedock/core/config/record.py
@@ -1,7 +1,7 @@
-"""The configuration's record: how a patch makes the next version, its chained hash, its bytes.
+"""The configuration's record: the next version from a patch, its chained hash, its encoding.
 
-Every replica that applies the same patch to the same version gets the same record, byte for byte,
-which the chained hash proves.
+Every replica that applies the same patch to the same version gets an identical record, byte for
+byte, which the chained hash proves.
 """
 
 import hashlib
@@ -31,14 +31,14 @@
     "patch_hash",
 ]
 
-# A resend of a patch that is no longer remembered is refused as stale, so the bound costs no
-# safety, only the kinder answer.
+# A resent patch that is no longer listed is refused as stale, so the bound does not affect safety,
+# only how helpful the answer is.
 MAX_PATCHES = 256
-# The key-value service holds values up to a megabyte.
+# The key-value service accepts values of up to 1 MB.
 MAX_RECORD_BYTES = 1_000_000
-# What a compressed record may unfold to, so that a bad one cannot fill our memory.
+# Limit of the decompressed size, so that a corrupt record cannot exhaust memory.
 _MAX_DECOMPRESSED_BYTES = 16_000_000
-# A patch up to this size is kept in the record, so that who reads the record can pass the patch on.
+# A patch up to this size is stored in the record, so that its readers can forward it as a delta.
 _MAX_STORED_PATCH_BYTES = 32_000
 _COMPRESSION_LEVEL = 6
 _EMPTY_DOCUMENT = b"{}"
@@ -49,11 +49,11 @@
 
 
 class BadRecordError(ValueError):
-    """Bytes that are not a record, or a record whose own chain does not agree."""
+    """The bytes are not a record, or the record's chained hash does not match its content."""
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Why a patch was not taken; ``version`` is the current one."""
+    """Why a patch was not accepted; ``version`` is the current one."""
 
     code: ResultCode
     version: int
@@ -61,24 +61,24 @@
 
 
 def empty_record() -> ConfigRecord:
-    """Return version 0, which nobody ever wrote."""
+    """Return version 0, the state before the first write."""
     return ConfigRecord(version=0, chain_hash="", document=_EMPTY_DOCUMENT, last_patch=b"")
 
 
 def patch_hash(request: PatchRequest) -> str:
-    """Return the hash over what makes two uses of a patch identity the same patch."""
+    """Return a hash of a patch's content, which detects reuse of its identity for another patch."""
     return hashlib.sha256(_json.encode((request.base_version, request.patch))).hexdigest()
 
 
 def find_applied(record: ConfigRecord, patch_id: str) -> AppliedPatch | None:
-    """Return what ``record`` remembers of a patch identity."""
+    """Return the entry of ``record`` for a patch identity, None if there is none."""
     return next((item for item in record.patches if item.patch_id == patch_id), None)
 
 
 def apply_request(
     record: ConfigRecord, request: PatchRequest, accepted_at_s: int
 ) -> Result[tuple[ConfigRecord, ConfigDelta], Refusal]:
-    """Return the next record and its delta (without a revision), or why there is none."""
+    """Return the next record and its delta (without a revision), or why the patch is refused."""
     if request.base_version != record.version:
         return Err(Refusal(ResultCode.STALE_VERSION, record.version))
     previous = msgspec.json.decode(record.document)
@@ -103,7 +103,7 @@
 
 
 def apply_delta(record: ConfigRecord, delta: ConfigDelta) -> ConfigRecord | None:
-    """Return the record that ``delta`` makes of ``record``; None when its chain does not agree."""
+    """Return ``record`` with ``delta`` applied; None if the version or chained hash mismatches."""
     if delta.applied.version != record.version + 1:
         return None
     try:
@@ -117,16 +117,16 @@
 
 
 def last_delta(record: ConfigRecord, kv_revision: int) -> ConfigDelta | None:
-    """Return the delta that made ``record``, if it remembers it."""
+    """Return the delta that produced ``record``, if its patch is stored."""
     if not record.last_patch:
         return None
     return ConfigDelta(record.last_patch, record.patches[-1], kv_revision)
 
 
 def chain_agrees(older: ConfigRecord, newer: ConfigRecord) -> bool:
-    """Whether ``newer`` descends from ``older``, as far as it remembers.
+    """Whether ``newer`` descends from ``older``, as far as its stored hashes reach.
 
-    A record remembers ``MAX_PATCHES`` hashes; beyond that its digest on the way is all there is.
+    A record stores the last ``MAX_PATCHES`` hashes; for an older ``older`` this returns True.
     """
     if older.version in (0, newer.version):
         return older.version == 0 or older.chain_hash == newer.chain_hash
@@ -137,12 +137,12 @@
 
 
 def encode_record(record: ConfigRecord) -> bytes:
-    """Return the bytes that stand in the key-value service and travel between VMs."""
+    """Return the encoding used in the key-value service and in messages between VMs."""
     return zlib.compress(_packer.encode(record), _COMPRESSION_LEVEL)
 
 
 def decode_record(data: bytes) -> ConfigRecord:
-    """Read a record; ``BadRecordError`` when it is none or its own chain does not agree."""
+    """Decode a record; raise ``BadRecordError`` when it is invalid or its chain does not match."""
     decompressor = zlib.decompressobj()
     try:
         plain = decompressor.decompress(data, _MAX_DECOMPRESSED_BYTES)
--- a/src/fescuedock/core/config/replica.py
+++ b/src/fescuedock/core/config/replica.py
@@ -1,8 +1,8 @@
-"""One VM's copy of the configuration, which only ever goes forward.
+"""One VM's copy of the configuration, whose version never decreases.
 
-A higher version is applied when its chained hash agrees; a lower one, or another one of the same
-number, is refused and kept as an alarm.  Which version is the newest is known only by the
-key-value service, so every piece of evidence carries the time at which that service was asked.
+A higher version is applied when its chained hash matches; a lower one, or a different one of the
+same number, is refused and stored as an alarm.  Only the key-value service knows the newest
+version, so each confirmation carries the time at which that service was queried.
 """
 
 from collections import deque
@@ -17,12 +17,12 @@
 
 __all__ = ["Alarm", "AlarmKind", "OfferResult", "Replica"]
 
-# Enough for those who missed a few messages; who missed more takes the whole record.
+# Enough for peers that missed a few messages; peers that missed more get the full record.
 _MAX_DELTAS = 32
 
 
 class AlarmKind(StrEnum):
-    """What an operator has to look at."""
+    """Kind of a problem that requires an operator."""
 
     REVERTED = "reverted"
     FORKED = "forked"
@@ -30,7 +30,7 @@
 
 
 class Alarm(msgspec.Struct, frozen=True):
-    """The service or a peer shows a configuration that was refused."""
+    """A configuration offered by the service or a peer was refused."""
 
     kind: AlarmKind
     source: str
@@ -39,23 +39,23 @@
 
 
 class OfferResult(StrEnum):
-    """What became of a record or delta that was offered."""
+    """Result of offering a record or delta to the replica."""
 
     APPLIED = "applied"
     KNOWN = "known"
     GAP = "gap"
     REFUSED = "refused"
-    # Read before a version that is known by now was written.
+    # Read before a version that is now known was written.
     OVERTAKEN = "overtaken"
 
 
 class Replica(msgspec.Struct):
-    """The record in force.  ``kv_revision`` is its key's revision, 0 when not known."""
+    """The record in force; ``kv_revision`` is its key's revision, 0 when unknown."""
 
     record: ConfigRecord = msgspec.field(default_factory=empty_record)
     kv_revision: int = 0
     confirmed_at_ms: float = -inf
-    # The highest version that any peer said it has, and when that was first heard.
+    # The highest version announced by any peer, and when it was first received.
     highest_seen_version: int = 0
     highest_seen_at_ms: float = -inf
     alarm: Alarm | None = None
@@ -67,17 +67,17 @@
 
     @property
     def ever_confirmed(self) -> bool:
-        """Whether it was ever known that nothing newer existed."""
+        """Whether a version in force was ever confirmed as the newest."""
         return self.confirmed_at_ms > -inf
 
     def record_peer_version(self, version: int, now_ms: float) -> None:
-        """Note a version that a peer has, whether or not it is known here."""
+        """Record a version that a peer has, whether or not this replica has it."""
         if version > self.highest_seen_version:
             self.highest_seen_version = version
             self.highest_seen_at_ms = now_ms
 
     def offer_record(self, record: ConfigRecord, source: str, kv_revision: int = 0) -> OfferResult:
-        """Take a whole record that ``source`` shows, if it is a later one of the same chain."""
+        """Apply a full record from ``source`` if it is a later version of the same chain."""
         if record.version < self.version:
             return OfferResult.KNOWN
         if not chain_agrees(self.record, record):
@@ -93,7 +93,7 @@
         return OfferResult.APPLIED
 
     def offer_delta(self, delta: ConfigDelta) -> OfferResult:
-        """Take the next version; ``GAP`` when the whole record is needed."""
+        """Apply the delta of the next version; ``GAP`` when the full record is needed."""
         if delta.applied.version <= self.version:
             return OfferResult.KNOWN
         successor = apply_delta(self.record, delta)
@@ -104,7 +104,7 @@
         return OfferResult.APPLIED
 
     def accept(self, record: ConfigRecord, delta: ConfigDelta) -> None:
-        """Take the version that this VM itself wrote."""
+        """Apply a version that this VM itself wrote."""
         if (
             delta.applied.version == self.version + 1
             and self.offer_delta(delta) is OfferResult.APPLIED
@@ -115,10 +115,11 @@
     def observe_kv(
         self, record: ConfigRecord, kv_revision: int, requested_at_ms: float
     ) -> OfferResult:
-        """Take what the key-value service held at or after ``requested_at_ms``.
+        """Handle the record that the key-value service held at or after ``requested_at_ms``.
 
-        It must not be older than what any VM had before then: such a record was restored.  A read
-        that was under way while the version in force here was written proves nothing.
+        A record older than any version announced before that time means that the service was
+        restored from a backup, and is refused.  A read that was in progress while the version in
+        force was written proves nothing.
         """
         if record.version < self.version and self._first_seen_after(requested_at_ms):
             return OfferResult.OVERTAKEN
@@ -132,20 +133,20 @@
         return offer
 
     def _first_seen_after(self, requested_at_ms: float) -> bool:
-        """Whether the version in force here was first heard of after ``requested_at_ms``."""
+        """Whether the version in force was first received after ``requested_at_ms``."""
         return (
             self.highest_seen_version >= self.version and self.highest_seen_at_ms > requested_at_ms
         )
 
     def confirm(self, requested_at_ms: float) -> None:
-        """Note that the version in force was the newest at or after ``requested_at_ms``."""
+        """Record that the version in force was the newest at or after ``requested_at_ms``."""
         self.confirmed_at_ms = max(self.confirmed_at_ms, requested_at_ms)
 
     def raise_alarm(self, kind: AlarmKind, source: str, offered_version: int) -> None:
         self.alarm = Alarm(kind, source, offered_version, self.version)
 
     def deltas_after(self, version: int) -> Sequence[ConfigDelta]:
-        """Return the kept deltas from ``version`` to the one in force; empty when they lack one."""
+        """Return the deltas from ``version`` to the one in force; empty when one is missing."""
         deltas = [delta for delta in self._deltas if delta.applied.version > version]
         return deltas if len(deltas) == self.version - version else ()
 
--- a/src/fescuedock/core/config/republish.py
+++ b/src/fescuedock/core/config/republish.py
@@ -1,7 +1,7 @@
-"""Puts the configuration in force back into a key-value service that was restored to an older one.
+"""Writes the configuration in force to a key-value service that was restored to an older one.
 
-An operator asks for it.  Only a record that the one in force descends from is overwritten, and only
-by the highest version that any VM is known to have.
+Requested by an operator.  Overwrites only an ancestor of the record in force, and only with the
+highest version that any VM is known to have.
 """
 
 from fescuedock.core.config.record import (
@@ -24,7 +24,7 @@
 ) -> Put | Accepted | Refusal:
     """Decide what to write, given the record's bytes (None: there is none) and its revision.
 
-    ``Accepted`` says that nothing has to be done.  A record that cannot be read is overwritten.
+    Return ``Accepted`` if there is nothing to do.  A record that cannot be decoded is overwritten.
     """
     try:
         stored = empty_record() if value is None else decode_record(value)
@@ -32,7 +32,7 @@
         stored = empty_record()
     own = replica.record
     if own.version < replica.highest_seen_version:
-        # Another VM has a later one, which must be the one that is written.
+        # Another VM has a later version, which must be written instead.
         return Refusal(ResultCode.CONFIG_UNCONFIRMED, own.version)
     if stored.version > own.version or not chain_agrees(stored, own):
         return Refusal(ResultCode.CONFIG_REVERTED, own.version)
--- a/src/fescuedock/core/config/spread.py
+++ b/src/fescuedock/core/config/spread.py
@@ -1,8 +1,8 @@
-"""Who tells whom about a version: watchers of the key-value service, pushes, pulls.
+"""Dissemination of configuration versions: watchers of the key-value service, pushes and pulls.
 
-A few VMs of each failure domain, picked by rendezvous hashing, ask the key-value service for the
-revision of the record's key; the others ask one of them.  Who gets a new version passes it on to a
-few VMs picked at random.  Who hears of a higher one, on any membership message, pulls it.
+A few VMs of each failure domain, chosen by rendezvous hashing, query the key-value service for the
+revision of the record's key; the other VMs query one of them.  A VM with a new version pushes it to
+a few random VMs.  A VM that sees a higher version in a membership message pulls it.
 """
 
 from collections.abc import Sequence
@@ -28,7 +28,7 @@
 
 
 class SpreadLimits(msgspec.Struct, frozen=True):
-    """Fixed figures of the spread; docs/decisions/config-spread.md has how they were found."""
+    """Parameters of the dissemination; docs/decisions/config-spread.md explains their choice."""
 
     watchers_per_domain: int = 2
     push_targets: int = 8
@@ -38,19 +38,19 @@
 
 
 class ConfirmationState(StrEnum):
-    """What a VM can say about the version it has."""
+    """How well a VM's version of the configuration is confirmed as the newest."""
 
     CONFIRMED = "confirmed"
-    # Unconfirmed, but most VMs are within reach and none of them is known to be ahead.
+    # Unconfirmed, but most VMs are reachable and none of them is known to have a newer version.
     UNCONFIRMED = "unconfirmed"
-    # Unconfirmed and cut off from half of the VMs or more, which may be ahead.
+    # Unconfirmed and cut off from half of the VMs or more, which may have a newer version.
     CUT_OFF = "cut_off"
-    # Restarted, and nobody has told it any version yet.
+    # Restarted, and has not received any version yet.
     EMPTY = "empty"
 
 
 def live_vms(vms: Sequence[VmRecord]) -> list[VmRecord]:
-    """Return those whose agents can be called."""
+    """Return the VMs whose agents can be called."""
     return [vm for vm in vms if vm.state is not VmState.GONE and vm.agent_port]
 
 
@@ -63,7 +63,7 @@
 def pick_targets(
     vms: Sequence[VmRecord], own_vm_id: str, count: int, random: Random
 ) -> list[VmRecord]:
-    """Pick up to ``count`` other live_vms VMs at random."""
+    """Return up to ``count`` other live VMs, chosen at random."""
     others = [vm for vm in live_vms(vms) if vm.vm_id != own_vm_id]
     return random.sample(others, min(count, len(others)))
 
@@ -71,7 +71,7 @@
 def confirmation_state(
     confirmed_age_ms: float, confirm_limit_ms: float, version: int, reached: int, known: int
 ) -> ConfirmationState:
-    """Judge the age of the last confirmation, with ``reached`` of ``known`` VMs within reach."""
+    """Classify the age of the last confirmation when ``reached`` of ``known`` VMs are reachable."""
     if confirmed_age_ms <= confirm_limit_ms:
         return ConfirmationState.CONFIRMED
     if not version:
@@ -80,7 +80,7 @@
 
 
 def is_serving(state: ConfirmationState, cut_off: CutOff) -> bool:
-    """Whether a VM of that confirmation_state takes new requests."""
+    """Whether a VM in that state accepts new requests."""
     if state is ConfirmationState.CONFIRMED:
         return True
     if state is ConfirmationState.EMPTY or cut_off is CutOff.REFUSE:
--- a/src/fescuedock/core/config/writer.py
+++ b/src/fescuedock/core/config/writer.py
@@ -1,9 +1,9 @@
-"""Writes one patch into the record by compare-and-swap, whatever becomes of the answers.
+"""Writes one patch to the record by compare-and-swap, also when answers are lost.
 
-The writer is driven by its caller: it says what to do with the key-value service, and is told how
-that ended.  A write whose answer was lost is resolved by reading the record back: it holds the
-patch's identity, or another write won, or the write is repeated as it was.  Repeating it cannot do
-harm, as only one write can succeed on the revision that all copies of it name.
+The caller executes each step on the key-value service and reports its outcome.  A write whose
+answer was lost is resolved by reading the record back: it contains the patch's identity, or another
+write won, or the same write is repeated.  Repeating it is safe, as all copies of the write expect
+the same revision and only one can succeed.
 """
 
 import msgspec
@@ -39,7 +39,7 @@
 
 
 class Accepted(msgspec.Struct, frozen=True):
-    """The patch made ``version``, now or at an earlier use of its identity."""
+    """The patch produced ``version``, now or at an earlier use of its identity."""
 
     version: int
 
@@ -48,22 +48,22 @@
 
 
 class PatchWriter(msgspec.Struct):
-    """One patch on its way into the record, and from there into this VM's ``replica``.
+    """Writes one patch to the record, and then applies it to this VM's ``replica``.
 
-    Begin with ``Read``; each method returns the next step, or None to read after a little wait.
+    Begin with ``Read``; each method returns the next step, or None to read after a short wait.
     """
 
     request: PatchRequest
     replica: Replica
     accepted_at_s: int
-    # Whether a write of ours may have taken effect, or may yet.
+    # Whether a write of this writer may have taken effect or may still do so.
     uncertain: bool = False
     _put: Put | None = None
     _record: ConfigRecord | None = None
     _delta: ConfigDelta | None = None
 
     def on_read(self, value: bytes | None, revision: int, requested_at_ms: float) -> WriterStep:
-        """Take the record's bytes (None: there is no record) and decide."""
+        """Handle the record's bytes (None: there is no record); return the next step."""
         try:
             record = empty_record() if value is None else decode_record(value)
         except BadRecordError:
@@ -85,7 +85,7 @@
         return self._resolve_lost(record) if self.uncertain else self._prepare(record, revision)
 
     def on_put(self, outcome: Result[int, Fault], requested_at_ms: float) -> WriterStep | None:
-        """Take the outcome of the write that ``Put`` asked for."""
+        """Handle the outcome of the write that ``Put`` requested."""
         match outcome:
             case Ok(revision):
                 self._accept(revision, requested_at_ms)
@@ -97,7 +97,7 @@
         return None
 
     def give_up(self) -> Refusal:
-        """Return the truthful answer when there is no time left to find out more."""
+        """Return the refusal for a patch whose time has run out: unavailable, or unknown."""
         return self._refusal(ResultCode.KV_UNAVAILABLE)
 
     def _prepare(self, record: ConfigRecord, revision: int) -> WriterStep:
@@ -123,9 +123,10 @@
         return Accepted(applied.version)
 
     def _resolve_lost(self, record: ConfigRecord) -> WriterStep:
-        """The key has moved on from the revision that our uncertain write named.
+        """Return the refusal when the key's revision has passed that of the uncertain write.
 
-        Our write can no longer succeed; it did before only if the record forgot it since.
+        The write can no longer succeed.  It may have succeeded before only if the record has since
+        dropped its entry.
         """
         made = self.request.base_version + 1
         if any(applied.version == made for applied in record.patches):
--- a/tests/builders/config.py
+++ b/tests/builders/config.py
@@ -1,4 +1,4 @@
-"""Builders for configuration tests: a key-value cell with fates, VMs, patches."""
+"""Builders for configuration tests: a key-value cell with injected outcomes, VMs and patches."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -27,7 +27,7 @@
 
 
 class CallOutcome(StrEnum):
-    """What becomes of one call to the cell."""
+    """Outcome of one call to the cell."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class KvCell:
-    """One key of the key-value service; ``writes`` are those that took effect."""
+    """One key of the key-value service; ``writes`` are the values whose write took effect."""
 
     value: bytes | None = None
     revision: int = 0
@@ -74,7 +74,7 @@
 
 
 def vm_record(name: str, failure_domain: str = "sala-chipre") -> VmRecord:
-    """Return a live VM whose agent can be called."""
+    """Return the record of a live VM whose agent can be called."""
     return VmRecord(name, "caldas", failure_domain, "127.0.0.1", 1, VmState.ALIVE, agent_port=7000)
 
 
@@ -89,7 +89,7 @@
 
 
 def records(count: int, name: str = "patch") -> list[ConfigRecord]:
-    """Return the records of versions 0 to ``count``; ``name`` tells chains apart."""
+    """Return the records of versions 0 to ``count``; chains with another ``name`` differ."""
     chain = [empty_record()]
     for version in range(count):
         request = member_patch(version, f"{name}-{version}")
@@ -98,7 +98,7 @@
 
 
 def config_document(members: int, models: int, keys: int = 1) -> dict:
-    """Return the document of a fleet of that size."""
+    """Return the document of a fleet with that many members, models and keys per member."""
     return {
         "services": {
             f"service-{n}": {"kind": "model", "models": {f"model-{n}": {"version": "1"}}}
--- a/tests/test_config_decisions.py
+++ b/tests/test_config_decisions.py
@@ -1,4 +1,4 @@
-"""Decisions on the configuration one by one: patches, checks, restored services, cut-off VMs."""
+"""Single decisions about the configuration: patches, checks, restored services, cut-off VMs."""
 
 import hashlib
 import unittest
@@ -56,7 +56,7 @@
         for target, patch, merged in cases:
             self.assertEqual(merge_patch(target, patch), merged)
 
-    def test_every_problem_is_named_and_no_key_is_shown(self):
+    def test_every_problem_is_reported_and_no_key_is_shown(self):
         document = {
             "servces": {},
             "services": {
@@ -108,7 +108,7 @@
             ],
         )
 
-    def test_a_check_of_what_changed_finds_the_same_as_a_check_of_all(self):
+    def test_a_check_of_changed_entries_finds_the_same_as_a_full_check(self):
         former = config_document(members=3, models=2)
         patches = [
             {"members": {"member-00001": {"share": 0}}},
@@ -157,7 +157,7 @@
         other = self.writer(member_patch(1, "patch-1", share=9)).on_read(current, 7, 0)
         self.assertEqual(other, Refusal(ResultCode.PATCH_ID_REUSED, 3))
 
-    def test_an_uncertain_write_that_the_record_has_forgotten_stays_unknown(self):
+    def test_an_uncertain_write_dropped_from_the_record_stays_unknown(self):
         writer = self.writer(member_patch(3, "mine"))
         self.assertIsInstance(writer.on_read(encode_record(self.chain[3]), 7, 0), Put)
         writer.on_put(UNKNOWN, 0)
@@ -172,7 +172,7 @@
         self.assertEqual(self.replica.alarm.kind, AlarmKind.REVERTED)
         self.assertEqual(self.replica.version, 3)
 
-    def test_a_restarted_vm_refuses_what_is_older_than_its_peers_have(self):
+    def test_a_restarted_vm_refuses_a_record_older_than_its_peers_have(self):
         self.replica = Replica()
         self.replica.record_peer_version(3, 10)
         old = encode_record(self.chain[2])
@@ -180,13 +180,13 @@
         self.assertEqual(step.code, ResultCode.CONFIG_REVERTED)
         self.assertEqual(self.replica.version, 0)
 
-    def test_a_read_that_began_before_the_peer_was_heard_proves_nothing(self):
+    def test_a_read_that_began_before_a_peer_version_proves_nothing(self):
         self.replica = Replica()
         self.replica.record_peer_version(3, 10)
         offer = self.replica.observe_kv(self.chain[2], 9, requested_at_ms=9)
         self.assertEqual(offer, OfferResult.APPLIED)
 
-    def test_garbage_in_the_service_is_an_alarm_and_no_base(self):
+    def test_garbage_in_the_service_raises_an_alarm_and_is_no_base(self):
         step = self.writer(member_patch(3, "new")).on_read(b"garbage", 9, 0)
         self.assertEqual(step.code, ResultCode.CONFIG_REVERTED)
         self.assertEqual(self.replica.alarm.kind, AlarmKind.CORRUPT)
@@ -203,7 +203,7 @@
 
 
 class OvertakenReadTest(unittest.TestCase):
-    """A read of the service under way while another VM writes the next version and pushes it."""
+    """A read of the service in progress while another VM writes and pushes the next version."""
 
     def setUp(self):
         vms = [vm_record("vm-a"), vm_record("vm-b")]
@@ -215,7 +215,7 @@
         self.assertEqual(self.node.on_push(pushed, -inf, now_ms=10), OfferResult.APPLIED)
         self.assertEqual(self.node.version, 3)
 
-    def test_it_is_no_sign_of_a_restored_service(self):
+    def test_an_overtaken_read_does_not_indicate_a_restored_service(self):
         older = encode_record(self.chain[2])
         self.node.on_record(older, 7, requested_at_ms=5)
         self.assertIsNone(self.node.replica.alarm)
@@ -223,14 +223,14 @@
         self.node.on_record(older, 7, requested_at_ms=15)
         self.assertEqual(self.node.replica.alarm.kind, AlarmKind.REVERTED)
 
-    def test_a_patch_is_not_refused_for_it_but_built_on_a_new_read(self):
+    def test_a_patch_is_built_on_a_new_read_after_an_overtaken_one(self):
         writer = PatchWriter(member_patch(3, "new"), self.node.replica, 0)
         self.assertEqual(writer.on_read(encode_record(self.chain[2]), 7, 5), Read())
         self.assertIsInstance(writer.on_read(encode_record(self.chain[3]), 8, 15), Put)
 
 
 class ReplicaTest(unittest.TestCase):
-    def test_a_fork_is_refused_however_high(self):
+    def test_a_fork_is_refused_at_any_version(self):
         replica = Replica(record=records(3)[3])
         for version in (3, 5):
             offer = replica.offer_record(records(5, "fork")[version], "vm-b")
@@ -248,13 +248,13 @@
         self.assertEqual(fork.version, 3)
         self.assertEqual(Replica(record=chain[3]).offer_delta(delta), OfferResult.APPLIED)
 
-    def test_a_changed_document_is_no_record(self):
+    def test_a_record_with_a_changed_document_is_rejected(self):
         record = records(2)[2]
         changed = msgspec.structs.replace(record, document=b'{"members":{}}')
         with self.assertRaises(BadRecordError):
             decode_record(encode_record(changed))
 
-    def test_an_answer_confirms_only_as_far_as_its_sender_was_confirmed(self):
+    def test_an_answer_confirms_only_up_to_the_confirmation_of_its_sender(self):
         vms = [vm_record("vm-a"), vm_record("vm-b")]
         asker, watcher = (node_of(vm, vms) for vm in vms)
         watcher.replica.confirm(1000)
@@ -262,7 +262,7 @@
         asker.on_push(answer, requested_at_ms=4990, now_ms=5010)
         self.assertAlmostEqual(asker.replica.confirmed_at_ms, 990, delta=2)
 
-    def test_a_vm_that_is_ahead_and_silent_is_not_asked_for_ever(self):
+    def test_a_silent_vm_with_a_newer_version_is_not_queried_forever(self):
         vms = [vm_record(f"vm-{n}") for n in range(4)]
         node = node_of(vms[0], vms)
         node.tick(0)
@@ -274,7 +274,7 @@
         node.on_peer_version(vms[2], 5, 1600)
         self.assertIn(Pull(vms[2], ConfigPull(0)), node.tick(2000))
 
-    def test_who_gets_no_confirmation_from_watchers_asks_the_service(self):
+    def test_a_vm_without_confirmation_from_watchers_queries_the_service(self):
         vms = [vm_record(f"vm-{n}") for n in range(4)]
         watchers = watchers_of(vms, vms[0].failure_domain, 2)
         node = node_of(next(vm for vm in vms if vm.vm_id not in watchers), vms)
@@ -285,7 +285,7 @@
 
 
 class StandingTest(unittest.TestCase):
-    def test_the_service_is_away_when_nobody_within_reach_knows_better(self):
+    def test_the_service_is_away_when_no_reachable_vm_has_an_answer(self):
         vms = [vm_record(f"vm-{n}") for n in range(4)]
         node = node_of(vms[0], vms)
         self.assertFalse(node.kv_away(60_000), "nothing was ever confirmed")
@@ -299,7 +299,7 @@
     def judge(self, age_ms, version, reached, known):
         return confirmation_state(age_ms, 15000, version, reached, known)
 
-    def test_what_a_vm_says_and_serves_when_it_cannot_confirm(self):
+    def test_state_and_service_of_a_vm_without_confirmation(self):
         cases = [
             (self.judge(15000, 7, 1, 9), ConfirmationState.CONFIRMED, {*CutOff}),
             (
@@ -314,7 +314,7 @@
             self.assertEqual(found, expected)
             self.assertEqual({item for item in CutOff if is_serving(found, item)}, serving)
 
-    def test_few_watchers_for_each_domain_whatever_the_fleet(self):
+    def test_the_number_of_watchers_per_domain_is_independent_of_fleet_size(self):
         for size in (9, 370):
             vms = [vm_record(f"vm-{n}", f"hall-{n % 3}") for n in range(size)]
             self.assertEqual(len(watchers_of(vms, "hall-1", 2)), 2)
--- a/tests/test_config_kv_away.py
+++ b/tests/test_config_kv_away.py
@@ -1,4 +1,4 @@
-"""What one VM takes for "the key-value service answers nobody", while it answers some."""
+"""A VM must not consider the key-value service unavailable to all while it answers some VM."""
 
 import unittest
 
@@ -9,26 +9,26 @@
 VMS = 6
 STEP_MS = 50.0
 RUN_MS = 120_000.0
-# How old a record may be on which a runner begins items, and how long after an answer is looked.
+# Maximum age of a record on which a runner begins items, and duration of the check after that.
 RECORD_AGE_MS = BatchSettings(port=1).record_age_ms
 CHECK_MS = 500.0
 
 
 class PartialOutageTest(unittest.TestCase):
-    """The service turned away five of six VMs and served the one that recorded a cancel.
+    """The service refuses five of six VMs and serves the sixth, which records a cancel.
 
-    The five reached each other and the sixth all the while.  A runner asks whether the service
-    answers nobody, and begins items on records of any age while it does not.
+    All six VMs can reach each other.  If one of the five concluded that the service answers no VM,
+    its runner would begin items on records of any age, also after the cancel.
     """
 
-    def test_a_vm_does_not_say_so_while_one_that_it_reaches_is_answered(self) -> None:
+    def test_no_vm_reports_an_outage_while_a_reachable_one_is_answered(self) -> None:
         vms = [vm_record(f"vm-{number}") for number in range(VMS)]
         nodes = {vm.vm_id: node_of(vm, vms, seed) for seed, vm in enumerate(vms)}
         record = records(1)[-1]
         for node in nodes.values():
             node.replica.offer_record(record, "start", 3)
             node.replica.confirm(0.0)
-        # One that does not watch for its domain, as the others of the domain rely on those.
+        # Not a watcher, as the other VMs of the domain query the watchers.
         served = self.not_watching(nodes)
         answered_ms = 0.0
         wrong_ms: list[float] = []
@@ -53,7 +53,7 @@
     def act(
         self, nodes: dict[str, ConfigNode], node: ConfigNode, served: ConfigNode, now_ms: float
     ) -> bool:
-        """Carry out what is due at a node; return whether the service answered it."""
+        """Execute the actions due at a node; return whether the service answered it."""
         answered = False
         actions = node.tick(now_ms)
         while actions:
--- a/tests/test_config_service.py
+++ b/tests/test_config_service.py
@@ -1,4 +1,4 @@
-"""The configuration over real sockets: three VMs, operators at different entries, faults."""
+"""The configuration over real sockets: three VMs, operators at several entries, and faults."""
 
 import itertools
 import unittest
@@ -23,7 +23,7 @@
 
 
 def patch_body(base_version: int, name: str) -> dict:
-    """Return the body of a patch that makes a member of its own name."""
+    """Return the body of a patch that creates a member named like the patch."""
     return {"base_version": base_version, "patch_id": name, "patch": {"members": {name: {}}}}
 
 
@@ -95,7 +95,7 @@
             await wait_until(partial(operators.in_force, version + 1), timeout_s=4)
 
     async def _orders(self, operators):
-        """What the configuration asks of an engine is ordered by the agent that owns it."""
+        """The agent that owns an engine orders what the configuration requires of it."""
         version = await operators.version("vm-chipre")
         engine = operators.system.standins.engines["worker-trip-desk-1"]
         patch = {"upstreams": {"worker-trip-desk-1": {"role": "decode"}}}
@@ -131,13 +131,13 @@
         seen = await self._restart(system, operators)
         self.assertEqual(set(seen), {version})
         system.standins.kv.bring_up()
-        # It listens again a little later than it is told to.
+        # The stand-in starts to listen shortly after the call.
         await wait_until(partial(listens, system.standins.kv.address), timeout_s=4)
         answer = await operators.patch(VM_LOST, version, "outage")
         self.assertEqual((answer.status, answer.json), (200, {"version": version + 1}))
 
     async def _restart(self, system, operators):
-        """Lose a VM and start it anew; return the versions that its entry told, three at least."""
+        """Kill a VM and restart it; return at least three versions reported by its entry."""
         lost = system.vms[VM_LOST]
         lost.kill()
         await lost.stopped.wait()
--- a/tests/test_config_standing.py
+++ b/tests/test_config_standing.py
@@ -1,4 +1,4 @@
-"""What one agent's service says of its configuration while the key-value service is away."""
+"""Confirmation state reported by an agent while the key-value service is unavailable."""
 
 import unittest
 from random import Random
@@ -21,7 +21,7 @@
 
 
 class Fleet:
-    """A fixed view of VMs, and peers that do not answer."""
+    """A fixed view of four VMs, the last ``gone`` of which are gone."""
 
     def __init__(self, gone: int) -> None:
         records = [vm_record(f"vm-{n}") for n in range(4)]
@@ -48,7 +48,7 @@
 
 
 class ConfigStandingTest(unittest.TestCase):
-    def test_an_outage_is_told_and_served_as_the_setting_says(self):
+    def test_an_outage_is_reported_and_served_according_to_the_setting(self):
         for gone, cut_off, serves in (
             (0, CutOff.MAJORITY, True),
             (2, CutOff.MAJORITY, False),
@@ -81,7 +81,7 @@
             self.assertEqual((service.unconfirmed, service.serving), (False, True))
             nursery.cancel_scope.cancel()
 
-    def test_a_vm_that_starts_in_an_outage_takes_no_work(self):
+    def test_a_vm_that_starts_in_an_outage_accepts_no_work(self):
         clock = trio.testing.MockClock(autojump_threshold=0)
         trio.run(self._start_in_outage, clock=clock)
 
--- a/tests/test_config_stateful.py
+++ b/tests/test_config_stateful.py
@@ -1,4 +1,4 @@
-"""The configuration under lost answers, outages, late writes and restarts, against an oracle."""
+"""The configuration under lost answers, outages, late writes and restarts, with an oracle."""
 
 import itertools
 
@@ -35,7 +35,7 @@
 
 
 class Change:
-    """One patch on its way through one VM."""
+    """One patch being written by one VM."""
 
     def __init__(self, vm_index, writer):
         self.vm_index = vm_index
@@ -44,7 +44,7 @@
 
 
 class ConfigMachine(RuleBasedStateMachine):
-    """The oracle is the list of writes that took effect, and what operators were told."""
+    """The oracle consists of the writes that took effect and the answers given to operators."""
 
     changes = Bundle("changes")
     messages = Bundle("messages")
@@ -72,7 +72,7 @@
 
     @rule(target=changes, vm_index=INDEXES, call_outcome=CALL_OUTCOMES, gives_up=st.booleans())
     def submit_and_write(self, vm_index, call_outcome, gives_up):
-        """The usual course of a patch up to its write, whose answer may be lost."""
+        """Submit a patch and execute its read and its write, whose answer may be lost."""
         change = self.submit(vm_index, 0, 1)
         for step_outcome in (CallOutcome.ANSWERED, call_outcome):
             if not isinstance(change.step, Accepted | Refusal):
@@ -88,12 +88,12 @@
 
     @rule(target=changes, change=consumes(changes), call_outcome=CALL_OUTCOMES)
     def go_on(self, change, call_outcome):
-        """Carry out the next step of a change."""
+        """Execute the next step of a change."""
         step = change.step or Read()
         if isinstance(step, Accepted | Refusal):
             return multiple()
         if change.writer.replica is not self.nodes[change.vm_index].replica:
-            # Its VM was restarted; the operator got no answer.
+            # The VM was restarted, so the operator gets no answer.
             return multiple()
         self.now_ms += 1
         if isinstance(step, Put):
@@ -167,13 +167,13 @@
 
     @rule(message=messages)
     def deliver(self, message):
-        """Deliver once more; messages that are never chosen are lost."""
+        """Deliver a message, possibly again; messages that are never chosen are lost."""
         vm_index, push, requested_at_ms = message
         self.nodes[vm_index].on_push(push, requested_at_ms, self.now_ms)
 
     @rule(target=messages, sender=INDEXES, receiver=INDEXES, whole=st.booleans())
     def ask(self, sender, receiver, whole):
-        """Ask for what there is now, to be delivered at any later time."""
+        """Pull the current state, to be delivered at any later time."""
         self.now_ms += 1
         pull = ConfigPull(0 if whole else self.nodes[receiver].version, whole_record=whole)
         return (receiver, self.nodes[sender].on_pull(pull, self.now_ms), self.now_ms)
@@ -182,7 +182,7 @@
     def gossip(self, sender, receiver):
         self.nodes[receiver].on_peer_version(VMS[sender], self.nodes[sender].version, self.now_ms)
 
-    # --- promises ------------------------------------------------------------------------------
+    # --- invariants ----------------------------------------------------------------------------
 
     @invariant()
     def promises_hold(self):
@@ -193,7 +193,7 @@
             self._check_node(index, node)
 
     def _check_write(self, record):
-        """Versions are linear: each write builds on the one before."""
+        """Check that versions are linear: each write builds on the previous one."""
         former = self.records[-1]
         assert record.version == former.version + 1
         assert self.bases[record.patches[-1].patch_id] == former.version
@@ -204,7 +204,7 @@
         self.records.append(record)
 
     def _check_reported(self):
-        """Nothing accepted is lost, whatever else was written since."""
+        """Check that no accepted patch is lost by later writes."""
         made = {item.patch_id: item.version for item in self.records[-1].patches}
         for patch_id, version in self.reported_accepted.items():
             assert made[patch_id] == version
@@ -217,7 +217,7 @@
         self.highest[index] = node.version
         assert node.replica.record == self.records[node.version]
         assert node.replica.alarm is None
-        # A confirmation says that no later version existed then.
+        # A confirmation means that no later version existed at that time.
         confirmed_at_ms = node.replica.confirmed_at_ms
         assert node.version >= self.version_at(confirmed_at_ms)
 
