--- a/tests/test_config_decisions.py
+++ b/tests/test_config_decisions.py
@@ -256,11 +256,11 @@
 
     def test_an_answer_confirms_only_up_to_the_confirmation_of_its_sender(self):
         vms = [vm_record("vm-a"), vm_record("vm-b")]
-        asker, watcher = (node_of(vm, vms) for vm in vms)
+        puller, watcher = (node_of(vm, vms) for vm in vms)
         watcher.replica.confirm(1000)
         answer = watcher.on_pull(ConfigPull(0), now_ms=5000)
-        asker.on_push(answer, requested_at_ms=4990, now_ms=5010)
-        self.assertAlmostEqual(asker.replica.confirmed_at_ms, 990, delta=2)
+        puller.on_push(answer, requested_at_ms=4990, now_ms=5010)
+        self.assertAlmostEqual(puller.replica.confirmed_at_ms, 990, delta=2)
 
     def test_a_silent_vm_with_a_newer_version_is_not_queried_forever(self):
         vms = [vm_record(f"vm-{n}") for n in range(4)]
@@ -280,11 +280,11 @@
         node = node_of(next(vm for vm in vms if vm.vm_id not in watchers), vms)
         node.replica.offer_record(records(1)[1], "vm-b")
         node.replica.confirm(0)
-        asked = {now_ms: ReadRevision() in node.tick(now_ms) for now_ms in (100, 7400, 12100)}
-        self.assertEqual(asked, {100: False, 7400: False, 12100: True})
+        queried = {now_ms: ReadRevision() in node.tick(now_ms) for now_ms in (100, 7400, 12100)}
+        self.assertEqual(queried, {100: False, 7400: False, 12100: True})
 
 
-class StandingTest(unittest.TestCase):
+class ConfirmationStateTest(unittest.TestCase):
     def test_the_service_is_away_when_no_reachable_vm_has_an_answer(self):
         vms = [vm_record(f"vm-{n}") for n in range(4)]
         node = node_of(vms[0], vms)
--- a/tests/test_config_service.py
+++ b/tests/test_config_service.py
@@ -37,22 +37,22 @@
     def __init__(self, system: LocalSystem) -> None:
         self.system = system
 
-    async def ask(self, vm_id: str, method: str, target: str, body: object = None) -> Answer:
+    async def request(self, vm_id: str, method: str, target: str, body: object = None) -> Answer:
         entry = self.system.vms[vm_id].entry_address
         return await exchange(self.system, method, target, body, entry=entry)
 
     async def version(self, vm_id: str) -> int:
-        answer = await self.ask(vm_id, "GET", "/admin/config")
+        answer = await self.request(vm_id, "GET", "/admin/config")
         return answer.json["version"]
 
     async def patch(self, vm_id: str, base_version: int, name: str) -> Answer:
         body = patch_body(base_version, name)
-        return await self.ask(vm_id, "POST", "/admin/config/patches", body)
+        return await self.request(vm_id, "POST", "/admin/config/patches", body)
 
     async def in_force(self, version: int) -> bool:
         versions = [await self.version(vm_id) for vm_id in self.system.vms]
-        told = await self.ask("vm-chipre", "GET", f"/admin/config/versions?version={version}")
-        return min(versions) >= version and not told.json["behind"]
+        behind = await self.request("vm-chipre", "GET", f"/admin/config/versions?version={version}")
+        return min(versions) >= version and not behind.json["behind"]
 
 
 class ConfigServiceTest(unittest.TestCase):
@@ -73,15 +73,17 @@
         answer = await operators.patch("vm-palermo", version, "spread")
         self.assertEqual((answer.status, answer.json), (200, {"version": version + 1}))
         await wait_until(partial(operators.in_force, version + 1), timeout_s=4)
-        history = await operators.ask("vm-villamaria", "GET", "/admin/config/history")
+        history = await operators.request("vm-villamaria", "GET", "/admin/config/history")
         self.assertEqual(history.json["patches"][0]["patch_id"], "spread")
 
     async def _races(self, operators):
-        for turn in range(3):
+        for round_number in range(3):
             version = await operators.version("vm-chipre")
             answers = {}
 
-            async def submit(vm_id, base_version=version, found=answers, name=f"race-{turn}"):
+            async def submit(
+                vm_id, base_version=version, found=answers, name=f"race-{round_number}"
+            ):
                 found[vm_id] = await operators.patch(vm_id, base_version, f"{name}-{vm_id}")
 
             async with trio.open_nursery() as nursery:
@@ -100,7 +102,7 @@
         engine = operators.system.standins.engines["worker-trip-desk-1"]
         patch = {"upstreams": {"worker-trip-desk-1": {"role": "decode"}}}
         body = {"base_version": version, "patch_id": "role", "patch": patch}
-        answer = await operators.ask("vm-palermo", "POST", "/admin/config/patches", body)
+        answer = await operators.request("vm-palermo", "POST", "/admin/config/patches", body)
         self.assertEqual(answer.status, 200)
 
         async def has_role():
@@ -147,7 +149,7 @@
             while len(seen) < 3:
                 await trio.sleep(0.05)
                 try:
-                    answer = await operators.ask(VM_LOST, "GET", "/admin/config")
+                    answer = await operators.request(VM_LOST, "GET", "/admin/config")
                 except (KeyError, NotSentError, ResponseLostError):
                     continue
                 if answer.status == 200:
@@ -166,7 +168,7 @@
             refused = await operators.patch(vm_id, version, f"on-restored-{number}")
             self.assertEqual(refused.json["error"]["name"], "CONFIG_REVERTED")
             self.assertEqual(refused.json["error"]["version"], version + 1)
-        mended = await operators.ask("vm-palermo", "POST", "/admin/config/republish")
-        self.assertEqual((mended.status, mended.json), (200, {"version": version + 1}))
+        republished = await operators.request("vm-palermo", "POST", "/admin/config/republish")
+        self.assertEqual((republished.status, republished.json), (200, {"version": version + 1}))
         answer = await operators.patch(VM_LOST, version + 1, "goes-on")
         self.assertEqual((answer.status, answer.json), (200, {"version": version + 2}))
--- a/tests/test_config_standing.py
+++ b/tests/test_config_standing.py
@@ -47,7 +47,7 @@
     return ConfigService(settings, kv, fleet, no_peer, Random(1), lambda: 0)
 
 
-class ConfigStandingTest(unittest.TestCase):
+class ConfigConfirmationTest(unittest.TestCase):
     def test_an_outage_is_reported_and_served_according_to_the_setting(self):
         for gone, cut_off, serves in (
             (0, CutOff.MAJORITY, True),
