--- a/src/fescuedock/agent/order_service.py
+++ b/src/fescuedock/agent/order_service.py
@@ -23,9 +23,9 @@
     next_order,
     placement_of,
     uses_weight_store,
-    without_lost,
+    without_unlisted,
 )
-from fescuedock.core.orders.steps import Give, GiveOutcome, ReadRecord, Wait, Write
+from fescuedock.core.orders.steps import ReadRecord, SendOrder, SendOutcome, Wait, Write
 from fescuedock.faults import Fault
 from fescuedock.kv import KvStore
 from fescuedock.log import log_event
@@ -45,10 +45,10 @@
 _MAX_AT_ONCE = 4
 _ROUNDING_MS = 1.0
 _OUTCOMES = {
-    ResultCode.PEER_UNREACHABLE: GiveOutcome.NOT_SENT,
-    ResultCode.PEER_UNKNOWN: GiveOutcome.UNKNOWN,
-    ResultCode.SUPERSEDED_ORDER: GiveOutcome.SUPERSEDED,
-    ResultCode.UPSTREAM_REJECTED: GiveOutcome.REJECTED,
+    ResultCode.PEER_UNREACHABLE: SendOutcome.NOT_SENT,
+    ResultCode.PEER_UNKNOWN: SendOutcome.UNKNOWN,
+    ResultCode.SUPERSEDED_ORDER: SendOutcome.SUPERSEDED,
+    ResultCode.UPSTREAM_REJECTED: SendOutcome.REJECTED,
 }
 
 
@@ -116,7 +116,7 @@
     async def _serve(self, part: ServedUpstream) -> None:
         """Bring one upstream to what it has to have, and keep it there, while it is ours."""
         name = part.upstream.upstream_id
-        while self._owns(name) or part.holder.holds:
+        while self._owns(name) or part.holder.is_holding:
             part.refresh(self._view)
             part.wake = trio.Event()
             if part.holder.phase is Phase.UNKNOWN:
@@ -144,7 +144,7 @@
         match await self._control.models(part.upstream):
             case Ok(listed):
                 part.listed = listed
-                part.holder.state = without_lost(part.holder.state, listed)
+                part.holder.state = without_unlisted(part.holder.state, listed)
                 self._judge(part)
 
     def _judge(self, part: ServedUpstream) -> None:
@@ -168,9 +168,9 @@
                     await self._read(part)
                 case Write() as write:
                     await self._write(part, write)
-                case Give() as give:
+                case SendOrder() as give:
                     await self._give(part, give)
-                case Wait(until_ms) if part.holder.holds:
+                case Wait(until_ms) if part.holder.is_holding:
                     await _sleep_past(until_ms)
                 case Wait(until_ms):
                     return until_ms - now_ms()
@@ -212,24 +212,24 @@
     def _key(self, part: ServedUpstream) -> str:
         return self._prefix + part.upstream.upstream_id
 
-    async def _give(self, part: ServedUpstream, give: Give) -> None:
+    async def _give(self, part: ServedUpstream, give: SendOrder) -> None:
         """Give the order, renewing the lease meanwhile; stop when the lease has run out.
 
         The scope's deadline covers the sending too: after a pause of this process the loop sees
         that it has passed before it lets anything be sent.
         """
-        outcome = GiveOutcome.NOT_SENT
+        outcome = SendOutcome.NOT_SENT
         scope = trio.CancelScope(deadline=give.until_ms / 1000)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._renew, part, scope)
             with scope:
                 async with self._slot(part.upstream, give.order):
-                    outcome = GiveOutcome.UNKNOWN
+                    outcome = SendOutcome.UNKNOWN
                     outcome = await self._send(part.upstream.upstream_id, give)
             nursery.cancel_scope.cancel()
-        if outcome is GiveOutcome.REJECTED:
+        if outcome is SendOutcome.REJECTED:
             part.refuse(give.order, now_ms())
-        part.holder.on_given(outcome, now_ms())
+        part.holder.on_order_sent(outcome, now_ms())
         self._judge(part)
 
     def _slot(
@@ -242,7 +242,7 @@
 
     async def _renew(self, part: ServedUpstream, scope: trio.CancelScope) -> None:
         holder = part.holder
-        while holder.holds:
+        while holder.is_holding:
             scope.deadline = holder.lease_end_ms / 1000
             await _sleep_past(holder.renewal_due_ms)
             write = holder.renewal(now_ms())
@@ -251,7 +251,7 @@
             else:
                 await self._read(part)
 
-    async def _send(self, upstream_id: str, give: Give) -> GiveOutcome:
+    async def _send(self, upstream_id: str, give: SendOrder) -> SendOutcome:
         """Send an order to the upstream as the view has it now.
 
         The order may have waited long for its slot; the address of an upstream that has gone
@@ -259,7 +259,7 @@
         """
         upstream = self._view.upstreams.get(upstream_id)
         if upstream is None:
-            return GiveOutcome.NOT_SENT
+            return SendOutcome.NOT_SENT
         order = give.order
         message = EngineOrder(
             give.fencing, order.kind.value, order.model, order.version, order.adapter, order.role
@@ -269,9 +269,9 @@
         )
         match result:
             case Ok(_):
-                outcome = GiveOutcome.DONE
+                outcome = SendOutcome.DONE
             case Err(fault):
-                outcome = _OUTCOMES.get(fault.code, GiveOutcome.UNKNOWN)
+                outcome = _OUTCOMES.get(fault.code, SendOutcome.UNKNOWN)
         log_event(
             "order_given",
             upstream_id=upstream.upstream_id,
--- a/src/fescuedock/agent/served_upstream.py
+++ b/src/fescuedock/agent/served_upstream.py
@@ -36,10 +36,10 @@
         self.upstream = found or msgspec.structs.replace(self.upstream, leaving=True)
         service = view.configuration.services.get(self.upstream.service)
         checks = service is not None and service.order_check is OrderCheck.FENCED
-        self.holder.engine_checks = checks
+        self.holder.engine_checks_fencing = checks
 
     def has_work(self, wanted: PlannedOrder | None) -> bool:
-        return wanted is not None or self.holder.current is not None or self.holder.holds
+        return wanted is not None or self.holder.current is not None or self.holder.is_holding
 
     def refuse(self, order: PlannedOrder, at_ms: float) -> None:
         """Note that the engine would not carry out ``order``, which is left for a while."""
--- a/src/fescuedock/core/orders/fencing.py
+++ b/src/fescuedock/core/orders/fencing.py
@@ -16,7 +16,7 @@
 import msgspec
 
 from fescuedock.core.orders.placement import after_order
-from fescuedock.core.orders.steps import Give, GiveOutcome, ReadRecord, Step, Wait, Write
+from fescuedock.core.orders.steps import ReadRecord, SendOrder, SendOutcome, Step, Wait, Write
 from fescuedock.schema.orders import EngineState, OrderRecord, PlannedOrder
 from fescuedock.schema.settings import OrderSettings
 
@@ -30,9 +30,9 @@
 
     # The record has to be read.
     UNKNOWN = "unknown"
-    # Somebody holds it, as far as is known.
+    # Somebody is_holding it, as far as is known.
     OBSERVING = "observing"
-    # Nobody holds it, as far as is known.
+    # Nobody is_holding it, as far as is known.
     FREE = "free"
     HOLDING = "holding"
 
@@ -41,12 +41,12 @@
     """One agent's part in the orders of one upstream.
 
     ``holder_id`` names one run of one agent.  The shell asks ``step`` what to do, does it and
-    reports by ``on_read``, ``on_write`` or ``on_given``.  ``renewal`` may be written while an
+    reports by ``on_read``, ``on_write`` or ``on_order_sent``.  ``renewal`` may be written while an
     order is under way.
     """
 
     holder_id: str
-    engine_checks: bool
+    engine_checks_fencing: bool
     settings: OrderSettings
     phase: Phase = Phase.UNKNOWN
     # What the engine has, as far as this agent has read or done.
@@ -57,15 +57,15 @@
     _unchanged_since_ms: float = inf
     _lease_began_ms: float = -inf
     # Until then an order of the holder before may reach an engine that ignores the number,
-    _waited_out_at_ms: float = -inf
+    _foreign_orders_end_ms: float = -inf
     # and until then one of this agent's own.
-    _settled_at_ms: float = -inf
+    _own_orders_end_ms: float = -inf
     _paused_until_ms: float = -inf
     _pending: Write | None = None
     _pending_sent_ms: float = -inf
     _finished_sequence: int = -1
-    _raise_by: int = 1
-    _raise_first: bool = False
+    _fencing_increment: int = 1
+    _raise_before_send: bool = False
 
     @property
     def current(self) -> PlannedOrder | None:
@@ -77,7 +77,7 @@
         return self._record.fencing if self._record else 0
 
     @property
-    def holds(self) -> bool:
+    def is_holding(self) -> bool:
         """Whether this agent took the upstream and has not learnt that it lost it."""
         return self.phase is Phase.HOLDING
 
@@ -91,23 +91,23 @@
         """When ``renewal`` is due next."""
         return self._lease_began_ms + self.settings.lease_ms / _RENEWALS_PER_LEASE
 
-    def step(self, wanted: PlannedOrder | None, now_ms: float) -> Step:
-        """Return what to do now; ``wanted`` is the next order by ``state``, None for no more."""
-        if now_ms < self._paused_until_ms and not self.holds:
+    def step(self, next_order: PlannedOrder | None, now_ms: float) -> Step:
+        """Return what to do now; ``next_order`` follows from ``state``, None if there is none."""
+        if now_ms < self._paused_until_ms and not self.is_holding:
             return Wait(self._paused_until_ms)
         if self._pending is not None or self.phase is Phase.UNKNOWN:
             return ReadRecord()
         if self.phase is Phase.HOLDING:
-            return self._step_holding(wanted, now_ms)
-        if wanted is None and self.current is None:
+            return self._step_holding(next_order, now_ms)
+        if next_order is None and self.current is None:
             return Wait(inf)
         if self.phase is Phase.FREE:
-            return self._take()
+            return self._acquire()
         return self._step_observing(now_ms)
 
     def renewal(self, now_ms: float) -> Write | None:
         """Return the write that renews the lease, if it is due."""
-        if not self.holds or self._pending is not None or now_ms < self.renewal_due_ms:
+        if not self.is_holding or self._pending is not None or now_ms < self.renewal_due_ms:
             return None
         return self._next_write()
 
@@ -123,86 +123,86 @@
         moved on.
         """
         if revision is not None:
-            self._take_effect(revision, now_ms)
+            self._apply_write(revision, now_ms)
         elif certain:
             self._pending = None
-            self._lose()
+            self._lose_lease()
 
     def on_read(self, record: OrderRecord | None, revision: int, now_ms: float) -> None:
         """Take the record as read; ``record`` is None when there is none."""
         pending, self._pending = self._pending, None
         if pending is not None and record == pending.record:
             self._pending = pending
-            self._take_effect(revision, now_ms)
-        elif self.holds and revision == self._revision:
+            self._apply_write(revision, now_ms)
+        elif self.is_holding and revision == self._revision:
             # The write is not there.  Should it come later, the next one fails and we read again.
             return
         else:
             self._observe(record, revision, now_ms)
 
-    def on_given(self, outcome: GiveOutcome, now_ms: float) -> None:
-        """Take the end of the order that ``Give`` asked for."""
-        if not self.holds or self.current is None:
+    def on_order_sent(self, outcome: SendOutcome, now_ms: float) -> None:
+        """Take the end of the order that ``SendOrder`` asked for."""
+        if not self.is_holding or self.current is None:
             return
         match outcome:
-            case GiveOutcome.DONE:
+            case SendOutcome.DONE:
                 self.state = after_order(self.state, self.current)
-                self._raise_by = 1
-                self._finish()
-            case GiveOutcome.REJECTED:
-                self._finish()
+                self._fencing_increment = 1
+                self._clear_current()
+            case SendOutcome.REJECTED:
+                self._clear_current()
                 self._paused_until_ms = now_ms + self.settings.retry_ms
-            case GiveOutcome.SUPERSEDED:
-                # Who holds it now?  Should it be this agent still, then the numbers went back
+            case SendOutcome.SUPERSEDED:
+                # Who is_holding it now?  Should it be this agent still, then the numbers went back
                 # with the key-value service, and are raised by more each time.
-                self._raise_by *= 2
+                self._fencing_increment *= 2
                 self._paused_until_ms = now_ms + self.settings.retry_ms
-                self._lose()
-            case GiveOutcome.NOT_SENT:
+                self._lose_lease()
+            case SendOutcome.NOT_SENT:
                 self._paused_until_ms = now_ms + self.settings.retry_ms
-            case GiveOutcome.UNKNOWN:
-                self._raise_first = True
-                self._settled_at_ms = now_ms + self.settings.longest_order_ms
+            case SendOutcome.UNKNOWN:
+                self._raise_before_send = True
+                self._own_orders_end_ms = now_ms + self.settings.longest_order_ms
                 self._paused_until_ms = now_ms + self.settings.retry_ms
 
     def _step_observing(self, now_ms: float) -> Step:
         lease_ms = max(self._record.lease_ms, self.settings.lease_ms)
         free_ms = self._unchanged_since_ms + lease_ms + self.settings.margin_ms
-        return self._take() if now_ms >= free_ms else Wait(free_ms)
+        return self._acquire() if now_ms >= free_ms else Wait(free_ms)
 
-    def _step_holding(self, wanted: PlannedOrder | None, now_ms: float) -> Step:
+    def _step_holding(self, next_order: PlannedOrder | None, now_ms: float) -> Step:
         if now_ms >= min(self.renewal_due_ms, self.lease_end_ms):
             return self._next_write()
         ready_ms = self._paused_until_ms
-        if not self.engine_checks:
-            ready_ms = max(ready_ms, self._waited_out_at_ms)
+        if not self.engine_checks_fencing:
+            ready_ms = max(ready_ms, self._foreign_orders_end_ms)
             if self.current is None:
                 # Giving the same order again can do no harm; any other has to wait.
-                ready_ms = max(ready_ms, self._settled_at_ms)
+                ready_ms = max(ready_ms, self._own_orders_end_ms)
         if now_ms < ready_ms:
             return Wait(min(ready_ms, self.renewal_due_ms))
         if self.current is not None:
-            return self._give_current()
-        if wanted is not None:
-            return self._next_write(begin=wanted)
+            return self._send_current()
+        if next_order is not None:
+            return self._next_write(begin=next_order)
         return self._next_write(release=True)
 
-    def _give_current(self) -> Step:
-        if self._raise_first:
+    def _send_current(self) -> Step:
+        if self._raise_before_send:
             return self._next_write(raise_fencing=True)
-        return Give(self.current, self.fencing, self.lease_end_ms)
+        return SendOrder(self.current, self.fencing, self.lease_end_ms)
 
-    def _take(self) -> Write:
-        former = self._record or OrderRecord(fencing=0, holder="", lease_ms=0, beat=0)
-        taken = msgspec.structs.replace(
-            former,
-            fencing=former.fencing + self._raise_by,
+    def _acquire(self) -> Write:
+        previous = self._record or OrderRecord(fencing=0, holder="", lease_ms=0, beat=0)
+        acquired = msgspec.structs.replace(
+            previous,
+            fencing=previous.fencing + self._fencing_increment,
             holder=self.holder_id,
             lease_ms=self.settings.lease_ms,
             beat=self._next_beat(),
             state=self.state,
         )
-        return Write(taken, self._revision)
+        return Write(acquired, self._revision)
 
     def _next_write(
         self,
@@ -226,7 +226,7 @@
         self._beat = max(self._beat, self._record.beat if self._record else 0) + 1
         return self._beat
 
-    def _take_effect(self, revision: int, now_ms: float) -> None:
+    def _apply_write(self, revision: int, now_ms: float) -> None:
         written, self._pending = self._pending.record, None
         had_holder = self._record is not None and bool(self._record.holder)
         raised = self._record is not None and written.fencing > self._record.fencing
@@ -240,20 +240,20 @@
         elif self.phase is not Phase.HOLDING:
             self.phase = Phase.HOLDING
             self.state = written.state
-            self._raise_first = False
+            self._raise_before_send = False
             if had_holder:
-                self._waited_out_at_ms = now_ms + self.settings.longest_order_ms
+                self._foreign_orders_end_ms = now_ms + self.settings.longest_order_ms
         elif raised:
-            self._raise_first = False
+            self._raise_before_send = False
 
-    def _finish(self) -> None:
+    def _clear_current(self) -> None:
         self._finished_sequence = self._record.sequence
         self._record = msgspec.structs.replace(self._record, current=[], state=self.state)
 
-    def _lose(self) -> None:
+    def _lose_lease(self) -> None:
         self.phase = Phase.UNKNOWN
         self._lease_began_ms = -inf
-        self._raise_first = False
+        self._raise_before_send = False
 
     def _observe(self, record: OrderRecord | None, revision: int, now_ms: float) -> None:
         if revision != self._revision or self._unchanged_since_ms == inf:
--- a/src/fescuedock/core/orders/placement.py
+++ b/src/fescuedock/core/orders/placement.py
@@ -22,7 +22,7 @@
     "next_order",
     "placement_of",
     "uses_weight_store",
-    "without_lost",
+    "without_unlisted",
 ]
 
 _LOADS = (OrderKind.LOAD_MODEL, OrderKind.LOAD_ADAPTER)
@@ -62,27 +62,27 @@
 
 
 def next_order(
-    state: EngineState, wanted: Placement, refused: Sequence[PlannedOrder] = ()
+    state: EngineState, target: Placement, refused: Sequence[PlannedOrder] = ()
 ) -> PlannedOrder | None:
-    """Return the next order that brings ``state`` nearer to ``wanted``; None when it is there.
+    """Return the next order that brings ``state`` nearer to ``target``; None when it is there.
 
-    What is no longer wanted goes first, since memory is scarce.  ``refused`` are orders that the
+    What is no longer target goes first, since memory is scarce.  ``refused`` are orders that the
     engine would not carry out a while ago.
     """
-    return next((order for order in _orders(state, wanted) if order not in refused), None)
+    return next((order for order in _orders(state, target) if order not in refused), None)
 
 
-def lacks_model(state: EngineState, listed: Collection[str], wanted: Placement) -> bool:
-    """Whether the engine has no version at all of a wanted model or adapter.
+def lacks_model(state: EngineState, listed: Collection[str], target: Placement) -> bool:
+    """Whether the engine has no version at all of a target model or adapter.
 
     ``listed`` are the names that the engine itself said it serves.
     """
-    adapters = {adapter for spec in wanted.models.values() for adapter in spec.adapters}
+    adapters = {adapter for spec in target.models.values() for adapter in spec.adapters}
     have = {*state.models, *state.adapters, *listed}
-    return not have.issuperset({*wanted.models, *adapters})
+    return not have.issuperset({*target.models, *adapters})
 
 
-def without_lost(state: EngineState, listed: Collection[str]) -> EngineState:
+def without_unlisted(state: EngineState, listed: Collection[str]) -> EngineState:
     """Return ``state`` without what the engine no longer lists, as after a restart of it."""
     models = {name: version for name, version in state.models.items() if name in listed}
     adapters = {name: base for name, base in state.adapters.items() if name in listed}
@@ -112,25 +112,25 @@
 
 
 def choose_slot(
-    taken: Mapping[int, LoadSlot], count: int, loads_per_model: int, model: str, online: bool
+    used_slots: Mapping[int, LoadSlot], count: int, loads_per_model: int, model: str, online: bool
 ) -> int | None:
     """Return a free slot for a load of ``model``; None when it has to wait.
 
     The last free slot is kept for loads that online traffic waits for (``online``).
     """
-    if sum(slot.model == model for slot in taken.values()) >= loads_per_model:
+    if sum(slot.model == model for slot in used_slots.values()) >= loads_per_model:
         return None
-    free = [index for index in range(count) if index not in taken]
+    free = [index for index in range(count) if index not in used_slots]
     if not free or (len(free) == 1 and count > 1 and not online):
         return None
     return free[0]
 
 
-def _orders(state: EngineState, wanted: Placement) -> Iterator[PlannedOrder]:
-    yield from _unloads(state, wanted)
-    if state.role != wanted.role and wanted.models:
-        yield PlannedOrder(OrderKind.SET_ROLE, role=wanted.role)
-    for name, spec in wanted.models.items():
+def _orders(state: EngineState, target: Placement) -> Iterator[PlannedOrder]:
+    yield from _unloads(state, target)
+    if state.role != target.role and target.models:
+        yield PlannedOrder(OrderKind.SET_ROLE, role=target.role)
+    for name, spec in target.models.items():
         if state.models.get(name) != spec.version:
             yield PlannedOrder(OrderKind.LOAD_MODEL, model=name, version=spec.version)
         for adapter in spec.adapters:
@@ -140,19 +140,19 @@
                 )
 
 
-def _unloads(state: EngineState, wanted: Placement) -> Iterator[PlannedOrder]:
-    if not wanted.models:
+def _unloads(state: EngineState, target: Placement) -> Iterator[PlannedOrder]:
+    if not target.models:
         # An upstream of no configured service is left as it is.
         return
-    adapters = {adapter for spec in wanted.models.values() for adapter in spec.adapters}
-    for adapter in _missing(state.adapters, adapters):
+    adapters = {adapter for spec in target.models.values() for adapter in spec.adapters}
+    for adapter in _unwanted(state.adapters, adapters):
         yield PlannedOrder(OrderKind.UNLOAD_ADAPTER, adapter=adapter)
-    for model in _missing(state.models, wanted.models):
+    for model in _unwanted(state.models, target.models):
         yield PlannedOrder(OrderKind.UNLOAD_MODEL, model=model)
 
 
-def _missing(names: Mapping[str, str], wanted: Collection[str]) -> list[str]:
-    return sorted(name for name in names if name not in wanted)
+def _unwanted(names: Mapping[str, str], target: Collection[str]) -> list[str]:
+    return sorted(name for name in names if name not in target)
 
 
 def _base(model: str, version: str) -> str:
--- a/src/fescuedock/core/orders/steps.py
+++ b/src/fescuedock/core/orders/steps.py
@@ -6,10 +6,10 @@
 
 from fescuedock.schema.orders import OrderRecord, PlannedOrder
 
-__all__ = ["Give", "GiveOutcome", "ReadRecord", "Step", "Wait", "Write"]
+__all__ = ["SendOrder", "SendOutcome", "ReadRecord", "Step", "Wait", "Write"]
 
 
-class GiveOutcome(StrEnum):
+class SendOutcome(StrEnum):
     """How an order that was given ended."""
 
     DONE = "done"
@@ -34,7 +34,7 @@
     expected_revision: int
 
 
-class Give(msgspec.Struct, frozen=True):
+class SendOrder(msgspec.Struct, frozen=True):
     """Give ``order``.  It must leave before ``until_ms``, or not at all."""
 
     order: PlannedOrder
@@ -48,4 +48,4 @@
     until_ms: float
 
 
-Step = ReadRecord | Write | Give | Wait
+Step = ReadRecord | Write | SendOrder | Wait
--- a/tests/builders/orders.py
+++ b/tests/builders/orders.py
@@ -35,29 +35,29 @@
     """Stands for ``EngineControl``; orders take ``order_s`` and end as ``faults`` say."""
 
     order_s: float = 30.0
-    began: list[EngineOrder] = field(default_factory=list)
+    started: list[EngineOrder] = field(default_factory=list)
     done: list[EngineOrder] = field(default_factory=list)
-    # The upstreams that were given orders.
-    given_to: list[str] = field(default_factory=list)
+    # The upstreams that were config orders.
+    ordered_upstreams: list[str] = field(default_factory=list)
     faults: list[ResultCode | None] = field(default_factory=list)
-    most_at_once: int = 0
+    max_concurrent: int = 0
     _running: int = 0
     _changed: trio.Event = field(default_factory=trio.Event)
 
-    async def wait_began(self, count: int) -> None:
+    async def wait_started(self, count: int) -> None:
         """Return when ``count`` orders have begun."""
-        while len(self.began) < count:
+        while len(self.started) < count:
             await self._changed.wait()
 
     async def order(
         self, upstream: UpstreamRecord, order: EngineOrder, _timeout_ms: float
     ) -> Result[None, Fault]:
-        self.given_to.append(upstream.upstream_id)
-        self.began.append(order)
+        self.ordered_upstreams.append(upstream.upstream_id)
+        self.started.append(order)
         self._changed.set()
         self._changed = trio.Event()
         self._running += 1
-        self.most_at_once = max(self.most_at_once, self._running)
+        self.max_concurrent = max(self.max_concurrent, self._running)
         try:
             await trio.sleep(self.order_s)
         finally:
@@ -85,12 +85,12 @@
 
 
 def order_view(
-    vm_id: str, owners: list[str], names: tuple[str, ...], given: Configuration
+    vm_id: str, owners: list[str], names: tuple[str, ...], config: Configuration
 ) -> FleetView:
     """Return the view of ``vm_id`` when the VMs ``owners`` are alive."""
     view = FleetView(vm_id)
     vms = [msgspec.structs.replace(vm_record(o, "hall"), ready=[Program.AGENT]) for o in owners]
-    view.replace_configuration(0, 1, given, 0.0)
+    view.replace_configuration(0, 1, config, 0.0)
     view.replace(1, vms, [upstream(name) for name in names], 0.0)
     return view
 
--- a/tests/test_orders_service.py
+++ b/tests/test_orders_service.py
@@ -13,9 +13,9 @@
     choose_slot,
     models_of,
     next_order,
-    without_lost,
+    without_unlisted,
 )
-from fescuedock.core.orders.steps import Give, GiveOutcome, ReadRecord, Wait
+from fescuedock.core.orders.steps import ReadRecord, SendOrder, SendOutcome, Wait
 from fescuedock.schema.config import Configuration, ModelSpec, UpstreamPolicy
 from fescuedock.schema.orders import EngineState, LoadSlot, OrderKind, OrderRecord, PlannedOrder
 from fescuedock.schema.result_codes import ResultCode
@@ -43,27 +43,27 @@
 
     async def _resume(self, order_check, wait_s):
         kv, engine = MemoryKv(), LoggedEngine()
-        given = configuration(order_check)
-        first = order_service(kv, engine, order_view("vm-a", ["vm-a"], ("worker-1",), given))
+        config = configuration(order_check)
+        first = order_service(kv, engine, order_view("vm-a", ["vm-a"], ("worker-1",), config))
         with trio.move_on_after(40):
             await first.run()
         # It died during its second order; the first one was done.
-        self.assertEqual([item.order for item in engine.began], ["load_model", "load_adapter"])
+        self.assertEqual([item.order for item in engine.started], ["load_model", "load_adapter"])
         died_s = trio.current_time()
-        second = order_service(kv, engine, order_view("vm-b", ["vm-b"], ("worker-1",), given))
-        began_before = len(engine.began)
+        second = order_service(kv, engine, order_view("vm-b", ["vm-b"], ("worker-1",), config))
+        started_before = len(engine.started)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(second.run)
             with trio.fail_after(600):
-                await engine.wait_began(began_before + 1)
+                await engine.wait_started(started_before + 1)
             self.assertAlmostEqual(trio.current_time() - died_s, wait_s, delta=1)
             await trio.sleep(60)
             nursery.cancel_scope.cancel()
         self.assertEqual(
-            [item.order for item in engine.began],
+            [item.order for item in engine.started],
             ["load_model", "load_adapter", "load_adapter"],
         )
-        numbers = [item.fencing for item in engine.began]
+        numbers = [item.fencing for item in engine.started]
         self.assertEqual(numbers, sorted(set(numbers)))
 
     def test_nothing_is_called_while_nothing_is_wanted(self):
@@ -110,10 +110,10 @@
                 view = order_view(vm_id, ["vm-a", "vm-b"], names, configuration())
                 nursery.start_soon(order_service(kv, engine, view).run)
             with trio.fail_after(3600):
-                await engine.wait_began(2 * len(names))
+                await engine.wait_started(2 * len(names))
             nursery.cancel_scope.cancel()
-        self.assertEqual(engine.most_at_once, 2)
-        self.assertEqual(len(engine.began), 2 * len(names))
+        self.assertEqual(engine.max_concurrent, 2)
+        self.assertEqual(len(engine.started), 2 * len(names))
 
     def test_an_upstream_is_held_back_until_its_models_are_there(self):
         run_mocked(self._held_back)
@@ -145,11 +145,11 @@
         view = order_view("vm-a", ["vm-a"], ("worker-1",), configuration("fenced"))
         async with trio.open_nursery() as nursery:
             nursery.start_soon(order_service(MemoryKv(), engine, view).run)
-            await engine.wait_began(1)
+            await engine.wait_started(1)
             show_upstreams(view, msgspec.structs.replace(upstream(), leaving=True))
             await trio.sleep(300)
             nursery.cancel_scope.cancel()
-        self.assertEqual([item.order for item in engine.began], ["load_model"])
+        self.assertEqual([item.order for item in engine.started], ["load_model"])
 
     def test_an_order_that_waited_for_its_slot_until_its_upstream_was_gone_is_not_given(self):
         for name, left in (("gone", []), ("started elsewhere", [upstream("worker-2")])):
@@ -166,13 +166,13 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(order_service(kv, engine, view).run)
             await trio.sleep(30)
-            self.assertEqual(engine.began, [])
+            self.assertEqual(engine.started, [])
             show_upstreams(view, *left)
             for slot, revision in zip(slots, revisions, strict=True):
                 (await kv.delete_if(slot, revision)).unwrap()
             await trio.sleep(300)
             nursery.cancel_scope.cancel()
-        self.assertNotIn("worker-1", engine.given_to)
+        self.assertNotIn("worker-1", engine.ordered_upstreams)
 
     def test_an_order_that_fails_is_given_again_and_a_rejected_one_left_for_a_while(self):
         run_mocked(self._refusals)
@@ -184,8 +184,8 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(order_service(MemoryKv(), engine, view).run)
             await trio.sleep(30)
-            begun = [item.order for item in engine.began]
-            self.assertEqual(begun, ["load_model", "load_model", "load_adapter"])
+            started = [item.order for item in engine.started]
+            self.assertEqual(started, ["load_model", "load_model", "load_adapter"])
             await trio.sleep(60)
             self.assertEqual([item.order for item in engine.done], ["load_model", "load_adapter"])
             nursery.cancel_scope.cancel()
@@ -201,7 +201,7 @@
             await trio.sleep(5)
             kv.down = True
             await trio.sleep(600)
-            self.assertEqual((len(engine.began), len(engine.done)), (1, 0))
+            self.assertEqual((len(engine.started), len(engine.done)), (1, 0))
             kv.down = False
             await trio.sleep(900)
             nursery.cancel_scope.cancel()
@@ -222,10 +222,10 @@
         self.assertEqual(holder.step(order, 12000), Wait(20000))
         self.assertEqual(holder.step(order, 20000).record.fencing, 5)
 
-    def held(self, engine_checks):
+    def holding(self, engine_checks_fencing):
         """Return a holder whose first order is in the record since 500 ms."""
         order = PlannedOrder(OrderKind.SET_ROLE, role="decode")
-        holder = OrderHolder("vm-a/1", engine_checks, OrderSettings())
+        holder = OrderHolder("vm-a/1", engine_checks_fencing, OrderSettings())
         holder.on_read(None, 0, now_ms=0)
         for revision, sent_ms in ((1, 100), (2, 500)):
             write = holder.step(order, sent_ms)
@@ -234,26 +234,26 @@
         return holder, order
 
     def test_the_lease_is_counted_from_before_the_write_and_ends_a_margin_early(self):
-        for engine_checks in (True, False):
-            holder, order = self.held(engine_checks)
+        for engine_checks_fencing in (True, False):
+            holder, order = self.holding(engine_checks_fencing)
             # Taken with number 1, and raised by the order.
-            self.assertEqual(holder.step(order, 3000), Give(order, 2, 500 + 10000 - 1000))
+            self.assertEqual(holder.step(order, 3000), SendOrder(order, 2, 500 + 10000 - 1000))
 
     def test_a_repeat_of_an_order_with_unknown_end_has_a_new_number(self):
-        holder, order = self.held(engine_checks=True)
-        holder.on_given(GiveOutcome.UNKNOWN, 2000)
+        holder, order = self.holding(engine_checks_fencing=True)
+        holder.on_order_sent(SendOutcome.UNKNOWN, 2000)
         write = holder.step(order, 3001)
         self.assertEqual((write.record.fencing, write.record.current), (3, [order]))
 
     def test_a_write_that_conflicts_ends_the_hold(self):
-        holder, order = self.held(engine_checks=True)
+        holder, order = self.holding(engine_checks_fencing=True)
         holder.begin_write(holder.renewal(4000), 4000)
         holder.on_write(None, True, 4005)
-        self.assertFalse(holder.holds)
+        self.assertFalse(holder.is_holding)
         self.assertIsInstance(holder.step(order, 4006), ReadRecord)
 
     def test_a_late_write_is_not_taken_for_the_one_sent_after_it(self):
-        holder, _ = self.held(engine_checks=True)
+        holder, _ = self.holding(engine_checks_fencing=True)
         writes = []
         for sent_ms in (4000, 8000):
             writes.append(holder.renewal(sent_ms))
@@ -262,18 +262,18 @@
             if len(writes) == 1:
                 holder.on_read(OrderRecord(0, "", 0, 0), 2, sent_ms + 1100)
         self.assertIsInstance(holder.step(None, 9100), ReadRecord)
-        # The first one has landed: its lease has long begun, so the holder must not go on.
+        # The first one has landed: its lease has long started, so the holder must not go on.
         holder.on_read(writes[0].record, 3, 9200)
         self.assertEqual(holder.phase, Phase.OBSERVING)
 
     def test_another_order_waits_until_an_unknown_one_is_settled(self):
-        holder, order = self.held(engine_checks=False)
-        holder.on_given(GiveOutcome.UNKNOWN, 2000)
+        holder, order = self.holding(engine_checks_fencing=False)
+        holder.on_order_sent(SendOutcome.UNKNOWN, 2000)
         write = holder.step(order, 3001)
         holder.begin_write(write, 3001)
         holder.on_write(3, True, 3002)
-        self.assertIsInstance(holder.step(order, 3003), Give)
-        holder.on_given(GiveOutcome.DONE, 3100)
+        self.assertIsInstance(holder.step(order, 3003), SendOrder)
+        holder.on_order_sent(SendOutcome.DONE, 3100)
         other = PlannedOrder(OrderKind.SET_ROLE, role="both")
         for now_ms, sequence in ((121000, 1), (122100, 2)):
             write = holder.step(other, now_ms)
@@ -285,20 +285,20 @@
     def expected(self, holder, now_ms):
         if holder.current is None:
             return Wait(122000)
-        return Give(holder.current, holder.fencing, now_ms + 9000)
+        return SendOrder(holder.current, holder.fencing, now_ms + 9000)
 
     def test_numbers_that_went_back_are_raised_faster_each_time(self):
-        holder, order = self.held(engine_checks=True)
+        holder, order = self.holding(engine_checks_fencing=True)
         record = OrderRecord(fencing=2, holder="vm-a/1", lease_ms=10000, beat=2, current=[order])
         numbers = []
-        for turn in range(3):
-            now_ms = 20000.0 * (turn + 1)
-            holder.on_given(GiveOutcome.SUPERSEDED, now_ms)
-            holder.on_read(record, 10 + turn, now_ms)
+        for attempt in range(3):
+            now_ms = 20000.0 * (attempt + 1)
+            holder.on_order_sent(SendOutcome.SUPERSEDED, now_ms)
+            holder.on_read(record, 10 + attempt, now_ms)
             write = holder.step(order, now_ms + 11000)
             numbers.append(write.record.fencing - record.fencing)
             holder.begin_write(write, now_ms + 11000)
-            holder.on_write(20 + turn, True, now_ms + 11000)
+            holder.on_write(20 + attempt, True, now_ms + 11000)
         self.assertEqual(numbers, [2, 4, 8])
 
 
@@ -315,15 +315,15 @@
     def test_an_engine_that_lost_its_weights_gets_them_again(self):
         state = EngineState({"chat": "2"}, {"letters": "chat@2"}, "decode")
         wanted = Placement({"chat": ModelSpec("2", ["letters"])}, "decode")
-        order = next_order(without_lost(state, set()), wanted)
+        order = next_order(without_unlisted(state, set()), wanted)
         self.assertEqual(order.kind, OrderKind.SET_ROLE)
 
     def test_models_that_the_policy_names_come_first(self):
-        given: Configuration = configuration()
-        given.services["desk"].models["other"] = ModelSpec("1")
-        self.assertEqual(models_of(given, upstream()), ["chat", "other"])
-        given.upstreams["worker-1"] = UpstreamPolicy(models=["other"])
-        self.assertEqual(models_of(given, upstream()), ["other", "chat"])
+        config: Configuration = configuration()
+        config.services["desk"].models["other"] = ModelSpec("1")
+        self.assertEqual(models_of(config, upstream()), ["chat", "other"])
+        config.upstreams["worker-1"] = UpstreamPolicy(models=["other"])
+        self.assertEqual(models_of(config, upstream()), ["other", "chat"])
 
     def test_the_last_slot_is_kept_for_online_demand(self):
         taken = {0: LoadSlot("vm-a", "worker-1", "chat")}
--- a/tests/test_orders_stateful.py
+++ b/tests/test_orders_stateful.py
@@ -12,7 +12,7 @@
 
 from fescuedock.core.orders.fencing import OrderHolder
 from fescuedock.core.orders.placement import Placement, next_order
-from fescuedock.core.orders.steps import Give, GiveOutcome, ReadRecord, Wait, Write
+from fescuedock.core.orders.steps import ReadRecord, SendOrder, SendOutcome, Wait, Write
 from fescuedock.schema.config import ModelSpec
 from fescuedock.schema.orders import OrderRecord
 from fescuedock.schema.result_codes import ResultCode
@@ -21,10 +21,10 @@
 
 SETTINGS = OrderSettings(lease_ms=10000, margin_ms=1000, longest_order_ms=15000, retry_ms=100)
 AGENTS = st.integers(0, 1)
-FATES = st.sampled_from([*[CallOutcome.ANSWERED] * 6, *CallOutcome])
+CALL_OUTCOMES = st.sampled_from([*[CallOutcome.ANSWERED] * 6, *CallOutcome])
 # Within what margin_ms allows for over a lease.
 CLOCK_RATES = (0.95, 1.05)
-TRAVELS_MS = st.sampled_from([0, 200, 9000, 14000])
+TRANSIT_TIMES_MS = st.sampled_from([0, 200, 9000, 14000])
 PAUSES_MS = st.sampled_from([1, 500, 1000, 2000, 9000, 11500, 14300])
 
 
@@ -48,22 +48,22 @@
     sequence: int
     tenure: int
     arrives_by_ms: float
-    obeyed: bool | None = None
+    executed: bool | None = None
 
 
 @dataclass
 class Engine:
-    """Logs what it obeyed."""
+    """Logs what it executed."""
 
     checks: bool
     highest: int = 0
-    obeyed: list[Sent] = field(default_factory=list)
+    executed: list[Sent] = field(default_factory=list)
 
     def receive(self, sent):
-        sent.obeyed = not self.checks or sent.fencing >= self.highest
+        sent.executed = not self.checks or sent.fencing >= self.highest
         self.highest = max(self.highest, sent.fencing)
-        if sent.obeyed:
-            self.obeyed.append(sent)
+        if sent.executed:
+            self.executed.append(sent)
 
 
 class OrdersMachine(RuleBasedStateMachine):
@@ -76,7 +76,7 @@
         self.now_ms = 0.0
         self.version = 1
         self.runs = 0
-        self.on_the_way = []
+        self.in_transit = []
         self.tenures = {}
         self.agents = [self._new_agent(index) for index in range(len(CLOCK_RATES))]
 
@@ -106,49 +106,49 @@
             agent.holder.begin_write(decided, now_ms)
         agent.decided = decided
 
-    @rule(index=AGENTS, fate=FATES, travels_ms=TRAVELS_MS)
-    def perform(self, index, fate, travels_ms):
+    @rule(index=AGENTS, call_outcome=CALL_OUTCOMES, transit_ms=TRANSIT_TIMES_MS)
+    def perform(self, index, call_outcome, transit_ms):
         """Do what was decided, perhaps long ago; its answer is heard later."""
         agent = self.agents[index]
         decided, agent.decided = agent.decided, None
         match decided:
-            case ReadRecord() if fate is CallOutcome.ANSWERED:
+            case ReadRecord() if call_outcome is CallOutcome.ANSWERED:
                 value, revision = self.cell.value, self.cell.revision
                 record = msgspec.msgpack.decode(value, type=OrderRecord) if value else None
                 agent.answer = lambda: agent.holder.on_read(record, revision, self._clock(agent))
             case Write(record, expected_revision):
-                self._put(agent, record, expected_revision, fate)
-            case Give():
-                self._give(agent, decided, travels_ms)
+                self._put(agent, record, expected_revision, call_outcome)
+            case SendOrder():
+                self._give(agent, decided, transit_ms)
 
-    def _put(self, agent, record, expected_revision, fate):
-        result = self.cell.put(msgspec.msgpack.encode(record), expected_revision, fate)
+    def _put(self, agent, record, expected_revision, call_outcome):
+        result = self.cell.put(msgspec.msgpack.encode(record), expected_revision, call_outcome)
         certain = result.is_err() and result.err_value.code is ResultCode.KV_CONFLICT
         agent.answer = lambda: agent.holder.on_write(result.ok(), certain, self._clock(agent))
 
     @rule(index=AGENTS)
-    def hear(self, index):
+    def deliver_answer(self, index):
         agent = self.agents[index]
         if agent.answer is not None:
             answer, agent.answer = agent.answer, None
             answer()
 
-    def _give(self, agent, give, travels_ms):
+    def _give(self, agent, give, transit_ms):
         if self._clock(agent) >= give.until_ms:
-            agent.holder.on_given(GiveOutcome.NOT_SENT, self._clock(agent))
+            agent.holder.on_order_sent(SendOutcome.NOT_SENT, self._clock(agent))
             return
         sequence, tenure = self._origin(agent.name, give.fencing)
-        agent.awaited = Sent(give.fencing, sequence, tenure, self.now_ms + travels_ms)
-        self.on_the_way.append(agent.awaited)
+        agent.awaited = Sent(give.fencing, sequence, tenure, self.now_ms + transit_ms)
+        self.in_transit.append(agent.awaited)
 
     def _origin(self, name, fencing):
         """Return an order's sequence and the number of its holder, by the writes so far."""
-        tenure, former = 0, ""
+        tenure, previous = 0, ""
         for value in self.cell.writes:
             record = msgspec.msgpack.decode(value, type=OrderRecord)
-            if record.holder and record.holder != former:
+            if record.holder and record.holder != previous:
                 tenure += 1
-            former = record.holder or former
+            previous = record.holder or previous
             if record.holder == name and record.fencing == fencing:
                 return record.sequence, tenure
         raise AssertionError(f"{name} gives orders under {fencing}, which was never written")
@@ -158,17 +158,17 @@
         agent = self.agents[index]
         if agent.awaited is None:
             return
-        outcome = GiveOutcome.UNKNOWN
-        if agent.awaited.obeyed is not None and not answer_lost:
-            outcome = GiveOutcome.DONE if agent.awaited.obeyed else GiveOutcome.SUPERSEDED
+        outcome = SendOutcome.UNKNOWN
+        if agent.awaited.executed is not None and not answer_lost:
+            outcome = SendOutcome.DONE if agent.awaited.executed else SendOutcome.SUPERSEDED
         agent.awaited = None
-        agent.holder.on_given(outcome, self._clock(agent))
+        agent.holder.on_order_sent(outcome, self._clock(agent))
 
     @rule(index=AGENTS)
     def restart(self, index):
         self.agents[index] = self._new_agent(index)
 
-    # --- the rest of the world -----------------------------------------------------------------
+    # --- the rest of the machine -----------------------------------------------------------------
 
     @rule(pause_ms=PAUSES_MS)
     def pass_time(self, pause_ms):
@@ -180,8 +180,8 @@
         self._arrive(lambda sent: True)
 
     def _arrive(self, is_due):
-        due = sorted(filter(is_due, self.on_the_way), key=lambda sent: sent.arrives_by_ms)
-        self.on_the_way = [sent for sent in self.on_the_way if sent not in due]
+        due = sorted(filter(is_due, self.in_transit), key=lambda sent: sent.arrives_by_ms)
+        self.in_transit = [sent for sent in self.in_transit if sent not in due]
         for sent in due:
             self.engine.receive(sent)
 
@@ -196,15 +196,19 @@
         for write in late:
             write()
 
-    @rule(index=AGENTS, lasts_ms=st.sampled_from([0, 1000, 12000, 40000]), travels_ms=TRAVELS_MS)
-    def run_smoothly(self, index, lasts_ms, travels_ms):
+    @rule(
+        index=AGENTS,
+        duration_ms=st.sampled_from([0, 1000, 12000, 40000]),
+        transit_ms=TRANSIT_TIMES_MS,
+    )
+    def run_without_faults(self, index, duration_ms, transit_ms):
         """Let one agent work without a fault while the other is paused wherever it was."""
         agent = self.agents[index]
-        ends_ms = self.now_ms + lasts_ms
+        ends_ms = self.now_ms + duration_ms
         for _ in range(100):
-            self.hear(index)
+            self.deliver_answer(index)
             self.decide(index)
-            if agent.awaited is not None and agent.awaited.obeyed is not None:
+            if agent.awaited is not None and agent.awaited.executed is not None:
                 self.end_order(index, False)
             elif isinstance(agent.decided, Wait) or agent.decided is None:
                 agent.decided = None
@@ -212,16 +216,16 @@
                     return
                 self.pass_time(min(1000, ends_ms - self.now_ms))
             else:
-                self.perform(index, CallOutcome.ANSWERED, travels_ms)
+                self.perform(index, CallOutcome.ANSWERED, transit_ms)
 
     # --- promises ------------------------------------------------------------------------------
 
     @invariant()
-    def never_goes_back(self):
-        obeyed = self.engine.obeyed if hasattr(self, "engine") else []
-        for former, later in itertools.pairwise(obeyed):
-            assert former.tenure <= later.tenure, (former, later)
-            assert former.sequence <= later.sequence, (former, later)
+    def never_regresses(self):
+        executed = self.engine.executed if hasattr(self, "engine") else []
+        for previous, later in itertools.pairwise(executed):
+            assert previous.tenure <= later.tenure, (previous, later)
+            assert previous.sequence <= later.sequence, (previous, later)
 
 
 class PausedHolderTest(unittest.TestCase):
@@ -230,7 +234,7 @@
     PAUSES_MS = (1000, 6000, 8800, 9200, 10200, 11300, 14000, 26000)
     STEPS = 20
     ANSWERS_MS = (50, 2500)
-    TRAVELS_MS = (300, 14000)
+    TRANSIT_TIMES_MS = (300, 14000)
 
     def test_a_holder_that_is_paused_at_any_step_does_no_harm(self):
         takeovers = 0
@@ -239,43 +243,43 @@
             range(1, self.STEPS),
             self.PAUSES_MS,
             self.ANSWERS_MS,
-            self.TRAVELS_MS,
+            self.TRANSIT_TIMES_MS,
         )
         for case in cases:
             with self.subTest(case):
                 takeovers += self._run(*case)
         self.assertGreater(takeovers, 50)
 
-    def _run(self, checks, steps, pause_ms, answer_ms, travels_ms):
-        world = OrdersMachine()
-        world.begin(checks)
+    def _run(self, checks, steps, pause_ms, answer_ms, transit_ms):
+        machine = OrdersMachine()
+        machine.begin(checks)
         for _ in range(steps):
-            self._step_slowly(world, answer_ms, travels_ms)
-        world.change_configuration()
-        world.run_smoothly(1, pause_ms, 0)
+            self._step_slowly(machine, answer_ms, transit_ms)
+        machine.change_configuration()
+        machine.run_without_faults(1, pause_ms, 0)
         for _ in range(45):
-            world.perform(0, CallOutcome.ANSWERED, 14000)
-            world.hear(0)
-            world.run_smoothly(0, 0, 14000)
-            world.run_smoothly(1, 1000, 0)
-            world.never_goes_back()
-        return len({sent.tenure for sent in world.engine.obeyed}) > 1
-
-    def _step_slowly(self, world, answer_ms, travels_ms):
+            machine.perform(0, CallOutcome.ANSWERED, 14000)
+            machine.deliver_answer(0)
+            machine.run_without_faults(0, 0, 14000)
+            machine.run_without_faults(1, 1000, 0)
+            machine.never_regresses()
+        return len({sent.tenure for sent in machine.engine.executed}) > 1
+
+    def _step_slowly(self, machine, answer_ms, transit_ms):
         """Let the first agent do one thing; answers and orders take a while."""
-        agent = world.agents[0]
+        agent = machine.agents[0]
         if agent.answer is not None:
-            world.pass_time(answer_ms)
-            world.hear(0)
+            machine.pass_time(answer_ms)
+            machine.deliver_answer(0)
         elif agent.decided is None or isinstance(agent.decided, Wait):
             agent.decided = None
-            world.pass_time(answer_ms)
-            if agent.awaited is not None and agent.awaited.obeyed is not None:
-                world.end_order(0, False)
-                world.change_configuration()
-            world.decide(0)
+            machine.pass_time(answer_ms)
+            if agent.awaited is not None and agent.awaited.executed is not None:
+                machine.end_order(0, False)
+                machine.change_configuration()
+            machine.decide(0)
         else:
-            world.perform(0, CallOutcome.ANSWERED, travels_ms)
+            machine.perform(0, CallOutcome.ANSWERED, transit_ms)
 
 
 OrdersMachine.TestCase.settings = settings(
