--- a/src/fescuedock/core/orders/fencing.py
+++ b/src/fescuedock/core/orders/fencing.py
@@ -1,13 +1,14 @@
-"""Who may give orders to one upstream: one holder at a time, decided by compare-and-swap.
+"""Decides which agent may send orders to an upstream: one holder at a time, by compare-and-swap.
 
-Each write of the upstream's record by its holder begins a lease on the holder's own clock, counted
-from before the write was sent.  Another agent takes over only when it has seen the record
-unchanged for a whole lease and margin.  Engines that check the fencing number, which every order
-raises, refuse what a paused holder still sends.  For those that ignore it, the old holder gives
-nothing in the last ``margin_ms`` of its lease, and the new one lets the longest order pass first.
+Each write of the upstream's record by its holder starts a lease on the holder's own clock, counted
+from before the write was sent.  Another agent takes over only after it has seen the record
+unchanged for a full lease and margin.  Engines that check the fencing number, which every order
+raises, reject orders that a paused holder still sends.  For engines that ignore it, the former
+holder sends nothing in the last ``margin_ms`` of its lease, and the new holder first waits for the
+longest duration of an order.
 
-An order is written into the record before it is given.  A new holder gives that one again before
-any other, so that orders never run out of their sequence.
+An order is written to the record before it is sent.  A new holder sends that order again before any
+other, so that orders are never executed out of sequence.
 """
 
 from enum import StrEnum
@@ -26,39 +27,39 @@
 
 
 class Phase(StrEnum):
-    """Where an agent stands with one upstream."""
+    """State of an agent with respect to the lease on one upstream."""
 
-    # The record has to be read.
+    # The record must be read.
     UNKNOWN = "unknown"
-    # Somebody is_holding it, as far as is known.
+    # Another agent holds the lease, according to the last known record.
     OBSERVING = "observing"
-    # Nobody is_holding it, as far as is known.
+    # No agent holds the lease, according to the last known record.
     FREE = "free"
     HOLDING = "holding"
 
 
 class OrderHolder(msgspec.Struct):
-    """One agent's part in the orders of one upstream.
+    """State machine of one agent for the orders of one upstream.
 
-    ``holder_id`` names one run of one agent.  The shell asks ``step`` what to do, does it and
-    reports by ``on_read``, ``on_write`` or ``on_order_sent``.  ``renewal`` may be written while an
-    order is under way.
+    ``holder_id`` identifies one run of one agent.  The caller executes what ``step`` returns and
+    reports the outcome through ``on_read``, ``on_write`` or ``on_order_sent``.  ``renewal`` may be
+    written while an order is in progress.
     """
 
     holder_id: str
     engine_checks_fencing: bool
     settings: OrderSettings
     phase: Phase = Phase.UNKNOWN
-    # What the engine has, as far as this agent has read or done.
+    # The engine's state according to the record and this agent's own orders.
     state: EngineState = msgspec.field(default_factory=EngineState)
     _record: OrderRecord | None = None
     _revision: int = 0
     _beat: int = 0
     _unchanged_since_ms: float = inf
     _lease_began_ms: float = -inf
-    # Until then an order of the holder before may reach an engine that ignores the number,
+    # Until then orders of the former holder may take effect at an engine that ignores the number.
     _foreign_orders_end_ms: float = -inf
-    # and until then one of this agent's own.
+    # Until then an own order with an unknown outcome may take effect there.
     _own_orders_end_ms: float = -inf
     _paused_until_ms: float = -inf
     _pending: Write | None = None
@@ -69,7 +70,7 @@
 
     @property
     def current(self) -> PlannedOrder | None:
-        """The order begun and not known to be done."""
+        """The order that was begun and is not known to be done."""
         return self._record.current[0] if self._record and self._record.current else None
 
     @property
@@ -78,12 +79,12 @@
 
     @property
     def is_holding(self) -> bool:
-        """Whether this agent took the upstream and has not learnt that it lost it."""
+        """Whether this agent acquired the lease and does not know that it lost it."""
         return self.phase is Phase.HOLDING
 
     @property
     def lease_end_ms(self) -> float:
-        """When this agent has to stop giving orders, on its own clock."""
+        """When this agent must stop sending orders, on its own clock."""
         return self._lease_began_ms + self.settings.lease_ms - self.settings.margin_ms
 
     @property
@@ -112,15 +113,15 @@
         return self._next_write()
 
     def begin_write(self, write: Write, now_ms: float) -> None:
-        """Note that ``write`` is about to be sent: the lease it begins is counted from here."""
+        """Record that ``write`` is about to be sent; the lease it starts counts from now."""
         self._pending = write
         self._pending_sent_ms = now_ms
 
     def on_write(self, revision: int | None, certain: bool, now_ms: float) -> None:
-        """Take the outcome of the pending write: its new revision, or None when it failed.
+        """Handle the outcome of the pending write: its new revision, or None when it failed.
 
-        ``certain`` says that a failed write neither took effect nor ever will, since the key has
-        moved on.
+        ``certain`` means that a failed write neither took effect nor ever will, as the key is at
+        another revision.
         """
         if revision is not None:
             self._apply_write(revision, now_ms)
@@ -129,19 +130,20 @@
             self._lose_lease()
 
     def on_read(self, record: OrderRecord | None, revision: int, now_ms: float) -> None:
-        """Take the record as read; ``record`` is None when there is none."""
+        """Handle the record as read; ``record`` is None when there is none."""
         pending, self._pending = self._pending, None
         if pending is not None and record == pending.record:
             self._pending = pending
             self._apply_write(revision, now_ms)
         elif self.is_holding and revision == self._revision:
-            # The write is not there.  Should it come later, the next one fails and we read again.
+            # The write has not taken effect.  If it does later, the next write fails and the record
+            # is read again.
             return
         else:
             self._observe(record, revision, now_ms)
 
     def on_order_sent(self, outcome: SendOutcome, now_ms: float) -> None:
-        """Take the end of the order that ``SendOrder`` asked for."""
+        """Handle the outcome of the order that ``SendOrder`` requested."""
         if not self.is_holding or self.current is None:
             return
         match outcome:
@@ -153,8 +155,9 @@
                 self._clear_current()
                 self._paused_until_ms = now_ms + self.settings.retry_ms
             case SendOutcome.SUPERSEDED:
-                # Who is_holding it now?  Should it be this agent still, then the numbers went back
-                # with the key-value service, and are raised by more each time.
+                # Read the record to find the current holder.  If it is still this agent, the
+                # numbers decreased with a restore of the key-value service, and are raised by more
+                # each time.
                 self._fencing_increment *= 2
                 self._paused_until_ms = now_ms + self.settings.retry_ms
                 self._lose_lease()
@@ -177,7 +180,7 @@
         if not self.engine_checks_fencing:
             ready_ms = max(ready_ms, self._foreign_orders_end_ms)
             if self.current is None:
-                # Giving the same order again can do no harm; any other has to wait.
+                # Sending the same order again is harmless; any other order must wait.
                 ready_ms = max(ready_ms, self._own_orders_end_ms)
         if now_ms < ready_ms:
             return Wait(min(ready_ms, self.renewal_due_ms))
@@ -222,7 +225,7 @@
         return Write(record, self._revision)
 
     def _next_beat(self) -> int:
-        """Return a number that no other write of this agent has, so that each knows its own."""
+        """Return a number unique among this agent's writes, which identifies its own writes."""
         self._beat = max(self._beat, self._record.beat if self._record else 0) + 1
         return self._beat
 
@@ -231,7 +234,7 @@
         had_holder = self._record is not None and bool(self._record.holder)
         raised = self._record is not None and written.fencing > self._record.fencing
         if written.current and written.sequence == self._finished_sequence:
-            # The order ended while this write was on its way.
+            # The order ended while this write was in transit.
             written = msgspec.structs.replace(written, current=[], state=self.state)
         self._record, self._revision = written, revision
         self._lease_began_ms = self._pending_sent_ms
--- a/src/fescuedock/core/orders/placement.py
+++ b/src/fescuedock/core/orders/placement.py
@@ -1,8 +1,8 @@
-"""Which models, adapters and role an upstream has to have, and the next order on the way there.
+"""Determines the target models, adapters and role of an upstream, and the next order towards it.
 
-The configuration decides what: every model of the upstream's service, since requests go to any
-upstream of a service.  Its policy names those to load first.  Demand decides which loads may go on:
-those that online traffic waits for come first.
+The target comes from the configuration: every model of the upstream's service, as requests go to
+any upstream of a service, starting with those that its policy lists.  Demand decides which loads
+may start: those that online traffic is waiting for come first.
 """
 
 from collections.abc import Collection, Iterator, Mapping, Sequence
@@ -29,16 +29,16 @@
 
 
 class Placement(msgspec.Struct, frozen=True):
-    """What one upstream has to have, by the names of its models."""
+    """The target state of one upstream; ``models`` are by name."""
 
     models: Mapping[str, ModelSpec] = msgspec.field(default_factory=dict)
     role: str = "both"
 
 
 def models_of(configuration: Configuration, upstream: UpstreamRecord) -> list[str]:
-    """Return the models that ``upstream`` has to have in the order to load them.
+    """Return the target models of ``upstream`` in the order in which to load them.
 
-    Those that its policy names come first, then the smaller ones.
+    Models listed in its policy come first, then smaller ones before larger ones.
     """
     service = configuration.services.get(upstream.service)
     if service is None or service.kind is not ServiceKind.MODEL:
@@ -52,7 +52,7 @@
 
 
 def placement_of(configuration: Configuration, upstream: UpstreamRecord) -> Placement:
-    """Return what ``upstream`` has to have under ``configuration``."""
+    """Return the target state of ``upstream`` under ``configuration``."""
     names = models_of(configuration, upstream)
     if not names:
         return Placement()
@@ -64,18 +64,18 @@
 def next_order(
     state: EngineState, target: Placement, refused: Sequence[PlannedOrder] = ()
 ) -> PlannedOrder | None:
-    """Return the next order that brings ``state`` nearer to ``target``; None when it is there.
+    """Return the next order that brings ``state`` closer to ``target``; None when it is reached.
 
-    What is no longer target goes first, since memory is scarce.  ``refused`` are orders that the
-    engine would not carry out a while ago.
+    Unloads come first, as memory is scarce.  ``refused`` are orders that the engine rejected
+    recently.
     """
     return next((order for order in _orders(state, target) if order not in refused), None)
 
 
 def lacks_model(state: EngineState, listed: Collection[str], target: Placement) -> bool:
-    """Whether the engine has no version at all of a target model or adapter.
+    """Whether the engine has no version of some target model or adapter.
 
-    ``listed`` are the names that the engine itself said it serves.
+    ``listed`` are the names that the engine itself reports as served.
     """
     adapters = {adapter for spec in target.models.values() for adapter in spec.adapters}
     have = {*state.models, *state.adapters, *listed}
@@ -83,14 +83,14 @@
 
 
 def without_unlisted(state: EngineState, listed: Collection[str]) -> EngineState:
-    """Return ``state`` without what the engine no longer lists, as after a restart of it."""
+    """Return ``state`` without what the engine no longer lists, for instance after a restart."""
     models = {name: version for name, version in state.models.items() if name in listed}
     adapters = {name: base for name, base in state.adapters.items() if name in listed}
     return EngineState(models, adapters, state.role if models else "both")
 
 
 def after_order(state: EngineState, order: PlannedOrder) -> EngineState:
-    """Return the state of an engine that has carried out ``order``."""
+    """Return the state of an engine after it has executed ``order``."""
     models, adapters, role = dict(state.models), dict(state.adapters), state.role
     match order.kind:
         case OrderKind.LOAD_MODEL:
@@ -107,16 +107,16 @@
 
 
 def uses_weight_store(order: PlannedOrder) -> bool:
-    """Whether the order loads weights and so needs a slot."""
+    """Whether the order loads weights and therefore needs a load slot."""
     return order.kind in _LOADS
 
 
 def choose_slot(
     used_slots: Mapping[int, LoadSlot], count: int, loads_per_model: int, model: str, online: bool
 ) -> int | None:
-    """Return a free slot for a load of ``model``; None when it has to wait.
+    """Return a free slot for a load of ``model``; None when it must wait.
 
-    The last free slot is kept for loads that online traffic waits for (``online``).
+    The last free slot is reserved for loads that online traffic is waiting for (``online``).
     """
     if sum(slot.model == model for slot in used_slots.values()) >= loads_per_model:
         return None
@@ -142,7 +142,7 @@
 
 def _unloads(state: EngineState, target: Placement) -> Iterator[PlannedOrder]:
     if not target.models:
-        # An upstream of no configured service is left as it is.
+        # An upstream without a configured service is left unchanged.
         return
     adapters = {adapter for spec in target.models.values() for adapter in spec.adapters}
     for adapter in _unwanted(state.adapters, adapters):
--- a/src/fescuedock/core/orders/steps.py
+++ b/src/fescuedock/core/orders/steps.py
@@ -1,4 +1,4 @@
-"""What the holder of an upstream's orders asks its shell to do, and how an order ended."""
+"""Steps that the holder of an upstream's orders requests from its caller, and order outcomes."""
 
 from enum import StrEnum
 
@@ -10,14 +10,14 @@
 
 
 class SendOutcome(StrEnum):
-    """How an order that was given ended."""
+    """Outcome of sending an order."""
 
     DONE = "done"
-    # It did not reach the engine.
+    # The order did not reach the engine.
     NOT_SENT = "not_sent"
-    # It may be carried out, now or later.
+    # The order may be executed, now or later.
     UNKNOWN = "unknown"
-    # The engine says that it can never carry it out.
+    # The engine reports that it can never execute the order.
     REJECTED = "rejected"
     # The engine has seen a higher fencing number.
     SUPERSEDED = "superseded"
@@ -35,7 +35,7 @@
 
 
 class SendOrder(msgspec.Struct, frozen=True):
-    """Give ``order``.  It must leave before ``until_ms``, or not at all."""
+    """Send ``order`` before ``until_ms``, or not at all."""
 
     order: PlannedOrder
     fencing: int
--- a/tests/builders/orders.py
+++ b/tests/builders/orders.py
@@ -1,4 +1,4 @@
-"""Builders for order tests: an engine that logs its orders, a view of one upstream, an agent."""
+"""Builders for order tests: an engine that records its orders, a view of upstreams, an agent."""
 
 from dataclasses import dataclass, field
 from random import Random
@@ -32,12 +32,12 @@
 
 @dataclass
 class LoggedEngine:
-    """Stands for ``EngineControl``; orders take ``order_s`` and end as ``faults`` say."""
+    """Fake of ``EngineControl``; orders take ``order_s`` and end with the next of ``faults``."""
 
     order_s: float = 30.0
     started: list[EngineOrder] = field(default_factory=list)
     done: list[EngineOrder] = field(default_factory=list)
-    # The upstreams that were config orders.
+    # The upstream of each order received.
     ordered_upstreams: list[str] = field(default_factory=list)
     faults: list[ResultCode | None] = field(default_factory=list)
     max_concurrent: int = 0
@@ -45,7 +45,7 @@
     _changed: trio.Event = field(default_factory=trio.Event)
 
     async def wait_started(self, count: int) -> None:
-        """Return when ``count`` orders have begun."""
+        """Return when ``count`` orders have started."""
         while len(self.started) < count:
             await self._changed.wait()
 
@@ -80,7 +80,7 @@
 
 
 def upstream(name: str = "worker-1") -> UpstreamRecord:
-    """Return an engine of the service of ``configuration``."""
+    """Return the record of an engine of the service in ``configuration``."""
     return UpstreamRecord(name, "caldas", "hall", "127.0.0.1", 1, UpstreamKind.ENGINE, "desk")
 
 
@@ -96,12 +96,12 @@
 
 
 def show_upstreams(view: FleetView, *upstreams: UpstreamRecord) -> None:
-    """Let ``view`` show these upstreams and no others."""
+    """Replace the upstreams in ``view``."""
     view.replace(view.version + 1, list(view.vms.values()), list(upstreams), 0.0)
 
 
 def order_service(kv: MemoryKv, engine: LoggedEngine, view: FleetView) -> OrderService:
-    """Return the service of one agent whose upstreams have no online requests."""
+    """Return the order service of one agent whose upstreams have no online requests."""
     settings = Settings(
         vm=VmSettings(view.vm_id, "127.0.0.1", "caldas", "hall"),
         platform=PlatformSettings("127.0.0.1:1", "127.0.0.1:1"),
--- a/tests/test_orders_service.py
+++ b/tests/test_orders_service.py
@@ -1,4 +1,4 @@
-"""Orders by whole services in virtual time: resumption, pacing, silence when nothing is wanted."""
+"""Order services in virtual time: resumption, pacing, and no calls without pending orders."""
 
 import unittest
 
@@ -36,7 +36,7 @@
 
 
 class OrderServiceTest(unittest.TestCase):
-    def test_orders_resume_after_the_holders_death_in_their_sequence(self):
+    def test_orders_resume_in_sequence_after_the_holders_death(self):
         for check, wait_s in (("fenced", 11), ("ignored", 131)):
             with self.subTest(check):
                 run_mocked(lambda check=check, wait_s=wait_s: self._resume(check, wait_s))
@@ -47,7 +47,7 @@
         first = order_service(kv, engine, order_view("vm-a", ["vm-a"], ("worker-1",), config))
         with trio.move_on_after(40):
             await first.run()
-        # It died during its second order; the first one was done.
+        # The holder died during its second order, after the first one was done.
         self.assertEqual([item.order for item in engine.started], ["load_model", "load_adapter"])
         died_s = trio.current_time()
         second = order_service(kv, engine, order_view("vm-b", ["vm-b"], ("worker-1",), config))
@@ -66,7 +66,7 @@
         numbers = [item.fencing for item in engine.started]
         self.assertEqual(numbers, sorted(set(numbers)))
 
-    def test_nothing_is_called_while_nothing_is_wanted(self):
+    def test_no_calls_are_made_without_pending_orders(self):
         run_mocked(self._silence)
 
     async def _silence(self):
@@ -85,7 +85,7 @@
             self.assertEqual({item.version for item in engine.done[4:]}, {"2"})
             nursery.cancel_scope.cancel()
 
-    def test_an_engine_that_lost_its_weights_is_noticed(self):
+    def test_an_engine_that_lost_its_weights_is_detected(self):
         run_mocked(self._lost_weights)
 
     async def _lost_weights(self):
@@ -115,7 +115,7 @@
         self.assertEqual(engine.max_concurrent, 2)
         self.assertEqual(len(engine.started), 2 * len(names))
 
-    def test_an_upstream_is_held_back_until_its_models_are_there(self):
+    def test_an_upstream_is_loading_until_its_models_are_loaded(self):
         run_mocked(self._held_back)
 
     async def _held_back(self):
@@ -132,7 +132,7 @@
             self.assertFalse(service.is_loading("worker-1"))
             view.replace_configuration(view.version + 1, 2, configuration(version="2"), 0.0)
             await trio.sleep(10)
-            # It has version 1 meanwhile.
+            # The engine still serves version 1.
             self.assertFalse(service.is_loading("worker-1"))
             nursery.cancel_scope.cancel()
         self.assertEqual([done for _, done in changes], [0, 2])
@@ -151,13 +151,13 @@
             nursery.cancel_scope.cancel()
         self.assertEqual([item.order for item in engine.started], ["load_model"])
 
-    def test_an_order_that_waited_for_its_slot_until_its_upstream_was_gone_is_not_given(self):
+    def test_an_order_is_not_sent_if_its_upstream_left_while_it_waited_for_a_slot(self):
         for name, left in (("gone", []), ("started elsewhere", [upstream("worker-2")])):
             with self.subTest(name):
                 run_mocked(lambda left=left: self._gone(left))
 
     async def _gone(self, left):
-        """Its address may be another upstream's by then."""
+        """Guards against sending to an address that another upstream may have by then."""
         kv, engine = MemoryKv(), LoggedEngine(order_s=1)
         taken = msgspec.msgpack.encode(LoadSlot("other", "other", "other"))
         slots = [f"/fescuedock/{SLOTS_PREFIX}{number}" for number in range(3)]
@@ -174,7 +174,7 @@
             nursery.cancel_scope.cancel()
         self.assertNotIn("worker-1", engine.ordered_upstreams)
 
-    def test_an_order_that_fails_is_given_again_and_a_rejected_one_left_for_a_while(self):
+    def test_a_failed_order_is_sent_again_and_a_rejected_one_after_a_pause(self):
         run_mocked(self._refusals)
 
     async def _refusals(self):
@@ -190,7 +190,7 @@
             self.assertEqual([item.order for item in engine.done], ["load_model", "load_adapter"])
             nursery.cancel_scope.cancel()
 
-    def test_an_outage_stops_orders_and_they_go_on_after_it(self):
+    def test_orders_stop_during_an_outage_and_continue_after_it(self):
         run_mocked(self._outage)
 
     async def _outage(self):
@@ -210,7 +210,7 @@
 
 
 class HolderTest(unittest.TestCase):
-    def test_it_waits_for_a_whole_lease_without_a_renewal(self):
+    def test_an_observer_waits_for_a_full_lease_without_a_renewal(self):
         holder = OrderHolder("vm-b/1", True, OrderSettings())
         record = OrderRecord(fencing=4, holder="vm-a/1", lease_ms=10000, beat=9)
         order = PlannedOrder(OrderKind.SET_ROLE, role="decode")
@@ -223,7 +223,7 @@
         self.assertEqual(holder.step(order, 20000).record.fencing, 5)
 
     def holding(self, engine_checks_fencing):
-        """Return a holder whose first order is in the record since 500 ms."""
+        """Return a holder whose first order was written to the record at 500 ms."""
         order = PlannedOrder(OrderKind.SET_ROLE, role="decode")
         holder = OrderHolder("vm-a/1", engine_checks_fencing, OrderSettings())
         holder.on_read(None, 0, now_ms=0)
@@ -236,7 +236,7 @@
     def test_the_lease_is_counted_from_before_the_write_and_ends_a_margin_early(self):
         for engine_checks_fencing in (True, False):
             holder, order = self.holding(engine_checks_fencing)
-            # Taken with number 1, and raised by the order.
+            # Acquired with fencing number 1, which the order raises to 2.
             self.assertEqual(holder.step(order, 3000), SendOrder(order, 2, 500 + 10000 - 1000))
 
     def test_a_repeat_of_an_order_with_unknown_end_has_a_new_number(self):
@@ -245,14 +245,14 @@
         write = holder.step(order, 3001)
         self.assertEqual((write.record.fencing, write.record.current), (3, [order]))
 
-    def test_a_write_that_conflicts_ends_the_hold(self):
+    def test_a_conflicting_write_ends_the_hold(self):
         holder, order = self.holding(engine_checks_fencing=True)
         holder.begin_write(holder.renewal(4000), 4000)
         holder.on_write(None, True, 4005)
         self.assertFalse(holder.is_holding)
         self.assertIsInstance(holder.step(order, 4006), ReadRecord)
 
-    def test_a_late_write_is_not_taken_for_the_one_sent_after_it(self):
+    def test_a_late_write_is_not_mistaken_for_the_one_sent_after_it(self):
         holder, _ = self.holding(engine_checks_fencing=True)
         writes = []
         for sent_ms in (4000, 8000):
@@ -262,11 +262,11 @@
             if len(writes) == 1:
                 holder.on_read(OrderRecord(0, "", 0, 0), 2, sent_ms + 1100)
         self.assertIsInstance(holder.step(None, 9100), ReadRecord)
-        # The first one has landed: its lease has long started, so the holder must not go on.
+        # The first write took effect late: its lease began long ago, so the holder must stop.
         holder.on_read(writes[0].record, 3, 9200)
         self.assertEqual(holder.phase, Phase.OBSERVING)
 
-    def test_another_order_waits_until_an_unknown_one_is_settled(self):
+    def test_another_order_waits_until_one_with_unknown_outcome_has_ended(self):
         holder, order = self.holding(engine_checks_fencing=False)
         holder.on_order_sent(SendOutcome.UNKNOWN, 2000)
         write = holder.step(order, 3001)
@@ -287,7 +287,7 @@
             return Wait(122000)
         return SendOrder(holder.current, holder.fencing, now_ms + 9000)
 
-    def test_numbers_that_went_back_are_raised_faster_each_time(self):
+    def test_fencing_numbers_after_a_restore_are_raised_faster_each_time(self):
         holder, order = self.holding(engine_checks_fencing=True)
         record = OrderRecord(fencing=2, holder="vm-a/1", lease_ms=10000, beat=2, current=[order])
         numbers = []
@@ -303,7 +303,7 @@
 
 
 class PlacementTest(unittest.TestCase):
-    def test_orders_free_memory_first_and_end_when_all_is_there(self):
+    def test_orders_free_memory_first_and_end_at_the_target(self):
         state = EngineState({"old": "1", "chat": "1"}, {"letters": "chat@1", "gone": "old@1"})
         wanted = Placement({"chat": ModelSpec("2", ["letters"])}, "decode")
         kinds = [OrderKind.UNLOAD_ADAPTER, OrderKind.UNLOAD_MODEL, OrderKind.SET_ROLE]
@@ -312,20 +312,20 @@
         self.assertIsNone(next_order(state, wanted))
         self.assertIsNone(next_order(state, Placement()))
 
-    def test_an_engine_that_lost_its_weights_gets_them_again(self):
+    def test_an_engine_that_lost_its_weights_loads_them_again(self):
         state = EngineState({"chat": "2"}, {"letters": "chat@2"}, "decode")
         wanted = Placement({"chat": ModelSpec("2", ["letters"])}, "decode")
         order = next_order(without_unlisted(state, set()), wanted)
         self.assertEqual(order.kind, OrderKind.SET_ROLE)
 
-    def test_models_that_the_policy_names_come_first(self):
+    def test_models_listed_in_the_policy_come_first(self):
         config: Configuration = configuration()
         config.services["desk"].models["other"] = ModelSpec("1")
         self.assertEqual(models_of(config, upstream()), ["chat", "other"])
         config.upstreams["worker-1"] = UpstreamPolicy(models=["other"])
         self.assertEqual(models_of(config, upstream()), ["other", "chat"])
 
-    def test_the_last_slot_is_kept_for_online_demand(self):
+    def test_the_last_slot_is_reserved_for_online_demand(self):
         taken = {0: LoadSlot("vm-a", "worker-1", "chat")}
         self.assertEqual(choose_slot(taken, 2, 2, "other", True), 1)
         self.assertIsNone(choose_slot(taken, 2, 2, "other", False))
--- a/tests/test_orders_stateful.py
+++ b/tests/test_orders_stateful.py
@@ -1,4 +1,4 @@
-"""Orders to one engine by agents that pause at any step, against an oracle at the engine."""
+"""Orders to one engine by agents that pause at any step, with an oracle at the engine."""
 
 import itertools
 import unittest
@@ -22,7 +22,7 @@
 SETTINGS = OrderSettings(lease_ms=10000, margin_ms=1000, longest_order_ms=15000, retry_ms=100)
 AGENTS = st.integers(0, 1)
 CALL_OUTCOMES = st.sampled_from([*[CallOutcome.ANSWERED] * 6, *CallOutcome])
-# Within what margin_ms allows for over a lease.
+# Clock drift within margin_ms over one lease.
 CLOCK_RATES = (0.95, 1.05)
 TRANSIT_TIMES_MS = st.sampled_from([0, 200, 9000, 14000])
 PAUSES_MS = st.sampled_from([1, 500, 1000, 2000, 9000, 11500, 14300])
@@ -30,7 +30,7 @@
 
 @dataclass
 class Agent:
-    """One agent's shell: what it decided and has not done yet, and an order it waits for."""
+    """One agent: its holder, a decided step not yet executed, and the order it waits for."""
 
     name: str
     clock_rate: float
@@ -42,7 +42,7 @@
 
 @dataclass
 class Sent:
-    """An order on its way to the engine."""
+    """An order in transit to the engine."""
 
     fencing: int
     sequence: int
@@ -53,7 +53,7 @@
 
 @dataclass
 class Engine:
-    """Logs what it executed."""
+    """Records the orders that it executed."""
 
     checks: bool
     highest: int = 0
@@ -67,7 +67,7 @@
 
 
 class OrdersMachine(RuleBasedStateMachine):
-    """Two properties: the engine never goes back to an earlier holder, nor to an earlier order."""
+    """Checks that the engine never executes an order of an earlier holder or sequence number."""
 
     @initialize(checks=st.booleans())
     def begin(self, checks):
@@ -108,7 +108,7 @@
 
     @rule(index=AGENTS, call_outcome=CALL_OUTCOMES, transit_ms=TRANSIT_TIMES_MS)
     def perform(self, index, call_outcome, transit_ms):
-        """Do what was decided, perhaps long ago; its answer is heard later."""
+        """Execute the decided step, perhaps long after; its answer is delivered later."""
         agent = self.agents[index]
         decided, agent.decided = agent.decided, None
         match decided:
@@ -142,7 +142,7 @@
         self.in_transit.append(agent.awaited)
 
     def _origin(self, name, fencing):
-        """Return an order's sequence and the number of its holder, by the writes so far."""
+        """Return an order's sequence and its holder's ordinal, from the writes so far."""
         tenure, previous = 0, ""
         for value in self.cell.writes:
             record = msgspec.msgpack.decode(value, type=OrderRecord)
@@ -151,7 +151,7 @@
             previous = record.holder or previous
             if record.holder == name and record.fencing == fencing:
                 return record.sequence, tenure
-        raise AssertionError(f"{name} gives orders under {fencing}, which was never written")
+        raise AssertionError(f"{name} sends orders with {fencing}, which was never written")
 
     @rule(index=AGENTS, answer_lost=st.booleans())
     def end_order(self, index, answer_lost):
@@ -168,7 +168,7 @@
     def restart(self, index):
         self.agents[index] = self._new_agent(index)
 
-    # --- the rest of the machine -----------------------------------------------------------------
+    # --- environment ---------------------------------------------------------------------------
 
     @rule(pause_ms=PAUSES_MS)
     def pass_time(self, pause_ms):
@@ -202,7 +202,7 @@
         transit_ms=TRANSIT_TIMES_MS,
     )
     def run_without_faults(self, index, duration_ms, transit_ms):
-        """Let one agent work without a fault while the other is paused wherever it was."""
+        """Run one agent without faults while the other is paused at its current step."""
         agent = self.agents[index]
         ends_ms = self.now_ms + duration_ms
         for _ in range(100):
@@ -218,7 +218,7 @@
             else:
                 self.perform(index, CallOutcome.ANSWERED, transit_ms)
 
-    # --- promises ------------------------------------------------------------------------------
+    # --- invariants ----------------------------------------------------------------------------
 
     @invariant()
     def never_regresses(self):
@@ -229,14 +229,14 @@
 
 
 class PausedHolderTest(unittest.TestCase):
-    """One agent is paused after each of its steps, around every bound, while another goes on."""
+    """One agent is paused after each of its steps, around every bound, while another runs."""
 
     PAUSES_MS = (1000, 6000, 8800, 9200, 10200, 11300, 14000, 26000)
     STEPS = 20
     ANSWERS_MS = (50, 2500)
     TRANSIT_TIMES_MS = (300, 14000)
 
-    def test_a_holder_that_is_paused_at_any_step_does_no_harm(self):
+    def test_a_holder_paused_at_any_step_sends_no_stale_order(self):
         takeovers = 0
         cases = itertools.product(
             (False, True),
@@ -266,7 +266,7 @@
         return len({sent.tenure for sent in machine.engine.executed}) > 1
 
     def _step_slowly(self, machine, answer_ms, transit_ms):
-        """Let the first agent do one thing; answers and orders take a while."""
+        """Execute one step of the first agent, with delayed answers and orders."""
         agent = machine.agents[0]
         if agent.answer is not None:
             machine.pass_time(answer_ms)
