--- a/src/fescuedock/core/batch/__init__.py
+++ b/src/fescuedock/core/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions of the batch runner: a job's life, its items, its commits, and who takes it over."""
+"""Decisions of the batch runner: a job's phases, items, commits and takeover."""
--- a/src/fescuedock/core/orders/__init__.py
+++ b/src/fescuedock/core/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions on orders to engines: who gives them, which ones, and how many loads at once."""
+"""Decisions on orders to engines: the holder that sends them, their choice, and load limits."""
--- a/src/fescuedock/core/stored_jobs/__init__.py
+++ b/src/fescuedock/core/stored_jobs/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about batch jobs whose items and results lie in the key-value service."""
+"""Decisions about batch jobs whose items and results are stored in the key-value service."""
--- a/src/fescuedock/core/stored_jobs/urgency.py
+++ b/src/fescuedock/core/stored_jobs/urgency.py
@@ -75,23 +75,23 @@
     now_ms: float,
     software_version: str | None,
 ) -> ItemChoice:
-    goes_on = software_version is None or run.accepts_version(software_version)
-    events_done = run.last_event + 1 if goes_on else 0
+    resumes = software_version is None or run.accepts_version(software_version)
+    events_done = run.last_event + 1 if resumes else 0
     left_ms = estimate.left_ms(events_done)
-    time_ms = job.due_ms - now_ms
-    stage = stage_of(time_ms, left_ms, run_share.share, begun=events_done > 0)
+    until_due_ms = job.due_ms - now_ms
+    stage = stage_of(until_due_ms, left_ms, run_share.share, begun=events_done > 0)
     since_ms = run.ended_ms or job.due_ms - job.record.due_in_ms
-    return ItemChoice(job, run, stage, time_ms - left_ms, left_ms, now_ms - since_ms)
+    return ItemChoice(job, run, stage, until_due_ms - left_ms, left_ms, now_ms - since_ms)
 
 
-def stage_of(time_ms: float, left_ms: float, run_share: float, *, begun: bool) -> BatchStage:
-    """Return the stage of an item that is due in ``time_ms`` with ``left_ms`` of run time left.
+def stage_of(until_due_ms: float, left_ms: float, run_share: float, *, begun: bool) -> BatchStage:
+    """Return the stage of an item from the time until it is due and its remaining run time.
 
     ``run_share`` is the share of time that items are running once they have begun.
     """
-    if time_ms < left_ms:
+    if until_due_ms < left_ms:
         return BatchStage.LATE
-    is_safe = time_ms * run_share >= left_ms
+    is_safe = until_due_ms * run_share >= left_ms
     if begun:
         return BatchStage.BEGUN if is_safe else BatchStage.ENDANGERED
     return BatchStage.FRESH if is_safe else BatchStage.DOUBTFUL
--- a/tests/test_batch_decisions.py
+++ b/tests/test_batch_decisions.py
@@ -66,10 +66,10 @@
         self.scheduler.on_ended(assignment, self.now_ms)
         assignment.run.on_attempt_ended(assignment.item, end, self.now_ms)
 
-    def served(self, turns: int) -> dict[str, int]:
-        """Run ``turns`` items one after the other; return how many of them each job got."""
+    def served(self, count: int) -> dict[str, int]:
+        """Run ``count`` items one after the other; return how many of them each job got."""
         counts = dict.fromkeys(self.runners, 0)
-        for _ in range(turns):
+        for _ in range(count):
             assignment = self.claim()
             counts[assignment.run.job_id] += 1
             self.now_ms += 100.0
@@ -160,11 +160,11 @@
         fleet.now_ms += 20000.0
         self.assertIsNone(fleet.claim("u3"), "the upstream runs empty for the suspect")
         fleet.end(other)
-        alone = fleet.claim("u3")
-        self.assertIs(alone.item, bad.item)
-        self.assertIs(alone.isolation, Isolation.ALONE)
+        isolated = fleet.claim("u3")
+        self.assertIs(isolated.item, bad.item)
+        self.assertIs(isolated.isolation, Isolation.ALONE)
         self.assertIsNone(fleet.claim("u3"))
-        fleet.end(alone)
+        fleet.end(isolated)
         self.assertIsNotNone(fleet.claim("u3"))
 
 
--- a/tests/test_config_stateful.py
+++ b/tests/test_config_stateful.py
@@ -76,7 +76,7 @@
         change = self.submit(vm_index, 0, 1)
         for step_outcome in (CallOutcome.ANSWERED, call_outcome):
             if not isinstance(change.step, Accepted | Refusal):
-                self.go_on(change, step_outcome)
+                self.execute_step(change, step_outcome)
         if gives_up:
             self.give_up(change)
         return change
@@ -87,7 +87,7 @@
         return Change(vm_index, PatchWriter(change.writer.request, replica, next(self.names)))
 
     @rule(target=changes, change=consumes(changes), call_outcome=CALL_OUTCOMES)
-    def go_on(self, change, call_outcome):
+    def execute_step(self, change, call_outcome):
         """Execute the next step of a change."""
         step = change.step or Read()
         if isinstance(step, Accepted | Refusal):
@@ -171,12 +171,12 @@
         vm_index, push, requested_at_ms = message
         self.nodes[vm_index].on_push(push, requested_at_ms, self.now_ms)
 
-    @rule(target=messages, sender=INDEXES, receiver=INDEXES, whole=st.booleans())
-    def ask(self, sender, receiver, whole):
+    @rule(target=messages, sender=INDEXES, receiver=INDEXES, full=st.booleans())
+    def pull(self, sender, receiver, full):
         """Pull the current state, to be delivered at any later time."""
         self.now_ms += 1
-        pull = ConfigPull(0 if whole else self.nodes[receiver].version, whole_record=whole)
-        return (receiver, self.nodes[sender].on_pull(pull, self.now_ms), self.now_ms)
+        message = ConfigPull(0 if full else self.nodes[receiver].version, whole_record=full)
+        return (receiver, self.nodes[sender].on_pull(message, self.now_ms), self.now_ms)
 
     @rule(sender=INDEXES, receiver=INDEXES)
     def gossip(self, sender, receiver):
--- a/tests/test_stored_jobs_core.py
+++ b/tests/test_stored_jobs_core.py
@@ -212,7 +212,7 @@
         wanted = job_record(listed=2, owner_id="n", owner_boot=1, epoch=1)
         self.assertIs(check_commit(wanted, wanted), CommitState.DONE)
 
-    def test_a_record_before_the_commit_means_try_again(self) -> None:
+    def test_a_record_before_the_commit_means_retry(self) -> None:
         wanted = job_record(listed=2, owner_id="n", owner_boot=1, epoch=1)
         found = msgspec.structs.replace(wanted, listed=1)
         self.assertIs(check_commit(wanted, found), CommitState.RETRY)
