--- a/src/fescuedock/batch/runner.py
+++ b/src/fescuedock/batch/runner.py
@@ -166,7 +166,7 @@
         answer = await self._ask_owner(job_id, owner, Address(vm.host, vm.batch_port))
         silent_ms = 0.0
         if answer is OwnerAnswer.SILENT:
-            silent_ms = self._silence.silent_ms(job_id, now_ms())
+            silent_ms = self._silence.record_silence(job_id, now_ms())
         else:
             self._silence.clear(job_id)
         return decide_takeover(owner, name, vm, answer, silent_ms, silence_ms)
--- a/src/fescuedock/core/batch/commits.py
+++ b/src/fescuedock/core/batch/commits.py
@@ -32,8 +32,11 @@
 
     CLAIMING = auto()
     OWNED = auto()
+    # The record is final.
     FINAL = auto()
+    # Another owner has claimed the job.
     LOST = auto()
+    # The record no longer exists.
     VANISHED = auto()
 
 
--- a/src/fescuedock/core/batch/items.py
+++ b/src/fescuedock/core/batch/items.py
@@ -22,12 +22,13 @@
 
 __all__ = ["AttemptEnd", "EndKind", "Isolation", "Item", "ItemQueue", "ItemFailure"]
 
-# Added to the suspicion of an item when a worker dies before, or after, it returned tokens of it.
+# Suspicion added to an item by the death of its worker, without and with tokens received from it.
 _DEATH_SUSPICION = 1.0
 _DEATH_SUSPICION_WITH_TOKENS = 0.5
 _MIN_SUSPECT_SUSPICION = 1.0
 _MIN_ISOLATED_SUSPICION = 2.0
-# Independent of the number of attempts, as each death costs a worker and everything running on it.
+# An item fails permanently at this suspicion.  Not the number of attempts, as each death costs a
+# worker and everything running on it.
 _MAX_SUSPICION = 3.0
 
 
--- a/src/fescuedock/core/batch/job.py
+++ b/src/fescuedock/core/batch/job.py
@@ -34,12 +34,17 @@
     """Phase of the job at this runner; the last three are final."""
 
     CLAIMING = auto()
+    # Reading the result log of a former owner.
     RECOVERING = auto()
     RUNNING = auto()
+    # Cancelled; waiting for the end of attempts in flight.
     STOPPING = auto()
+    # Committing the last results and making the record final.
     FINISHING = auto()
     FINISHED = auto()
+    # Another runner owns the job.
     LOST = auto()
+    # The record no longer exists.
     VANISHED = auto()
 
 
--- a/src/fescuedock/core/batch/scheduler.py
+++ b/src/fescuedock/core/batch/scheduler.py
@@ -48,6 +48,7 @@
     in_flight: int = 0
     suspects: int = 0
     isolated: bool = False
+    # Draining for an item that must run in isolation.
     reserved: bool = False
 
     def max_isolation(self) -> Isolation | None:
--- a/src/fescuedock/core/batch/takeover.py
+++ b/src/fescuedock/core/batch/takeover.py
@@ -61,7 +61,7 @@
     def __init__(self) -> None:
         self._since_ms: dict[str, float] = {}
 
-    def silent_ms(self, job_id: str, now_ms: float) -> float:
+    def record_silence(self, job_id: str, now_ms: float) -> float:
         """Record that the owner is silent; return for how long it has been."""
         return now_ms - self._since_ms.setdefault(job_id, now_ms)
 
--- a/tests/test_batch_decisions.py
+++ b/tests/test_batch_decisions.py
@@ -193,10 +193,10 @@
             (9999.0, TakeoverDecision.LEAVE),
             (1e4, TakeoverDecision.CLAIM),
         ):
-            silent_ms = log.silent_ms("job", now_ms)
+            silent_ms = log.record_silence("job", now_ms)
             self.assertIs(self._judge("vm-2/a", vm, OwnerAnswer.SILENT, silent_ms), verdict)
         log.clear("job")
-        self.assertEqual(log.silent_ms("job", 2e4), 0.0)
+        self.assertEqual(log.record_silence("job", 2e4), 0.0)
 
     def test_each_domain_has_its_own_scanners(self):
         vms = [_vm(f"vm-{number}", f"domain-{number % 3}") for number in range(9)]
