--- a/src/fescuedock/core/stored_jobs/work_gate.py
+++ b/src/fescuedock/core/stored_jobs/work_gate.py
@@ -30,7 +30,7 @@
     LISTED = "all its results are listed"
     NOT_OWNED = "another node owns it"
     LEAVING = "this node leaves"
-    END_WANTED = "its client wants its end, which is not recorded yet"
+    END_PENDING = "its client wants its end, which is not recorded yet"
     UNCONFIRMED = "its record was not confirmed for too long"
 
     @property
@@ -38,7 +38,7 @@
         """Whether this node can never begin work of the job unless it claims the job again."""
         return self not in (
             WorkRefusal.LEAVING,
-            WorkRefusal.END_WANTED,
+            WorkRefusal.END_PENDING,
             WorkRefusal.UNCONFIRMED,
         )
 
@@ -92,7 +92,7 @@
     if leaving:
         return WorkRefusal.LEAVING
     if end_pending:
-        return WorkRefusal.END_WANTED
+        return WorkRefusal.END_PENDING
     if not known.is_usable(end_bound_ms - _START_LATENCY_MS):
         return WorkRefusal.UNCONFIRMED
     return None
--- a/src/fescuedock/node/job_runner.py
+++ b/src/fescuedock/node/job_runner.py
@@ -58,7 +58,7 @@
 # Stands for "never" in logs.
 _LONG_AGO_MS = 1e9
 # A job that is refused for no more than this is taken in, and its items wait.
-_HELD = (None, WorkRefusal.UNCONFIRMED, WorkRefusal.END_WANTED)
+_HELD = (None, WorkRefusal.UNCONFIRMED, WorkRefusal.END_PENDING)
 # Runs that ended an attempt of an item one way or the other; others go on elsewhere.
 _ITEM_CODES = {
     ItemEnd.COMPLETED: ResultCode.OK,
--- a/tests/test_work_gate.py
+++ b/tests/test_work_gate.py
@@ -77,9 +77,9 @@
     def test_a_pending_end_holds_work_until_it_is_resolved(self) -> None:
         for known in (FRESH, RecordFreshness(9000.0), RecordFreshness(9000.0, True, 400.0)):
             with self.subTest(known=known):
-                self.assertIs(judge(record(), known, end_pending=True), WorkRefusal.END_WANTED)
+                self.assertIs(judge(record(), known, end_pending=True), WorkRefusal.END_PENDING)
         # The job is not dropped, as the pending end may expire without taking effect.
-        self.assertFalse(WorkRefusal.END_WANTED.is_final)
+        self.assertFalse(WorkRefusal.END_PENDING.is_final)
         self.assertIs(judge(record(ended=True), end_pending=True), WorkRefusal.ENDED)
 
     def test_an_outage_confirmed_by_neighbours_holds_no_work(self) -> None:
