--- a/src/fescuedock/core/stored_jobs/permit_requests.py
+++ b/src/fescuedock/core/stored_jobs/permit_requests.py
@@ -54,8 +54,9 @@
 ) -> list[str]:
     """Return the upstreams to send a permit request to now, for items of one service.
 
-    Upstreams known to be full come last.  The order is otherwise random, so that nodes with the
-    same information do not all send their requests to the same owner.
+    Upstreams known to be full come last, and near ones first among the others (see the policy).
+    The order is otherwise random, so that nodes with the same information do not all send their
+    requests to the same owner.
     """
     room = policy.per_item * waiting_items - open_requests
     if room <= 0:
--- a/src/fescuedock/core/stored_jobs/work_gate.py
+++ b/src/fescuedock/core/stored_jobs/work_gate.py
@@ -16,8 +16,8 @@
 
 __all__ = ["RecordFreshness", "WorkRefusal", "refusal_of"]
 
-# Part of the time in which an item may still begin after an acknowledged end that is reserved for
-# the start itself: half for a connection to the upstream (at most 250 ms), half for updates in
+# An item may still begin for a bounded time after an acknowledged end.  This part of it is reserved
+# for the start itself: half for a connection to the upstream (at most 250 ms), half for updates in
 # transit.
 _START_LATENCY_MS = 600.0
 
