--- a/src/fescuedock/core/batch/ranges.py
+++ b/src/fescuedock/core/batch/ranges.py
@@ -1,15 +1,15 @@
-"""Sets of item numbers, and half-open ranges of them as the job record holds them."""
+"""Sets of item numbers, and the half-open ranges in which the job record stores them."""
 
 from bisect import bisect_right
 from collections.abc import Iterable, Sequence
 
-__all__ = ["ItemSet", "holds", "to_ranges"]
+__all__ = ["ItemSet", "covers", "to_ranges"]
 
 _IN = 1
 
 
 class ItemSet:
-    """A set of numbers below ``size``, at one byte for each possible number."""
+    """A set of numbers below ``size`` that uses one byte per possible number."""
 
     __slots__ = ("_count", "_flags")
 
@@ -30,7 +30,7 @@
         return len(self._flags)
 
     def add(self, number: int) -> bool:
-        """Add ``number``; False when it was there already."""
+        """Add ``number``; return False when it was already in the set."""
         if self._flags[number]:
             return False
         self._flags[number] = _IN
@@ -68,7 +68,7 @@
     return ranges
 
 
-def holds(ranges: Sequence[Sequence[int]], number: int) -> bool:
+def covers(ranges: Sequence[Sequence[int]], number: int) -> bool:
     """Return whether sorted half-open ``ranges`` cover ``number``."""
     index = bisect_right(ranges, number, key=lambda item: item[0])
     return index > 0 and number < ranges[index - 1][1]
--- a/src/fescuedock/core/batch/recovery.py
+++ b/src/fescuedock/core/batch/recovery.py
@@ -1,4 +1,4 @@
-"""Reads the result log that a former owner left, and takes over what was not committed."""
+"""Recovers uncommitted results from the result log of a former owner."""
 
 from collections.abc import Iterator, Sequence
 
@@ -17,13 +17,13 @@
 
 
 class LogRecovery:
-    """Reads a log as often as it takes to get all of it through a bounded buffer.
+    """Reads a log repeatedly until all of it has passed through a bounded buffer.
 
-    After several failures it gives up: the items without a known result run again, or end as
-    unknown when they may not.
+    Gives up after several failures: items without a known result then run again, or end as unknown
+    if they may not run twice.
     """
 
-    __slots__ = ("_due_at_ms", "_failures", "_reading", "_skipped", "done", "reused")
+    __slots__ = ("_due_at_ms", "_failures", "_incomplete", "_reading", "done", "reused")
 
     def __init__(self, needed: bool) -> None:
         self.done = not needed
@@ -31,7 +31,7 @@
         self._failures = 0
         self._due_at_ms = 0.0
         self._reading = False
-        self._skipped = False
+        self._incomplete = False
 
     @property
     def due_at_ms(self) -> float:
@@ -41,25 +41,25 @@
         if self.done or self._reading or now_ms < self._due_at_ms:
             return None
         self._reading = True
-        self._skipped = False
+        self._incomplete = False
         return ReadLog()
 
     def results(self, records: Sequence[bytes], ended: ItemSet) -> Iterator[LoggedResult]:
-        """Give the results in a page whose items have none yet; both stores' copies come."""
+        """Yield the results of a page whose items have none yet; pages of both copies arrive."""
         for record in records:
             result = _decode(record)
             if result.item_number not in ended:
                 yield result
 
-    def skip(self) -> None:
-        """A result did not fit; the log must be read again."""
-        self._skipped = True
+    def mark_incomplete(self) -> None:
+        """Record that a result did not fit in the buffer, so the log must be read again."""
+        self._incomplete = True
 
     def on_end(self, complete: bool, now_ms: float) -> None:
-        """The reading ended; ``complete`` says that a store was read to its end."""
+        """Handle the end of a read; ``complete`` is set when a store was read to its end."""
         self._reading = False
         if complete:
-            self.done = not self._skipped
+            self.done = not self._incomplete
             return
         self._failures += 1
         self.done = self._failures >= _ATTEMPTS
--- a/src/fescuedock/core/batch/scheduler.py
+++ b/src/fescuedock/core/batch/scheduler.py
@@ -1,8 +1,9 @@
-"""Which job gets the next permit of an upstream, among the jobs of one runner.
+"""Chooses which of a runner's jobs gets the next permit of an upstream.
 
-Jobs that must have nearly all of their service's rate to make the deadline go first, least slack
-before more.  Every few turns, and when no job is urgent, members take turns by their shares.  A job
-that cannot make it even so is not urgent any more: it would only take others with it.
+Jobs that need nearly the full rate of their service to meet the deadline go first, ordered by
+slack.  Every few rounds, and when no job is urgent, members get slots in proportion to their
+shares.  A job that cannot meet its deadline even at the full rate is not urgent: running it first
+would only make other jobs late as well.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,23 +17,23 @@
 
 __all__ = ["Assignment", "ItemScheduler", "ShareOf"]
 
-# Weight of a member among those who wait.
+# Returns the weight of a member among the waiting members.
 ShareOf = Callable[[str], float]
 
-# A job is urgent when its slack is below this share of the time to its deadline.  That must be more
-# than the share of the fair turns, or an urgent job would miss the deadline because of them.
+# A job is urgent when its slack is below this share of the time to its deadline.  The share must
+# exceed that of the fair rounds, or these would make an urgent job miss its deadline.
 _URGENT_SHARE = 0.4
-# It is urgent as well when it has no time to spare for a takeover and the last commits.
+# A job is also urgent when its slack does not cover a takeover and the last commits.
 _URGENT_MS = 60000.0
-_FAIR_TURN_EVERY = 4
-# A job that would be late by more than this share of the time left cannot make it.
-_HOPELESS_SHARE = 0.1
-# Jobs that may hold a segment of their input in memory.
+_FAIR_ROUND_INTERVAL = 4
+# A job that would be late by more than this share of the time left cannot meet its deadline.
+_INFEASIBLE_SHARE = 0.1
+# Number of jobs that may hold a segment of their input in memory.
 _MAX_LOADED_JOBS = 8
 
 
 class Assignment(msgspec.Struct, frozen=True):
-    """One item to be run now."""
+    """One item to run now, and where."""
 
     run: JobRun
     item: Item
@@ -46,12 +47,13 @@
 
     in_flight: int = 0
     suspects: int = 0
-    alone: bool = False
+    isolated: bool = False
+    # Draining for an item that must run in isolation.
     reserved: bool = False
 
-    def allows(self) -> Isolation | None:
-        """Return the strictest isolation that can be given; None when nothing may start."""
-        if self.alone:
+    def max_isolation(self) -> Isolation | None:
+        """Return the strictest isolation available, or None when no item may start."""
+        if self.isolated:
             return None
         if not self.in_flight:
             return Isolation.ALONE
@@ -61,15 +63,15 @@
 
 
 class ItemScheduler:
-    """Holds the runner's jobs and what is in flight where."""
+    """Schedules the items of a runner's jobs, and tracks those in flight by upstream."""
 
     __slots__ = (
         "_meters",
+        "_round",
         "_runs",
         "_settings",
-        "_turn",
         "_upstreams",
-        "_used",
+        "_used_by_member",
         "in_flight",
     )
 
@@ -77,9 +79,9 @@
         self._settings = settings
         self._runs: dict[str, JobRun] = {}
         self._upstreams: dict[str, _Upstream] = {}
-        self._used: dict[str, float] = {}
+        self._used_by_member: dict[str, float] = {}
         self._meters: dict[str, RateMeter] = {}
-        self._turn = 0
+        self._round = 0
         self.in_flight = 0
 
     @property
@@ -94,22 +96,22 @@
         self._runs.pop(run.job_id, None)
 
     def services(self) -> set[str]:
-        """Return the services that have jobs here."""
+        """Return the services of this runner's jobs."""
         return {run.record.service for run in self._runs.values() if run.record is not None}
 
     def items_per_s(self, service: str, now_ms: float) -> float | None:
-        """Return the rate of the service's items over all jobs here; None when unknown."""
+        """Return the rate of the service's items over all jobs of this runner; None if unknown."""
         meter = self._meters.get(service)
         return meter.items_per_s(now_ms) if meter else None
 
-    def choose_loaded(self, now_ms: float) -> None:
-        """Let the jobs with the least slack hold input, and no others.
+    def choose_loading_jobs(self, now_ms: float) -> None:
+        """Allow only the jobs with the least slack to load input.
 
-        Also tells each job what rate to expect before it has one of its own.
+        Also sets the rate that each job expects before it has one of its own.
         """
         working = [run for run in self._runs.values() if run.record is not None]
         for run in working:
-            run.expect_rate(self.items_per_s(run.record.service, now_ms) or 0.0)
+            run.set_expected_rate(self.items_per_s(run.record.service, now_ms) or 0.0)
         working.sort(key=lambda run: self.slack_ms(run, now_ms))
         for index, run in enumerate(working):
             run.may_load = index < _MAX_LOADED_JOBS
@@ -121,27 +123,27 @@
         ready = self._ready(service, now_ms)
         return min(ready, key=lambda run: self.slack_ms(run, now_ms), default=None)
 
-    def take(
+    def claim(
         self, service: str, upstream_id: str, share_of: ShareOf, now_ms: float
     ) -> Assignment | None:
-        """Return what to run on ``upstream_id``, for which there is a permit."""
+        """Claim an item to run on ``upstream_id``, for which the caller holds a permit."""
         allowed = self._allowed(service, upstream_id, now_ms)
         if allowed is None:
             return None
         for run in self._ordered(list(self._ready(service, now_ms)), now_ms):
-            item = run.take(upstream_id, allowed, now_ms)
+            item = run.claim(upstream_id, allowed, now_ms)
             if item is not None:
-                self._started(run, item, share_of)
+                self._record_start(run, item, share_of)
                 return Assignment(run, item, item.isolation, upstream_id, service)
         return None
 
     def on_ended(self, assignment: Assignment, now_ms: float) -> None:
-        """Take back an assignment, however its attempt ended."""
+        """Release an assignment after its attempt ended, whatever the outcome."""
         upstream = self._upstreams[assignment.upstream_id]
         upstream.in_flight -= 1
         upstream.suspects -= assignment.isolation is not Isolation.NONE
         if assignment.isolation is Isolation.ALONE:
-            upstream.alone = False
+            upstream.isolated = False
         if not upstream.in_flight and not upstream.reserved:
             del self._upstreams[assignment.upstream_id]
         self.in_flight -= 1
@@ -149,7 +151,7 @@
         meter.on_ended(now_ms)
 
     def slack_ms(self, run: JobRun, now_ms: float) -> float:
-        """Return the time to spare if the job had its service's whole rate."""
+        """Return the slack of a job if it had the full rate of its service."""
         left_ms = run.deadline_ms - now_ms
         rate = self.items_per_s(run.record.service, now_ms)
         return left_ms - run.items_left / rate * 1000.0 if rate else left_ms
@@ -168,10 +170,10 @@
         if upstream is None:
             return Isolation.ALONE
         self._reserve(service, upstream, now_ms)
-        return upstream.allows()
+        return upstream.max_isolation()
 
     def _reserve(self, service: str, upstream: _Upstream, now_ms: float) -> None:
-        """Let one upstream run empty when an item must run alone and finds none empty."""
+        """Drain one upstream when an item must run in isolation and no upstream is idle."""
         runs = self._ready(service, now_ms)
         strict = (run.strictest_isolation(now_ms) is Isolation.ALONE for run in runs)
         if not any(strict):
@@ -182,10 +184,12 @@
     def _ordered(self, ready: list[JobRun], now_ms: float) -> list[JobRun]:
         if len(ready) < 2:
             return ready
-        self._turn += 1
+        self._round += 1
         by_slack = sorted(ready, key=lambda run: self.slack_ms(run, now_ms))
-        by_member = sorted(by_slack, key=lambda run: self._used.get(run.record.member, 0.0))
-        if self._turn % _FAIR_TURN_EVERY == 0:
+        by_member = sorted(
+            by_slack, key=lambda run: self._used_by_member.get(run.record.member, 0.0)
+        )
+        if self._round % _FAIR_ROUND_INTERVAL == 0:
             return by_member
         urgent = [run for run in by_slack if self._is_urgent(run, now_ms)]
         return urgent + [run for run in by_member if run not in urgent]
@@ -193,24 +197,28 @@
     def _is_urgent(self, run: JobRun, now_ms: float) -> bool:
         left_ms = run.deadline_ms - now_ms
         slack_ms = self.slack_ms(run, now_ms)
-        if slack_ms < -left_ms * _HOPELESS_SHARE:
+        if slack_ms < -left_ms * _INFEASIBLE_SHARE:
             return False
         return slack_ms < max(left_ms * _URGENT_SHARE, _URGENT_MS)
 
-    def _started(self, run: JobRun, item: Item, share_of: ShareOf) -> None:
-        self._count_use(run.record.member, share_of)
+    def _record_start(self, run: JobRun, item: Item, share_of: ShareOf) -> None:
+        self._charge_member(run.record.member, share_of)
         upstream = self._upstreams.setdefault(item.upstream_id, _Upstream())
         upstream.in_flight += 1
         upstream.suspects += item.isolation is not Isolation.NONE
         if item.isolation is Isolation.ALONE:
-            upstream.alone = True
+            upstream.isolated = True
             upstream.reserved = False
         self.in_flight += 1
 
-    def _count_use(self, member: str, share_of: ShareOf) -> None:
-        """Charge one item to ``member``; who was away starts level with the least used."""
+    def _charge_member(self, member: str, share_of: ShareOf) -> None:
+        """Charge one item to ``member``; a new member starts at the lowest use of the others."""
         present = {run.record.member for run in self._runs.values() if run.record is not None}
-        others = [self._used.get(name, 0.0) for name in present if name in self._used]
-        start = self._used.get(member, min(others, default=0.0))
-        self._used = {name: used for name, used in self._used.items() if name in present}
-        self._used[member] = start + 1.0 / max(share_of(member), 1e-9)
+        others = [
+            self._used_by_member.get(name, 0.0) for name in present if name in self._used_by_member
+        ]
+        start = self._used_by_member.get(member, min(others, default=0.0))
+        self._used_by_member = {
+            name: used for name, used in self._used_by_member.items() if name in present
+        }
+        self._used_by_member[member] = start + 1.0 / max(share_of(member), 1e-9)
--- a/src/fescuedock/core/batch/work.py
+++ b/src/fescuedock/core/batch/work.py
@@ -1,4 +1,4 @@
-"""The items of a claimed job, from its input to results that are ready to be committed."""
+"""Runs the items of a claimed job, from the input lines to results ready to be committed."""
 
 import random
 from collections.abc import Sequence
@@ -19,24 +19,27 @@
 
 __all__ = ["JobWork"]
 
-_JUDGE_EVERY_MS = 2000.0
+_FORECAST_INTERVAL_MS = 2000.0
 
 
 class JobWork:
-    """Set up from the record as it was claimed; ``deadline_ms`` is on the clock of ``now_ms``."""
+    """The work on one job, created from the claimed record.
+
+    ``deadline_ms`` is on the clock of ``now_ms``.
+    """
 
     __slots__ = (
         "_ended",
+        "_forecast_due_ms",
         "_gate",
         "_input",
         "_job_id",
-        "_judge_due_ms",
         "_log",
         "_settings",
+        "deadline_watch",
         "items",
         "recovery",
         "results",
-        "watch",
     )
 
     def __init__(
@@ -53,41 +56,41 @@
         self._gate = MarkGate(record, settings.mark_items)
         self._input = InputReader(record.input)
         self._log = ResultLog(settings.buffer_bytes)
-        self._judge_due_ms = 0.0
+        self._forecast_due_ms = 0.0
         self.items = ItemQueue(self._ended, record.non_idempotent, settings, random_)
         self.recovery = LogRecovery(needed=record.epoch > 1)
         self.results = GroupBuilder(settings)
-        self.watch = DeadlineWatch(deadline_ms, now_ms)
+        self.deadline_watch = DeadlineWatch(deadline_ms, now_ms)
 
     @property
     def items_left(self) -> int:
-        """Items without a result, committed or not."""
+        """Number of items without a result, committed or not."""
         return self._ended.size - len(self._ended)
 
     @property
-    def crowded(self) -> bool:
-        """Whether the results in memory are as many as the settings allow."""
+    def buffer_full(self) -> bool:
+        """Whether the results in memory have reached ``BatchSettings.buffer_bytes``."""
         return self.results.buffered_bytes >= self._settings.buffer_bytes
 
     def due_ms(self) -> list[float]:
-        """Return the times at which there is something new to do by itself."""
+        """Return the times at which an action becomes due without any outcome being reported."""
         due = [self.results.due_at_ms(), self._input.due_at_ms, self.recovery.due_at_ms]
-        return [*due, self._judge_due_ms]
+        return [*due, self._forecast_due_ms]
 
     def peek(self, now_ms: float) -> Item | None:
-        """Return the item that would probably run next, without taking it."""
+        """Return the item that would probably run next, without claiming it."""
         return self.items.peek(now_ms, self._fresh_allowed())
 
-    def take(self, upstream_id: str, allowed: Isolation, now_ms: float) -> Item | None:
-        """Take an item to run on ``upstream_id``."""
-        item = self.items.take(upstream_id, allowed, now_ms, self._fresh_allowed())
+    def claim(self, upstream_id: str, allowed: Isolation, now_ms: float) -> Item | None:
+        """Claim an item to run on ``upstream_id``."""
+        item = self.items.claim(upstream_id, allowed, now_ms, self._fresh_allowed())
         if item is not None:
             self._gate.on_dispatched(item.number)
         return item
 
     def on_attempt_ended(self, item: Item, end: AttemptEnd, now_ms: float) -> ResultCode | None:
-        """Take the end of an attempt; returns the item's code when this was its end too."""
-        if not self.items.holds(item):
+        """Handle the end of an attempt; return the item's result code if the item has ended."""
+        if not self.items.is_in_flight(item):
             return None
         job_id, number, line = self._job_id, item.number, item.line
         if end.kind is EndKind.DONE:
@@ -100,18 +103,18 @@
             text = rejected_line(job_id, number, line, end.status, end.body)
             self._end_item(LoggedResult(number, False, text), now_ms)
             return ResultCode.UPSTREAM_REJECTED
-        verdict = self.items.on_ended(number, end, now_ms)
-        if verdict is None:
+        failure = self.items.on_ended(number, end, now_ms)
+        if failure is None:
             return None
-        text = failed_line(job_id, number, line, verdict.code, verdict.message)
+        text = failed_line(job_id, number, line, failure.code, failure.message)
         self._end_item(LoggedResult(number, False, text), now_ms)
-        return verdict.code
+        return failure.code
 
     def on_log_page(self, records: Sequence[bytes], now_ms: float) -> None:
-        """Take over the results of a page of the former owner's log, as far as they fit."""
+        """Recover the results in a page of the former owner's log, as far as they fit."""
         for result in self.recovery.results(records, self._ended):
-            if self.crowded:
-                self.recovery.skip()
+            if self.buffer_full:
+                self.recovery.mark_incomplete()
                 return
             self._ended.add(result.item_number)
             self.recovery.reused += 1
@@ -121,7 +124,7 @@
         self._log.on_logged()
 
     def on_input(self, index: int, lines: list[bytes], now_ms: float) -> None:
-        """Take the lines of an input segment."""
+        """Load the lines of an input segment."""
         self._input.on_read()
         start = self._input.start_of(index)
         self._end_unresolved(start, lines, now_ms)
@@ -131,33 +134,33 @@
         self._input.on_failed(now_ms)
 
     def on_record(self, record: JobRecord) -> None:
-        """Take the record as it is now under our epoch."""
+        """Apply the current record under the own epoch."""
         self._gate.on_record(record)
 
     def next_log_read(self, now_ms: float) -> ReadLog | None:
-        """Return the reading of the former owner's log, when there is room for its results."""
+        """Return the read of the former owner's log if there is room for its results."""
         room = self.results.buffered_bytes <= self._settings.buffer_bytes // 2
         return self.recovery.next_action(now_ms) if room else None
 
     def next_input_read(self, now_ms: float) -> ReadInput | None:
-        """Return the reading of the input segment that is wanted next."""
-        wanted = self.items.wanted_item
-        return None if wanted is None else self._input.next_action(wanted, now_ms)
+        """Return the read of the next input segment, if one is needed."""
+        item_number = self.items.next_unread_item
+        return None if item_number is None else self._input.next_action(item_number, now_ms)
 
     def next_log_write(self) -> AppendLog | None:
-        """Return the results that are to go to the log."""
+        """Return the results to append to the log."""
         return self._log.next_action()
 
     def next_puts(self, now_ms: float, flush: bool) -> list[PutSegment]:
-        """Return the segments to be written; ``flush`` closes the open group as it is."""
-        self.results.seal_due(now_ms, flush or self.crowded)
+        """Return the segments to write; ``flush`` closes the open group early."""
+        self.results.seal_due(now_ms, flush or self.buffer_full)
         return self.results.puts(now_ms)
 
     def next_marks(self) -> list[list[int]]:
-        """Return the items of a non-idempotent job to be marked now; mostly none."""
+        """Return the items of a non-idempotent job to mark now; usually none."""
         if not self._gate.ahead:
             return []
-        return self._gate.wanted(self.items.fresh_numbers(self._gate.ahead))
+        return self._gate.next_marks(self.items.fresh_numbers(self._gate.ahead))
 
     def unused_marks(self) -> list[list[int]]:
         """Return the marked items that were not dispatched."""
@@ -165,15 +168,15 @@
             return []
         return to_ranges(self._gate.unused() + self.items.waiting_numbers())
 
-    def judge(self, now_ms: float, now_s: int) -> list[JobForecast] | None:
-        """Return a new forecast to be recorded, empty to take one back, None for no change."""
-        if now_ms < self._judge_due_ms:
+    def check_deadline(self, now_ms: float, now_s: int) -> list[JobForecast] | None:
+        """Return a new forecast to record, an empty list to withdraw it, or None for no change."""
+        if now_ms < self._forecast_due_ms:
             return None
-        self._judge_due_ms = now_ms + _JUDGE_EVERY_MS
-        return self.watch.judge(self.items_left, now_ms, now_s)
+        self._forecast_due_ms = now_ms + _FORECAST_INTERVAL_MS
+        return self.deadline_watch.check(self.items_left, now_ms, now_s)
 
     def _end_unresolved(self, start: int, lines: list[bytes], now_ms: float) -> None:
-        """End the items that a former owner may have dispatched and that may not run again."""
+        """End the items that a former owner may have dispatched and that must not run again."""
         message = "the call may have been made before its runner was lost"
         for number in self._gate.unresolved(start, start + len(lines)):
             code, line = ResultCode.ITEM_UNKNOWN, lines[number - start]
@@ -181,11 +184,11 @@
             self._end_item(LoggedResult(number, False, text), now_ms)
 
     def _end_item(self, result: LoggedResult, now_ms: float) -> None:
-        """Take an item's one result; any further one is dropped here."""
+        """Store the first result of an item; drop any further one."""
         if not self._ended.add(result.item_number):
             return
         self.results.add(result, now_ms)
-        self.watch.on_ended(now_ms)
+        self.deadline_watch.on_ended(now_ms)
         self._log.add(result)
 
     def _fresh_allowed(self) -> bool:
--- a/src/fescuedock/core/orders/steps.py
+++ b/src/fescuedock/core/orders/steps.py
@@ -1,4 +1,4 @@
-"""What the holder of an upstream's orders asks its shell to do, and how an order ended."""
+"""Steps that the holder of an upstream's orders requests from its caller, and order outcomes."""
 
 from enum import StrEnum
 
@@ -6,18 +6,18 @@
 
 from fescuedock.schema.orders import OrderRecord, PlannedOrder
 
-__all__ = ["Give", "GiveOutcome", "ReadRecord", "Step", "Wait", "Write"]
+__all__ = ["SendOrder", "SendOutcome", "ReadRecord", "Step", "Wait", "Write"]
 
 
-class GiveOutcome(StrEnum):
-    """How an order that was given ended."""
+class SendOutcome(StrEnum):
+    """Outcome of sending an order."""
 
     DONE = "done"
-    # It did not reach the engine.
+    # The order did not reach the engine.
     NOT_SENT = "not_sent"
-    # It may be carried out, now or later.
+    # The order may be executed, now or later.
     UNKNOWN = "unknown"
-    # The engine says that it can never carry it out.
+    # The engine reports that it can never execute the order.
     REJECTED = "rejected"
     # The engine has seen a higher fencing number.
     SUPERSEDED = "superseded"
@@ -34,8 +34,8 @@
     expected_revision: int
 
 
-class Give(msgspec.Struct, frozen=True):
-    """Give ``order``.  It must leave before ``until_ms``, or not at all."""
+class SendOrder(msgspec.Struct, frozen=True):
+    """Send ``order`` before ``until_ms``, or not at all."""
 
     order: PlannedOrder
     fencing: int
@@ -48,4 +48,4 @@
     until_ms: float
 
 
-Step = ReadRecord | Write | Give | Wait
+Step = ReadRecord | Write | SendOrder | Wait
--- a/src/fescuedock/core/stored_jobs/commit.py
+++ b/src/fescuedock/core/stored_jobs/commit.py
@@ -1,25 +1,25 @@
-"""Finds out what became of a change of a job's record whose answer was lost or refused."""
+"""Determines whether a write of a job's record took effect when its answer was lost or refused."""
 
 import enum
 
 from fescuedock.schema.stored_jobs import StoredJobRecord
 
-__all__ = ["CommitState", "judge_commit"]
+__all__ = ["CommitState", "check_commit"]
 
 
 class CommitState(enum.Enum):
-    """What a record that was read again says of a commit."""
+    """Outcome of a commit according to the record as read again."""
 
-    # The commit is there.
+    # The record contains the commit.
     DONE = enum.auto()
-    # It is not, and may be tried again on the record as it is now.
-    TRY_AGAIN = enum.auto()
-    # The job was ended or has another owner: nothing of ours is to be written any more.
+    # The record does not contain it; the commit may be retried on the current record.
+    RETRY = enum.auto()
+    # The job was ended or has another owner; this node must not write to it again.
     LOST = enum.auto()
 
 
-def judge_commit(wanted: StoredJobRecord, found: StoredJobRecord | None) -> CommitState:
-    """Compare the record that a commit was to write with the one that is there."""
+def check_commit(wanted: StoredJobRecord, found: StoredJobRecord | None) -> CommitState:
+    """Compare the record that a commit tried to write with the stored one."""
     if found is None or found.ended:
         return CommitState.LOST
     same_owner = (found.owner_id, found.owner_boot, found.epoch) == (
@@ -29,4 +29,4 @@
     )
     if not same_owner:
         return CommitState.LOST
-    return CommitState.DONE if found.listed >= wanted.listed else CommitState.TRY_AGAIN
+    return CommitState.DONE if found.listed >= wanted.listed else CommitState.RETRY
--- a/src/fescuedock/core/stored_jobs/customer_turns.py
+++ b/src/fescuedock/core/stored_jobs/customer_order.py
@@ -1,4 +1,4 @@
-"""Customers take turns with their items at a node, so that one's jobs do not hold up another's.
+"""Orders the items at a node fairly by customer, so that no customer's jobs block another's.
 
 Pure.
 """
@@ -11,36 +11,36 @@
 from fescuedock.core.stored_jobs.urgency import ItemChoice
 from fescuedock.schema.stored_jobs import StoredJobRecord
 
-__all__ = ["running_items", "take_turns"]
+__all__ = ["count_running_items", "interleave_customers"]
 
 
-def running_items(jobs: Iterable[StoredJob]) -> Counter[str]:
-    """Return how many items of each customer run now."""
+def count_running_items(jobs: Iterable[StoredJob]) -> Counter[str]:
+    """Return the number of running items by customer."""
     counts: Counter[str] = Counter()
     for job in jobs:
         counts[job.record.customer or ""] += job.running_count()
     return counts
 
 
-def take_turns(
+def interleave_customers(
     ranked: Sequence[ItemChoice],
     running: Counter[str],
     priority: Callable[[StoredJobRecord], int],
     upstream_id: str,
 ) -> list[ItemChoice]:
-    """Return ``ranked`` with the more urgent priority first and customers in turn within it.
+    """Return ``ranked`` by priority, then urgency, with customers in round-robin order.
 
-    They take turns among items that can wait equally well.  A customer's items keep their order;
-    the first of them counts as behind all that run of it.  Items that the upstream has failed stay
-    last, whoever's they are.
+    Customers alternate only among items of the same priority and urgency.  A customer's items keep
+    their order; running items count as already served, so a customer's first waiting item comes in
+    the round after them.  Items that failed at this upstream stay last, for every customer.
     """
-    turns = Counter(running)
+    rounds = Counter(running)
     keyed = []
     for position, choice in enumerate(ranked):
         record = choice.job.record
         customer = record.customer or ""
         avoided = upstream_id in choice.run.avoided
         urgency = (priority(record), turn_rank(choice.stage))
-        keyed.append((avoided, urgency, turns[customer], position))
-        turns[customer] += 1
+        keyed.append((avoided, urgency, rounds[customer], position))
+        rounds[customer] += 1
     return [ranked[key[-1]] for key in sorted(keyed)]
--- a/tests/builders/config.py
+++ b/tests/builders/config.py
@@ -1,4 +1,4 @@
-"""Builders for configuration tests: a key-value cell with fates, VMs, patches."""
+"""Builders for configuration tests: a key-value cell with injected outcomes, VMs and patches."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -16,8 +16,8 @@
 from fescuedock.schema.view import VmRecord, VmState
 
 __all__ = [
-    "Cell",
-    "Fate",
+    "KvCell",
+    "CallOutcome",
     "config_document",
     "member_patch",
     "node_of",
@@ -26,8 +26,8 @@
 ]
 
 
-class Fate(StrEnum):
-    """What becomes of one call to the cell."""
+class CallOutcome(StrEnum):
+    """Outcome of one call to the cell."""
 
     ANSWERED = "answered"
     REFUSED = "refused"
@@ -37,8 +37,8 @@
 
 
 @dataclass(slots=True)
-class Cell:
-    """One key of the key-value service; ``writes`` are those that took effect."""
+class KvCell:
+    """One key of the key-value service; ``writes`` are the values whose write took effect."""
 
     value: bytes | None = None
     revision: int = 0
@@ -47,8 +47,8 @@
     now_ms: float = 0.0
     late: list[Callable[[], object]] = field(default_factory=list)
 
-    def put(self, value: bytes, expected_revision: int, fate: Fate) -> Result[int, Fault]:
-        """Compare and swap under ``fate``."""
+    def put(self, value: bytes, expected_revision: int, outcome: CallOutcome) -> Result[int, Fault]:
+        """Compare and swap under ``outcome``."""
 
         def execute() -> Result[int, Fault]:
             if self.revision != expected_revision:
@@ -58,13 +58,13 @@
             self.written_ms.append(self.now_ms)
             return Ok(self.revision)
 
-        if fate is Fate.REFUSED:
+        if outcome is CallOutcome.REFUSED:
             return _err(ResultCode.KV_UNAVAILABLE)
-        if fate is Fate.ANSWERED:
+        if outcome is CallOutcome.ANSWERED:
             return execute()
-        if fate is Fate.LOST_AFTER:
+        if outcome is CallOutcome.LOST_AFTER:
             execute()
-        if fate is Fate.LATE:
+        if outcome is CallOutcome.LATE:
             self.late.append(execute)
         return _err(ResultCode.KV_UNKNOWN)
 
@@ -74,7 +74,7 @@
 
 
 def vm_record(name: str, failure_domain: str = "sala-chipre") -> VmRecord:
-    """Return a live VM whose agent can be called."""
+    """Return the record of a live VM whose agent can be called."""
     return VmRecord(name, "caldas", failure_domain, "127.0.0.1", 1, VmState.ALIVE, agent_port=7000)
 
 
@@ -89,7 +89,7 @@
 
 
 def records(count: int, name: str = "patch") -> list[ConfigRecord]:
-    """Return the records of versions 0 to ``count``; ``name`` tells chains apart."""
+    """Return the records of versions 0 to ``count``; chains with another ``name`` differ."""
     chain = [empty_record()]
     for version in range(count):
         request = member_patch(version, f"{name}-{version}")
@@ -98,7 +98,7 @@
 
 
 def config_document(members: int, models: int, keys: int = 1) -> dict:
-    """Return the document of a fleet of that size."""
+    """Return the document of a fleet with that many members, models and keys per member."""
     return {
         "services": {
             f"service-{n}": {"kind": "model", "models": {f"model-{n}": {"version": "1"}}}
