--- a/bench/fleet_trials.py
+++ b/bench/fleet_trials.py
@@ -31,7 +31,7 @@
     """Start all VMs at once; return when each knows all."""
     fleet = Fleet(size, domains=domains_of(size), seed=seed, **options)
     if size > _LARGEST_JOIN:
-        fleet.acquaint()
+        fleet.introduce_all()
     nodes = fleet.nodes.values()
     took_ms = fleet.run_until(lambda: all(len(node.live()) == size for node in nodes), LIMIT_MS)
     return fleet, took_ms
@@ -83,7 +83,7 @@
 
 def _slow_run(aware: bool, seed: int, pause_ms: tuple[float, float]) -> tuple[int, int, int]:
     """Let a third of 18 VMs stop and go for a minute at 5% loss; return what became of the rest."""
-    fleet, _ = joined(18, seed, aware=aware)
+    fleet, _ = joined(18, seed, health_aware=aware)
     fleet.run(5000)
     fleet.loss = 0.05
     slow = [vm_name(number) for number in range(_SLOW_VMS)]
--- a/src/fescuedock/agent/membership_service.py
+++ b/src/fescuedock/agent/membership_service.py
@@ -227,7 +227,7 @@
             self._membership.replace_list(candidates, now_ms())
             self._wake_if_sooner()
         else:
-            self._membership.note_list_read(now_ms())
+            self._membership.record_list_read(now_ms())
         self._view.note_list_age(now_ms() - self._membership.list_read_at_ms)
 
     def _perform(self, actions: list[Action]) -> None:
--- a/src/fescuedock/core/membership/anti_entropy.py
+++ b/src/fescuedock/core/membership/anti_entropy.py
@@ -12,9 +12,9 @@
 
 _INTERVAL_MS = 10000
 _RETRY_MS = 500
-_REPLY_DATAGRAMS = 8
+_MAX_REPLY_DATAGRAMS = 8
 # What one VM answers in one second, so that a fleet's start does not drown its first VM.
-_SERVED_PER_S = 5
+_MAX_SERVED_PER_S = 5
 
 
 class TableSync:
@@ -25,7 +25,7 @@
         "_due_ms",
         "_rng",
         "_served",
-        "_served_from_ms",
+        "_served_since_ms",
         "_table",
         "_vm_id",
         "_windows",
@@ -47,7 +47,7 @@
         self._rng = rng
         self._due_ms = now_ms
         self._served = 0
-        self._served_from_ms = now_ms
+        self._served_since_ms = now_ms
 
     @property
     def due_ms(self) -> float:
@@ -81,16 +81,16 @@
         members = [item for item in self._table if bucket_of(item.vm_id) in differing]
         self._rng.shuffle(members)
         updates = [item.update() for item in members]
-        return list(self._composer.sync_replies(sender, updates, _REPLY_DATAGRAMS))
+        return list(self._composer.sync_replies(sender, updates, _MAX_REPLY_DATAGRAMS))
 
-    def note_reply(self, message: SyncReply, now_ms: float) -> None:
+    def record_reply(self, message: SyncReply, now_ms: float) -> None:
         """Plan the next comparison."""
         if not message.more:
             self._due_ms = now_ms + _INTERVAL_MS * self._rng.uniform(0.5, 1.5)
 
     def _may_serve(self, now_ms: float) -> bool:
-        if now_ms - self._served_from_ms >= 1000:
-            self._served_from_ms = now_ms
+        if now_ms - self._served_since_ms >= 1000:
+            self._served_since_ms = now_ms
             self._served = 0
         self._served += 1
-        return self._served <= _SERVED_PER_S
+        return self._served <= _MAX_SERVED_PER_S
--- a/src/fescuedock/core/membership/composer.py
+++ b/src/fescuedock/core/membership/composer.py
@@ -31,7 +31,8 @@
 class Composer:
     """Numbers this boot's datagrams and fills them from the queue of news.
 
-    ``about`` comes before other news: what the receiver must hear of itself, or of the sender.
+    ``first_updates`` are placed before the queued ones: what the receiver must know about itself or
+    about the sender.
     """
 
     __slots__ = ("_boot", "_queue", "_sequence", "_table", "_vm_id", "config_version")
@@ -45,15 +46,15 @@
         self.config_version = 0
 
     def probe(
-        self, receiver: str, address: Address, nonce: int, about: Sequence[VmUpdate] = ()
+        self, receiver: str, address: Address, nonce: int, first_updates: Sequence[VmUpdate] = ()
     ) -> Send:
-        return self._send(address, Probe(self._head(receiver), nonce, []), about)
+        return self._send(address, Probe(self._head(receiver), nonce, []), first_updates)
 
     def ack(
-        self, receiver: str, address: Address, nonce: int, about: Sequence[VmUpdate] = ()
+        self, receiver: str, address: Address, nonce: int, first_updates: Sequence[VmUpdate] = ()
     ) -> Send:
-        send = self._send(address, ProbeAck(self._head(receiver), nonce, []), about)
-        repeats = self._queue.take_repeats(free_bytes(send.message), self._news)
+        send = self._send(address, ProbeAck(self._head(receiver), nonce, []), first_updates)
+        repeats = self._queue.next_repeats(free_bytes(send.message), self._shared_update)
         send.message.updates += repeats
         return send
 
@@ -61,13 +62,13 @@
         message = ProbeRequest(self._head(helper.vm_id), nonce, target, [])
         return self._send(address_of(helper), message)
 
-    def report(self, asker: Member, nonce: int, reached: bool) -> Send:
-        message = ProbeReport(self._head(asker.vm_id), nonce, reached, [])
-        return self._send(address_of(asker), message)
+    def report(self, requester: Member, nonce: int, reached: bool) -> Send:
+        message = ProbeReport(self._head(requester.vm_id), nonce, reached, [])
+        return self._send(address_of(requester), message)
 
-    def gossip(self, member: Member, about: Sequence[VmUpdate] = ()) -> Send | None:
+    def gossip(self, member: Member, first_updates: Sequence[VmUpdate] = ()) -> Send | None:
         """Return a datagram of news, or None when there is none."""
-        send = self._send(address_of(member), Gossip(self._head(member.vm_id), []), about)
+        send = self._send(address_of(member), Gossip(self._head(member.vm_id), []), first_updates)
         return send if send.message.updates else None
 
     def sync_request(self, member: Member) -> Send:
@@ -92,14 +93,16 @@
         return DatagramHead(self._vm_id, receiver, self._boot, self._sequence, self.config_version)
 
     def _send(
-        self, address: Address, message: msgspec.Struct, about: Sequence[VmUpdate] = ()
+        self, address: Address, message: msgspec.Struct, first_updates: Sequence[VmUpdate] = ()
     ) -> Send:
-        _fill(message, about)
+        _fill(message, first_updates)
         room_bytes = free_bytes(message)
-        message.updates += self._queue.take(room_bytes, self._table.present_count, self._news)
+        message.updates += self._queue.next_updates(
+            room_bytes, self._table.present_count, self._shared_update
+        )
         return Send(address, message)
 
-    def _news(self, vm_id: str) -> VmUpdate | None:
+    def _shared_update(self, vm_id: str) -> VmUpdate | None:
         member = self._table.get(vm_id)
         if member is None or member.local_only:
             return None
--- a/src/fescuedock/core/membership/detection.py
+++ b/src/fescuedock/core/membership/detection.py
@@ -20,7 +20,7 @@
 from fescuedock.core.membership.suspicion import (
     Suspicions,
     enough_evidence,
-    removable,
+    max_weak_removals,
     suspicion_ms,
 )
 from fescuedock.core.membership.table import Member, MemberTable
@@ -37,18 +37,18 @@
 __all__ = ["FailureDetector"]
 
 # Shares of the probe interval.
-_HELP_AFTER = 0.4
-_HELPER_WAIT = 0.4
+_HELP_AFTER_SHARE = 0.4
+_HELPER_WAIT_SHARE = 0.4
 # Members that look for themselves when a suspicion has too little evidence.
-_CHECKERS = 3
-_MAX_CONTACTS = 32
-_BOOTSTRAP_CONTACTS = 3
+_VERIFIERS = 3
+_MAX_PENDING_PROBES = 32
+_BOOTSTRAP_PROBES = 3
 # Unanswered probes in a row, with silent helpers, before this VM suspects on its own.
-_SILENT_PROBES = 3
+_MIN_SILENT_PROBES = 3
 _MAX_LIST_AGE_MS = 30000
 # How often open suspicions are looked at: a twentieth of the shortest one, and evidence may come
 # at any time.
-_SUSPICION_LOOK_MS = 50.0
+_SUSPICION_POLL_MS = 50.0
 
 
 class FailureDetector:
@@ -80,7 +80,7 @@
         self._members = ProbeRotation(rng)
         self._candidates = ProbeRotation(rng)
         self._suspicions = Suspicions()
-        self._silent: dict[str, int] = {}
+        self._silent_probes: dict[str, int] = {}
         # VMs of one fleet must not probe in step.
         self._probe_due_ms = now_ms + rng.uniform(0, settings.probe_interval_ms)
         self._bootstrap_due_ms = now_ms
@@ -90,16 +90,16 @@
     def tick(self, now_ms: float) -> list[Action]:
         """Do what is due: verdicts, helpers, the next probes, the end of suspicions."""
         actions: list[Action] = []
-        for probe in self._probing.take_due(now_ms):
-            actions += self._unanswered(probe, now_ms)
+        for probe in self._probing.pop_due(now_ms):
+            actions += self._handle_unanswered(probe, now_ms)
         for probe in self._probing.needing_helpers(now_ms):
-            actions += self._ask_helpers(probe)
+            actions += self._request_helpers(probe)
         if now_ms >= self._probe_due_ms:
             self._probe_due_ms = now_ms + self._settings.probe_interval_ms
             actions += self._probe_next(now_ms)
         if now_ms >= self._bootstrap_due_ms and self._table.present_count == 1:
             self._bootstrap_due_ms = now_ms + self._settings.probe_interval_ms / 5
-            for _ in range(_BOOTSTRAP_CONTACTS):
+            for _ in range(_BOOTSTRAP_PROBES):
                 actions += self._contact_candidate(now_ms)
         self._end_suspicions(now_ms)
         return actions
@@ -108,7 +108,7 @@
         """Return when ``tick`` has something to do next."""
         due_ms = min(self._probe_due_ms, self._probing.next_due_ms())
         if self._suspicions:
-            due_ms = min(due_ms, now_ms + _SUSPICION_LOOK_MS)
+            due_ms = min(due_ms, now_ms + _SUSPICION_POLL_MS)
         if self._table.present_count == 1:
             due_ms = min(due_ms, self._bootstrap_due_ms)
         return due_ms
@@ -121,7 +121,7 @@
 
     # --- probes -----------------------------------------------------------------------------
 
-    def check(self, member: Member, now_ms: float) -> list[Action]:
+    def probe_member(self, member: Member, now_ms: float) -> list[Action]:
         """Probe a member now."""
         if self._probing.targets(member.vm_id, ProbePurpose.MEMBER):
             return []
@@ -129,68 +129,68 @@
         probe = self._probing.start(
             member.vm_id,
             ProbePurpose.MEMBER,
-            now_ms + _HELP_AFTER * interval_ms,
+            now_ms + _HELP_AFTER_SHARE * interval_ms,
             now_ms + interval_ms,
         )
         return [self._probe(member, probe)]
 
-    def contact(
-        self, vm_id: str, address: Address, about: Sequence[VmUpdate], now_ms: float
+    def probe_contact(
+        self, vm_id: str, address: Address, first_updates: Sequence[VmUpdate], now_ms: float
     ) -> list[Action]:
         """Probe a VM that is no member, or has not proved its boot; silence proves nothing."""
         if (
             self._probing.targets(vm_id, ProbePurpose.CONTACT)
-            or len(self._probing) >= _MAX_CONTACTS
+            or len(self._probing) >= _MAX_PENDING_PROBES
         ):
             return []
         due_ms = now_ms + self._settings.probe_interval_ms
         probe = self._probing.start(vm_id, ProbePurpose.CONTACT, due_ms, due_ms)
-        return [self._composer.probe(vm_id, address, probe.nonce, about)]
+        return [self._composer.probe(vm_id, address, probe.nonce, first_updates)]
 
-    def help(self, message: ProbeRequest, now_ms: float) -> list[Action]:
+    def handle_probe_request(self, message: ProbeRequest, now_ms: float) -> list[Action]:
         """Probe a VM for the sender of ``message``, which could not reach it."""
         target = self._table.get(message.target)
-        if target is None or target.gone or len(self._probing) >= _MAX_CONTACTS:
+        if target is None or target.gone or len(self._probing) >= _MAX_PENDING_PROBES:
             return []
-        due_ms = now_ms + _HELPER_WAIT * self._settings.probe_interval_ms
+        due_ms = now_ms + _HELPER_WAIT_SHARE * self._settings.probe_interval_ms
         probe = self._probing.start(target.vm_id, ProbePurpose.HELP, due_ms, due_ms)
-        probe.asker = message.head.sender
-        probe.asker_nonce = message.nonce
+        probe.requester = message.head.sender
+        probe.requester_nonce = message.nonce
         return [self._probe(target, probe)]
 
-    def answers(self, message: ProbeAck) -> bool:
+    def is_answer_to_probe(self, message: ProbeAck) -> bool:
         """Whether ``message`` answers a pending probe to its sender."""
         probe = self._probing.get(message.nonce)
         return probe is not None and probe.target == message.head.sender
 
-    def acknowledge(self, message: ProbeAck) -> list[Action]:
+    def handle_ack(self, message: ProbeAck) -> list[Action]:
         """Take the answer to a probe."""
-        if not self.answers(message):
+        if not self.is_answer_to_probe(message):
             return []
         probe = self._probing.get(message.nonce)
         self._probing.finish(probe.nonce)
         if probe.purpose is ProbePurpose.HELP:
             return self._report(probe, reached=True)
         if probe.purpose is ProbePurpose.MEMBER:
-            self._health.note_answered()
-            self._silent.pop(probe.target, None)
+            self._health.record_answered()
+            self._silent_probes.pop(probe.target, None)
         return []
 
-    def reported(self, message: ProbeReport) -> None:
+    def handle_report(self, message: ProbeReport) -> None:
         """Take a helper's answer."""
         probe = self._probing.get(message.nonce)
-        if probe is None or not probe.helped:
+        if probe is None or not probe.helpers_requested:
             return
         if message.reached:
             self._probing.finish(probe.nonce)
-            self._silent.pop(probe.target, None)
+            self._silent_probes.pop(probe.target, None)
         elif message.head.sender not in probe.witnesses:
             probe.witnesses.append(message.head.sender)
 
     def _probe_next(self, now_ms: float) -> list[Action]:
         others = [item.vm_id for item in self._table.present() if item.vm_id != self._vm_id]
         name = self._members.next(others)
-        actions = [] if name is None else self.check(self._table.get(name), now_ms)
+        actions = [] if name is None else self.probe_member(self._table.get(name), now_ms)
         return actions + self._contact_candidate(now_ms)
 
     def _contact_candidate(self, now_ms: float) -> list[Action]:
@@ -201,8 +201,8 @@
             return []
         own = self._table.get(self._vm_id)
         known = self._table.get(name)
-        about = [own.update()] if known is None else [known.update(), own.update()]
-        return self.contact(name, self._listing.get(name).address, about, now_ms)
+        first_updates = [own.update()] if known is None else [known.update(), own.update()]
+        return self.probe_contact(name, self._listing.get(name).address, first_updates, now_ms)
 
     def _is_absent(self, vm_id: str) -> bool:
         member = self._table.get(vm_id)
@@ -210,83 +210,83 @@
 
     def _probe(self, member: Member, probe: PendingProbe) -> Action:
         # An accused VM must hear of it, to refute.
-        about = [] if member.state is MemberState.ALIVE else [member.update()]
-        return self._composer.probe(member.vm_id, address_of(member), probe.nonce, about)
+        first_updates = [] if member.state is MemberState.ALIVE else [member.update()]
+        return self._composer.probe(member.vm_id, address_of(member), probe.nonce, first_updates)
 
-    def _ask_helpers(self, probe: PendingProbe) -> list[Action]:
+    def _request_helpers(self, probe: PendingProbe) -> list[Action]:
         target = self._table.get(probe.target)
         if target is None:
             return []
         others = [item for item in self._table.present() if item.vm_id != self._vm_id]
         # One that has not met this VM would first ask for proof, and come too late.
-        met = [item for item in others if self._windows.has_proved(item.vm_id)]
+        proven = [item for item in others if self._windows.has_proved(item.vm_id)]
         own_domain = self._table.get(self._vm_id).failure_domain
-        helpers = choose_helpers(target, own_domain, met or others, self._rng)
+        helpers = choose_helpers(target, own_domain, proven or others, self._rng)
         return [self._composer.request(helper, probe.nonce, probe.target) for helper in helpers]
 
     # --- verdicts ---------------------------------------------------------------------------
 
-    def _unanswered(self, probe: PendingProbe, now_ms: float) -> list[Action]:
-        if probe.purpose is ProbePurpose.HELP and self._health.steady:
+    def _handle_unanswered(self, probe: PendingProbe, now_ms: float) -> list[Action]:
+        if probe.purpose is ProbePurpose.HELP and self._health.may_accuse:
             return self._report(probe, reached=False)
         member = self._table.get(probe.target)
         if probe.purpose is ProbePurpose.MEMBER and member is not None and not member.gone:
-            self._judge(member, probe.witnesses, now_ms)
+            self._evaluate_silence(member, probe.witnesses, now_ms)
         return []
 
-    def _judge(self, member: Member, witnesses: Sequence[str], now_ms: float) -> None:
+    def _evaluate_silence(self, member: Member, witnesses: Sequence[str], now_ms: float) -> None:
         alone = self._table.present_count <= 2
         if witnesses or alone:
-            if self._health.steady:
+            if self._health.may_accuse:
                 self.accuse(member, [self._vm_id, *witnesses], now_ms)
             return
         # Neither the target nor any helper: more likely it is this VM that is cut off.
-        self._health.note_unanswered()
-        self._silent[member.vm_id] = self._silent.get(member.vm_id, 0) + 1
-        if self._silent[member.vm_id] >= _SILENT_PROBES:
+        self._health.record_unanswered()
+        self._silent_probes[member.vm_id] = self._silent_probes.get(member.vm_id, 0) + 1
+        if self._silent_probes[member.vm_id] >= _MIN_SILENT_PROBES:
             self.accuse(member, [self._vm_id], now_ms)
 
     def accuse(self, member: Member, accusers: Iterable[str], now_ms: float) -> None:
         """Suspect a member; the news spreads once two VMs, or enough, testify."""
-        news = self._table.add_accusers(member, accusers)
+        is_new = self._table.add_accusers(member, accusers)
         strong = len(member.accusers) > 1 or enough_evidence(
             member.vm_id, member.accusers, self._table
         )
         if member.state is MemberState.ALIVE:
             self._table.set_state(member, MemberState.SUSPECT, now_ms, local_only=not strong)
-        if strong and (news or member.local_only):
+        if strong and (is_new or member.local_only):
             member.local_only = False
             self._queue.add(member.vm_id)
-        self.watch(member, now_ms)
+        self.start_suspicion(member, now_ms)
 
-    def watch(self, member: Member, now_ms: float) -> bool:
+    def start_suspicion(self, member: Member, now_ms: float) -> bool:
         """Begin to count the time a suspected member has; False when that was done before."""
         duration_ms = suspicion_ms(self._settings, self._table.present_count)
-        return self._suspicions.watch(member, duration_ms, now_ms)
+        return self._suspicions.start(member, duration_ms, now_ms)
 
-    def second_opinion(self, member: Member, now_ms: float) -> list[Action]:
+    def verify_suspicion(self, member: Member, now_ms: float) -> list[Action]:
         """Look for ourselves if others suspect on little evidence and we are among the checkers."""
         if enough_evidence(member.vm_id, member.accusers, self._table):
             return []
         names = [item.vm_id for item in self._table.present() if item.vm_id != member.vm_id]
-        if self._vm_id not in rank_names(member.vm_id, names)[:_CHECKERS]:
+        if self._vm_id not in rank_names(member.vm_id, names)[:_VERIFIERS]:
             return []
-        return self.check(member, now_ms)
+        return self.probe_member(member, now_ms)
 
     def _end_suspicions(self, now_ms: float) -> None:
-        def supported(vm_id: str) -> bool:
+        def has_list_support(vm_id: str) -> bool:
             return self._listing.supports_removal(vm_id, now_ms, _MAX_LIST_AGE_MS)
 
-        strong, weak = self._suspicions.take_due(self._table, now_ms, supported)
+        strong, weak = self._suspicions.pop_due(self._table, now_ms, has_list_support)
         for member in strong:
             self._table.set_state(member, MemberState.GONE, now_ms, local_only=False)
             self._queue.add(member.vm_id)
-        allowed = removable(self._table, self._settings.removal_share) if weak else 0
+        allowed = max_weak_removals(self._table, self._settings.removal_share) if weak else 0
         for member in weak[:allowed]:
             self._table.set_state(member, MemberState.GONE, now_ms, local_only=True)
 
     def _report(self, probe: PendingProbe, reached: bool) -> list[Action]:
-        asker = self._table.get(probe.asker)
-        if asker is None or asker.gone:
+        requester = self._table.get(probe.requester)
+        if requester is None or requester.gone:
             return []
-        return [self._composer.report(asker, probe.asker_nonce, reached)]
+        return [self._composer.report(requester, probe.requester_nonce, reached)]
--- a/src/fescuedock/core/membership/gossip.py
+++ b/src/fescuedock/core/membership/gossip.py
@@ -13,10 +13,10 @@
 _DIGEST_BYTES = 16
 # The array around type name and message, the name's own head, and a longer head of the updates.
 _FRAME_BYTES = 8
-_EXTRA_SENDS = 6
+_EXTRA_SENDS_PER_UPDATE = 6
 # In how many acknowledgements news is repeated after that, and of how many VMs at most.
-_REPEATS = 10
-_MAX_RETIRED = 8
+_REPEATS_PER_UPDATE = 10
+_MAX_REPEATABLE = 8
 
 _encoder = msgspec.msgpack.Encoder()
 
@@ -35,11 +35,11 @@
 class GossipQueue:
     """The VMs about which there is news, and how often each was passed on."""
 
-    __slots__ = ("_retired", "_sends")
+    __slots__ = ("_repeatable", "_sends")
 
     def __init__(self) -> None:
         self._sends: dict[str, int] = {}
-        self._retired: dict[str, int] = {}
+        self._repeatable: dict[str, int] = {}
 
     def __len__(self) -> int:
         return len(self._sends)
@@ -47,23 +47,23 @@
     def add(self, vm_id: str) -> None:
         """Spread what is known of ``vm_id``, counting from the beginning."""
         self._sends[vm_id] = 0
-        self._retired.pop(vm_id, None)
+        self._repeatable.pop(vm_id, None)
 
     def discard(self, vm_id: str) -> None:
         self._sends.pop(vm_id, None)
-        self._retired.pop(vm_id, None)
+        self._repeatable.pop(vm_id, None)
 
-    def take(
-        self, room_bytes: int, fleet_size: int, make: Callable[[str], VmUpdate | None]
+    def next_updates(
+        self, room_bytes: int, fleet_size: int, make_update: Callable[[str], VmUpdate | None]
     ) -> list[VmUpdate]:
         """Return updates of ``room_bytes`` at most, and count them as sent once more.
 
-        ``make`` gives what is known now of a VM, or None when that is nothing to spread.
+        ``make_update`` gives what is known now of a VM, or None when that is nothing to spread.
         """
-        limit = math.ceil(math.log(fleet_size + 1)) + _EXTRA_SENDS
+        limit = math.ceil(math.log(fleet_size + 1)) + _EXTRA_SENDS_PER_UPDATE
         updates: list[VmUpdate] = []
         for vm_id in sorted(self._sends, key=self._sends.__getitem__):
-            update = make(vm_id)
+            update = make_update(vm_id)
             if update is None:
                 del self._sends[vm_id]
                 continue
@@ -72,11 +72,11 @@
                 break
             room_bytes -= size_bytes
             updates.append(update)
-            self._count(vm_id, limit)
+            self._count_send(vm_id, limit)
         return updates
 
-    def take_repeats(
-        self, room_bytes: int, make: Callable[[str], VmUpdate | None]
+    def next_repeats(
+        self, room_bytes: int, make_update: Callable[[str], VmUpdate | None]
     ) -> list[VmUpdate]:
         """Return news that was passed on often enough, for one who may have missed it.
 
@@ -84,23 +84,23 @@
         so comes with the answer.
         """
         updates: list[VmUpdate] = []
-        for vm_id in reversed(list(self._retired)):
-            update = make(vm_id)
+        for vm_id in reversed(list(self._repeatable)):
+            update = make_update(vm_id)
             size_bytes = 0 if update is None else update_bytes(update)
             if size_bytes > room_bytes:
                 break
             if update is not None:
                 room_bytes -= size_bytes
                 updates.append(update)
-            self._retired[vm_id] -= 1
-            if update is None or not self._retired[vm_id]:
-                del self._retired[vm_id]
+            self._repeatable[vm_id] -= 1
+            if update is None or not self._repeatable[vm_id]:
+                del self._repeatable[vm_id]
         return updates
 
-    def _count(self, vm_id: str, limit: int) -> None:
+    def _count_send(self, vm_id: str, limit: int) -> None:
         self._sends[vm_id] += 1
         if self._sends[vm_id] >= limit:
             del self._sends[vm_id]
-            self._retired[vm_id] = _REPEATS
-            if len(self._retired) > _MAX_RETIRED:
-                del self._retired[next(iter(self._retired))]
+            self._repeatable[vm_id] = _REPEATS_PER_UPDATE
+            if len(self._repeatable) > _MAX_REPEATABLE:
+                del self._repeatable[next(iter(self._repeatable))]
--- a/src/fescuedock/core/membership/health.py
+++ b/src/fescuedock/core/membership/health.py
@@ -10,15 +10,16 @@
 class LocalHealth:
     """A score of 0 (well) to 8, by which the timeouts are multiplied.
 
-    The loop's own lag, probes that nobody answers and accusations against this VM raise it;
-    probes that are answered lower it.  ``aware`` off keeps it at 0, for comparison in the bench.
+    Lag of the event loop, probes that neither the target nor a helper answers, and accusations
+    against this VM raise it; answered probes lower it.  With ``health_aware`` off it stays 0, for
+    comparison in the bench.
     """
 
-    __slots__ = ("_aware", "_interval_ms", "score")
+    __slots__ = ("_health_aware", "_interval_ms", "score")
 
-    def __init__(self, interval_ms: float, aware: bool = True) -> None:
+    def __init__(self, interval_ms: float, health_aware: bool = True) -> None:
         self._interval_ms = interval_ms
-        self._aware = aware
+        self._health_aware = health_aware
         self.score = 0
 
     @property
@@ -27,33 +28,33 @@
         return 1 + self.score
 
     @property
-    def steady(self) -> bool:
+    def may_accuse(self) -> bool:
         """Whether this VM may testify against another."""
         return self.score < _MAX_SCORE // 2
 
-    def note_lag(self, lag_ms: float) -> bool:
+    def record_lag(self, lag_ms: float) -> bool:
         """Take the time by which the loop woke late; return whether it was a pause.
 
         After a pause, answers may be waiting unread: what was outstanding proves nothing.
         """
-        if not self._aware or lag_ms < _LATE_SHARE * self._interval_ms:
+        if not self._health_aware or lag_ms < _LATE_SHARE * self._interval_ms:
             return False
         paused = lag_ms >= _PAUSE_SHARE * self._interval_ms
         self._add(2 if paused else 1)
         return paused
 
-    def note_answered(self) -> None:
+    def record_answered(self) -> None:
         """A probe was answered in time."""
         self.score = max(0, self.score - 1)
 
-    def note_unanswered(self) -> None:
+    def record_unanswered(self) -> None:
         """Neither the target nor any helper answered: perhaps it is us."""
         self._add(1)
 
-    def note_accused(self) -> None:
+    def record_accusation(self) -> None:
         """Others could not reach this VM."""
         self._add(1)
 
     def _add(self, points: int) -> None:
-        if self._aware:
+        if self._health_aware:
             self.score = min(_MAX_SCORE, self.score + points)
--- a/src/fescuedock/core/membership/listing.py
+++ b/src/fescuedock/core/membership/listing.py
@@ -44,7 +44,7 @@
         candidate = self._candidates.get(vm_id)
         return candidate is None or candidate.leaving
 
-    def says_leaving(self, vm_id: str) -> bool:
+    def lists_as_leaving(self, vm_id: str) -> bool:
         """Whether the list shows ``vm_id`` as leaving; an absent one may just not be listed yet."""
         candidate = self._candidates.get(vm_id)
         return candidate is not None and candidate.leaving
--- a/src/fescuedock/core/membership/membership.py
+++ b/src/fescuedock/core/membership/membership.py
@@ -43,9 +43,9 @@
 _GOSSIP_FANOUT = 2
 _ANNOUNCE_FANOUT = 6
 # Fields of a profile that may wait, so that a fleet-wide change does not come all at once.
-_SOFT_FIELDS = ("entry_load", "config_version")
-_SOFT_DELAY_MS_PER_VM = 300.0
-_TOMBSTONE_MS = 600000.0
+_DEFERRABLE_FIELDS = ("entry_load", "config_version")
+_MAX_DEFERRAL_MS_PER_VM = 300.0
+_TOMBSTONE_RETENTION_MS = 600000.0
 
 
 def is_membership_message(message: msgspec.Struct) -> bool:
@@ -70,13 +70,13 @@
         rng: Random,
         now_ms: float,
         *,
-        aware: bool = True,
+        health_aware: bool = True,
     ) -> None:
         interval_ms = settings.probe_interval_ms
         self.vm_id = vm_id
         self.tick_ms = min(max(interval_ms / _TICKS_PER_INTERVAL, _MIN_TICK_MS), _MAX_TICK_MS)
         self._rng = rng
-        self._aware = aware
+        self._health_aware = health_aware
         self._table = MemberTable()
         self._table.apply(VmUpdate(vm_id, boot, MemberState.ALIVE, [], profile), now_ms)
         self._listing = VmListing()
@@ -84,7 +84,7 @@
         self._queue = GossipQueue()
         self._queue.add(vm_id)
         self._windows = ReplayWindows()
-        self._health = LocalHealth(interval_ms, aware)
+        self._health = LocalHealth(interval_ms, health_aware)
         self._composer = Composer(vm_id, boot, self._table, self._queue)
         self._detector = FailureDetector(
             settings,
@@ -103,11 +103,11 @@
         self._records_revision = -1
         self._profile = profile
         self._profile_due_ms = float("inf")
-        self._leave_asked = False
+        self._leave_requested = False
         self._gossip_ms = _GOSSIP_SHARE * interval_ms
         self._gossip_due_ms = now_ms
-        self._prune_due_ms = now_ms + _TOMBSTONE_MS
-        self._expected_ms = now_ms + self.tick_ms
+        self._prune_due_ms = now_ms + _TOMBSTONE_RETENTION_MS
+        self._expected_wake_ms = now_ms + self.tick_ms
 
     # --- what the shell reads -----------------------------------------------------------------
 
@@ -141,35 +141,35 @@
         self._composer.config_version = profile.config_version
         if profile == self._profile:
             return
-        soft = msgspec.structs.replace(
-            profile, **{name: getattr(self._profile, name) for name in _SOFT_FIELDS}
+        without_deferrable = msgspec.structs.replace(
+            profile, **{name: getattr(self._profile, name) for name in _DEFERRABLE_FIELDS}
         )
-        urgent = soft != self._profile
+        urgent = without_deferrable != self._profile
         self._profile = profile
         if urgent:
             self._profile_due_ms = now_ms
         elif self._profile_due_ms == float("inf"):
-            delay_ms = _SOFT_DELAY_MS_PER_VM * self._table.present_count
+            delay_ms = _MAX_DEFERRAL_MS_PER_VM * self._table.present_count
             self._profile_due_ms = now_ms + self._rng.uniform(0, delay_ms)
 
     def replace_list(self, candidates: Sequence[Candidate], now_ms: float) -> None:
         """Take the VM list as just read."""
         self._listing_revision += self._listing.replace(candidates, now_ms)
-        self._follow_own_state(now_ms)
+        self._update_own_state(now_ms)
 
-    def note_list_read(self, now_ms: float) -> None:
+    def record_list_read(self, now_ms: float) -> None:
         """Take it that the VM list was read again and has not changed."""
         self._listing.read_at_ms = now_ms
 
     def leave(self, now_ms: float) -> list[Action]:
         """Announce at once that this VM takes no new work."""
-        self._leave_asked = True
-        self._follow_own_state(now_ms)
+        self._leave_requested = True
+        self._update_own_state(now_ms)
         return self._announce()
 
     def finish(self, now_ms: float) -> list[Action]:
         """Announce that this VM is gone, just before its agent ends."""
-        own = self._own()
+        own = self._own_member()
         self._table.set_state(own, MemberState.GONE, now_ms, local_only=False)
         self._table.add_accusers(own, [self.vm_id])
         return self._announce()
@@ -188,15 +188,15 @@
         Ticking every ``tick_ms`` instead was 66 of the 220 wake-ups a second of a node without
         work.
         """
-        self._expected_ms = max(min(self.next_due_ms(now_ms), latest_ms), now_ms)
-        return self._expected_ms
+        self._expected_wake_ms = max(min(self.next_due_ms(now_ms), latest_ms), now_ms)
+        return self._expected_wake_ms
 
     def tick(self, now_ms: float) -> list[Action]:
         """Do what is due."""
         self._observe_clock(now_ms)
-        self._expected_ms = now_ms + self.tick_ms
+        self._expected_wake_ms = now_ms + self.tick_ms
         if now_ms >= self._profile_due_ms:
-            self._renew(self._own().state, now_ms)
+            self._raise_incarnation(self._own_member().state, now_ms)
         actions = self._detector.tick(now_ms)
         actions += self._gossip(now_ms)
         actions += self._sync.tick(now_ms)
@@ -213,34 +213,36 @@
             return []
         self._observe_clock(now_ms)
         if freshness is Freshness.UNPROVEN and not self._proves(message):
-            return self._meet(message, source, now_ms)
+            return self._exchange_proofs(message, source, now_ms)
         actions: list[Action] = [PeerVersion(head.sender, head.config_version)]
-        self._revive(head.sender, now_ms)
+        self._clear_local_suspicion(head.sender, now_ms)
         for update in getattr(message, "updates", ()):
             # A table that is copied whole is no news for others, who have it too.
             copied = isinstance(message, SyncReply) and self._table.get(update.vm_id) is None
-            actions += self._learn(update, now_ms, spread=not copied)
-        actions += self._greet(head.sender, source, now_ms)
+            actions += self._apply_update(update, now_ms, spread=not copied)
+        actions += self._request_record(head.sender, source, now_ms)
         return actions + self._dispatch(message, source, now_ms)
 
     # --- datagrams -----------------------------------------------------------------------------
 
     def _proves(self, message: msgspec.Struct) -> bool:
-        if not isinstance(message, ProbeAck) or not self._detector.answers(message):
+        if not isinstance(message, ProbeAck) or not self._detector.is_answer_to_probe(message):
             return False
         self._windows.prove(message.head)
         return True
 
-    def _meet(self, message: msgspec.Struct, source: Address, now_ms: float) -> list[Action]:
+    def _exchange_proofs(
+        self, message: msgspec.Struct, source: Address, now_ms: float
+    ) -> list[Action]:
         """Let an unproven sender prove itself, and prove ourselves to it."""
         # The answer first: it opens our window there, and what comes before it is dropped.
         actions = [self._ack(message, source)] if isinstance(message, Probe) else []
-        own = [self._own().update()]
-        return actions + self._detector.contact(message.head.sender, source, own, now_ms)
+        own = [self._own_member().update()]
+        return actions + self._detector.probe_contact(message.head.sender, source, own, now_ms)
 
     def _ack(self, message: Probe, source: Address) -> Action:
         # With this VM's own record: the sender may lack it, or hold a suspicion to be refuted.
-        own = [self._own().update()]
+        own = [self._own_member().update()]
         return self._composer.ack(message.head.sender, source, message.nonce, own)
 
     def _dispatch(self, message: msgspec.Struct, source: Address, now_ms: float) -> list[Action]:
@@ -250,36 +252,36 @@
             case Probe():
                 return [self._ack(message, source)]
             case ProbeAck():
-                return self._detector.acknowledge(message)
+                return self._detector.handle_ack(message)
             case ProbeRequest():
-                return self._detector.help(message, now_ms)
+                return self._detector.handle_probe_request(message, now_ms)
             case ProbeReport():
-                self._detector.reported(message)
+                self._detector.handle_report(message)
             case SyncRequest() if member is not None:
                 return self._sync.serve(member, message, now_ms)
             case SyncReply():
-                self._sync.note_reply(message, now_ms)
+                self._sync.record_reply(message, now_ms)
         return []
 
-    def _revive(self, vm_id: str, now_ms: float) -> None:
+    def _clear_local_suspicion(self, vm_id: str, now_ms: float) -> None:
         """Drop what this VM alone believed of one that has just spoken."""
         member = self._table.get(vm_id)
         if member is not None and member.local_only:
             self._table.set_state(member, MemberState.ALIVE, now_ms, local_only=False)
 
-    def _greet(self, vm_id: str, source: Address, now_ms: float) -> list[Action]:
+    def _request_record(self, vm_id: str, source: Address, now_ms: float) -> list[Action]:
         """Ask one that has spoken, but is no member, for its record."""
         member = self._table.get(vm_id)
         if member is not None and not member.gone:
             return []
-        about = [self._own().update()] if member is None else [member.update()]
-        return self._detector.contact(vm_id, source, about, now_ms)
+        first_updates = [self._own_member().update()] if member is None else [member.update()]
+        return self._detector.probe_contact(vm_id, source, first_updates, now_ms)
 
     # --- news ----------------------------------------------------------------------------------
 
-    def _learn(self, update: VmUpdate, now_ms: float, *, spread: bool) -> list[Action]:
+    def _apply_update(self, update: VmUpdate, now_ms: float, *, spread: bool) -> list[Action]:
         if update.vm_id == self.vm_id:
-            self._hear_of_self(update, now_ms)
+            self._handle_own_update(update, now_ms)
             return []
         gone = update.state is MemberState.GONE
         if gone and not enough_evidence(update.vm_id, update.accusers, self._table):
@@ -292,46 +294,46 @@
         member = self._table.get(update.vm_id)
         if member.state is not MemberState.SUSPECT:
             return []
-        self._detector.watch(member, now_ms)
-        return self._detector.second_opinion(member, now_ms)
+        self._detector.start_suspicion(member, now_ms)
+        return self._detector.verify_suspicion(member, now_ms)
 
-    def _hear_of_self(self, update: VmUpdate, now_ms: float) -> None:
-        own = self._own()
+    def _handle_own_update(self, update: VmUpdate, now_ms: float) -> None:
+        own = self._own_member()
         if own.gone or update.incarnation < own.incarnation:
             return
         accused = update.state in (MemberState.SUSPECT, MemberState.GONE)
         if update.incarnation == own.incarnation and not accused:
             return
         if accused:
-            self._health.note_accused()
-        self._renew(own.state, now_ms, above=update.incarnation)
+            self._health.record_accusation()
+        self._raise_incarnation(own.state, now_ms, above=update.incarnation)
 
-    def _renew(self, state: MemberState, now_ms: float, above: int = 0) -> None:
+    def _raise_incarnation(self, state: MemberState, now_ms: float, above: int = 0) -> None:
         """Take a higher incarnation, with the newest profile, and spread it."""
-        incarnation = min(max(self._own().incarnation, above) + 1, _MAX_INCARNATION)
+        incarnation = min(max(self._own_member().incarnation, above) + 1, _MAX_INCARNATION)
         update = VmUpdate(self.vm_id, incarnation, state, [], self._profile)
         self._table.apply(update, now_ms)
         self._queue.add(self.vm_id)
         self._profile_due_ms = float("inf")
 
-    def _follow_own_state(self, now_ms: float) -> None:
-        leaving = self._leave_asked or self._listing.says_leaving(self.vm_id)
+    def _update_own_state(self, now_ms: float) -> None:
+        leaving = self._leave_requested or self._listing.lists_as_leaving(self.vm_id)
         wanted = MemberState.LEAVING if leaving else MemberState.ALIVE
-        if not self._own().gone and self._own().state is not wanted:
-            self._renew(wanted, now_ms)
+        if not self._own_member().gone and self._own_member().state is not wanted:
+            self._raise_incarnation(wanted, now_ms)
 
     def _announce(self) -> list[Action]:
         """Tell several members at once; they spread it."""
-        others = self._others()
+        others = self._other_members()
         chosen = self._rng.sample(others, min(_ANNOUNCE_FANOUT, len(others)))
-        about = [self._own().update()]
-        return [self._composer.gossip(member, about) for member in chosen]
+        first_updates = [self._own_member().update()]
+        return [self._composer.gossip(member, first_updates) for member in chosen]
 
     def _gossip(self, now_ms: float) -> list[Action]:
         if not self._queue or now_ms < self._gossip_due_ms:
             return []
         self._gossip_due_ms = now_ms + self._gossip_ms
-        others = self._others()
+        others = self._other_members()
         chosen = self._rng.sample(others, min(_GOSSIP_FANOUT, len(others)))
         sends = [self._composer.gossip(member) for member in chosen]
         return [send for send in sends if send is not None]
@@ -340,17 +342,17 @@
 
     def _observe_clock(self, now_ms: float) -> None:
         """Notice that the loop woke late."""
-        lag_ms = now_ms - self._expected_ms
-        if lag_ms <= 0 or not self._aware:
+        lag_ms = now_ms - self._expected_wake_ms
+        if lag_ms <= 0 or not self._health_aware:
             return
-        self._expected_ms = now_ms + self.tick_ms
-        self._detector.resume(lag_ms, self._health.note_lag(lag_ms))
+        self._expected_wake_ms = now_ms + self.tick_ms
+        self._detector.resume(lag_ms, self._health.record_lag(lag_ms))
 
     def _prune(self, now_ms: float) -> None:
         if now_ms < self._prune_due_ms:
             return
-        self._prune_due_ms = now_ms + _TOMBSTONE_MS / 10
-        old_ms = now_ms - _TOMBSTONE_MS
+        self._prune_due_ms = now_ms + _TOMBSTONE_RETENTION_MS / 10
+        old_ms = now_ms - _TOMBSTONE_RETENTION_MS
         for member in list(self._table):
             unlisted = self._listing.get(member.vm_id) is None
             if member.gone and unlisted and member.changed_at_ms < old_ms:
@@ -358,8 +360,8 @@
                 self._windows.forget(member.vm_id)
                 self._queue.discard(member.vm_id)
 
-    def _own(self) -> Member:
+    def _own_member(self) -> Member:
         return self._table.get(self.vm_id)
 
-    def _others(self) -> list[Member]:
+    def _other_members(self) -> list[Member]:
         return [member for member in self._table.present() if member.vm_id != self.vm_id]
--- a/src/fescuedock/core/membership/probing.py
+++ b/src/fescuedock/core/membership/probing.py
@@ -11,7 +11,7 @@
 
 __all__ = ["Probing", "ProbePurpose", "ProbeRotation", "PendingProbe", "choose_helpers"]
 
-HELPERS = 3
+_MAX_HELPERS = 3
 _MAX_NONCE = 2**53 - 1
 
 
@@ -38,18 +38,18 @@
     purpose: ProbePurpose
     helpers_due_ms: float
     due_ms: float
-    helped: bool = False
+    helpers_requested: bool = False
     # Helpers that could not reach the target either.
     witnesses: list[str] = msgspec.field(default_factory=list)
     # For HELP: who asked, and the nonce of the asker.
-    asker: str = ""
-    asker_nonce: int = 0
+    requester: str = ""
+    requester_nonce: int = 0
 
     @property
     def next_due_ms(self) -> float:
         """When something is to be done about it, if no answer comes."""
-        asks_helpers = self.purpose is ProbePurpose.MEMBER and not self.helped
-        return min(self.helpers_due_ms, self.due_ms) if asks_helpers else self.due_ms
+        needs_helpers = self.purpose is ProbePurpose.MEMBER and not self.helpers_requested
+        return min(self.helpers_due_ms, self.due_ms) if needs_helpers else self.due_ms
 
 
 class Probing:
@@ -96,18 +96,18 @@
             probe
             for probe in self._pending.values()
             if probe.purpose is ProbePurpose.MEMBER
-            and not probe.helped
+            and not probe.helpers_requested
             and probe.helpers_due_ms <= now_ms
         ]
         for probe in late:
-            probe.helped = True
+            probe.helpers_requested = True
         return late
 
     def next_due_ms(self) -> float:
         """Return when helpers or a verdict are due next; infinite without a pending probe."""
         return min((probe.next_due_ms for probe in self._pending.values()), default=float("inf"))
 
-    def take_due(self, now_ms: float) -> list[PendingProbe]:
+    def pop_due(self, now_ms: float) -> list[PendingProbe]:
         """Remove and return the probes that count as unanswered now."""
         due = [probe for probe in self._pending.values() if probe.due_ms <= now_ms]
         for probe in due:
@@ -122,24 +122,24 @@
 class ProbeRotation:
     """Each name once in random order, then again in another: bounded time between two turns."""
 
-    __slots__ = ("_left", "_rng")
+    __slots__ = ("_remaining", "_rng")
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
-        self._left: list[str] = []
+        self._remaining: list[str] = []
 
     def next(self, names: Iterable[str]) -> str | None:
         """Return the next of ``names``, or None when there are none."""
         present = set(names)
         if not present:
             return None
-        while self._left:
-            name = self._left.pop()
+        while self._remaining:
+            name = self._remaining.pop()
             if name in present:
                 return name
-        self._left = sorted(present)
-        self._rng.shuffle(self._left)
-        return self._left.pop()
+        self._remaining = sorted(present)
+        self._rng.shuffle(self._remaining)
+        return self._remaining.pop()
 
 
 def choose_helpers(
@@ -160,6 +160,6 @@
     for member in others:
         if member.failure_domain != own_domain:
             far_by_domain.setdefault(member.failure_domain, member)
-    chosen = [*list(far_by_domain.values())[: HELPERS - len(near)], *near]
+    chosen = [*list(far_by_domain.values())[: _MAX_HELPERS - len(near)], *near]
     spare = [member for member in others if member not in chosen]
-    return [*chosen, *spare][:HELPERS]
+    return [*chosen, *spare][:_MAX_HELPERS]
--- a/src/fescuedock/core/membership/suspicion.py
+++ b/src/fescuedock/core/membership/suspicion.py
@@ -9,12 +9,12 @@
 from fescuedock.schema.membership import MemberState
 from fescuedock.schema.settings import AgentSettings
 
-__all__ = ["Suspicions", "enough_evidence", "removable", "suspicion_ms"]
+__all__ = ["Suspicions", "enough_evidence", "max_weak_removals", "suspicion_ms"]
 
 # With too little evidence a suspicion lasts longer, for others to look for themselves.
-_WEAK_FACTOR = 3
-_NEEDED_VMS = 2
-_NEEDED_DOMAINS = 2
+_WEAK_DURATION_FACTOR = 3
+_MIN_ACCUSERS = 2
+_MIN_ACCUSER_DOMAINS = 2
 
 
 def suspicion_ms(settings: AgentSettings, fleet_size: int) -> float:
@@ -36,8 +36,8 @@
     domains = {member.failure_domain for member in known}
     subject = table.get(vm_id)
     others = table.present_count - (subject is not None and not subject.gone)
-    return len(known) >= min(_NEEDED_VMS, others) and len(domains) >= min(
-        _NEEDED_DOMAINS, table.count_domains(vm_id)
+    return len(known) >= min(_MIN_ACCUSERS, others) and len(domains) >= min(
+        _MIN_ACCUSER_DOMAINS, table.count_domains(vm_id)
     )
 
 
@@ -58,13 +58,13 @@
     def __len__(self) -> int:
         return len(self._by_vm)
 
-    def watch(self, member: Member, duration_ms: float, now_ms: float) -> bool:
+    def start(self, member: Member, duration_ms: float, now_ms: float) -> bool:
         """Begin to count for a suspected member; False when that was done before."""
         known = self._by_vm.get(member.vm_id)
         if known is not None and known.incarnation == member.incarnation:
             return False
         self._by_vm[member.vm_id] = _Suspicion(
-            member.incarnation, now_ms + duration_ms, now_ms + _WEAK_FACTOR * duration_ms
+            member.incarnation, now_ms + duration_ms, now_ms + _WEAK_DURATION_FACTOR * duration_ms
         )
         return True
 
@@ -74,12 +74,12 @@
             suspicion.due_ms += by_ms
             suspicion.weak_due_ms += by_ms
 
-    def take_due(
-        self, table: MemberTable, now_ms: float, supported: Callable[[str], bool]
+    def pop_due(
+        self, table: MemberTable, now_ms: float, has_list_support: Callable[[str], bool]
     ) -> tuple[list[Member], list[Member]]:
         """Return the members to remove now: on enough evidence, and on too little.
 
-        ``supported`` says whether other evidence than probes speaks for a removal.
+        ``has_list_support`` says whether other evidence than probes speaks for a removal.
         """
         strong: list[Member] = []
         weak: list[Member] = []
@@ -88,7 +88,7 @@
             if not _still_suspected(member, suspicion):
                 del self._by_vm[vm_id]
             elif suspicion.due_ms <= now_ms and (
-                supported(vm_id) or enough_evidence(vm_id, member.accusers, table)
+                has_list_support(vm_id) or enough_evidence(vm_id, member.accusers, table)
             ):
                 strong.append(member)
             elif suspicion.weak_due_ms <= now_ms:
@@ -96,7 +96,7 @@
         return strong, weak
 
 
-def removable(table: MemberTable, share: float) -> int:
+def max_weak_removals(table: MemberTable, share: float) -> int:
     """Return how many more members may be dropped on weak evidence at the same time."""
     dropped = sum(member.gone and member.local_only for member in table)
     present = table.present_count
--- a/src/fescuedock/core/membership/table.py
+++ b/src/fescuedock/core/membership/table.py
@@ -90,7 +90,7 @@
 
     def forget(self, vm_id: str) -> None:
         """Drop a member and its history."""
-        self._withdraw(self._members.pop(vm_id))
+        self._remove_from_totals(self._members.pop(vm_id))
         self.revision += 1
 
     def apply(self, update: VmUpdate, now_ms: float) -> bool:
@@ -98,31 +98,31 @@
         member = self._members.get(update.vm_id)
         if member is None:
             return self._add(update, now_ms)
-        if _is_known(member, update):
+        if _is_outdated(member, update):
             return False
-        self._withdraw(member)
-        news = _merge(member, update, now_ms)
-        self._enter(member)
-        self.revision += news
-        return news
+        self._remove_from_totals(member)
+        changed = _merge(member, update, now_ms)
+        self._add_to_totals(member)
+        self.revision += changed
+        return changed
 
     def set_state(
         self, member: Member, state: MemberState, now_ms: float, *, local_only: bool
     ) -> None:
         """Change a member's state on this VM's own evidence, within its incarnation."""
-        self._withdraw(member)
+        self._remove_from_totals(member)
         member.state = state
         member.local_only = local_only
         member.changed_at_ms = now_ms
         if state is MemberState.ALIVE:
             member.accusers = ()
-        self._enter(member)
+        self._add_to_totals(member)
         self.revision += 1
 
     def add_accusers(self, member: Member, vm_ids: Iterable[str]) -> bool:
         """Add evidence against a member; return whether any was new."""
         before = member.accusers
-        member.accusers = _joined(before, vm_ids)
+        member.accusers = _merge_accusers(before, vm_ids)
         return member.accusers != before
 
     def bucket_hashes(self) -> list[int]:
@@ -146,11 +146,11 @@
             changed_at_ms=now_ms,
         )
         self._members[update.vm_id] = member
-        self._enter(member)
+        self._add_to_totals(member)
         self.revision += 1
         return True
 
-    def _enter(self, member: Member) -> None:
+    def _add_to_totals(self, member: Member) -> None:
         """Count a member in the totals, unless it is gone."""
         member.record = None
         if member.gone:
@@ -159,7 +159,7 @@
         self._domains[member.failure_domain] += 1
         self._flip_hash(member)
 
-    def _withdraw(self, member: Member) -> None:
+    def _remove_from_totals(self, member: Member) -> None:
         """Take a member out of the totals before it changes."""
         if member.gone:
             return
@@ -177,7 +177,7 @@
         self._hashes[bucket_of(member.vm_id)] ^= int.from_bytes(digest, "big")
 
 
-def _is_known(member: Member, update: VmUpdate) -> bool:
+def _is_outdated(member: Member, update: VmUpdate) -> bool:
     """Whether ``update`` cannot be news, as most that come are not."""
     if update.profile is not None and update.incarnation > member.profile_incarnation:
         return False
@@ -188,7 +188,7 @@
 
 
 def _merge(member: Member, update: VmUpdate, now_ms: float) -> bool:
-    news = _merge_profile(member, update)
+    changed = _merge_profile(member, update)
     known = (member.incarnation, _RANK[member.state])
     offered = (update.incarnation, _RANK[update.state])
     if offered > known:
@@ -199,11 +199,11 @@
         member.local_only = False
         return True
     if offered == known and update.state in (MemberState.SUSPECT, MemberState.GONE):
-        joined = _joined(member.accusers, update.accusers)
-        news = news or member.local_only or joined != member.accusers
+        joined = _merge_accusers(member.accusers, update.accusers)
+        changed = changed or member.local_only or joined != member.accusers
         member.accusers = joined
         member.local_only = False
-    return news
+    return changed
 
 
 def _merge_profile(member: Member, update: VmUpdate) -> bool:
@@ -214,5 +214,5 @@
     return True
 
 
-def _joined(known: tuple[str, ...], more: Iterable[str]) -> tuple[str, ...]:
+def _merge_accusers(known: tuple[str, ...], more: Iterable[str]) -> tuple[str, ...]:
     return tuple(dict.fromkeys((*known, *more)))[:MAX_ACCUSERS]
--- a/src/fescuedock/core/membership/view.py
+++ b/src/fescuedock/core/membership/view.py
@@ -14,18 +14,18 @@
     One that the VM list shows as leaving counts as leaving, whatever it says itself.
     """
     members = sorted(table, key=lambda member: member.vm_id)
-    return [_record(member, listing.says_leaving(member.vm_id)) for member in members]
+    return [_cached_record(member, listing.lists_as_leaving(member.vm_id)) for member in members]
 
 
-def _record(member: Member, listed_leaving: bool) -> VmRecord:
+def _cached_record(member: Member, listed_leaving: bool) -> VmRecord:
     leaving = listed_leaving and member.state is not MemberState.GONE
     state = VmState.LEAVING if leaving else VmState(member.state.value)
     if member.record is None or member.record.state is not state:
-        member.record = _made(member, state)
+        member.record = _build_record(member, state)
     return member.record
 
 
-def _made(member: Member, state: VmState) -> VmRecord:
+def _build_record(member: Member, state: VmState) -> VmRecord:
     profile = member.profile
     return VmRecord(
         vm_id=member.vm_id,
--- a/tests/builders/membership.py
+++ b/tests/builders/membership.py
@@ -69,7 +69,13 @@
     """The loop.  ``loss`` and ``repeat`` are shares; ``reaches`` says who can send to whom."""
 
     def __init__(
-        self, size: int, *, domains: int = 3, seed: int = 1, aware: bool = True, **settings: float
+        self,
+        size: int,
+        *,
+        domains: int = 3,
+        seed: int = 1,
+        health_aware: bool = True,
+        **settings: float,
     ) -> None:
         self.rng = random.Random(seed)
         self.settings = AgentSettings(port=0, **settings)
@@ -82,9 +88,9 @@
         self.nodes: dict[str, Node] = {}
         self.listed: set[str] = set()
         self.recorded: list[tuple[bytes, Address, Address]] = []
-        self._aware = aware
+        self._health_aware = health_aware
         self._by_address: dict[Address, Node] = {}
-        self._flying: list[tuple[float, int, Address, bytes, Address]] = []
+        self._in_flight: list[tuple[float, int, Address, bytes, Address]] = []
         self._order = itertools.count()
         for number in range(size):
             self.start(number, publish=False)
@@ -96,7 +102,13 @@
         name = vm_name(number)
         boot = int(self.now_ms)
         membership = Membership(
-            self.settings, name, profile, boot, self.rng, self.now_ms, aware=self._aware
+            self.settings,
+            name,
+            profile,
+            boot,
+            self.rng,
+            self.now_ms,
+            health_aware=self._health_aware,
         )
         node = Node(name, number, membership, self.now_ms + self.rng.uniform(0, 50))
         self.nodes[name] = node
@@ -107,20 +119,20 @@
             self.publish_list()
         return node
 
-    def acquaint(self) -> None:
+    def introduce_all(self) -> None:
         """Let every VM know all others from the beginning, as an old fleet's do.
 
         For large fleets, whose joining takes the loop long.
         """
-        updates = [node.membership._own().update() for node in self.running()]
+        updates = [node.membership._own_member().update() for node in self.running()]
         for node in self.running():
             for update in updates:
                 if update.vm_id != node.vm_id:
-                    self.tell(node.vm_id, update)
+                    self.learn_silently(node.vm_id, update)
 
-    def tell(self, vm_id: str, update: VmUpdate) -> None:
+    def learn_silently(self, vm_id: str, update: VmUpdate) -> None:
         """Let one VM know something that it does not gossip."""
-        self.nodes[vm_id].membership._learn(update, self.now_ms, spread=False)
+        self.nodes[vm_id].membership._apply_update(update, self.now_ms, spread=False)
 
     def publish_list(self) -> None:
         """Let every VM read the VM list as it is now."""
@@ -189,8 +201,8 @@
         return all(node.live() == names for node in self.running())
 
     def _step(self) -> None:
-        while self._flying and self._flying[0][0] <= self.now_ms:
-            _, _, target, data, source = heapq.heappop(self._flying)
+        while self._in_flight and self._in_flight[0][0] <= self.now_ms:
+            _, _, target, data, source = heapq.heappop(self._in_flight)
             node = self._by_address.get(target)
             if node is None or node.down:
                 continue
@@ -226,9 +238,9 @@
             assert len(data) <= 1200, (len(data), action.message)
             node.sent += 1
             node.sent_bytes += len(data)
-            self._carry(node, action.address, data)
+            self._transmit(node, action.address, data)
 
-    def _carry(self, sender: Node, target: Address, data: bytes) -> None:
+    def _transmit(self, sender: Node, target: Address, data: bytes) -> None:
         receiver = self._by_address.get(target)
         if receiver is None or not self.reaches(sender, receiver):
             return
@@ -239,7 +251,7 @@
             if self.rng.random() >= self.loss:
                 at_ms = self.now_ms + self.rng.uniform(*self.delay_ms)
                 item = (at_ms, next(self._order), target, data, source)
-                heapq.heappush(self._flying, item)
+                heapq.heappush(self._in_flight, item)
 
 
 def _address(profile: VmProfile) -> Address:
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -128,32 +128,32 @@
         for number in range(50):
             queue.add(vm_name(number))
 
-        def make(vm_id: str) -> VmUpdate:
+        def make_update(vm_id: str) -> VmUpdate:
             return VmUpdate(vm_id, 1, MemberState.ALIVE, [], profile_of(1))
 
         rounds = 0
         while queue:
-            taken = queue.take(500, 50, make)
+            taken = queue.next_updates(500, 50, make_update)
             size = sum(len(msgspec.msgpack.encode(update)) for update in taken)
             self.assertTrue(0 < size <= 500)
             rounds += 1
             self.assertLess(rounds, 1000)
-        self.assertEqual([], queue.take(500, 50, make))
+        self.assertEqual([], queue.next_updates(500, 50, make_update))
 
 
 class TestHealth(unittest.TestCase):
     def test_pauses_raise_the_score_and_answers_lower_it(self) -> None:
         health = LocalHealth(1000.0)
-        self.assertFalse(health.note_lag(100.0))
+        self.assertFalse(health.record_lag(100.0))
         self.assertEqual(1, health.multiplier)
-        self.assertFalse(health.note_lag(300.0))
-        self.assertTrue(health.note_lag(1500.0))
+        self.assertFalse(health.record_lag(300.0))
+        self.assertTrue(health.record_lag(1500.0))
         self.assertEqual(4, health.multiplier)
-        self.assertTrue(health.steady)
-        health.note_unanswered()
-        self.assertFalse(health.steady)
+        self.assertTrue(health.may_accuse)
+        health.record_unanswered()
+        self.assertFalse(health.may_accuse)
         for _ in range(10):
-            health.note_answered()
+            health.record_answered()
         self.assertEqual(1, health.multiplier)
 
 
@@ -419,7 +419,7 @@
             fleet.run_until(fleet.agrees, 30000)
             fleet.run(5000)
             update = VmUpdate("vm-099", 5, MemberState.LEAVING, [], profile_of(99))
-            fleet.tell("vm-003", update)
+            fleet.learn_silently("vm-003", update)
             self.assertIn("vm-099", fleet.nodes["vm-003"].view())
             took_ms = fleet.run_until(
                 lambda fleet=fleet: all("vm-099" in node.view() for node in fleet.running()), 60000
