--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -60,7 +60,7 @@
 
         run_async(check)
 
-    def test_news_wake_an_agent_that_would_sleep_on(self) -> None:
+    def test_an_update_wakes_a_sleeping_agent(self) -> None:
         async def check() -> None:
             async with open_agents(1) as fleet, fleet.follow("vm-0") as (_, view):
                 await until(view, lambda seen: bool(seen.upstreams), limit_s=3)
@@ -152,20 +152,20 @@
         run_async(check)
 
 
-class TestStrangers(unittest.TestCase):
+class TestForgedMessages(unittest.TestCase):
     def setUp(self) -> None:
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
         self.key_file = Path(folder.name) / "keys"
         self.key_file.write_text(_key_line("old1"), encoding="ascii")
 
-    def test_neither_datagrams_nor_messages_of_strangers_count(self) -> None:
+    def test_forged_datagrams_and_messages_are_ignored(self) -> None:
         async def check() -> None:
             async with open_agents(2, key_file=str(self.key_file)) as fleet:
                 agent = fleet.agents["vm-0"]
                 async with fleet.follow("vm-0", Program.STORE) as (_, view):
                     await until(view, lambda seen: len(seen.live_vms(Program.AGENT)) == 2)
-                    self._send_noise(agent)
+                    self._send_forged_datagrams(agent)
                     unsigned = open_codec(VmSettings("x", "127.0.0.1", "r", "d"))
                     async with ChannelClient.open(agent.address, unsigned) as client:
                         hello = Hello(Program.ENTRY, 9, True)
@@ -178,19 +178,19 @@
 
         run_async(check)
 
-    def _send_noise(self, agent) -> None:
+    def _send_forged_datagrams(self, agent) -> None:
         unsigned = open_codec(VmSettings("x", "127.0.0.1", "r", "d"))
         head = DatagramHead("vm-1", "vm-0", 1, 1, 0)
         gone = Gossip(head, [VmUpdate("vm-1", 2**50, MemberState.GONE, ["vm-1"])])
-        noise = [unsigned.encode(gone), b"", os.urandom(1200), os.urandom(9000)]
+        forged = [unsigned.encode(gone), b"", os.urandom(1200), os.urandom(9000)]
         signed = open_codec(msgspec.structs.replace(agent.settings.vm))
-        noise.append(signed.encode(gone))
-        noise.append(
+        forged.append(signed.encode(gone))
+        forged.append(
             signed.encode(Gossip(head, [VmUpdate(f"vm-{n}", n, "alive") for n in range(90)]))
         )
-        self.assertGreater(len(noise[-1]), 1200)
+        self.assertGreater(len(forged[-1]), 1200)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sender:
-            for data in noise:
+            for data in forged:
                 sender.sendto(data, (agent.address.host, agent.address.port))
 
     def test_keys_are_rotated_with_two_in_force(self) -> None:
@@ -202,8 +202,8 @@
                     keys.write_text("".join(map(_key_line, names)), encoding="ascii")
                     self.assertEqual(list(names), [key.name for key in load_keys(keys)])
                     await fleet.start(number, key_file=str(keys))
-                every = {"vm-0", "vm-1", "vm-2", "vm-3"}
-                for vm_id, seen_by_it in (("vm-2", every), ("vm-0", every - {"vm-3"})):
+                all_vms = {"vm-0", "vm-1", "vm-2", "vm-3"}
+                for vm_id, seen_by_it in (("vm-2", all_vms), ("vm-0", all_vms - {"vm-3"})):
                     async with fleet.follow(vm_id, Program.STORE) as (_, view):
                         await until(view, lambda seen, ids=seen_by_it: ids <= set(seen.vms))
 
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -26,7 +26,7 @@
 from fescuedock.schema.view import VmState
 from tests.builders.membership import CODEC, Fleet, profile_of, vm_name
 
-STRANGER = Address("10.9.9.9", 9999)
+UNKNOWN_ADDRESS = Address("10.9.9.9", 9999)
 STATES = list(MemberState)
 
 
@@ -43,16 +43,16 @@
         st.lists(st.tuples(st.integers(1, 4), st.sampled_from(STATES)), min_size=1),
         st.randoms(use_true_random=False),
     )
-    def test_any_order_of_news_gives_the_same_knowledge(self, news, rng) -> None:
-        shuffled = list(news)
+    def test_updates_in_any_order_give_the_same_table(self, updates, rng) -> None:
+        shuffled = list(updates)
         rng.shuffle(shuffled)
         tables = [MemberTable(), MemberTable()]
-        for table, order in zip(tables, (news, shuffled), strict=True):
+        for table, order in zip(tables, (updates, shuffled), strict=True):
             table.apply(_update(0, MemberState.ALIVE), 0.0)
             for incarnation, state in order:
                 table.apply(_update(incarnation, state), 0.0)
         first, second = (table.get("vm-001") for table in tables)
-        best = max((incarnation, STATES.index(state)) for incarnation, state in news)
+        best = max((incarnation, STATES.index(state)) for incarnation, state in updates)
         self.assertEqual(best, (first.incarnation, STATES.index(first.state)))
         self.assertEqual(first.update(), second.update())
         self.assertEqual(*(table.bucket_hashes() for table in tables))
@@ -67,7 +67,7 @@
         self.assertEqual(1, table.count_domains("vm-000"))
         self.assertEqual(3, table.present_count)
 
-    def test_what_one_vm_alone_believes_is_not_passed_on(self) -> None:
+    def test_a_suspicion_of_one_vm_is_not_spread(self) -> None:
         table = MemberTable()
         table.apply(_update(3, MemberState.ALIVE), 0.0)
         member = table.get("vm-001")
@@ -169,7 +169,7 @@
         self.assertEqual(self.before, _snapshot(self.fleet))
 
     @given(st.binary(max_size=1400))
-    def test_noise_is_no_message(self, data: bytes) -> None:
+    def test_random_bytes_are_no_message(self, data: bytes) -> None:
         with self.assertRaises(BadMessageError):
             CODEC.decode(data)
 
@@ -211,13 +211,15 @@
             with self.subTest(message), self.assertRaises(BadMessageError):
                 CODEC.decode(CODEC.encode(message))
 
-    def test_a_stranger_changes_nothing(self) -> None:
-        stranger = Codec([schema], [Key("k1", b"another-secret--")])
+    def test_a_datagram_signed_with_another_key_changes_nothing(self) -> None:
+        other_key_codec = Codec([schema], [Key("k1", b"another-secret--")])
         boot = self.node.membership.records()[1].incarnation
         for sequence in range(5000, 5010):
             head = DatagramHead("vm-001", "vm-000", boot, sequence, 9)
-            news = [VmUpdate("vm-002", 10**12, MemberState.GONE, ["vm-002"])]
-            self.fleet.inject(self.node, stranger.encode(Gossip(head, news)), STRANGER)
+            updates = [VmUpdate("vm-002", 10**12, MemberState.GONE, ["vm-002"])]
+            self.fleet.inject(
+                self.node, other_key_codec.encode(Gossip(head, updates)), UNKNOWN_ADDRESS
+            )
         self._assert_unchanged()
 
     def test_replays_change_nothing(self) -> None:
@@ -240,7 +242,7 @@
         self.assertEqual([], [item for item in answers[len(recorded) :] if item])
         self._assert_unchanged()
 
-    def test_a_removal_on_the_word_of_one_vm_is_looked_into(self) -> None:
+    def test_a_removal_reported_by_one_vm_is_verified(self) -> None:
         """From a proven member, which may be cut off itself."""
         latest = next(
             item
@@ -250,8 +252,8 @@
         sequence = latest.head.sequence + 1
         head = DatagramHead("vm-001", "vm-000", latest.head.boot, sequence, 0)
         known = self.node.view()["vm-002"]
-        news = [VmUpdate("vm-002", known.incarnation, MemberState.GONE, ["vm-001"])]
-        self.fleet.inject(self.node, CODEC.encode(Gossip(head, news)), STRANGER)
+        updates = [VmUpdate("vm-002", known.incarnation, MemberState.GONE, ["vm-001"])]
+        self.fleet.inject(self.node, CODEC.encode(Gossip(head, updates)), UNKNOWN_ADDRESS)
         self.assertIs(VmState.SUSPECT, self.node.view()["vm-002"].state)
         for _ in range(100):
             self.fleet.run(100)
@@ -259,12 +261,12 @@
         self.assertIs(VmState.ALIVE, self.node.view()["vm-002"].state)
         self.assertGreater(self.node.view()["vm-002"].incarnation, known.incarnation)
 
-    def test_replays_to_a_vm_that_forgot_change_nothing(self) -> None:
+    def test_replays_to_a_restarted_vm_change_nothing(self) -> None:
         """A recorded accusation comes to a VM that has restarted since."""
         head = DatagramHead("vm-001", "vm-003", 1000, 4000, 0)
         incarnation = self.node.view()["vm-002"].incarnation
-        news = [VmUpdate("vm-002", incarnation, MemberState.GONE, ["vm-001", "vm-000"])]
-        recorded = CODEC.encode(Gossip(head, news))
+        updates = [VmUpdate("vm-002", incarnation, MemberState.GONE, ["vm-001", "vm-000"])]
+        recorded = CODEC.encode(Gossip(head, updates))
         self.fleet.kill("vm-003")
         self.fleet.run(9000)
         # The recorded datagram's sender has restarted too, so its boot is another now.
@@ -273,7 +275,7 @@
         self.fleet.start(1)
         restarted = self.fleet.start(3)
         for _ in range(20):
-            self.fleet.inject(restarted, recorded, STRANGER)
+            self.fleet.inject(restarted, recorded, UNKNOWN_ADDRESS)
             self.fleet.run(300)
             others = [node for node in self.fleet.running() if node.vm_id != "vm-002"]
             for node in others:
@@ -289,10 +291,12 @@
                 self.assertEqual([], node.membership.receive(message, source, self.fleet.now_ms))
         self._assert_unchanged()
 
-    def test_a_claimed_sender_without_proof_only_gets_asked_for_it(self) -> None:
+    def test_an_unproven_sender_is_only_probed(self) -> None:
         head = DatagramHead("vm-009", "vm-000", 5, 1, 99)
-        news = [VmUpdate("vm-002", 10**12, MemberState.GONE, ["vm-002"])]
-        actions = self.node.membership.receive(Gossip(head, news), STRANGER, self.fleet.now_ms)
+        updates = [VmUpdate("vm-002", 10**12, MemberState.GONE, ["vm-002"])]
+        actions = self.node.membership.receive(
+            Gossip(head, updates), UNKNOWN_ADDRESS, self.fleet.now_ms
+        )
         self.assertEqual([Probe], [type(action.message) for action in actions])
         self._assert_unchanged()
 
@@ -316,20 +320,20 @@
                 fleet.run(100)
                 self.assertTrue(fleet.agrees())
 
-    def test_a_vm_cut_off_from_all_does_not_take_others_with_it(self) -> None:
+    def test_an_isolated_vm_does_not_remove_others(self) -> None:
         fleet = Fleet(9)
         fleet.run_until(fleet.agrees, 30000)
         fleet.reaches = lambda a, b: "vm-000" not in (a.vm_id, b.vm_id)
         fleet.run(60000)
-        alone = fleet.nodes["vm-000"]
+        isolated = fleet.nodes["vm-000"]
         # Damping: a quarter of nine VMs at most.
-        self.assertGreaterEqual(len(alone.live()), 7)
-        incarnations = {name: item.incarnation for name, item in alone.view().items()}
+        self.assertGreaterEqual(len(isolated.live()), 7)
+        incarnations = {name: item.incarnation for name, item in isolated.view().items()}
         fleet.reaches = lambda a, b: True
         for _ in range(300):
             fleet.run(100)
             for node in fleet.running():
-                self.assertTrue(node is alone or len(node.live()) >= 8)
+                self.assertTrue(node is isolated or len(node.live()) >= 8)
         self.assertTrue(fleet.agrees())
         # Nobody else had to refute anything that the lonely one believed.
         raised = [
@@ -339,7 +343,7 @@
         ]
         self.assertEqual([], raised)
 
-    def test_a_short_cut_off_makes_nobody_suspect(self) -> None:
+    def test_a_short_isolation_causes_no_suspicion(self) -> None:
         fleet = Fleet(9)
         fleet.run_until(fleet.agrees, 30000)
         fleet.run(3000)
@@ -349,7 +353,7 @@
             states = {record.state for record in fleet.nodes["vm-000"].view().values()}
             self.assertEqual({VmState.ALIVE}, states)
 
-    def test_halves_that_removed_each_other_come_together_again(self) -> None:
+    def test_partitions_that_removed_each_other_merge_again(self) -> None:
         fleet = Fleet(8, domains=4)
         fleet.run_until(fleet.agrees, 30000)
         fleet.reaches = lambda a, b: a.number % 2 == b.number % 2
@@ -375,7 +379,7 @@
             fleet.run(15000)
         self.assertTrue(fleet.agrees())
 
-    def test_a_paused_vm_accuses_nobody_when_it_wakes(self) -> None:
+    def test_a_paused_vm_accuses_no_other_when_it_resumes(self) -> None:
         fleet = Fleet(6)
         fleet.run_until(fleet.agrees, 30000)
         fleet.run(5000)
@@ -412,7 +416,7 @@
         fleet.run(3000)
         self.assertIs(VmState.LEAVING, fleet.nodes["vm-002"].view()["vm-001"].state)
 
-    def test_what_gossip_missed_comes_by_comparing_tables(self) -> None:
+    def test_table_comparison_finds_updates_that_gossip_missed(self) -> None:
         for seed in range(1, 6):
             # The VM does not exist: it must not be removed before all tables were compared.
             fleet = Fleet(6, seed=seed, suspicion_ms=60000)
@@ -434,7 +438,7 @@
         fleet.run(60000)
         self.assertTrue(fleet.agrees())
 
-    def test_nodes_without_news_wake_seldom(self) -> None:
+    def test_idle_nodes_wake_rarely(self) -> None:
         # Ticking each time that a tick may fall due would be 66 a second.
         fleet = Fleet(20, probe_interval_ms=300)
         fleet.run_until(fleet.agrees, 60000)
@@ -463,13 +467,13 @@
         fleet.run_until(fleet.agrees, 30000)
         newer = msgspec.structs.replace(profile_of(0), config_version=5)
         fleet.nodes["vm-000"].membership.set_profile(newer, fleet.now_ms)
-        heard = fleet.run_until(
+        took_ms = fleet.run_until(
             lambda: all(
                 node.versions.get("vm-000") == 5 for node in fleet.running() if node.number
             ),
             5000,
         )
-        self.assertLess(heard, 3000)
+        self.assertLess(took_ms, 3000)
         fleet.run(3000)
         self.assertEqual(5, fleet.nodes["vm-002"].view()["vm-000"].config_version)
 
--- a/tests/test_membership_view.py
+++ b/tests/test_membership_view.py
@@ -47,7 +47,7 @@
             seen_version = version
             self.assertEqual((vms, upstreams), (seen_vms, seen_upstreams))
 
-    def test_a_version_of_a_former_life_gets_everything(self) -> None:
+    def test_a_version_of_an_earlier_process_gets_everything(self) -> None:
         history = ViewHistory()
         history.note(FIRST_VERSION + 1, ({}, {"a": _vm("a", 1)}), ({}, {}))
         history.note(FIRST_VERSION + 2, ({"a": _vm("a", 1)}, {}), ({}, {}))
