--- a/src/fescuedock/core/membership/__init__.py
+++ b/src/fescuedock/core/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which VMs are there: failure detection and the spreading of news between agents, sans I/O."""
+"""Membership of the fleet: failure detection and gossip between agents, without I/O."""
 
 from fescuedock.core.membership.actions import Action, PeerVersion, Send
 from fescuedock.core.membership.gossip import MAX_DATAGRAM_BYTES
--- a/src/fescuedock/core/membership/actions.py
+++ b/src/fescuedock/core/membership/actions.py
@@ -1,4 +1,4 @@
-"""What membership asks its shell to do."""
+"""Actions that membership returns for the caller, which does the I/O, to carry out."""
 
 import msgspec
 
@@ -15,7 +15,7 @@
 
 
 class PeerVersion(msgspec.Struct, frozen=True):
-    """A VM has just said which configuration version it has in force."""
+    """A VM has just reported the configuration version that it has in force."""
 
     vm_id: str
     config_version: int
--- a/src/fescuedock/core/membership/anti_entropy.py
+++ b/src/fescuedock/core/membership/anti_entropy.py
@@ -1,4 +1,7 @@
-"""Compares whole tables with one member after another, for news that gossip has missed."""
+"""Anti-entropy: compares complete member tables with one member at a time.
+
+This finds the updates that gossip has not delivered.
+"""
 
 from random import Random
 
@@ -13,12 +16,12 @@
 _INTERVAL_MS = 10000
 _RETRY_MS = 500
 _MAX_REPLY_DATAGRAMS = 8
-# What one VM answers in one second, so that a fleet's start does not drown its first VM.
+# Limits the requests that one VM serves: when a fleet starts, all VMs first query the same one.
 _MAX_SERVED_PER_S = 5
 
 
 class TableSync:
-    """Asks one random member every ten seconds; sooner while there is more to learn."""
+    """Queries one random member about every ten seconds, sooner while it has more to send."""
 
     __slots__ = (
         "_composer",
@@ -51,14 +54,14 @@
 
     @property
     def due_ms(self) -> float:
-        """When the next comparison is due."""
+        """Time of the next comparison."""
         return self._due_ms
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Ask a member when that is due."""
+        """Return a request to a random member when a comparison is due."""
         if now_ms < self._due_ms:
             return []
-        # The answer of any other would be dropped.
+        # Replies of members that have not proved their boot would be dropped.
         known = [
             item
             for item in self._table.present()
@@ -66,12 +69,12 @@
         ]
         if not known:
             return []
-        # Until the answer has come, which may be lost.
+        # Retry soon unless a reply arrives, since request or reply may be lost.
         self._due_ms = now_ms + _RETRY_MS
         return [self._composer.sync_request(self._rng.choice(known))]
 
     def serve(self, sender: Member, message: SyncRequest, now_ms: float) -> list[Action]:
-        """Answer with every member in the buckets that differ."""
+        """Return replies with every member in the buckets whose hashes differ."""
         if not self._may_serve(now_ms):
             return []
         own = self._table.bucket_hashes()
@@ -84,7 +87,7 @@
         return list(self._composer.sync_replies(sender, updates, _MAX_REPLY_DATAGRAMS))
 
     def record_reply(self, message: SyncReply, now_ms: float) -> None:
-        """Plan the next comparison."""
+        """Schedule the next comparison, unless the sender has more to send."""
         if not message.more:
             self._due_ms = now_ms + _INTERVAL_MS * self._rng.uniform(0.5, 1.5)
 
--- a/src/fescuedock/core/membership/composer.py
+++ b/src/fescuedock/core/membership/composer.py
@@ -1,4 +1,4 @@
-"""Builds datagrams: head, contents, and as much news as there is room for."""
+"""Builds datagrams: head, contents, and as many queued updates as fit."""
 
 from collections.abc import Sequence
 
@@ -24,12 +24,12 @@
 
 
 def address_of(member: Member) -> Address:
-    """Return where a member's agent takes datagrams."""
+    """Return the address at which a member's agent receives datagrams."""
     return Address(member.profile.host, member.profile.agent_port)
 
 
 class Composer:
-    """Numbers this boot's datagrams and fills them from the queue of news.
+    """Numbers the datagrams of this boot and fills them from the gossip queue.
 
     ``first_updates`` are placed before the queued ones: what the receiver must know about itself or
     about the sender.
@@ -67,7 +67,7 @@
         return self._send(address_of(requester), message)
 
     def gossip(self, member: Member, first_updates: Sequence[VmUpdate] = ()) -> Send | None:
-        """Return a datagram of news, or None when there is none."""
+        """Return a datagram of updates, or None when there is none to send."""
         send = self._send(address_of(member), Gossip(self._head(member.vm_id), []), first_updates)
         return send if send.message.updates else None
 
@@ -76,7 +76,10 @@
         return Send(address_of(member), SyncRequest(self._head(member.vm_id), hashes))
 
     def sync_replies(self, receiver: Member, updates: list[VmUpdate], limit: int) -> list[Send]:
-        """Return ``updates`` in at most ``limit`` datagrams; the last says if some are left."""
+        """Return ``updates`` in at most ``limit`` datagrams.
+
+        ``more`` of the last one is set when some did not fit.
+        """
         replies: list[Send] = []
         left = list(updates)
         while left or not replies:
@@ -110,7 +113,7 @@
 
 
 def _fill(message: msgspec.Struct, updates: Sequence[VmUpdate]) -> list[VmUpdate]:
-    """Move updates into ``message`` while they fit; return those left over."""
+    """Append updates to ``message`` while they fit; return the rest."""
     room_bytes = free_bytes(message)
     for position, update in enumerate(updates):
         room_bytes -= update_bytes(update)
--- a/src/fescuedock/core/membership/detection.py
+++ b/src/fescuedock/core/membership/detection.py
@@ -1,4 +1,4 @@
-"""Finds out which members are dead, and says so only on evidence."""
+"""Failure detector: probes members and removes those that enough others cannot reach either."""
 
 from collections.abc import Iterable, Sequence
 from random import Random
@@ -36,23 +36,23 @@
 
 __all__ = ["FailureDetector"]
 
-# Shares of the probe interval.
+# As shares of the probe interval: when helpers are requested, and how long a helper waits.
 _HELP_AFTER_SHARE = 0.4
 _HELPER_WAIT_SHARE = 0.4
-# Members that look for themselves when a suspicion has too little evidence.
+# Members that probe a suspect themselves when the suspicion has too little evidence.
 _VERIFIERS = 3
 _MAX_PENDING_PROBES = 32
 _BOOTSTRAP_PROBES = 3
-# Unanswered probes in a row, with silent helpers, before this VM suspects on its own.
+# Consecutive probes without an answer from target or helpers before this VM suspects on its own.
 _MIN_SILENT_PROBES = 3
 _MAX_LIST_AGE_MS = 30000
-# How often open suspicions are looked at: a twentieth of the shortest one, and evidence may come
-# at any time.
+# Interval at which open suspicions are checked, a twentieth of the shortest one: evidence may
+# arrive at any time.
 _SUSPICION_POLL_MS = 50.0
 
 
 class FailureDetector:
-    """Probes one member and one candidate of the VM list in each interval, whatever the size."""
+    """Probes one member and one candidate of the VM list per interval, at any size of the fleet."""
 
     def __init__(
         self,
@@ -81,14 +81,14 @@
         self._candidates = ProbeRotation(rng)
         self._suspicions = Suspicions()
         self._silent_probes: dict[str, int] = {}
-        # VMs of one fleet must not probe in step.
+        # A random start keeps the VMs of a fleet from probing at the same moments.
         self._probe_due_ms = now_ms + rng.uniform(0, settings.probe_interval_ms)
         self._bootstrap_due_ms = now_ms
 
     # --- time -------------------------------------------------------------------------------
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Do what is due: verdicts, helpers, the next probes, the end of suspicions."""
+        """Do what is due: judge late probes, request helpers, probe, and end suspicions."""
         actions: list[Action] = []
         for probe in self._probing.pop_due(now_ms):
             actions += self._handle_unanswered(probe, now_ms)
@@ -105,7 +105,7 @@
         return actions
 
     def next_due_ms(self, now_ms: float) -> float:
-        """Return when ``tick`` has something to do next."""
+        """Return the time at which ``tick`` next has something to do."""
         due_ms = min(self._probe_due_ms, self._probing.next_due_ms())
         if self._suspicions:
             due_ms = min(due_ms, now_ms + _SUSPICION_POLL_MS)
@@ -114,7 +114,7 @@
         return due_ms
 
     def resume(self, lag_ms: float, paused: bool) -> None:
-        """Give back the time in which this VM could not listen."""
+        """Extend deadlines by the time in which this VM could not receive."""
         self._suspicions.postpone(lag_ms)
         if paused:
             self._probing.clear()
@@ -137,7 +137,10 @@
     def probe_contact(
         self, vm_id: str, address: Address, first_updates: Sequence[VmUpdate], now_ms: float
     ) -> list[Action]:
-        """Probe a VM that is no member, or has not proved its boot; silence proves nothing."""
+        """Probe a VM that is no member or has not proved its boot.
+
+        No answer to such a probe is not held against the VM.
+        """
         if (
             self._probing.targets(vm_id, ProbePurpose.CONTACT)
             or len(self._probing) >= _MAX_PENDING_PROBES
@@ -148,7 +151,7 @@
         return [self._composer.probe(vm_id, address, probe.nonce, first_updates)]
 
     def handle_probe_request(self, message: ProbeRequest, now_ms: float) -> list[Action]:
-        """Probe a VM for the sender of ``message``, which could not reach it."""
+        """Probe a VM on behalf of the sender of ``message``, which could not reach it."""
         target = self._table.get(message.target)
         if target is None or target.gone or len(self._probing) >= _MAX_PENDING_PROBES:
             return []
@@ -164,7 +167,7 @@
         return probe is not None and probe.target == message.head.sender
 
     def handle_ack(self, message: ProbeAck) -> list[Action]:
-        """Take the answer to a probe."""
+        """Finish the probe that ``message`` answers, if any."""
         if not self.is_answer_to_probe(message):
             return []
         probe = self._probing.get(message.nonce)
@@ -177,7 +180,7 @@
         return []
 
     def handle_report(self, message: ProbeReport) -> None:
-        """Take a helper's answer."""
+        """Apply a helper's report on a probe."""
         probe = self._probing.get(message.nonce)
         if probe is None or not probe.helpers_requested:
             return
@@ -194,7 +197,7 @@
         return actions + self._contact_candidate(now_ms)
 
     def _contact_candidate(self, now_ms: float) -> list[Action]:
-        """Try one VM that is listed but not among the members."""
+        """Probe one VM that the VM list has but that is not among the members."""
         absent = [item for item in self._listing.all() if self._is_absent(item.vm_id)]
         name = self._candidates.next(item.vm_id for item in absent)
         if name is None:
@@ -209,7 +212,7 @@
         return member is None or member.gone
 
     def _probe(self, member: Member, probe: PendingProbe) -> Action:
-        # An accused VM must hear of it, to refute.
+        # An accused VM has to know about the accusation to refute it.
         first_updates = [] if member.state is MemberState.ALIVE else [member.update()]
         return self._composer.probe(member.vm_id, address_of(member), probe.nonce, first_updates)
 
@@ -218,7 +221,7 @@
         if target is None:
             return []
         others = [item for item in self._table.present() if item.vm_id != self._vm_id]
-        # One that has not met this VM would first ask for proof, and come too late.
+        # A helper to which this VM is unproven would first request proof and answer too late.
         proven = [item for item in others if self._windows.has_proved(item.vm_id)]
         own_domain = self._table.get(self._vm_id).failure_domain
         helpers = choose_helpers(target, own_domain, proven or others, self._rng)
@@ -240,14 +243,14 @@
             if self._health.may_accuse:
                 self.accuse(member, [self._vm_id, *witnesses], now_ms)
             return
-        # Neither the target nor any helper: more likely it is this VM that is cut off.
+        # Neither the target nor any helper answered: more likely this VM is cut off.
         self._health.record_unanswered()
         self._silent_probes[member.vm_id] = self._silent_probes.get(member.vm_id, 0) + 1
         if self._silent_probes[member.vm_id] >= _MIN_SILENT_PROBES:
             self.accuse(member, [self._vm_id], now_ms)
 
     def accuse(self, member: Member, accusers: Iterable[str], now_ms: float) -> None:
-        """Suspect a member; the news spreads once two VMs, or enough, testify."""
+        """Suspect a member; spread that once there are two accusers or enough evidence."""
         is_new = self._table.add_accusers(member, accusers)
         strong = len(member.accusers) > 1 or enough_evidence(
             member.vm_id, member.accusers, self._table
@@ -260,12 +263,12 @@
         self.start_suspicion(member, now_ms)
 
     def start_suspicion(self, member: Member, now_ms: float) -> bool:
-        """Begin to count the time a suspected member has; False when that was done before."""
+        """Start the time that a suspected member has to refute; False if already started."""
         duration_ms = suspicion_ms(self._settings, self._table.present_count)
         return self._suspicions.start(member, duration_ms, now_ms)
 
     def verify_suspicion(self, member: Member, now_ms: float) -> list[Action]:
-        """Look for ourselves if others suspect on little evidence and we are among the checkers."""
+        """Probe a member suspected on too little evidence if this VM is one of its verifiers."""
         if enough_evidence(member.vm_id, member.accusers, self._table):
             return []
         names = [item.vm_id for item in self._table.present() if item.vm_id != member.vm_id]
--- a/src/fescuedock/core/membership/freshness.py
+++ b/src/fescuedock/core/membership/freshness.py
@@ -1,4 +1,4 @@
-"""Tells fresh datagrams from replayed ones, by each sender's boot and sequence number."""
+"""Distinguishes fresh datagrams from replayed ones by each sender's boot and sequence number."""
 
 from enum import Enum, auto
 
@@ -8,13 +8,13 @@
 
 __all__ = ["Freshness", "ReplayWindows"]
 
-# Datagrams overtake each other by far less than this.
+# In sequence numbers; datagrams of one sender overtake each other by far less.
 _WINDOW = 256
 _ALL_SEEN = (1 << _WINDOW) - 1
 
 
 class Freshness(Enum):
-    """``UNPROVEN``: this boot of the sender has not yet answered a nonce of ours."""
+    """``UNPROVEN``: this boot of the sender has not yet answered a nonce of this VM."""
 
     FRESH = auto()
     REPLAYED = auto()
@@ -24,16 +24,16 @@
 class _Window(msgspec.Struct):
     boot: int
     highest: int
-    # Bit i is set when the sequence number highest - i was seen.  Those from before the proof count
-    # as seen: they were dropped when they came, and could be recorded ones by now.
+    # Bit i is set when the sequence number highest - i was seen.  Numbers from before the proof
+    # count as seen: those datagrams were dropped on arrival and may be replayed recordings now.
     seen: int = _ALL_SEEN
 
 
 class ReplayWindows:
-    """One window for each sender that has proved its boot.
+    """One window of sequence numbers for each sender that has proved its boot.
 
-    A recorded datagram of an earlier boot, or one that comes to a receiver which has restarted and
-    remembers nothing, is unproven: only the answer to a nonce proves that the sender lives now.
+    A recorded datagram of an earlier boot, or one that reaches a receiver which has restarted and
+    lost its windows, is unproven: only the answer to a nonce proves that the sender runs now.
     """
 
     __slots__ = ("_windows",)
@@ -42,7 +42,7 @@
         self._windows: dict[str, _Window] = {}
 
     def check(self, head: DatagramHead) -> Freshness:
-        """Judge a datagram and note it as seen."""
+        """Return whether a datagram is fresh, and mark it as seen."""
         window = self._windows.get(head.sender)
         if window is None or window.boot != head.boot:
             return Freshness.UNPROVEN
@@ -58,11 +58,11 @@
         return Freshness.FRESH
 
     def prove(self, head: DatagramHead) -> None:
-        """Open a window: the datagram answered a nonce that we have just made."""
+        """Open a window for the sender of a datagram that answered a nonce of this VM."""
         self._windows[head.sender] = _Window(head.boot, head.sequence)
 
     def has_proved(self, vm_id: str) -> bool:
-        """Whether datagrams of ``vm_id`` count already."""
+        """Whether ``vm_id`` has proved a boot, so that its datagrams are accepted."""
         return vm_id in self._windows
 
     def forget(self, vm_id: str) -> None:
--- a/src/fescuedock/core/membership/gossip.py
+++ b/src/fescuedock/core/membership/gossip.py
@@ -1,4 +1,7 @@
-"""Which news goes into the next datagram: each a bounded number of times, the newest first."""
+"""Chooses the updates for the next datagram; each is sent a bounded number of times, newest first.
+
+An update counts as newer the less often it was sent.
+"""
 
 import math
 from collections.abc import Callable
@@ -11,10 +14,10 @@
 
 MAX_DATAGRAM_BYTES = 1200
 _DIGEST_BYTES = 16
-# The array around type name and message, the name's own head, and a longer head of the updates.
+# MessagePack headers of the outer array, the type name and a longer array of updates.
 _FRAME_BYTES = 8
 _EXTRA_SENDS_PER_UPDATE = 6
-# In how many acknowledgements news is repeated after that, and of how many VMs at most.
+# How many acknowledgements repeat an update after that, and of how many VMs at most.
 _REPEATS_PER_UPDATE = 10
 _MAX_REPEATABLE = 8
 
@@ -22,18 +25,21 @@
 
 
 def update_bytes(update: VmUpdate) -> int:
-    """Return the size of ``update`` within a datagram."""
+    """Return the encoded size of ``update`` within a datagram."""
     return len(_encoder.encode(update))
 
 
 def free_bytes(message: msgspec.Struct) -> int:
-    """Return the room for updates that ``message``, which has none yet, leaves in a datagram."""
+    """Return the space for updates that ``message``, which has none yet, leaves in a datagram."""
     used_bytes = len(_encoder.encode(message)) + len(type(message).__name__)
     return MAX_DATAGRAM_BYTES - _DIGEST_BYTES - _FRAME_BYTES - used_bytes
 
 
 class GossipQueue:
-    """The VMs about which there is news, and how often each was passed on."""
+    """The VMs that have updates to spread, and how often each was sent.
+
+    ``_repeatable`` holds those sent often enough, with the number of repeats left.
+    """
 
     __slots__ = ("_repeatable", "_sends")
 
@@ -45,7 +51,7 @@
         return len(self._sends)
 
     def add(self, vm_id: str) -> None:
-        """Spread what is known of ``vm_id``, counting from the beginning."""
+        """Spread the state of ``vm_id``, counting its sends from zero."""
         self._sends[vm_id] = 0
         self._repeatable.pop(vm_id, None)
 
@@ -56,9 +62,9 @@
     def next_updates(
         self, room_bytes: int, fleet_size: int, make_update: Callable[[str], VmUpdate | None]
     ) -> list[VmUpdate]:
-        """Return updates of ``room_bytes`` at most, and count them as sent once more.
+        """Return updates of at most ``room_bytes`` and count one more send for each.
 
-        ``make_update`` gives what is known now of a VM, or None when that is nothing to spread.
+        ``make_update`` returns the current update of a VM, or None when it is not to be spread.
         """
         limit = math.ceil(math.log(fleet_size + 1)) + _EXTRA_SENDS_PER_UPDATE
         updates: list[VmUpdate] = []
@@ -78,10 +84,10 @@
     def next_repeats(
         self, room_bytes: int, make_update: Callable[[str], VmUpdate | None]
     ) -> list[VmUpdate]:
-        """Return news that was passed on often enough, for one who may have missed it.
+        """Return updates that were sent often enough, for a receiver that may have missed them.
 
-        A receiver ignores whoever has not yet proved its boot, and asks for proof: what was lost
-        so comes with the answer.
+        A receiver drops the datagrams of a sender that has not proved its boot and requests proof;
+        the acknowledgement that proves it repeats the updates lost that way.
         """
         updates: list[VmUpdate] = []
         for vm_id in reversed(list(self._repeatable)):
--- a/src/fescuedock/core/membership/health.py
+++ b/src/fescuedock/core/membership/health.py
@@ -1,14 +1,15 @@
-"""How far this VM may trust its own timeouts: a slow or paused one must not accuse others."""
+"""Local health: how far this VM may trust its timeouts, as a slow one must not accuse others."""
 
 __all__ = ["LocalHealth"]
 
 _MAX_SCORE = 8
+# Lag of the event loop, as shares of the probe interval, that counts as late and as a pause.
 _LATE_SHARE = 0.25
 _PAUSE_SHARE = 1.0
 
 
 class LocalHealth:
-    """A score of 0 (well) to 8, by which the timeouts are multiplied.
+    """A score from 0 (healthy) to 8; timeouts are multiplied by one more than it.
 
     Lag of the event loop, probes that neither the target nor a helper answers, and accusations
     against this VM raise it; answered probes lower it.  With ``health_aware`` off it stays 0, for
@@ -24,18 +25,18 @@
 
     @property
     def multiplier(self) -> int:
-        """By what timeouts are to be multiplied."""
+        """The factor for timeouts."""
         return 1 + self.score
 
     @property
     def may_accuse(self) -> bool:
-        """Whether this VM may testify against another."""
+        """Whether this VM is healthy enough to accuse another."""
         return self.score < _MAX_SCORE // 2
 
     def record_lag(self, lag_ms: float) -> bool:
-        """Take the time by which the loop woke late; return whether it was a pause.
+        """Record how late the event loop woke; return whether that was a pause.
 
-        After a pause, answers may be waiting unread: what was outstanding proves nothing.
+        After a pause, answers may be waiting unread, so that pending probes prove nothing.
         """
         if not self._health_aware or lag_ms < _LATE_SHARE * self._interval_ms:
             return False
@@ -44,15 +45,15 @@
         return paused
 
     def record_answered(self) -> None:
-        """A probe was answered in time."""
+        """Record that a probe was answered in time."""
         self.score = max(0, self.score - 1)
 
     def record_unanswered(self) -> None:
-        """Neither the target nor any helper answered: perhaps it is us."""
+        """Record that neither target nor helpers answered; the fault may be this VM's."""
         self._add(1)
 
     def record_accusation(self) -> None:
-        """Others could not reach this VM."""
+        """Record that others could not reach this VM."""
         self._add(1)
 
     def _add(self, points: int) -> None:
--- a/src/fescuedock/core/membership/listing.py
+++ b/src/fescuedock/core/membership/listing.py
@@ -1,4 +1,4 @@
-"""The VM list as evidence: it lags, so it names whom to try and supports what probes say."""
+"""The platform's VM list.  It lags, so it only names candidates and supports evidence of probes."""
 
 from collections.abc import Iterable
 
@@ -10,7 +10,7 @@
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """A VM of ours, as the platform's list shows it."""
+    """A VM of this fleet as the platform's list has it."""
 
     vm_id: str
     address: Address
@@ -18,13 +18,13 @@
 
 
 class VmListing(msgspec.Struct):
-    """The last list that was read; ``read_at_ms`` is minus infinity before the first."""
+    """The list as last read; ``read_at_ms`` is minus infinity before the first read."""
 
     read_at_ms: float = float("-inf")
     _candidates: dict[str, Candidate] = msgspec.field(default_factory=dict)
 
     def replace(self, candidates: Iterable[Candidate], now_ms: float) -> bool:
-        """Take a list that was read now; return whether it differs from the last."""
+        """Store a list that was read now; return whether it differs from the previous one."""
         self.read_at_ms = now_ms
         listed = {candidate.vm_id: candidate for candidate in candidates}
         changed = listed != self._candidates
@@ -38,13 +38,13 @@
         return list(self._candidates.values())
 
     def supports_removal(self, vm_id: str, now_ms: float, max_age_ms: float) -> bool:
-        """Whether a list that is not too old says that ``vm_id`` has left or is leaving."""
+        """Whether a list of at most ``max_age_ms`` shows ``vm_id`` as leaving or not at all."""
         if now_ms - self.read_at_ms > max_age_ms:
             return False
         candidate = self._candidates.get(vm_id)
         return candidate is None or candidate.leaving
 
     def lists_as_leaving(self, vm_id: str) -> bool:
-        """Whether the list shows ``vm_id`` as leaving; an absent one may just not be listed yet."""
+        """Whether the list shows ``vm_id`` as leaving; an absent VM may not be listed yet."""
         candidate = self._candidates.get(vm_id)
         return candidate is not None and candidate.leaving
--- a/src/fescuedock/core/membership/membership.py
+++ b/src/fescuedock/core/membership/membership.py
@@ -1,4 +1,4 @@
-"""Membership of one VM: takes datagrams, the VM list and the time; returns what to send."""
+"""Membership of one VM: processes datagrams, the VM list and time; returns what to send."""
 
 from collections.abc import Sequence
 from random import Random
@@ -42,23 +42,25 @@
 _GOSSIP_SHARE = 0.25
 _GOSSIP_FANOUT = 2
 _ANNOUNCE_FANOUT = 6
-# Fields of a profile that may wait, so that a fleet-wide change does not come all at once.
+# Profile fields whose changes may be announced late, so that a fleet-wide change does not make all
+# VMs announce at once.
 _DEFERRABLE_FIELDS = ("entry_load", "config_version")
 _MAX_DEFERRAL_MS_PER_VM = 300.0
 _TOMBSTONE_RETENTION_MS = 600000.0
 
 
 def is_membership_message(message: msgspec.Struct) -> bool:
-    """Whether a decoded message is one that ``Membership.receive`` takes."""
+    """Whether a decoded message is one that ``Membership.receive`` handles."""
     return isinstance(message, _MESSAGES)
 
 
 class Membership:
-    """The state machine of one VM's part in membership.
+    """The membership state machine of one VM.
 
-    Call ``tick`` by ``schedule``, or simply every ``tick_ms``, ``receive`` for each datagram that
-    the codec accepted, and carry out the actions they return.  ``boot`` must rise with each start
-    of the process: Unix time in milliseconds does.  ``revision`` changes whenever ``records`` may.
+    Call ``tick`` at the time that ``schedule`` returns, or simply every ``tick_ms``, and
+    ``receive`` for each datagram that the codec accepted; carry out the actions they return.
+    ``boot`` must increase with each start of the process, as Unix time in milliseconds does.
+    ``revision`` changes whenever ``records`` may.
     """
 
     def __init__(
@@ -109,7 +111,7 @@
         self._prune_due_ms = now_ms + _TOMBSTONE_RETENTION_MS
         self._expected_wake_ms = now_ms + self.tick_ms
 
-    # --- what the shell reads -----------------------------------------------------------------
+    # --- state -------------------------------------------------------------------------------
 
     @property
     def revision(self) -> int:
@@ -117,16 +119,16 @@
 
     @property
     def list_read_at_ms(self) -> float:
-        """When the VM list was last read; minus infinity before the first time."""
+        """Time of the last read of the VM list; minus infinity before the first."""
         return self._listing.read_at_ms
 
     @property
     def health_score(self) -> int:
-        """0 when this VM trusts its own timeouts, up to 8 when it does not."""
+        """From 0, when this VM trusts its own timeouts, to 8, when it does not."""
         return self._health.score
 
     def records(self, *, with_gone: bool = False) -> list[VmRecord]:
-        """Return the VMs known, this one included."""
+        """Return the known VMs, including this one."""
         if self._records_revision != self.revision:
             self._records_revision = self.revision
             self._records = vm_records(self._table, self._listing)
@@ -134,10 +136,10 @@
             return self._records
         return [record for record in self._records if record.state is not VmState.GONE]
 
-    # --- what the shell tells ------------------------------------------------------------------
+    # --- inputs ------------------------------------------------------------------------------
 
     def set_profile(self, profile: VmProfile, now_ms: float) -> None:
-        """Change what this VM says of itself; load and version may wait a little."""
+        """Change this VM's profile; changes of load and version may be announced later."""
         self._composer.config_version = profile.config_version
         if profile == self._profile:
             return
@@ -153,29 +155,29 @@
             self._profile_due_ms = now_ms + self._rng.uniform(0, delay_ms)
 
     def replace_list(self, candidates: Sequence[Candidate], now_ms: float) -> None:
-        """Take the VM list as just read."""
+        """Apply a VM list that was read now."""
         self._listing_revision += self._listing.replace(candidates, now_ms)
         self._update_own_state(now_ms)
 
     def record_list_read(self, now_ms: float) -> None:
-        """Take it that the VM list was read again and has not changed."""
+        """Record that the VM list was read now and has not changed."""
         self._listing.read_at_ms = now_ms
 
     def leave(self, now_ms: float) -> list[Action]:
-        """Announce at once that this VM takes no new work."""
+        """Announce immediately that this VM accepts no new work."""
         self._leave_requested = True
         self._update_own_state(now_ms)
         return self._announce()
 
     def finish(self, now_ms: float) -> list[Action]:
-        """Announce that this VM is gone, just before its agent ends."""
+        """Announce that this VM is gone; called just before its agent exits."""
         own = self._own_member()
         self._table.set_state(own, MemberState.GONE, now_ms, local_only=False)
         self._table.add_accusers(own, [self.vm_id])
         return self._announce()
 
     def next_due_ms(self, now_ms: float) -> float:
-        """Return when there is something to do; a datagram may bring it forward."""
+        """Return when ``tick`` next has something to do; a datagram may make it earlier."""
         due_ms = min(self._profile_due_ms, self._sync.due_ms, self._prune_due_ms)
         due_ms = min(due_ms, self._detector.next_due_ms(now_ms))
         if self._queue:
@@ -183,16 +185,15 @@
         return max(due_ms, now_ms + self.tick_ms)
 
     def schedule(self, now_ms: float, latest_ms: float) -> float:
-        """Return when to call ``tick`` next, ``latest_ms`` at most; a later call counts as lag.
+        """Return when to call ``tick`` next, at most ``latest_ms``; a later call counts as lag.
 
-        Ticking every ``tick_ms`` instead was 66 of the 220 wake-ups a second of a node without
-        work.
+        Ticking every ``tick_ms`` instead costs 66 of the 220 wake-ups per second of an idle node.
         """
         self._expected_wake_ms = max(min(self.next_due_ms(now_ms), latest_ms), now_ms)
         return self._expected_wake_ms
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Do what is due."""
+        """Do what is due: announce the profile, probe, gossip, compare tables and prune."""
         self._observe_clock(now_ms)
         self._expected_wake_ms = now_ms + self.tick_ms
         if now_ms >= self._profile_due_ms:
@@ -204,7 +205,7 @@
         return actions
 
     def receive(self, message: msgspec.Struct, source: Address, now_ms: float) -> list[Action]:
-        """Take a decoded datagram; one that is not for us, or not fresh, changes nothing."""
+        """Handle a decoded datagram; one for another VM, or a replayed one, changes nothing."""
         head = message.head
         if head.receiver != self.vm_id or head.sender == self.vm_id:
             return []
@@ -217,7 +218,7 @@
         actions: list[Action] = [PeerVersion(head.sender, head.config_version)]
         self._clear_local_suspicion(head.sender, now_ms)
         for update in getattr(message, "updates", ()):
-            # A table that is copied whole is no news for others, who have it too.
+            # Unknown members in a table copied from another VM are not spread: others have them.
             copied = isinstance(message, SyncReply) and self._table.get(update.vm_id) is None
             actions += self._apply_update(update, now_ms, spread=not copied)
         actions += self._request_record(head.sender, source, now_ms)
@@ -234,14 +235,15 @@
     def _exchange_proofs(
         self, message: msgspec.Struct, source: Address, now_ms: float
     ) -> list[Action]:
-        """Let an unproven sender prove itself, and prove ourselves to it."""
-        # The answer first: it opens our window there, and what comes before it is dropped.
+        """Make an unproven sender prove its boot, and prove this VM's boot to it."""
+        # The acknowledgement goes first: it opens this VM's window at the sender, which drops
+        # whatever arrives before it.
         actions = [self._ack(message, source)] if isinstance(message, Probe) else []
         own = [self._own_member().update()]
         return actions + self._detector.probe_contact(message.head.sender, source, own, now_ms)
 
     def _ack(self, message: Probe, source: Address) -> Action:
-        # With this VM's own record: the sender may lack it, or hold a suspicion to be refuted.
+        # Includes this VM's record: the sender may lack it, or hold a suspicion that it refutes.
         own = [self._own_member().update()]
         return self._composer.ack(message.head.sender, source, message.nonce, own)
 
@@ -264,20 +266,20 @@
         return []
 
     def _clear_local_suspicion(self, vm_id: str, now_ms: float) -> None:
-        """Drop what this VM alone believed of one that has just spoken."""
+        """Drop a suspicion that only this VM holds when the suspect has just sent a datagram."""
         member = self._table.get(vm_id)
         if member is not None and member.local_only:
             self._table.set_state(member, MemberState.ALIVE, now_ms, local_only=False)
 
     def _request_record(self, vm_id: str, source: Address, now_ms: float) -> list[Action]:
-        """Ask one that has spoken, but is no member, for its record."""
+        """Probe a sender that is no member, whose acknowledgement brings its record."""
         member = self._table.get(vm_id)
         if member is not None and not member.gone:
             return []
         first_updates = [self._own_member().update()] if member is None else [member.update()]
         return self._detector.probe_contact(vm_id, source, first_updates, now_ms)
 
-    # --- news ----------------------------------------------------------------------------------
+    # --- updates -------------------------------------------------------------------------------
 
     def _apply_update(self, update: VmUpdate, now_ms: float, *, spread: bool) -> list[Action]:
         if update.vm_id == self.vm_id:
@@ -285,7 +287,7 @@
             return []
         gone = update.state is MemberState.GONE
         if gone and not enough_evidence(update.vm_id, update.accusers, self._table):
-            # Its sender may be cut off: look, rather than believe.
+            # The sender may be cut off itself, so suspect and verify instead of removing.
             update = msgspec.structs.replace(update, state=MemberState.SUSPECT)
         if not self._table.apply(update, now_ms):
             return []
@@ -309,7 +311,7 @@
         self._raise_incarnation(own.state, now_ms, above=update.incarnation)
 
     def _raise_incarnation(self, state: MemberState, now_ms: float, above: int = 0) -> None:
-        """Take a higher incarnation, with the newest profile, and spread it."""
+        """Set a higher incarnation with the current profile, and spread it."""
         incarnation = min(max(self._own_member().incarnation, above) + 1, _MAX_INCARNATION)
         update = VmUpdate(self.vm_id, incarnation, state, [], self._profile)
         self._table.apply(update, now_ms)
@@ -323,7 +325,7 @@
             self._raise_incarnation(wanted, now_ms)
 
     def _announce(self) -> list[Action]:
-        """Tell several members at once; they spread it."""
+        """Send this VM's record to several members immediately; they spread it."""
         others = self._other_members()
         chosen = self._rng.sample(others, min(_ANNOUNCE_FANOUT, len(others)))
         first_updates = [self._own_member().update()]
@@ -338,10 +340,10 @@
         sends = [self._composer.gossip(member) for member in chosen]
         return [send for send in sends if send is not None]
 
-    # --- upkeep --------------------------------------------------------------------------------
+    # --- maintenance ---------------------------------------------------------------------------
 
     def _observe_clock(self, now_ms: float) -> None:
-        """Notice that the loop woke late."""
+        """Account for lag if the event loop woke later than scheduled."""
         lag_ms = now_ms - self._expected_wake_ms
         if lag_ms <= 0 or not self._health_aware:
             return
--- a/src/fescuedock/core/membership/probing.py
+++ b/src/fescuedock/core/membership/probing.py
@@ -1,4 +1,4 @@
-"""Probes in flight: whom to probe next, through whom else, and what came of it."""
+"""Pending probes, the rotation of probe targets, and the choice of helpers."""
 
 from collections.abc import Iterable, Sequence
 from enum import Enum, auto
@@ -18,8 +18,9 @@
 class ProbePurpose(Enum):
     """Why a probe was sent.
 
-    ``MEMBER``: its turn has come, or a suspicion asks for it.  ``HELP``: another VM asked.
-    ``CONTACT``: a VM that is no member, or whose boot is unproven; silence proves nothing.
+    ``MEMBER``: the next member in rotation, or one under suspicion.  ``HELP``: on request of
+    another VM.  ``CONTACT``: a VM that is no member, or whose boot is unproven; no answer proves
+    nothing.
     """
 
     MEMBER = auto()
@@ -28,9 +29,9 @@
 
 
 class PendingProbe(msgspec.Struct):
-    """A probe that was not answered yet.
+    """A probe that has not been answered yet.
 
-    ``helpers_due_ms`` is when helpers are asked, ``due_ms`` when it counts as unanswered.
+    At ``helpers_due_ms`` helpers are requested, at ``due_ms`` it counts as unanswered.
     """
 
     nonce: int
@@ -41,13 +42,13 @@
     helpers_requested: bool = False
     # Helpers that could not reach the target either.
     witnesses: list[str] = msgspec.field(default_factory=list)
-    # For HELP: who asked, and the nonce of the asker.
+    # For HELP: the VM that requested it, and the nonce of its own probe.
     requester: str = ""
     requester_nonce: int = 0
 
     @property
     def next_due_ms(self) -> float:
-        """When something is to be done about it, if no answer comes."""
+        """Time of the next step if no answer arrives."""
         needs_helpers = self.purpose is ProbePurpose.MEMBER and not self.helpers_requested
         return min(self.helpers_due_ms, self.due_ms) if needs_helpers else self.due_ms
 
@@ -91,7 +92,7 @@
         )
 
     def needing_helpers(self, now_ms: float) -> list[PendingProbe]:
-        """Return member probes whose target is late, each once."""
+        """Return the member probes that became late since the last call."""
         late = [
             probe
             for probe in self._pending.values()
@@ -104,23 +105,26 @@
         return late
 
     def next_due_ms(self) -> float:
-        """Return when helpers or a verdict are due next; infinite without a pending probe."""
+        """Return when the next probe needs helpers or expires; infinite without pending ones."""
         return min((probe.next_due_ms for probe in self._pending.values()), default=float("inf"))
 
     def pop_due(self, now_ms: float) -> list[PendingProbe]:
-        """Remove and return the probes that count as unanswered now."""
+        """Remove and return the probes that count as unanswered by now."""
         due = [probe for probe in self._pending.values() if probe.due_ms <= now_ms]
         for probe in due:
             del self._pending[probe.nonce]
         return due
 
     def clear(self) -> None:
-        """Forget every probe, without any conclusion."""
+        """Drop every probe without drawing a conclusion."""
         self._pending.clear()
 
 
 class ProbeRotation:
-    """Each name once in random order, then again in another: bounded time between two turns."""
+    """Returns each name once in random order, then reshuffles.
+
+    This bounds the time between two probes of the same name.
+    """
 
     __slots__ = ("_remaining", "_rng")
 
@@ -145,9 +149,10 @@
 def choose_helpers(
     target: Member, own_domain: str, members: Sequence[Member], rng: Random
 ) -> list[Member]:
-    """Return a few members to probe ``target``, each from another failure domain if possible.
+    """Return up to ``_MAX_HELPERS`` members to probe ``target``, from distinct domains if possible.
 
-    One of them is of this VM's own domain, whose answer tells a dead target from our own failure.
+    One is of this VM's own failure domain: its answer distinguishes a dead target from a failure
+    of this VM.
     """
     others = [
         member
--- a/src/fescuedock/core/membership/suspicion.py
+++ b/src/fescuedock/core/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""When a suspected VM counts as gone: after time to refute, and on evidence of enough others."""
+"""Decides when a suspected VM counts as gone: after time to refute, and on enough evidence."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -11,22 +11,22 @@
 
 __all__ = ["Suspicions", "enough_evidence", "max_weak_removals", "suspicion_ms"]
 
-# With too little evidence a suspicion lasts longer, for others to look for themselves.
+# With too little evidence a suspicion lasts this much longer, so that others can probe themselves.
 _WEAK_DURATION_FACTOR = 3
 _MIN_ACCUSERS = 2
 _MIN_ACCUSER_DOMAINS = 2
 
 
 def suspicion_ms(settings: AgentSettings, fleet_size: int) -> float:
-    """Return how long a suspected VM may refute; news needs more rounds in a large fleet."""
+    """Return how long a suspected VM may refute; gossip takes more rounds in a large fleet."""
     return settings.suspicion_ms * max(1.0, math.log10(max(1, fleet_size)))
 
 
 def enough_evidence(vm_id: str, accusers: Iterable[str], table: MemberTable) -> bool:
-    """Whether ``accusers`` may remove ``vm_id`` for everybody.
+    """Whether the evidence of ``accusers`` removes ``vm_id`` for the entire fleet.
 
-    Two VMs of two failure domains, or as many as the rest of the fleet can give.  A VM's own word
-    is enough.
+    This takes two VMs of two failure domains, or as many as the rest of the fleet has.  A VM's own
+    statement is enough.
     """
     named = set(accusers)
     if vm_id in named:
@@ -59,7 +59,7 @@
         return len(self._by_vm)
 
     def start(self, member: Member, duration_ms: float, now_ms: float) -> bool:
-        """Begin to count for a suspected member; False when that was done before."""
+        """Start the time of a suspected member; False if it was already started."""
         known = self._by_vm.get(member.vm_id)
         if known is not None and known.incarnation == member.incarnation:
             return False
@@ -69,7 +69,7 @@
         return True
 
     def postpone(self, by_ms: float) -> None:
-        """Add the time in which this VM could not have heard a refutation."""
+        """Extend all suspicions by time in which this VM could not receive a refutation."""
         for suspicion in self._by_vm.values():
             suspicion.due_ms += by_ms
             suspicion.weak_due_ms += by_ms
@@ -77,9 +77,10 @@
     def pop_due(
         self, table: MemberTable, now_ms: float, has_list_support: Callable[[str], bool]
     ) -> tuple[list[Member], list[Member]]:
-        """Return the members to remove now: on enough evidence, and on too little.
+        """Return the members to remove now: those with enough evidence, and those with too little.
 
-        ``has_list_support`` says whether other evidence than probes speaks for a removal.
+        ``has_list_support`` says whether the VM list, evidence other than probes, supports a
+        removal.
         """
         strong: list[Member] = []
         weak: list[Member] = []
@@ -97,7 +98,10 @@
 
 
 def max_weak_removals(table: MemberTable, share: float) -> int:
-    """Return how many more members may be dropped on weak evidence at the same time."""
+    """Return how many more members may be removed on weak evidence.
+
+    ``share`` bounds those removed so at the same time, as a share of them and the members present.
+    """
     dropped = sum(member.gone and member.local_only for member in table)
     present = table.present_count
     return max(0, math.floor(share * (present + dropped)) - dropped)
--- a/src/fescuedock/core/membership/table.py
+++ b/src/fescuedock/core/membership/table.py
@@ -1,4 +1,4 @@
-"""What one VM knows of the others: merging of news by precedence, and hashes to compare tables."""
+"""The member table of one VM: merges updates by precedence, and hashes members for comparison."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
@@ -17,7 +17,7 @@
 
 
 class Member(msgspec.Struct):
-    """One VM.  ``profile`` is the one of ``profile_incarnation``, which may be behind.
+    """One VM.  ``profile`` belongs to ``profile_incarnation``, which may be an earlier one.
 
     ``local_only`` marks a suspicion or removal that only this VM holds and does not spread.
     """
@@ -30,7 +30,7 @@
     accusers: tuple[str, ...] = ()
     changed_at_ms: float = 0.0
     local_only: bool = False
-    # The record of the fleet view, kept until something changes.
+    # Cached record for the fleet view; None after a change.
     record: VmRecord | None = None
 
     @property
@@ -42,7 +42,7 @@
         return self.state is MemberState.GONE
 
     def update(self) -> VmUpdate:
-        """Return what others may hear: a suspicion of this VM alone is no news for them."""
+        """Return the update to send to others; it omits a suspicion that only this VM holds."""
         state = MemberState.ALIVE if self.local_only else self.state
         accusers = [] if self.local_only else list(self.accusers)
         known = self.profile_incarnation == self.incarnation
@@ -51,18 +51,18 @@
 
 
 def bucket_of(vm_id: str) -> int:
-    """Return the bucket in which tables compare ``vm_id``."""
+    """Return the bucket under which tables compare ``vm_id``."""
     return blake2b(vm_id.encode(), digest_size=1).digest()[0] % BUCKETS
 
 
 class MemberTable:
-    """Members by identity.  ``revision`` rises with every change of one."""
+    """Members by identity.  ``revision`` increases with every change of a member."""
 
     __slots__ = ("_domains", "_hashes", "_members", "_present", "revision")
 
     def __init__(self) -> None:
         self._members: dict[str, Member] = {}
-        # Totals over the members that are not gone, kept up as these change.
+        # Totals over the members that are not gone, updated with every change.
         self._present: dict[str, Member] = {}
         self._domains: Counter[str] = Counter()
         self._hashes = [0] * BUCKETS
@@ -83,18 +83,18 @@
         return len(self._present)
 
     def count_domains(self, without: str) -> int:
-        """Return in how many failure domains there are members besides ``without``."""
+        """Return the number of failure domains that have members other than ``without``."""
         excluded = self._present.get(without)
         alone = excluded is not None and self._domains[excluded.failure_domain] == 1
         return len(self._domains) - alone
 
     def forget(self, vm_id: str) -> None:
-        """Drop a member and its history."""
+        """Remove a member from the table."""
         self._remove_from_totals(self._members.pop(vm_id))
         self.revision += 1
 
     def apply(self, update: VmUpdate, now_ms: float) -> bool:
-        """Merge ``update``; return whether it was news, which others should hear too."""
+        """Merge ``update``; return whether it changed the table and so should be spread."""
         member = self._members.get(update.vm_id)
         if member is None:
             return self._add(update, now_ms)
@@ -109,7 +109,7 @@
     def set_state(
         self, member: Member, state: MemberState, now_ms: float, *, local_only: bool
     ) -> None:
-        """Change a member's state on this VM's own evidence, within its incarnation."""
+        """Change a member's state on evidence of this VM, within the member's incarnation."""
         self._remove_from_totals(member)
         member.state = state
         member.local_only = local_only
@@ -126,15 +126,15 @@
         return member.accusers != before
 
     def bucket_hashes(self) -> list[int]:
-        """Return one 32-bit hash for each bucket, the same for tables that agree.
+        """Return one 32-bit hash per bucket; tables that agree have the same.
 
-        Suspicions do not count: they come and go faster than tables are compared.
+        Suspicions are not hashed: they change faster than tables are compared.
         """
         return list(self._hashes)
 
     def _add(self, update: VmUpdate, now_ms: float) -> bool:
         if update.profile is None or update.state is MemberState.GONE:
-            # Nothing could be done with it, and whoever has the profile will send it.
+            # Useless without a profile, which a VM that has it will send.
             return False
         member = Member(
             vm_id=update.vm_id,
@@ -151,7 +151,7 @@
         return True
 
     def _add_to_totals(self, member: Member) -> None:
-        """Count a member in the totals, unless it is gone."""
+        """Add a member to the totals, unless it is gone."""
         member.record = None
         if member.gone:
             return
@@ -160,7 +160,7 @@
         self._flip_hash(member)
 
     def _remove_from_totals(self, member: Member) -> None:
-        """Take a member out of the totals before it changes."""
+        """Remove a member from the totals before it changes."""
         if member.gone:
             return
         del self._present[member.vm_id]
@@ -170,7 +170,7 @@
         self._flip_hash(member)
 
     def _flip_hash(self, member: Member) -> None:
-        """Add a member's hash to its bucket, or take it out again."""
+        """Add a member's hash to its bucket, or remove it: XOR does both."""
         leaving = member.state is MemberState.LEAVING
         text = f"{member.vm_id}\0{member.profile_incarnation}\0{leaving:d}"
         digest = blake2b(text.encode(), digest_size=4).digest()
@@ -178,7 +178,7 @@
 
 
 def _is_outdated(member: Member, update: VmUpdate) -> bool:
-    """Whether ``update`` cannot be news, as most that come are not."""
+    """Whether ``update`` cannot change ``member``, as most received updates cannot."""
     if update.profile is not None and update.incarnation > member.profile_incarnation:
         return False
     known = (member.incarnation, _RANK[member.state])
--- a/src/fescuedock/core/membership/view.py
+++ b/src/fescuedock/core/membership/view.py
@@ -1,4 +1,4 @@
-"""Members as the records that the fleet view carries."""
+"""Converts members to the records of the fleet view."""
 
 from fescuedock.core.membership.listing import VmListing
 from fescuedock.core.membership.table import Member, MemberTable
@@ -9,9 +9,9 @@
 
 
 def vm_records(table: MemberTable, listing: VmListing) -> list[VmRecord]:
-    """Return the members, gone ones included, in the order of their identities.
+    """Return the members, including gone ones, ordered by identity.
 
-    One that the VM list shows as leaving counts as leaving, whatever it says itself.
+    A VM that the VM list shows as leaving counts as leaving, whatever it reports itself.
     """
     members = sorted(table, key=lambda member: member.vm_id)
     return [_cached_record(member, listing.lists_as_leaving(member.vm_id)) for member in members]
--- a/tests/builders/agents.py
+++ b/tests/builders/agents.py
@@ -1,4 +1,4 @@
-"""Running agents over stand-ins, with real sockets."""
+"""Agents that run over stand-ins of the platform, with real sockets."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class RunningAgent:
-    """One agent; ``settings`` name its real port."""
+    """One agent; ``settings`` have the port that it was given."""
 
     settings: Settings
     address: Address
@@ -70,7 +70,7 @@
     async def follow(
         self, vm_id: str, program: Program = Program.ENTRY, ready: Callable[[], bool] = lambda: True
     ) -> AsyncIterator[tuple[AgentLink, FleetView]]:
-        """Link a program of ``vm_id`` to its agent."""
+        """Open the link of a program on ``vm_id`` to its agent, with the view that it updates."""
         settings = self.agents[vm_id].settings
         codec = open_codec(settings.vm)
         async with open_agent_link(settings, codec, program, 8080, ready) as linked:
--- a/tests/builders/membership.py
+++ b/tests/builders/membership.py
@@ -1,4 +1,4 @@
-"""Many memberships joined by a plain loop, which passes, delays, drops or repeats datagrams."""
+"""A simulated fleet: memberships joined by a loop that delays, drops or repeats datagrams."""
 
 import heapq
 import itertools
@@ -19,7 +19,7 @@
 CODEC = Codec([schema], [Key("k1", b"0123456789abcdef")])
 LIVE = (VmState.ALIVE, VmState.SUSPECT)
 _STEP_MS = 10.0
-# What the shell of membership sleeps at most.
+# Longest sleep of the loop that runs membership.
 MAX_SLEEP_MS = 100.0
 
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """One VM of the loop; while ``paused``, datagrams wait in its socket's buffer."""
+    """One simulated VM; while it is ``paused``, datagrams wait in its socket's buffer."""
 
     vm_id: str
     number: int
@@ -66,7 +66,11 @@
 
 
 class Fleet:
-    """The loop.  ``loss`` and ``repeat`` are shares; ``reaches`` says who can send to whom."""
+    """The simulation.
+
+    ``loss`` and ``repeat`` are shares of the datagrams; ``reaches`` says whether one VM can send to
+    another.
+    """
 
     def __init__(
         self,
@@ -97,7 +101,7 @@
         self.publish_list()
 
     def start(self, number: int, *, listed: bool = True, publish: bool = True) -> Node:
-        """Start a VM, also one that was there before."""
+        """Start a VM, or restart one that was stopped."""
         profile = profile_of(number, self.domains)
         name = vm_name(number)
         boot = int(self.now_ms)
@@ -120,9 +124,9 @@
         return node
 
     def introduce_all(self) -> None:
-        """Let every VM know all others from the beginning, as an old fleet's do.
+        """Make every VM know all others, as in a fleet that has run for long.
 
-        For large fleets, whose joining takes the loop long.
+        For large fleets, whose joining takes long to simulate.
         """
         updates = [node.membership._own_member().update() for node in self.running()]
         for node in self.running():
@@ -131,11 +135,11 @@
                     self.learn_silently(node.vm_id, update)
 
     def learn_silently(self, vm_id: str, update: VmUpdate) -> None:
-        """Let one VM know something that it does not gossip."""
+        """Apply ``update`` at one VM without spreading it by gossip."""
         self.nodes[vm_id].membership._apply_update(update, self.now_ms, spread=False)
 
     def publish_list(self) -> None:
-        """Let every VM read the VM list as it is now."""
+        """Make every VM read the current VM list."""
         candidates = self.candidates()
         for node in self.running():
             node.membership.replace_list(candidates, self.now_ms)
@@ -147,7 +151,7 @@
         ]
 
     def kill(self, vm_id: str) -> None:
-        """Lose a VM without a word; the VM list still has it."""
+        """Stop a VM without an announcement; the VM list still has it."""
         self.nodes[vm_id].down = True
 
     def leave(self, vm_id: str) -> None:
@@ -163,7 +167,7 @@
         self.nodes[vm_id].paused = True
 
     def wake(self, vm_id: str) -> None:
-        """Go on: timers and what waited in the buffer come in either order, as in a real loop."""
+        """Resume a VM: its timers and buffered datagrams run in either order, as in a real loop."""
         node = self.nodes[vm_id]
         node.paused = False
         if self.rng.random() < 0.5:
@@ -176,14 +180,14 @@
         return [node for node in self.nodes.values() if not node.down]
 
     def run(self, duration_ms: float) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += _STEP_MS
             self._step()
 
     def run_until(self, done: Callable[[], bool], limit_ms: float) -> float:
-        """Return the time that passed until ``done``; infinity when the limit came first."""
+        """Return the time that passed until ``done``; infinity when ``limit_ms`` passed first."""
         start_ms = self.now_ms
         while not done():
             if self.now_ms - start_ms >= limit_ms:
@@ -192,7 +196,7 @@
         return self.now_ms - start_ms
 
     def inject(self, node: Node, data: bytes, source: Address) -> None:
-        """Hand bytes to a VM as a datagram from anywhere."""
+        """Deliver bytes to a VM as a datagram from any address."""
         self._deliver(node, data, source)
 
     def agrees(self) -> bool:
--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -1,4 +1,4 @@
-"""Running agents: join, loss, planned stop, drains, and datagrams of strangers."""
+"""Running agents: join, loss, planned stop, drains, and datagrams that are not signed or forged."""
 
 import os
 import socket
@@ -24,12 +24,12 @@
 
 
 def _known(view: FleetView) -> tuple[set[str], set[str]]:
-    """Return the names of what owners are chosen from and for."""
+    """Return the names of the VMs that owners are chosen from, and of the upstreams."""
     return {vm.vm_id for vm in view.live_vms(Program.AGENT)}, set(view.upstreams)
 
 
 def _owner(view: FleetView, upstream_id: str) -> tuple[str, str, int]:
-    """Return who is to be asked; other news of it, as a refuted suspicion, may be on their way."""
+    """Return the owner's address; other fields, as after a refuted suspicion, may still differ."""
     vm = view.owner_of(upstream_id)
     return vm.vm_id, vm.host, vm.agent_port
 
@@ -49,7 +49,7 @@
                 await until(view, lambda seen: len(seen.live_vms(Program.AGENT)) == 3)
                 await until(other, lambda seen: len(seen.live_vms(Program.ENTRY)) == 1)
                 await until(view, lambda seen: len(seen.live_vms(Program.STORE)) == 1)
-                # Each hears of the third in its own time; nodes that know the same fleet agree.
+                # Each learns of the third VM at a different time; with equal views they agree.
                 await until(other, lambda seen: len(seen.live_vms(Program.AGENT)) == 3)
                 await until(other, lambda seen: _known(seen) == _known(view))
                 self.assertEqual(8080, view.vms["vm-1"].store_port)
@@ -65,7 +65,7 @@
             async with open_agents(1) as fleet, fleet.follow("vm-0") as (_, view):
                 await until(view, lambda seen: bool(seen.upstreams), limit_s=3)
 
-        # Nothing of its own is due, and it looks around every eight seconds.
+        # Nothing is due for the agent itself, and it polls only every eight seconds.
         with (
             mock.patch("fescuedock.agent.membership_service._MAX_SLEEP_MS", 8000.0),
             mock.patch.object(Membership, "schedule", lambda _self, _now_ms, latest_ms: latest_ms),
@@ -84,7 +84,7 @@
                     ready[0] = True
                     self.assertTrue(await link.hello())
                     await until(view, lambda seen: bool(seen.live_vms(Program.ENTRY)))
-                # The program has ended without a word.
+                # The program has ended without an announcement.
                 await until(view, lambda seen: not seen.vms["vm-1"].entry_port)
 
         run_async(check)
@@ -127,7 +127,7 @@
                 fleet.agents["vm-2"].scope.cancel()
                 await until(view, lambda seen: "vm-2" not in seen.vms)
                 await fleet.start(3, listed=False)
-                # It knows only the VM list, and is on nobody's.
+                # It knows only the VM list, and is itself on no VM list.
                 await until(view, lambda seen: "vm-3" in seen.vms)
                 await fleet.start(2)
                 await until(view, lambda seen: "vm-2" in seen.vms)
@@ -196,7 +196,7 @@
     def test_keys_are_rotated_with_two_in_force(self) -> None:
         async def check() -> None:
             async with open_agents(2, key_file=str(self.key_file)) as fleet:
-                # First the new key is accepted by more and more VMs; then it signs.
+                # First VMs accept the new key in addition; then they sign with it.
                 for number, names in ((2, ("old1", "new2")), (3, ("new2", "old1"))):
                     keys = self.key_file.with_name(f"keys-{number}")
                     keys.write_text("".join(map(_key_line, names)), encoding="ascii")
--- a/tests/test_membership_protocol.py
+++ b/tests/test_membership_protocol.py
@@ -1,4 +1,4 @@
-"""Membership: precedence, evidence, replays and strangers, slowness and damping."""
+"""Membership protocol: precedence, evidence, replays, forged datagrams, slow VMs and damping."""
 
 import unittest
 
@@ -75,7 +75,7 @@
         table.set_state(member, MemberState.SUSPECT, 0.0, local_only=True)
         self.assertIs(MemberState.SUSPECT, member.state)
         self.assertIs(MemberState.ALIVE, member.update().state)
-        # Until others say it too.
+        # Once another VM reports it too, it is spread.
         table.apply(_update(3, MemberState.SUSPECT, ("vm-002",)), 0.0)
         self.assertIs(MemberState.SUSPECT, member.update().state)
         self.assertEqual(["vm-000", "vm-002"], member.update().accusers)
@@ -187,13 +187,13 @@
 
     @given(st.binary(max_size=300), st.sampled_from(sorted(vars(schema))))
     def test_signed_nonsense_is_no_message(self, body: bytes, name: str) -> None:
-        """Even with the key: the fields' own bounds hold."""
+        """The bounds of the fields hold even for a sender that has the key."""
         data = msgspec.msgpack.encode((name, msgspec.Raw(body)))
         try:
             message = Codec([schema]).decode(data)
         except BadMessageError:
             return
-        # Whatever passes is a message within the bounds of its type.
+        # What is decoded is a message within the bounds of its type.
         self.assertEqual(message, CODEC.decode(CODEC.encode(message)))
 
     def test_values_out_of_bounds_are_refused(self) -> None:
@@ -229,9 +229,9 @@
         self._assert_unchanged()
 
     def test_a_replay_is_not_even_answered(self) -> None:
-        """One that came before its sender's proof may count late, but once."""
+        """A datagram that arrived before its sender's proof may be accepted late, but only once."""
         recorded = list(self.fleet.recorded)
-        # Until those on their way have come.
+        # Let the datagrams in flight arrive.
         self.fleet.run(100)
         self.assertGreater(len(recorded), 20)
         answers = []
@@ -243,7 +243,7 @@
         self._assert_unchanged()
 
     def test_a_removal_reported_by_one_vm_is_verified(self) -> None:
-        """From a proven member, which may be cut off itself."""
+        """The accuser is a proven member, but may be cut off itself."""
         latest = next(
             item
             for data, _, _ in reversed(self.fleet.recorded)
@@ -262,14 +262,14 @@
         self.assertGreater(self.node.view()["vm-002"].incarnation, known.incarnation)
 
     def test_replays_to_a_restarted_vm_change_nothing(self) -> None:
-        """A recorded accusation comes to a VM that has restarted since."""
+        """A recorded accusation is replayed to a VM that has restarted since."""
         head = DatagramHead("vm-001", "vm-003", 1000, 4000, 0)
         incarnation = self.node.view()["vm-002"].incarnation
         updates = [VmUpdate("vm-002", incarnation, MemberState.GONE, ["vm-001", "vm-000"])]
         recorded = CODEC.encode(Gossip(head, updates))
         self.fleet.kill("vm-003")
         self.fleet.run(9000)
-        # The recorded datagram's sender has restarted too, so its boot is another now.
+        # The recorded datagram's sender has restarted too, so its boot has changed.
         self.fleet.kill("vm-001")
         self.fleet.run(9000)
         self.fleet.start(1)
@@ -335,7 +335,7 @@
             for node in fleet.running():
                 self.assertTrue(node is isolated or len(node.live()) >= 8)
         self.assertTrue(fleet.agrees())
-        # Nobody else had to refute anything that the lonely one believed.
+        # No other VM had to refute a suspicion held by the isolated one.
         raised = [
             name
             for name, item in fleet.nodes["vm-001"].view().items()
@@ -372,7 +372,7 @@
         fleet.run(60000)
         for node in fleet.running():
             self.assertGreaterEqual(len(node.live()), 9)
-        # The platform's list is evidence of another kind.
+        # The platform's list is independent evidence.
         fleet.listed.difference_update(lost)
         for _ in range(4):
             fleet.publish_list()
@@ -411,14 +411,14 @@
         leaving = [replace(item, leaving=item.vm_id == "vm-001") for item in fleet.candidates()]
         fleet.nodes["vm-000"].membership.replace_list(leaving, fleet.now_ms)
         self.assertIs(VmState.LEAVING, fleet.nodes["vm-000"].view()["vm-001"].state)
-        # The VM itself hears of it from its own list, and says so to those with an older one.
+        # The VM itself learns it from its own list, and announces it to VMs with an older list.
         fleet.nodes["vm-001"].membership.replace_list(leaving, fleet.now_ms)
         fleet.run(3000)
         self.assertIs(VmState.LEAVING, fleet.nodes["vm-002"].view()["vm-001"].state)
 
     def test_table_comparison_finds_updates_that_gossip_missed(self) -> None:
         for seed in range(1, 6):
-            # The VM does not exist: it must not be removed before all tables were compared.
+            # The VM does not exist; the long suspicion keeps it until all tables were compared.
             fleet = Fleet(6, seed=seed, suspicion_ms=60000)
             fleet.run_until(fleet.agrees, 30000)
             fleet.run(5000)
@@ -439,14 +439,14 @@
         self.assertTrue(fleet.agrees())
 
     def test_idle_nodes_wake_rarely(self) -> None:
-        # Ticking each time that a tick may fall due would be 66 a second.
+        # Ticking at every interval at which something may be due would be 66 ticks per second.
         fleet = Fleet(20, probe_interval_ms=300)
         fleet.run_until(fleet.agrees, 60000)
         fleet.run(30000)
         before = [node.ticks for node in fleet.running()]
         fleet.run(10_000)
         ticks = [node.ticks - first for node, first in zip(fleet.running(), before, strict=True)]
-        # Ten a second when nothing is due, and what probes and comparisons need.
+        # 10 ticks per second when nothing is due, plus those for probes and table comparisons.
         self.assertLess(max(ticks), 300)
 
     def test_load_is_bounded_whatever_the_size(self) -> None:
--- a/tests/test_membership_stateful.py
+++ b/tests/test_membership_stateful.py
@@ -14,7 +14,7 @@
 
 
 class FleetMachine(RuleBasedStateMachine):
-    """Random trouble; when it ends, every running VM must see exactly the running VMs."""
+    """Random faults; once they end, every running VM must see exactly the running VMs."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/test_membership_view.py
+++ b/tests/test_membership_view.py
@@ -1,4 +1,4 @@
-"""The fleet view of a program: whole at first, then changes, never anything but the agent's."""
+"""A program's fleet view: a full snapshot, then changes; it always equals the agent's view."""
 
 import unittest
 
@@ -62,7 +62,7 @@
         if name in current:
             seen[name] = current[name]
         else:
-            # Perhaps it came and went between two polls.
+            # It may have been added and removed between two polls.
             seen.pop(name, None)
 
 
--- a/tests/test_peer_channels.py
+++ b/tests/test_peer_channels.py
@@ -1,4 +1,4 @@
-"""Channels that are opened at first use, by whoever needs one."""
+"""Channels that are opened at first use and shared by all callers."""
 
 import unittest
 
@@ -26,7 +26,7 @@
         run_async(run)
 
     def test_a_channel_outlives_the_caller_that_was_cancelled_as_it_was_opened(self) -> None:
-        """A node's asks to an owner all failed for good after its first one was cancelled."""
+        """Otherwise all later requests of a node to an owner fail once its first is cancelled."""
 
         async def test(channels: PeerChannels, address) -> None:
             with trio.CancelScope() as scope:
