--- a/src/fescuedock/agent/link.py
+++ b/src/fescuedock/agent/link.py
@@ -168,7 +168,7 @@
         self.upstreams = {item.upstream_id: item for item in upstreams}
         self.note_list_age(membership_age_ms)
         agents = self.live_vms(Program.AGENT)
-        if not self._owners.fits(agents):
+        if not self._owners.matches(agents):
             self._owners = OwnerIndex(agents)
         self._advance(version)
 
--- a/src/fescuedock/agent/send_check.py
+++ b/src/fescuedock/agent/send_check.py
@@ -5,7 +5,7 @@
 from fescuedock.agent.link import FleetView
 from fescuedock.agent.permit_client import Grant
 from fescuedock.clock import now_ms
-from fescuedock.core.send_gate import PermitStanding, SendRefusal, refusal_of
+from fescuedock.core.send_gate import PermitStatus, SendRefusal, refusal_of
 from fescuedock.net.http_client import SendCheck
 from fescuedock.schema.view import UpstreamRecord
 
@@ -29,7 +29,7 @@
         refusal = refusal_of(
             upstream,
             view.upstreams.get(upstream.upstream_id),
-            PermitStanding(grant.revoked.is_set(), grant.sendable_until_ms, grant.alone),
+            PermitStatus(grant.revoked.is_set(), grant.sendable_until_ms, grant.alone),
             deadline_ms=deadline_ms,
             now_ms=now_ms(),
             verdict=view.verdict_on(grant.work_id, grant.parts),
--- a/src/fescuedock/core/acceptance.py
+++ b/src/fescuedock/core/acceptance.py
@@ -31,7 +31,7 @@
 
 _MAX_CUSTOM_ID_CHARS = 512
 _MAX_NAME_CHARS = 512
-_SHOWN_CHARS = 80
+_MAX_SHOWN_CHARS = 80
 _MAX_MODELS = 64
 # Two of 110,000 identities share a digest once in 10**28 inputs.
 _DIGEST_BYTES = 16
@@ -108,13 +108,13 @@
     def _problem_of_fields(self, line: _Line) -> Fault | None:
         if line.method != "POST":
             return self._fault(
-                ResultCode.BAD_LINE, f"method must be POST, not {_short(line.method)}"
+                ResultCode.BAD_LINE, f"method must be POST, not {_quote(line.method)}"
             )
         if len(line.url) > _MAX_NAME_CHARS or not _is_endpoint(line.url):
-            return self._fault(ResultCode.BAD_LINE, f"no endpoint {_short(line.url)}")
+            return self._fault(ResultCode.BAD_LINE, f"no endpoint {_quote(line.url)}")
         self.endpoint = self.endpoint or line.url
         if line.url != self.endpoint:
-            text = f"url {_short(line.url)} differs from {_short(self.endpoint)} on earlier lines"
+            text = f"url {_quote(line.url)} differs from {_quote(self.endpoint)} on earlier lines"
             return self._fault(ResultCode.BAD_LINE, text)
         if line.url not in MODEL_ENDPOINTS:
             return None
@@ -131,7 +131,7 @@
             return self._fault(ResultCode.BAD_LINE, text)
         digest = blake2b(custom_id.encode(), digest_size=_DIGEST_BYTES).digest()
         if digest in self._digests:
-            text = f"custom_id {_short(custom_id)} stands on an earlier line too"
+            text = f"custom_id {_quote(custom_id)} stands on an earlier line too"
             return self._fault(ResultCode.DUPLICATE_CUSTOM_ID, text)
         self._digests.add(digest)
         return None
@@ -192,6 +192,6 @@
     return url in MODEL_ENDPOINTS or url.startswith(SERVICE_PREFIX)
 
 
-def _short(text: str) -> str:
+def _quote(text: str) -> str:
     """Return ``text`` quoted for a message, cut if it is long."""
-    return repr(text if len(text) <= _SHOWN_CHARS else text[:_SHOWN_CHARS] + "...")
+    return repr(text if len(text) <= _MAX_SHOWN_CHARS else text[:_MAX_SHOWN_CHARS] + "...")
--- a/src/fescuedock/core/burn.py
+++ b/src/fescuedock/core/burn.py
@@ -26,10 +26,10 @@
     "merge_slots",
 ]
 
-_FINE_S = 60
-_COARSE_S = 900
-_FINE_KEPT_S = 6 * 3600
-_COARSE_KEPT_S = 3 * 86400
+_FINE_SLOT_S = 60
+_COARSE_SLOT_S = 900
+_FINE_RETENTION_S = 6 * 3600
+_COARSE_RETENTION_S = 3 * 86400
 # Ageing leaves 663 at most; it is put off until it joins many at once.
 _MAX_SLOTS = 1000
 
@@ -60,7 +60,7 @@
     Window("5 min", 300),
     Window("1 h", 3600),
     Window("6 h", 6 * 3600),
-    Window("3 d", _COARSE_KEPT_S),
+    Window("3 d", _COARSE_RETENTION_S),
 )
 
 # Burn rates at which a short and a long window together raise an alarm.  A fast burn uses 2% of a
@@ -120,18 +120,18 @@
         """Return the slots kept at ``now_s``, oldest first, after joining and dropping old ones."""
         self._slots = {
             (slot.length_s, slot.start_s): slot
-            for slot in merge_slots(_aged(slot, now_s) for slot in self._slots.values())
-            if slot.start_s > now_s - _COARSE_KEPT_S
+            for slot in merge_slots(_coarsened(slot, now_s) for slot in self._slots.values())
+            if slot.start_s > now_s - _COARSE_RETENTION_S
         }
         return sorted(self._slots.values(), key=_by_start)
 
     def _slot(self, now_s: int) -> SlotCounts:
-        start_s = now_s - now_s % _FINE_S
-        key = (_FINE_S, start_s)
+        start_s = now_s - now_s % _FINE_SLOT_S
+        key = (_FINE_SLOT_S, start_s)
         if key not in self._slots:
             if len(self._slots) >= _MAX_SLOTS:
                 self.slots(now_s)
-            self._slots[key] = SlotCounts(start_s=start_s, length_s=_FINE_S)
+            self._slots[key] = SlotCounts(start_s=start_s, length_s=_FINE_SLOT_S)
         return self._slots[key]
 
 
@@ -168,7 +168,9 @@
     window: Window, promise: Promise, share: float, slots: Sequence[SlotCounts], now_s: int
 ) -> WindowBurn:
     since_s = now_s - window.length_s
-    inside = [slot for slot in slots if since_s < slot.start_s + slot.length_s <= now_s + _COARSE_S]
+    inside = [
+        slot for slot in slots if since_s < slot.start_s + slot.length_s <= now_s + _COARSE_SLOT_S
+    ]
     total, kept = counts_of(promise, inside)
     if not total:
         return WindowBurn(window, 0, 0, None, None)
@@ -210,15 +212,15 @@
     return sum(total for total, _ in pairs), sum(kept for _, kept in pairs)
 
 
-def _aged(slot: SlotCounts, now_s: int) -> SlotCounts:
+def _coarsened(slot: SlotCounts, now_s: int) -> SlotCounts:
     """Return ``slot``, or a quarter-hour one with its counts when it is old."""
-    start_s = slot.start_s - slot.start_s % _COARSE_S
+    start_s = slot.start_s - slot.start_s % _COARSE_SLOT_S
     # A whole quarter hour ages at once, so that it never stands in both forms.
-    if slot.length_s == _COARSE_S or start_s + _COARSE_S > now_s - _FINE_KEPT_S:
+    if slot.length_s == _COARSE_SLOT_S or start_s + _COARSE_SLOT_S > now_s - _FINE_RETENTION_S:
         return slot
     return SlotCounts(
         start_s=start_s,
-        length_s=_COARSE_S,
+        length_s=_COARSE_SLOT_S,
         online=slot.online,
         online_in_time=slot.online_in_time,
         online_failed=slot.online_failed,
--- a/src/fescuedock/core/claims.py
+++ b/src/fescuedock/core/claims.py
@@ -78,7 +78,7 @@
     CREATING = auto()
     READING = auto()
     OWNED = auto()
-    OVER = auto()
+    FINISHED = auto()
 
 
 class Claim(msgspec.Struct):
@@ -100,9 +100,9 @@
         """Return the first step: create the record."""
         return PutRecord(self.key, self._record(ClaimState.DISPATCHED), 0)
 
-    def written(self, result: Result[int, Fault]) -> Dispatch | ReadRecord | Refuse:
+    def on_write(self, result: Result[int, Fault]) -> Dispatch | ReadRecord | Refuse:
         """Take in how the write of the claim went."""
-        self._expect(_Phase.CREATING)
+        self._require_phase(_Phase.CREATING)
         match result:
             case Ok(revision):
                 self.revision = revision
@@ -114,32 +114,32 @@
             case Err(fault):
                 return self._unavailable(str(fault))
 
-    def read(self, result: Result["KvEntry | None", Fault]) -> PutRecord | Replay | Refuse:
+    def on_read(self, result: Result["KvEntry | None", Fault]) -> PutRecord | Replay | Refuse:
         """Take in the record that was there first."""
-        self._expect(_Phase.READING)
+        self._require_phase(_Phase.READING)
         match result:
             case Err(fault):
                 return self._unavailable(str(fault))
             case Ok(None):
                 return self._unavailable("the claim there was has just been removed")
             case Ok(entry):
-                return self._judge(entry)
+                return self._evaluate(entry)
 
-    def not_sent(self) -> PutRecord:
+    def record_not_sent(self) -> PutRecord:
         """The call was certainly not sent: return the write that lets another one try."""
-        self._expect(_Phase.OWNED)
-        self._phase = _Phase.OVER
+        self._require_phase(_Phase.OWNED)
+        self._phase = _Phase.FINISHED
         return PutRecord(self.key, self._record(ClaimState.NOT_SENT), self.revision)
 
-    def answered(self, answer: RecordedAnswer) -> PutRecord:
+    def record_answer(self, answer: RecordedAnswer) -> PutRecord:
         """The call was answered: return the write that keeps the answer if it is small."""
-        self._expect(_Phase.OWNED)
-        self._phase = _Phase.OVER
+        self._require_phase(_Phase.OWNED)
+        self._phase = _Phase.FINISHED
         small = len(answer.body) <= MAX_RECORDED_BYTES
         data = msgspec.json.encode(answer) if small else b""
         return PutRecord(self.key, self._record(ClaimState.ANSWERED, data), self.revision)
 
-    def _judge(self, entry: "KvEntry") -> PutRecord | Replay | Refuse:
+    def _evaluate(self, entry: "KvEntry") -> PutRecord | Replay | Refuse:
         try:
             found = msgspec.json.decode(entry.value, type=ClaimRecord)
         except msgspec.MsgspecError as error:
@@ -151,7 +151,7 @@
             self._phase = _Phase.CREATING
             return PutRecord(self.key, self._record(ClaimState.DISPATCHED), entry.mod_revision)
         if found.state is ClaimState.ANSWERED and found.answer:
-            self._phase = _Phase.OVER
+            self._phase = _Phase.FINISHED
             return Replay(msgspec.json.decode(found.answer, type=RecordedAnswer))
         message = "a call with this Idempotency-Key may have been dispatched before"
         return self._refuse(Fault(ResultCode.ALREADY_CLAIMED, message))
@@ -170,10 +170,10 @@
         return self._refuse(Fault(ResultCode.CLAIM_UNAVAILABLE, message, _RETRY_AFTER_MS))
 
     def _refuse(self, fault: Fault) -> Refuse:
-        self._phase = _Phase.OVER
+        self._phase = _Phase.FINISHED
         return Refuse(fault)
 
-    def _expect(self, phase: _Phase) -> None:
+    def _require_phase(self, phase: _Phase) -> None:
         if self._phase is not phase:
             raise RuntimeError(f"claim is {self._phase.name}, not {phase.name}")
 
@@ -205,17 +205,17 @@
 
     Repeated slashes and dot segments do not get a call around a rule.
     """
-    plain_path = _plain(path)
+    normalized_path = _normalize_path(path)
     for rule in rules:
         rule_method, _, prefix = rule.strip().partition(" ")
         if rule_method not in (_ANY_METHOD, method):
             continue
-        if plain_path.startswith(_plain(prefix.strip())):
+        if normalized_path.startswith(_normalize_path(prefix.strip())):
             return True
     return False
 
 
-def _plain(path: str) -> str:
+def _normalize_path(path: str) -> str:
     parts: list[str] = []
     for part in _SLASHES.sub("/", "/" + path).split("/"):
         if part == "..":
--- a/src/fescuedock/core/job_identity.py
+++ b/src/fescuedock/core/job_identity.py
@@ -15,12 +15,12 @@
     "file_identity",
     "job_identity",
     "new_record",
-    "same_job",
-    "same_job_by_file",
+    "check_same_job",
+    "check_same_job_by_file",
 ]
 
 _IDENTITY_CHARS = 32
-_SHOWN_CHARS = 80
+_MAX_SHOWN_CHARS = 80
 
 
 class JobRequest(msgspec.Struct, frozen=True):
@@ -57,15 +57,17 @@
     return f"file-{_digest(member, idempotency_key, content_hash)[:_IDENTITY_CHARS]}"
 
 
-def same_job(record: JobRecord, request: JobRequest) -> Result[None, Fault]:
+def check_same_job(record: JobRecord, request: JobRequest) -> Result[None, Fault]:
     """Check that the job found under the identity of ``request`` is the one asked for."""
     if record.member == request.member and record.content_hash == request.content_hash:
         return Ok(None)
     return _key_reused(request)
 
 
-def same_job_by_file(record: JobRecord, request: JobRequest, file_id: str) -> Result[None, Fault]:
-    """Check as ``same_job`` does when the file's record, and with it the hash, is gone."""
+def check_same_job_by_file(
+    record: JobRecord, request: JobRequest, file_id: str
+) -> Result[None, Fault]:
+    """Check as ``check_same_job`` does when the file's record, and with it the hash, is gone."""
     same = (
         record.member == request.member
         and record.input_file_id == file_id
@@ -77,7 +79,7 @@
 
 
 def _key_reused(request: JobRequest) -> Err[Fault]:
-    key = request.idempotency_key[:_SHOWN_CHARS]
+    key = request.idempotency_key[:_MAX_SHOWN_CHARS]
     text = f"Idempotency-Key {key!r} belongs to a job with other content"
     return Err(Fault(ResultCode.KEY_REUSED, text))
 
--- a/src/fescuedock/core/log_budget.py
+++ b/src/fescuedock/core/log_budget.py
@@ -22,7 +22,7 @@
     routine_per_s: float = 100.0
     other_per_s: float = 400.0
     _tokens: dict[str, tuple[float, float]] = msgspec.field(default_factory=dict)
-    _left_out: Counter[str] = msgspec.field(default_factory=Counter)
+    _dropped: Counter[str] = msgspec.field(default_factory=Counter)
 
     def allow(self, kind: str, now_s: float, *, routine: bool) -> bool:
         """Whether a line of ``kind`` may be written now; counts it as left out if not."""
@@ -32,11 +32,11 @@
         allowed = tokens >= 1.0
         self._tokens[kind] = (tokens - 1.0 if allowed else tokens, now_s)
         if not allowed:
-            self._left_out[kind] += 1
+            self._dropped[kind] += 1
         return allowed
 
-    def take_left_out(self) -> dict[str, int]:
+    def pop_dropped_counts(self) -> dict[str, int]:
         """Return the lines left out by kind since the last call."""
-        left_out = dict(self._left_out)
-        self._left_out.clear()
-        return left_out
+        dropped = dict(self._dropped)
+        self._dropped.clear()
+        return dropped
--- a/src/fescuedock/core/rendezvous.py
+++ b/src/fescuedock/core/rendezvous.py
@@ -16,7 +16,7 @@
 # whole fleet is ten times a second: 50 upstreams before 33 VMs of a failure domain are 1,650
 # scores.
 # At about 200 bytes each these take 3 MB.
-_KEPT_SCORES = 16384
+_MAX_CACHED_SCORES = 16384
 
 
 def rank_names(key: str, names: Iterable[str]) -> list[str]:
@@ -35,38 +35,38 @@
     ``vms`` are those that can own at all.  Answers are kept, since there are many upstreams.
     """
 
-    __slots__ = ("_all", "_by_domain", "_by_region", "_owners", "_places")
+    __slots__ = ("_all", "_by_domain", "_by_region", "_locations", "_owners")
 
     def __init__(self, vms: Iterable[VmRecord] = ()) -> None:
-        self._places = _places(vms)
-        self._all = sorted(self._places)
+        self._locations = _locations(vms)
+        self._all = sorted(self._locations)
         self._by_domain: dict[str, list[str]] = {}
         self._by_region: dict[str, list[str]] = {}
         for vm_id in self._all:
-            region, failure_domain = self._places[vm_id]
+            region, failure_domain = self._locations[vm_id]
             self._by_domain.setdefault(failure_domain, []).append(vm_id)
             self._by_region.setdefault(region, []).append(vm_id)
         self._owners: dict[tuple[str, str, str], str | None] = {}
 
-    def fits(self, vms: Iterable[VmRecord]) -> bool:
+    def matches(self, vms: Iterable[VmRecord]) -> bool:
         """Whether an index of ``vms`` would give the same answers as this one."""
-        return _places(vms) == self._places
+        return _locations(vms) == self._locations
 
     def owner_id(self, upstream: UpstreamRecord) -> str | None:
         """Return the owner's identity, or None when there are no VMs."""
         key = (upstream.upstream_id, upstream.failure_domain, upstream.region)
         if key not in self._owners:
-            near = self._by_domain.get(upstream.failure_domain)
-            near = near or self._by_region.get(upstream.region) or self._all
-            self._owners[key] = choose_name(upstream.upstream_id, near)
+            candidates = self._by_domain.get(upstream.failure_domain)
+            candidates = candidates or self._by_region.get(upstream.region) or self._all
+            self._owners[key] = choose_name(upstream.upstream_id, candidates)
         return self._owners[key]
 
 
-def _places(vms: Iterable[VmRecord]) -> dict[str, tuple[str, str]]:
+def _locations(vms: Iterable[VmRecord]) -> dict[str, tuple[str, str]]:
     return {vm.vm_id: (vm.region, vm.failure_domain) for vm in vms}
 
 
-@lru_cache(_KEPT_SCORES)
+@lru_cache(_MAX_CACHED_SCORES)
 def _score(key: str, name: str) -> bytes:
     # The separator keeps ("ab", "c") apart from ("a", "bc").
     return blake2b(f"{key}\0{name}".encode(), digest_size=_SCORE_BYTES).digest() + name.encode()
--- a/src/fescuedock/core/repair.py
+++ b/src/fescuedock/core/repair.py
@@ -11,7 +11,7 @@
 from fescuedock.core.rendezvous import choose_name
 from fescuedock.core.store_placement import StoreSite, rank_stores
 
-__all__ = ["Pace", "Shortage", "StableSites", "find_shortages", "is_responsible"]
+__all__ = ["ByteRateLimiter", "Shortage", "StableSites", "find_shortages", "is_responsible"]
 
 
 class Shortage(msgspec.Struct, frozen=True):
@@ -23,24 +23,27 @@
 
 
 def find_shortages(
-    me: str, holders: Mapping[str, Collection[str]], sites: Collection[StoreSite], copies: int
+    own_vm_id: str,
+    holders: Mapping[str, Collection[str]],
+    sites: Collection[StoreSite],
+    copies: int,
 ) -> list[Shortage]:
-    """Return the segments that ``me`` has to copy.
+    """Return the segments that ``own_vm_id`` has to copy.
 
-    ``holders`` gives the VMs that are known to hold each segment, ``me`` among them.  ``sites`` are
-    the stores that can take copies.
+    ``holders`` gives the VMs that are known to hold each segment, ``own_vm_id`` among them.
+    ``sites`` are the stores that can take copies.
     """
     shortages = []
     for segment_hash, names in holders.items():
         shortage = _shortage(segment_hash, names, sites, copies)
-        if shortage is not None and is_responsible(me, segment_hash, names):
+        if shortage is not None and is_responsible(own_vm_id, segment_hash, names):
             shortages.append(shortage)
     return shortages
 
 
-def is_responsible(me: str, key: str, names: Iterable[str]) -> bool:
-    """Return whether, of ``names``, the choice for ``key`` is ``me``."""
-    return choose_name(key, names) == me
+def is_responsible(own_vm_id: str, key: str, names: Iterable[str]) -> bool:
+    """Return whether, of ``names``, the choice for ``key`` is ``own_vm_id``."""
+    return choose_name(key, names) == own_vm_id
 
 
 def _shortage(
@@ -58,7 +61,7 @@
     return Shortage(segment_hash, missing, ranked)
 
 
-class Pace(msgspec.Struct):
+class ByteRateLimiter(msgspec.Struct):
     """Spreads bytes over time so that on average no more than ``bytes_per_s`` pass."""
 
     bytes_per_s: int
@@ -78,7 +81,7 @@
     """
 
     after_ms: float
-    _settled: frozenset[StoreSite] = frozenset()
+    _accepted: frozenset[StoreSite] = frozenset()
     _seen: frozenset[StoreSite] = msgspec.field(default_factory=frozenset)
     _since_ms: float = 0.0
 
@@ -90,10 +93,10 @@
         now = frozenset(sites)
         if now != self._seen:
             self._seen, self._since_ms = now, now_ms
-        if now == self._settled:
+        if now == self._accepted:
             return None
         return max(0.0, self._since_ms + self.after_ms - now_ms)
 
-    def settle(self) -> None:
+    def accept_change(self) -> None:
         """Note that segments are being copied for the stores as last seen."""
-        self._settled = self._seen
+        self._accepted = self._seen
--- a/src/fescuedock/core/replica_table.py
+++ b/src/fescuedock/core/replica_table.py
@@ -79,10 +79,10 @@
             return
         found = {entry.key: entry for entry in entries}
         for entry in found.values():
-            self._put(entry)
+            self._store_entry(entry)
         for key in [key for key in self.entries if key not in found]:
-            self._remove(key, revision)
-        self._confirm(revision, confirmed_ms, confirmed_ms)
+            self._remove_entry(key, revision)
+        self._advance(revision, confirmed_ms, confirmed_ms)
 
     def apply(
         self,
@@ -96,17 +96,17 @@
         ``confirmed_ms`` is when they were heard of, ``as_of_ms`` no later than when they were all.
         Returns those that others have to hear of, which heartbeats are not.
         """
-        news: list[KvEvent] = []
+        relevant_events: list[KvEvent] = []
         for event in events:
             # Each against what those before it have left: a key may have gone and come back alike.
             if not self._is_heartbeat(event):
-                news.append(event)
+                relevant_events.append(event)
             if event.entry is None:
-                self._remove(event.key, event.revision)
+                self._remove_entry(event.key, event.revision)
             else:
-                self._take(event.entry)
-        self._confirm(revision, confirmed_ms, as_of_ms)
-        return news
+                self._apply_entry(event.entry)
+        self._advance(revision, confirmed_ms, as_of_ms)
+        return relevant_events
 
     def _is_heartbeat(self, event: KvEvent) -> bool:
         known = self.entries.get(event.key)
@@ -119,30 +119,30 @@
         self.confirmed_ms = max(self.confirmed_ms, as_of_ms)
         self.as_of_ms = max(self.as_of_ms, as_of_ms)
 
-    def note(self, entry: KvEntry) -> None:
+    def record_entry(self, entry: KvEntry) -> None:
         """Take a single key that this node has itself written or read."""
-        self._take(entry)
+        self._apply_entry(entry)
 
-    def noted(self) -> list[KvEntry]:
+    def own_entries(self) -> list[KvEntry]:
         """Return the entries that this node knows of by itself alone, beyond ``revision``."""
         if self._newest_revision <= self.revision:
             return []
         return [entry for entry in self.entries.values() if entry.mod_revision > self.revision]
 
-    def _confirm(self, revision: int, confirmed_ms: float, as_of_ms: float) -> None:
+    def _advance(self, revision: int, confirmed_ms: float, as_of_ms: float) -> None:
         self.revision = max(self.revision, revision)
         self.confirmed_ms = max(self.confirmed_ms, confirmed_ms)
         self.as_of_ms = max(self.as_of_ms, as_of_ms)
-        if len(self._removed) > len(self.entries) + _MOST_REMOVED:
-            self._forget_removed()
+        if len(self._removed) > len(self.entries) + _MAX_EXTRA_REMOVALS:
+            self._drop_oldest_removals()
 
-    def _take(self, entry: KvEntry) -> None:
+    def _apply_entry(self, entry: KvEntry) -> None:
         # A key that is not here though it is no newer than the table has been removed: by then, or
         # before this node started, of which it remembers nothing.
         if entry.key in self.entries or entry.mod_revision > self.revision:
-            self._put(entry)
+            self._store_entry(entry)
 
-    def _put(self, entry: KvEntry) -> None:
+    def _store_entry(self, entry: KvEntry) -> None:
         known = self.entries.get(entry.key)
         newest = known.mod_revision if known else self._removed.get(entry.key, -1)
         if entry.mod_revision <= newest:
@@ -155,7 +155,7 @@
         if known is None or not self.is_heartbeat(known.value, entry.value):
             self.version += 1
 
-    def _remove(self, key: str, revision: int) -> None:
+    def _remove_entry(self, key: str, revision: int) -> None:
         known = self.entries.get(key)
         if known is None or known.mod_revision > revision:
             return
@@ -164,7 +164,7 @@
         self._removed[key] = revision
         self.version += 1
 
-    def _forget_removed(self) -> None:
+    def _drop_oldest_removals(self) -> None:
         """Drop the oldest half; what is older than the table's revision is ignored anyway."""
         oldest = sorted(self._removed, key=self._removed.__getitem__)
         for key in oldest[: len(oldest) // 2]:
@@ -172,4 +172,4 @@
 
 
 # Removals remembered beyond the number of keys, about 60 bytes each.
-_MOST_REMOVED = 1000
+_MAX_EXTRA_REMOVALS = 1000
--- a/src/fescuedock/core/segments.py
+++ b/src/fescuedock/core/segments.py
@@ -34,41 +34,41 @@
     bounded and the first piece is seen to be too long.
     """
 
-    __slots__ = ("_max_piece_bytes", "_rest", "_rest_bytes")
+    __slots__ = ("_max_chunk_bytes", "_partial", "_partial_bytes")
 
     def __init__(self, max_line_bytes: int) -> None:
-        self._max_piece_bytes = max_line_bytes + 1
-        self._rest: list[bytes] = []
-        self._rest_bytes = 0
+        self._max_chunk_bytes = max_line_bytes + 1
+        self._partial: list[bytes] = []
+        self._partial_bytes = 0
 
     def feed(self, data: bytes) -> list[bytes]:
         """Return the lines that ``data`` completes."""
         lines: list[bytes] = []
-        *whole, last = data.split(_NEWLINE)
-        for part in whole:
-            self._hold(part, lines)
-            lines.append(self._take() + _NEWLINE)
-        self._hold(last, lines)
+        *complete, last = data.split(_NEWLINE)
+        for part in complete:
+            self._buffer(part, lines)
+            lines.append(self._pop_line() + _NEWLINE)
+        self._buffer(last, lines)
         return lines
 
     def finish(self) -> list[bytes]:
         """Return the last line if the stream did not end with a newline."""
-        return [self._take()] if self._rest_bytes else []
+        return [self._pop_line()] if self._partial_bytes else []
 
-    def _hold(self, part: bytes, lines: list[bytes]) -> None:
-        while self._rest_bytes + len(part) > self._max_piece_bytes:
-            room = self._max_piece_bytes - self._rest_bytes
-            self._rest.append(part[:room])
+    def _buffer(self, part: bytes, lines: list[bytes]) -> None:
+        while self._partial_bytes + len(part) > self._max_chunk_bytes:
+            room = self._max_chunk_bytes - self._partial_bytes
+            self._partial.append(part[:room])
             part = part[room:]
-            lines.append(self._take())
+            lines.append(self._pop_line())
         if part:
-            self._rest.append(part)
-            self._rest_bytes += len(part)
+            self._partial.append(part)
+            self._partial_bytes += len(part)
 
-    def _take(self) -> bytes:
-        line = b"".join(self._rest)
-        self._rest.clear()
-        self._rest_bytes = 0
+    def _pop_line(self) -> bytes:
+        line = b"".join(self._partial)
+        self._partial.clear()
+        self._partial_bytes = 0
         return line
 
 
--- a/src/fescuedock/core/send_gate.py
+++ b/src/fescuedock/core/send_gate.py
@@ -14,7 +14,7 @@
 from fescuedock.core.quarantine import FREE, Standing, Verdict
 from fescuedock.schema.view import UpstreamRecord
 
-__all__ = ["PermitStanding", "SendRefusal", "refusal_of"]
+__all__ = ["PermitStatus", "SendRefusal", "refusal_of"]
 
 
 class SendRefusal(enum.Enum):
@@ -28,25 +28,25 @@
     LAPSED = "its permit has lapsed"
     LATE = "its deadline has passed"
     HARMFUL = "upstreams have ended under this work"
-    NOT_ALONE = "this work may only run alone"
+    NOT_ISOLATED = "this work may only run alone"
     KEY_GONE = "its caller's API key does not hold any more"
 
 
-class PermitStanding(msgspec.Struct, frozen=True):
+class PermitStatus(msgspec.Struct, frozen=True):
     """How a permit stands; ``valid_until_ms`` is infinite for one that no owner gave.
 
-    ``alone`` says that its owner lets nothing else run at the upstream.
+    ``isolated`` says that its owner lets nothing else run at the upstream.
     """
 
     revoked: bool
     valid_until_ms: float
-    alone: bool = False
+    isolated: bool = False
 
 
 def refusal_of(
     chosen: UpstreamRecord,
     current: UpstreamRecord | None,
-    permit: PermitStanding,
+    permit: PermitStatus,
     *,
     deadline_ms: float,
     now_ms: float,
@@ -73,9 +73,9 @@
     if verdict.standing is Standing.REFUSED:
         return SendRefusal.HARMFUL
     if verdict.standing is Standing.UNSETTLED:
-        return SendRefusal.NOT_ALONE
-    if verdict.standing is Standing.ALONE and not permit.alone:
-        return SendRefusal.NOT_ALONE
+        return SendRefusal.NOT_ISOLATED
+    if verdict.standing is Standing.ALONE and not permit.isolated:
+        return SendRefusal.NOT_ISOLATED
     if permit.revoked:
         return SendRefusal.REVOKED
     if permit.valid_until_ms <= now_ms:
--- a/src/fescuedock/core/store_contact.py
+++ b/src/fescuedock/core/store_contact.py
@@ -35,19 +35,19 @@
     _failures: int = 0
     _was_away: bool = False
 
-    def answered(self, now_ms: float) -> bool:
+    def record_answer(self, now_ms: float) -> bool:
         """Note an answer; return whether it ends a time without any."""
-        was_away = self.is_away(now_ms)
-        if was_away:
+        had_been_away = self.is_away(now_ms)
+        if had_been_away:
             self.returned_ms = now_ms
-        regained = was_away or not self.reached
+        regained = had_been_away or not self.reached
         self.reached = True
         self.last_answer_ms = now_ms
         self._failures = 0
         self._was_away = False
         return regained
 
-    def heard_of(self, now_ms: float) -> None:
+    def record_neighbour_answer(self, now_ms: float) -> None:
         """Note that a neighbour has just got an answer: the service is worth asking again.
 
         Without this a node went on refusing jobs for up to 0.7 s after others had reached it.
@@ -58,12 +58,12 @@
         self._was_away = False
         self.last_answer_ms = max(self.last_answer_ms, now_ms)
 
-    def failed(self, now_ms: float) -> bool:
+    def record_failure(self, now_ms: float) -> bool:
         """Note a call without an answer; return whether the service counts as away from now on."""
         self._failures += 1
-        told = self._was_away
+        was_reported = self._was_away
         self._was_away = self.is_away(now_ms)
-        return self._was_away and not told
+        return self._was_away and not was_reported
 
     def is_away(self, now_ms: float) -> bool:
         """Whether the service has not answered for the length of an outage, though asked."""
--- a/src/fescuedock/core/store_placement.py
+++ b/src/fescuedock/core/store_placement.py
@@ -28,18 +28,18 @@
     """
     by_id = {site.vm_id: site for site in sites}
     ranked = [by_id[name] for name in rank_names(key, by_id)]
-    willing = [site for site in ranked if site.vm_id not in avoided]
-    unwilling = [site for site in ranked if site.vm_id in avoided]
-    return _domains_first(willing) + _domains_first(unwilling)
+    preferred = [site for site in ranked if site.vm_id not in avoided]
+    avoided_sites = [site for site in ranked if site.vm_id in avoided]
+    return _domains_first(preferred) + _domains_first(avoided_sites)
 
 
 def _domains_first(ranked: list[StoreSite]) -> list[StoreSite]:
     seen: dict[str, int] = {}
     rounds: list[tuple[int, StoreSite]] = []
     for site in ranked:
-        turn = seen.get(site.failure_domain, 0)
-        seen[site.failure_domain] = turn + 1
-        rounds.append((turn, site))
+        round_number = seen.get(site.failure_domain, 0)
+        seen[site.failure_domain] = round_number + 1
+        rounds.append((round_number, site))
     # The sort is stable, so that the rank decides within a round.
     return [site for _, site in sorted(rounds, key=lambda item: item[0])]
 
@@ -57,28 +57,28 @@
     avoided: Collection[str] = ()
     held: list[StoreSite] = msgspec.field(default_factory=list)
     refusals: dict[str, ResultCode] = msgspec.field(default_factory=dict)
-    _asked: set[str] = msgspec.field(default_factory=set)
-    _waiting: set[StoreSite] = msgspec.field(default_factory=set)
+    _requested: set[str] = msgspec.field(default_factory=set)
+    _pending: set[StoreSite] = msgspec.field(default_factory=set)
 
     def next_sites(self) -> list[StoreSite]:
         """Return the stores to ask now; each counts as asked from here on."""
-        chosen = self._chosen(self.copies - len(self.held) - len(self._waiting))
-        self._asked.update(site.vm_id for site in chosen)
-        self._waiting.update(chosen)
+        chosen = self._choose(self.copies - len(self.held) - len(self._pending))
+        self._requested.update(site.vm_id for site in chosen)
+        self._pending.update(chosen)
         return chosen
 
-    def _chosen(self, missing: int) -> list[StoreSite]:
-        left = [site for site in self.candidates if site.vm_id not in self._asked]
-        domains = {site.failure_domain for site in [*self.held, *self._waiting]}
+    def _choose(self, missing: int) -> list[StoreSite]:
+        left = [site for site in self.candidates if site.vm_id not in self._requested]
+        domains = {site.failure_domain for site in [*self.held, *self._pending]}
         chosen: list[StoreSite] = []
         while left and (len(chosen) < missing or len(domains) < self.min_copies):
-            site = min(left, key=lambda site: self._worth(site, domains))
+            site = min(left, key=lambda site: self._preference(site, domains))
             left.remove(site)
             chosen.append(site)
             domains.add(site.failure_domain)
         return chosen
 
-    def _worth(self, site: StoreSite, domains: Collection[str]) -> tuple[bool, bool]:
+    def _preference(self, site: StoreSite, domains: Collection[str]) -> tuple[bool, bool]:
         """Return a key that sorts better stores first; ``domains`` have or get a copy already.
 
         A new domain counts most until there are enough of them, then whether the store answers.
@@ -87,18 +87,18 @@
         avoided = site.vm_id in self.avoided
         return (old, avoided) if len(domains) < self.min_copies else (avoided, old)
 
-    def written(self, site: StoreSite) -> None:
+    def record_written(self, site: StoreSite) -> None:
         """Note that ``site`` has the object on disk."""
-        self._waiting.discard(site)
+        self._pending.discard(site)
         self.held.append(site)
 
-    def refused(self, site: StoreSite, code: ResultCode) -> None:
+    def record_refusal(self, site: StoreSite, code: ResultCode) -> None:
         """Note that ``site`` did not write the object, or did not say so in time."""
-        self._waiting.discard(site)
+        self._pending.discard(site)
         self.refusals[site.vm_id] = code
 
     @property
-    def is_enough(self) -> bool:
+    def is_sufficient(self) -> bool:
         """Whether the object may be acknowledged."""
         return len({site.failure_domain for site in self.held}) >= self.min_copies
 
--- a/src/fescuedock/core/watch_duty.py
+++ b/src/fescuedock/core/watch_duty.py
@@ -15,7 +15,7 @@
 __all__ = ["WatchDuty"]
 
 # Nodes that one may tell: at 5 news a second to each, 24 take about 1% of a core.
-_GROUP_NODES = 24
+_MAX_GROUP_NODES = 24
 
 
 class WatchDuty:
@@ -33,16 +33,16 @@
 
         A node that knows no other in its group asks for itself.
         """
-        names = {vm.vm_id for vm in self._near(vms) if vm.state is not VmState.LEAVING}
+        names = {vm.vm_id for vm in self._group_members(vms) if vm.state is not VmState.LEAVING}
         chosen = choose_name(prefix, names)
         return chosen is None or chosen == self._vm_id
 
-    def audience(self, vms: Iterable[VmRecord]) -> list[VmRecord]:
+    def recipients(self, vms: Iterable[VmRecord]) -> list[VmRecord]:
         """Return the nodes that are to be told, leaving ones included."""
-        return [vm for vm in self._near(vms) if vm.vm_id != self._vm_id and vm.agent_port]
+        return [vm for vm in self._group_members(vms) if vm.vm_id != self._vm_id and vm.agent_port]
 
-    def _near(self, vms: Iterable[VmRecord]) -> list[VmRecord]:
+    def _group_members(self, vms: Iterable[VmRecord]) -> list[VmRecord]:
         region = [vm for vm in vms if vm.region == self._region and vm.state is not VmState.GONE]
-        if len(region) <= _GROUP_NODES:
+        if len(region) <= _MAX_GROUP_NODES:
             return region
         return [vm for vm in region if vm.failure_domain == self._failure_domain]
--- a/src/fescuedock/entry/claiming.py
+++ b/src/fescuedock/entry/claiming.py
@@ -82,20 +82,20 @@
 
     async def keep(self, claim: Claim, answer: RecordedAnswer) -> None:
         """Record the answer for resends, which else learn only that the call may have run."""
-        await self._put_once(claim.answered(answer))
+        await self._put_once(claim.record_answer(answer))
 
     async def release(self, claim: Claim) -> None:
         """Record that nothing was sent, so that a resend can run the call."""
-        await self._put_once(claim.not_sent())
+        await self._put_once(claim.record_not_sent())
 
     async def _carry_on(self, claim: Claim) -> Result[Claim | RecordedAnswer, Fault]:
         step = claim.start()
         while True:
             match step:
                 case PutRecord():
-                    step = claim.written(await self._put(claim, step))
+                    step = claim.on_write(await self._put(claim, step))
                 case ReadRecord(key):
-                    step = claim.read(await self._context.kv.get(key))
+                    step = claim.on_read(await self._context.kv.get(key))
                 case Dispatch():
                     return Ok(claim)
                 case Replay(answer):
--- a/src/fescuedock/entry/job_acceptance.py
+++ b/src/fescuedock/entry/job_acceptance.py
@@ -14,10 +14,10 @@
 from fescuedock.core.claims import is_non_idempotent
 from fescuedock.core.job_identity import (
     JobRequest,
+    check_same_job,
+    check_same_job_by_file,
     job_identity,
     new_record,
-    same_job,
-    same_job_by_file,
 )
 from fescuedock.entry.context import EntryContext
 from fescuedock.entry.job_records import create_job, ensure_listed, read_stored
@@ -63,7 +63,7 @@
     if isinstance(found, Err) or found.ok_value is None:
         return found
     record = found.ok_value.record
-    same = same_job_by_file(record, request, file_id)
+    same = check_same_job_by_file(record, request, file_id)
     return same if isinstance(same, Err) else await _acknowledged(context, record)
 
 
@@ -86,7 +86,7 @@
 async def _acknowledged_if_same(
     context: EntryContext, request: JobRequest, record: JobRecord
 ) -> Result[JobRecord, Fault]:
-    same = same_job(record, request)
+    same = check_same_job(record, request)
     return same if isinstance(same, Err) else await _acknowledged(context, record)
 
 
--- a/src/fescuedock/log.py
+++ b/src/fescuedock/log.py
@@ -27,7 +27,7 @@
     """
     if not _budget.allow(name, _now_s(), routine=routine):
         return
-    left_out = _budget.take_left_out()
+    left_out = _budget.pop_dropped_counts()
     if left_out:
         eliot.log_message(message_type="log_lines_left_out", **left_out)
     eliot.log_message(message_type=name, **fields)
--- a/src/fescuedock/node/replicas.py
+++ b/src/fescuedock/node/replicas.py
@@ -179,7 +179,7 @@
 
     def note(self, prefix: str, entry: KvEntry) -> None:
         """Take a key that this node has itself written or read."""
-        self.tables[prefix].note(entry)
+        self.tables[prefix].record_entry(entry)
         self._wake()
 
     async def run(self) -> None:
@@ -281,11 +281,11 @@
         return None
 
     def _note_answer(self) -> None:
-        if self.contact.answered(now_ms()):
+        if self.contact.record_answer(now_ms()):
             log_event("store_reached")
 
     def _note_failure(self, fault: Fault, prefix: str) -> None:
-        if self.contact.failed(now_ms()):
+        if self.contact.record_failure(now_ms()):
             log_event("store_lost", prefix=prefix, reason=fault.message)
 
     def _wake_if(self, changed: bool) -> None:
@@ -299,7 +299,7 @@
     # --- news ------------------------------------------------------------------------------------
 
     async def _on_news(self, message: ReplicaNews, _peer: ServerPeer) -> None:
-        self.contact.heard_of(now_ms())
+        self.contact.record_neighbour_answer(now_ms())
         table = self.tables.get(message.prefix)
         if table is None or not table.is_known:
             return
@@ -342,7 +342,7 @@
                         nursery.start_soon(self._call, address, ReplicaRequest({}))
 
     async def _on_snapshot(self, message: ReplicaSnapshot, _peer: ServerPeer) -> None:
-        self.contact.heard_of(now_ms())
+        self.contact.record_neighbour_answer(now_ms())
         sent_ms = self._sent_ms(message)
         self._take(message, None, sent_ms, now_ms() if sent_ms == float("-inf") else sent_ms)
         if message.prefix in self._news:
@@ -443,7 +443,7 @@
             noted=[
                 ReplicaNoted(table.prefix, _entries_of(noted))
                 for table, _ in asked
-                if (noted := table.noted())
+                if (noted := table.own_entries())
             ],
             sender=self._sender,
             sent_ms=int(now_ms()),
--- a/src/fescuedock/node/spread.py
+++ b/src/fescuedock/node/spread.py
@@ -30,6 +30,6 @@
         return self._duty.watches(prefix, self._view.vms.values())
 
     async def tell(self, message: msgspec.Struct) -> None:
-        for vm in self._duty.audience(self._view.vms.values()):
+        for vm in self._duty.recipients(self._view.vms.values()):
             client = await self._pool.client(Address(vm.host, vm.agent_port))
             client.push(message)
--- a/src/fescuedock/store/client.py
+++ b/src/fescuedock/store/client.py
@@ -78,7 +78,7 @@
         segment_hash = await _hash_of(body)
         plan = self._plan(segment_hash, self._settings.copies, self._settings.min_copies, exclude)
         await self._write(plan, PutSegment(segment_hash=segment_hash, body=body))
-        if not plan.is_enough:
+        if not plan.is_sufficient:
             return Err(_too_few(plan, f"segment {segment_hash[:12]}"))
         copies = [site.vm_id for site in plan.held]
         return Ok(
@@ -203,21 +203,21 @@
                 try:
                     reply = await self.call(vms[site.vm_id], message)
                 except trio.Cancelled:
-                    if plan.is_enough:
+                    if plan.is_sufficient:
                         self._give_up(vms[site.vm_id])
                     raise
                 code = reply.code if isinstance(reply, StoreReply) else ResultCode.PEER_UNKNOWN
                 if code == ResultCode.OK:
-                    plan.written(site)
+                    plan.record_written(site)
                 else:
                     self._avoid(site.vm_id)
-                    plan.refused(site, ResultCode(code))
+                    plan.record_refusal(site, ResultCode(code))
                 proceed()
 
             def proceed() -> None:
                 for site in plan.next_sites():
                     nursery.start_soon(ask, site)
-                if plan.is_enough:
+                if plan.is_sufficient:
                     extra_s = _EXTRA_COPIES_WAIT_MS / 1000
                     deadline = trio.current_time() + extra_s
                     scope = nursery.cancel_scope
--- a/src/fescuedock/store/repair.py
+++ b/src/fescuedock/store/repair.py
@@ -15,7 +15,13 @@
 
 from fescuedock.agent.link import FleetView
 from fescuedock.clock import UnixClock, now_ms
-from fescuedock.core.repair import Pace, Shortage, StableSites, find_shortages, is_responsible
+from fescuedock.core.repair import (
+    ByteRateLimiter,
+    Shortage,
+    StableSites,
+    find_shortages,
+    is_responsible,
+)
 from fescuedock.core.store_placement import StoreSite
 from fescuedock.log import log_event
 from fescuedock.schema.result_codes import ResultCode
@@ -73,11 +79,11 @@
     _wake: trio.Event = field(default_factory=trio.Event)
     _sweep_asked: bool = False
     _others_asked: bool = False
-    _pace: Pace = field(init=False)
+    _rate_limiter: ByteRateLimiter = field(init=False)
     _sites: StableSites = field(init=False)
 
     def __post_init__(self) -> None:
-        self._pace = Pace(self.settings.repair_bytes_per_s)
+        self._rate_limiter = ByteRateLimiter(self.settings.repair_bytes_per_s)
         self._sites = StableSites(self.settings.repair_after_ms)
 
     def on_damage(self, segment_hash: str) -> None:
@@ -105,7 +111,7 @@
             if full:
                 next_full_s = trio.current_time() + self.settings.sweep_interval_s
                 await self.expire()
-            self._sites.settle()
+            self._sites.accept_change()
             self._sweep_asked = False
             await self._ask_others()
             await self.sweep(check_content=full)
@@ -223,7 +229,7 @@
             self.counts.expired += await self.records.expire(self.unix_clock())
 
     async def _wait_pace(self, size_bytes: int) -> None:
-        await trio.sleep(self._pace.delay_ms(size_bytes, now_ms()) / 1000)
+        await trio.sleep(self._rate_limiter.delay_ms(size_bytes, now_ms()) / 1000)
 
     def _others(self) -> list[VmRecord]:
         stores = self.view.live_vms(Program.STORE)
--- a/tests/test_job_refusals.py
+++ b/tests/test_job_refusals.py
@@ -119,7 +119,7 @@
 
         table = ReplicaTable(KEYS.live)
         record = NodeRecord("s-1", "caldas", "sala-1", "10.0.0.1", 1)
-        table.note(KvEntry(KEYS.spools + "s-1", msgspec.msgpack.encode(record), 2))
+        table.record_entry(KvEntry(KEYS.spools + "s-1", msgspec.msgpack.encode(record), 2))
         done: list[bool] = []
 
         async def run() -> None:
--- a/tests/test_log_bounds.py
+++ b/tests/test_log_bounds.py
@@ -14,8 +14,8 @@
     def test_a_kind_of_line_has_its_rate_and_what_is_left_out_is_counted(self) -> None:
         budget = LogBudget(routine_per_s=10.0, other_per_s=40.0)
         written = sum(budget.allow("call", 0.0, routine=True) for _ in range(50))
-        self.assertEqual((written, budget.take_left_out()), (10, {"call": 40}))
-        self.assertEqual(budget.take_left_out(), {})
+        self.assertEqual((written, budget.pop_dropped_counts()), (10, {"call": 40}))
+        self.assertEqual(budget.pop_dropped_counts(), {})
         self.assertTrue(budget.allow("call", 0.2, routine=True))
 
     def test_failures_have_a_greater_share_and_kinds_do_not_share(self) -> None:
--- a/tests/test_membership_entries.py
+++ b/tests/test_membership_entries.py
@@ -141,10 +141,10 @@
 
     def test_an_index_holds_until_its_vms_or_their_places_change(self) -> None:
         index = OwnerIndex(NINE)
-        self.assertTrue(index.fits([msgspec.structs.replace(vm, entry_load=5) for vm in NINE]))
-        self.assertFalse(index.fits(NINE[1:]))
+        self.assertTrue(index.matches([msgspec.structs.replace(vm, entry_load=5) for vm in NINE]))
+        self.assertFalse(index.matches(NINE[1:]))
         moved = [_vm(number, failure_domain="hall-9") for number in range(9)]
-        self.assertFalse(index.fits(moved))
+        self.assertFalse(index.matches(moved))
 
 
 if __name__ == "__main__":
--- a/tests/test_node_list.py
+++ b/tests/test_node_list.py
@@ -54,7 +54,7 @@
         return self.upstreams.version
 
     def put(self, value: bytes, revision: int) -> None:
-        self.upstreams.note(KvEntry("servers/a", value, revision))
+        self.upstreams.record_entry(KvEntry("servers/a", value, revision))
 
     def test_a_heartbeat_makes_no_new_list_and_a_change_of_state_does(self) -> None:
         async def run() -> None:
@@ -76,7 +76,7 @@
             logged.append(name)
 
         async def run() -> None:
-            self.nodes.note(KvEntry("live/odd", b"\xff", 2))
+            self.nodes.record_entry(KvEntry("live/odd", b"\xff", 2))
             for revision in (3, 4):
                 self.put(b"ready:1", revision)
                 self.assertEqual((await self.list.read()).ok_value.vms, ())
--- a/tests/test_node_replicas.py
+++ b/tests/test_node_replicas.py
@@ -33,13 +33,13 @@
         vms = [vm(f"n-{number}", f"d-{number % 3}") for number in range(60)]
         self.assertEqual(len(self.watchers(vms)), 3)
         duty = WatchDuty("n-0", "caldas", "d-0")
-        self.assertEqual({item.failure_domain for item in duty.audience(vms)}, {"d-0"})
+        self.assertEqual({item.failure_domain for item in duty.recipients(vms)}, {"d-0"})
 
     def test_a_leaving_node_hears_but_does_not_watch(self) -> None:
         vms = [vm("n-0", "d", VmState.LEAVING), vm("n-1", "d")]
         self.assertEqual(self.watchers(vms), ["n-1"])
         self.assertEqual(
-            [item.vm_id for item in WatchDuty("n-1", "caldas", "d").audience(vms)], ["n-0"]
+            [item.vm_id for item in WatchDuty("n-1", "caldas", "d").recipients(vms)], ["n-0"]
         )
 
     def test_a_node_that_knows_nobody_watches_for_itself(self) -> None:
--- a/tests/test_online_claims_core.py
+++ b/tests/test_online_claims_core.py
@@ -43,7 +43,7 @@
     return lambda value: msgspec.json.decode(value, type=ClaimRecord).token == token
 
 
-async def carry_on(claim: Claim, kv: MemoryKv) -> Dispatch | Replay | Refuse:
+async def run_claim(claim: Claim, kv: MemoryKv) -> Dispatch | Replay | Refuse:
     """Do the claim's steps as an entry does."""
     step = claim.start()
     while True:
@@ -52,9 +52,9 @@
                 written = await put_resolved(
                     kv, key, encode(record), revision, is_ours(record.token), attempts=2
                 )
-                step = claim.written(written)
+                step = claim.on_write(written)
             case ReadRecord(key):
-                step = claim.read(await kv.get(key))
+                step = claim.on_read(await kv.get(key))
             case _:
                 return step
 
@@ -63,7 +63,7 @@
     await kv.put_if(step.key, encode(step.record), step.expected_revision)
 
 
-class Entry:
+class SimulatedEntry:
     """One entry with its own faults towards the shared key-value service."""
 
     def __init__(self, kv: MemoryKv) -> None:
@@ -77,7 +77,7 @@
     @initialize()
     def start(self) -> None:
         shared = MemoryKv()
-        self.entries = [Entry(shared), Entry(MemoryKv(shared.state))]
+        self.entries = [SimulatedEntry(shared), SimulatedEntry(MemoryKv(shared.state))]
         self.executions = 0
         self.tokens = 0
 
@@ -88,36 +88,38 @@
         fate=st.sampled_from(["answered", "lost", "not_sent", "entry_dies"]),
     )
     def send(self, entry: int, lost: list[LostAnswer], down: bool, fate: str) -> None:
-        site = self.entries[entry]
-        site.kv.faults.down = down
+        simulated_entry = self.entries[entry]
+        simulated_entry.kv.faults.down = down
         for nth, when in enumerate(lost, start=1):
-            site.kv.faults.lose_answer(when, nth)
-        trio.run(self._send, site, fate, clock=trio.testing.MockClock(autojump_threshold=0))
-        site.kv.faults.clear()
+            simulated_entry.kv.faults.lose_answer(when, nth)
+        trio.run(
+            self._send, simulated_entry, fate, clock=trio.testing.MockClock(autojump_threshold=0)
+        )
+        simulated_entry.kv.faults.clear()
 
-    async def _send(self, site: Entry, fate: str) -> None:
+    async def _send(self, simulated_entry: SimulatedEntry, fate: str) -> None:
         self.tokens += 1
         token = f"token-{self.tokens}"
-        claim = Claim(KEY, token, HASH, 0, frozenset(site.unsent))
-        site.unsent.add(token)
-        outcome = await carry_on(claim, site.kv)
+        claim = Claim(KEY, token, HASH, 0, frozenset(simulated_entry.unsent))
+        simulated_entry.unsent.add(token)
+        outcome = await run_claim(claim, simulated_entry.kv)
         if isinstance(outcome, Replay):
             assert outcome.answer == ANSWER
             assert self.executions == 1
         if not isinstance(outcome, Dispatch):
             return
-        site.unsent.discard(token)
-        await self._dispatch(site, claim, fate)
+        simulated_entry.unsent.discard(token)
+        await self._dispatch(simulated_entry, claim, fate)
 
-    async def _dispatch(self, site: Entry, claim: Claim, fate: str) -> None:
+    async def _dispatch(self, simulated_entry: SimulatedEntry, claim: Claim, fate: str) -> None:
         if fate == "entry_dies":
             return
         if fate == "not_sent":
-            await put_once(site.kv, claim.not_sent())
+            await put_once(simulated_entry.kv, claim.record_not_sent())
             return
         self.executions += 1
         if fate == "answered":
-            await put_once(site.kv, claim.answered(ANSWER))
+            await put_once(simulated_entry.kv, claim.record_answer(ANSWER))
 
     @rule(entry=st.integers(0, 1))
     def land_late_writes(self, entry: int) -> None:
@@ -145,15 +147,15 @@
     def written_by(self, token: str = "t1") -> MemoryKv:
         """Return a service in which ``token`` holds the claim."""
         kv = MemoryKv()
-        self.assertIsInstance(self.carry_on(self.claim(token), kv), Dispatch)
+        self.assertIsInstance(self.run_claim(self.claim(token), kv), Dispatch)
         return kv
 
-    def carry_on(self, claim: Claim, kv: MemoryKv) -> Dispatch | Replay | Refuse:
+    def run_claim(self, claim: Claim, kv: MemoryKv) -> Dispatch | Replay | Refuse:
         clock = trio.testing.MockClock(autojump_threshold=0)
-        return trio.run(carry_on, claim, kv, clock=clock)
+        return trio.run(run_claim, claim, kv, clock=clock)
 
     def refusal(self, claim: Claim, kv: MemoryKv) -> ResultCode:
-        outcome = self.carry_on(claim, kv)
+        outcome = self.run_claim(claim, kv)
         self.assertIsInstance(outcome, Refuse)
         return outcome.fault.code
 
@@ -166,40 +168,40 @@
 
     def test_an_own_claim_that_was_never_sent_is_taken_over(self) -> None:
         claim = self.claim(unsent=("t1",))
-        self.assertIsInstance(self.carry_on(claim, self.written_by("t1")), Dispatch)
+        self.assertIsInstance(self.run_claim(claim, self.written_by("t1")), Dispatch)
 
     def test_an_outage_refuses_not_run_with_a_time_to_come_back(self) -> None:
         kv = MemoryKv()
         kv.faults.down = True
-        outcome = self.carry_on(self.claim(), kv)
+        outcome = self.run_claim(self.claim(), kv)
         self.assertIs(outcome.fault.code, ResultCode.CLAIM_UNAVAILABLE)
         self.assertGreater(outcome.fault.retry_after_ms, 0)
 
     def test_a_lost_answer_is_resolved_by_the_token(self) -> None:
         kv = MemoryKv()
         kv.faults.lose_answer(LostAnswer.AFTER_EFFECT)
-        self.assertIsInstance(self.carry_on(self.claim(), kv), Dispatch)
+        self.assertIsInstance(self.run_claim(self.claim(), kv), Dispatch)
 
     def test_a_claim_dispatches_only_once(self) -> None:
         claim = self.claim()
         claim.start()
-        self.assertIsInstance(claim.written(Ok(1)), Dispatch)
+        self.assertIsInstance(claim.on_write(Ok(1)), Dispatch)
         with self.assertRaises(RuntimeError):
-            claim.written(Ok(2))
+            claim.on_write(Ok(2))
 
     def test_an_answer_over_the_bound_is_not_kept(self) -> None:
         claim = self.claim()
         claim.start()
-        claim.written(Ok(1))
-        step = claim.answered(RecordedAnswer(200, "", b"x" * (33 * 1024)))
+        claim.on_write(Ok(1))
+        step = claim.record_answer(RecordedAnswer(200, "", b"x" * (33 * 1024)))
         self.assertEqual(step.record.answer, b"")
 
     def test_a_removed_claim_is_no_leave_to_send(self) -> None:
         claim = self.claim()
         claim.start()
         conflict: Result[int, Fault] = Err(Fault(ResultCode.KV_CONFLICT, ""))
-        self.assertIsInstance(claim.written(conflict), ReadRecord)
-        outcome = claim.read(Ok(None))
+        self.assertIsInstance(claim.on_write(conflict), ReadRecord)
+        outcome = claim.on_read(Ok(None))
         self.assertIs(outcome.fault.code, ResultCode.CLAIM_UNAVAILABLE)
 
     def test_members_have_keys_of_their_own(self) -> None:
--- a/tests/test_replica_agreement.py
+++ b/tests/test_replica_agreement.py
@@ -26,24 +26,24 @@
     owner went on beginning items of the job for as long as it asked only such neighbours.
     """
 
-    def agreed_after_asking(self, neighbour_revision: int | None) -> bool:
+    def agrees_after_request(self, neighbour_revision: int | None) -> bool:
         """Ask a neighbour whose table is as of a revision; return whether it counts as agreed."""
         agreed: list[bool] = []
 
         async def run() -> None:
-            asking, telling = self.replicas(), self.replicas()
-            asking.tables[PREFIX].replace([KvEntry("live/a", b"x", 7)], 9, now_ms())
+            requester, neighbour = self.replicas(), self.replicas()
+            requester.tables[PREFIX].replace([KvEntry("live/a", b"x", 7)], 9, now_ms())
             if neighbour_revision is not None:
-                telling.tables[PREFIX].replace([], neighbour_revision, now_ms())
+                neighbour.tables[PREFIX].replace([], neighbour_revision, now_ms())
 
             async def call(
                 _address: Address, message: msgspec.Struct, _timeout_ms: float
             ) -> Result:
-                return Ok(await telling.handlers()[ReplicaRequest](message, None))
+                return Ok(await neighbour.handlers()[ReplicaRequest](message, None))
 
-            asking._call_neighbour = call
-            await asking._ask(NEIGHBOUR)
-            agreed.append(asking.agreed_age_ms(PREFIX) < float("inf"))
+            requester._call_neighbour = call
+            await requester._ask(NEIGHBOUR)
+            agreed.append(requester.agreed_age_ms(PREFIX) < float("inf"))
 
         trio.run(run, clock=trio.testing.MockClock())
         return agreed[0]
@@ -62,13 +62,13 @@
         )
 
     def test_a_neighbour_that_knows_the_same_agrees(self) -> None:
-        self.assertTrue(self.agreed_after_asking(9))
+        self.assertTrue(self.agrees_after_request(9))
 
     def test_a_neighbour_that_knows_less_does_not_agree(self) -> None:
-        self.assertFalse(self.agreed_after_asking(5))
+        self.assertFalse(self.agrees_after_request(5))
 
     def test_a_neighbour_that_has_just_started_and_knows_nothing_does_not_agree(self) -> None:
-        self.assertFalse(self.agreed_after_asking(None))
+        self.assertFalse(self.agrees_after_request(None))
 
 
 if __name__ == "__main__":
--- a/tests/test_replica_changes.py
+++ b/tests/test_replica_changes.py
@@ -12,7 +12,7 @@
 KEY = "servers/w"
 
 
-def same_but_for_the_number(before: bytes, after: bytes) -> bool:
+def differs_only_in_number(before: bytes, after: bytes) -> bool:
     return before[:-1] == after[:-1]
 
 
@@ -25,14 +25,14 @@
     """
 
     def setUp(self) -> None:
-        self.watching = ReplicaTable("servers/", same_but_for_the_number)
-        self.hearing = ReplicaTable("servers/", same_but_for_the_number)
+        self.watching = ReplicaTable("servers/", differs_only_in_number)
+        self.receiving = ReplicaTable("servers/", differs_only_in_number)
 
     def start(self, value: bytes) -> None:
-        for table in (self.watching, self.hearing):
+        for table in (self.watching, self.receiving):
             table.replace([KvEntry(KEY, value, 5)], 5, 0.0)
 
-    def happen(self, *values: bytes | None) -> None:
+    def apply_answer(self, *values: bytes | None) -> None:
         """Let the store answer with changes of the key, and the others hear what is told."""
         revision = self.watching.revision
         events = [
@@ -40,35 +40,35 @@
             for number, value in enumerate(values, start=revision + 1)
         ]
         revision += len(values)
-        told = self.watching.apply(events, revision, 1.0)
-        self.hearing.apply(told, revision, 1.0)
+        reported = self.watching.apply(events, revision, 1.0)
+        self.receiving.apply(reported, revision, 1.0)
 
     def value_at(self, table: ReplicaTable) -> bytes | None:
         entry = table.entries.get(KEY)
         return None if entry is None else entry.value[:-1]
 
     def check(self) -> None:
-        self.assertEqual(self.value_at(self.hearing), self.value_at(self.watching))
+        self.assertEqual(self.value_at(self.receiving), self.value_at(self.watching))
 
     def test_a_key_that_is_removed_and_written_again_alike_is_there_for_all(self) -> None:
         self.start(b"ready1")
-        self.happen(None, b"ready2")
+        self.apply_answer(None, b"ready2")
         self.check()
 
     def test_it_is_there_for_all_after_further_heartbeats_too(self) -> None:
         self.start(b"ready1")
-        self.happen(None, b"ready2")
-        self.happen(b"ready3")
+        self.apply_answer(None, b"ready2")
+        self.apply_answer(b"ready3")
         self.check()
 
     def test_a_key_that_changes_and_changes_back_is_the_same_for_all(self) -> None:
         self.start(b"draining1")
-        self.happen(b"ready2", b"draining3")
+        self.apply_answer(b"ready2", b"draining3")
         self.check()
 
     def test_a_key_that_is_written_once_more_before_it_changes_is_the_same_for_all(self) -> None:
         self.start(b"ready1")
-        self.happen(b"ready2", b"draining3")
+        self.apply_answer(b"ready2", b"draining3")
         self.check()
 
 
--- a/tests/test_replica_core.py
+++ b/tests/test_replica_core.py
@@ -47,7 +47,7 @@
         table = ReplicaTable("a/")
         table.replace([], 9, 0.0)
         own = entry("a/1", 10, b"x")
-        table.note(own)
+        table.record_entry(own)
         event = KvEvent("a/1", 10, own)
         self.assertEqual(table.apply([event], 10, 1.0), [event])
 
@@ -59,7 +59,7 @@
         self.assertEqual(table.absent_as_of_ms("a/1"), float("-inf"))
         self.assertEqual(table.absent_as_of_ms("a/2"), 100.0)
         table.apply([KvEvent("a/2", 12, None)], 12, 500.0, 450.0)
-        table.note(entry("a/2", 13))
+        table.record_entry(entry("a/2", 13))
         self.assertEqual(table.absent_as_of_ms("a/2"), 450.0)
 
     def test_a_whole_state_that_is_older_changes_nothing(self) -> None:
@@ -78,7 +78,7 @@
     def test_a_key_written_after_the_whole_state_was_read_stays(self) -> None:
         table = ReplicaTable("a/")
         table.replace([], 9, 0.0)
-        table.note(entry("a/1", 12))
+        table.record_entry(entry("a/1", 12))
         table.replace([], 10, 1.0)
         self.assertIn("a/1", table.entries)
 
@@ -86,9 +86,9 @@
         table = ReplicaTable("a/")
         table.replace([entry("a/1", 7)], 7, 0.0)
         table.apply([KvEvent("a/1", 8, None)], 8, 1.0)
-        table.note(entry("a/1", 7))
+        table.record_entry(entry("a/1", 7))
         self.assertNotIn("a/1", table.entries)
-        table.note(entry("a/1", 9))
+        table.record_entry(entry("a/1", 9))
         self.assertIn("a/1", table.entries)
 
     def test_only_changes_raise_the_version(self) -> None:
@@ -102,42 +102,42 @@
 class StoreContactTest(unittest.TestCase):
     def test_one_failure_is_no_outage_and_a_long_time_of_them_is(self) -> None:
         contact = StoreContact(ContactPolicy(outage_ms=800.0))
-        contact.answered(1000.0)
-        self.assertFalse(contact.failed(1100.0))
+        contact.record_answer(1000.0)
+        self.assertFalse(contact.record_failure(1100.0))
         self.assertFalse(contact.is_away(1100.0))
-        self.assertTrue(contact.failed(1900.0))
+        self.assertTrue(contact.record_failure(1900.0))
         self.assertTrue(contact.is_away(1900.0))
 
     def test_missing_keys_may_come_back_until_the_grace_after_an_outage_is_over(self) -> None:
         contact = StoreContact(ContactPolicy(outage_ms=800.0, grace_ms=2500.0))
-        contact.answered(1000.0)
+        contact.record_answer(1000.0)
         self.assertFalse(contact.in_grace(1000.0))
-        contact.failed(1100.0)
-        contact.failed(3000.0)
+        contact.record_failure(1100.0)
+        contact.record_failure(3000.0)
         self.assertTrue(contact.in_grace(3000.0))
-        self.assertTrue(contact.answered(4000.0))
+        self.assertTrue(contact.record_answer(4000.0))
         self.assertTrue(contact.in_grace(6400.0))
         self.assertFalse(contact.in_grace(6500.0))
 
     def test_a_neighbour_s_news_end_an_outage_and_begin_its_grace(self) -> None:
         contact = StoreContact(ContactPolicy(outage_ms=800.0, grace_ms=2500.0))
-        contact.answered(1000.0)
-        contact.failed(3000.0)
+        contact.record_answer(1000.0)
+        contact.record_failure(3000.0)
         self.assertTrue(contact.is_away(3000.0))
-        contact.heard_of(4000.0)
+        contact.record_neighbour_answer(4000.0)
         self.assertFalse(contact.is_away(4000.0))
         self.assertTrue(contact.in_grace(6400.0))
 
     def test_a_quiet_time_without_calls_is_no_outage(self) -> None:
         contact = StoreContact()
-        contact.answered(1000.0)
+        contact.record_answer(1000.0)
         self.assertFalse(contact.is_away(60_000.0))
 
     def test_pauses_between_failed_calls_grow_to_a_bound(self) -> None:
         contact = StoreContact(ContactPolicy(first_pause_ms=100.0, max_pause_ms=800.0))
         pauses = []
         for at_ms in range(6):
-            contact.failed(float(at_ms))
+            contact.record_failure(float(at_ms))
             pauses.append(contact.pause_ms())
         self.assertEqual(pauses, [100.0, 200.0, 400.0, 800.0, 800.0, 800.0])
 
--- a/tests/test_replica_removals.py
+++ b/tests/test_replica_removals.py
@@ -26,7 +26,7 @@
     def test_a_single_key_older_than_the_table_is_no_new_key(self) -> None:
         table = ReplicaTable(PREFIX)
         table.replace([], 20, 0.0)
-        table.note(KvEntry("live/a", b"x", 7))
+        table.record_entry(KvEntry("live/a", b"x", 7))
         self.assertNotIn("live/a", table.entries)
 
     def test_news_older_than_the_table_bring_no_key_back(self) -> None:
--- a/tests/test_send_gate.py
+++ b/tests/test_send_gate.py
@@ -4,19 +4,19 @@
 
 from fescuedock.core.permits.holder import HeldGrant, HolderBook, lapsed_by_ms
 from fescuedock.core.quarantine import Standing, Verdict
-from fescuedock.core.send_gate import PermitStanding, SendRefusal, refusal_of
+from fescuedock.core.send_gate import PermitStatus, SendRefusal, refusal_of
 from fescuedock.schema.permits import WorkClass
 from fescuedock.schema.view import UpstreamRecord
 from tests.builders.permits import ask_for, upstream_record
 
 NOW_MS = 5000.0
-GOOD = PermitStanding(revoked=False, valid_until_ms=NOW_MS + 1)
+GOOD = PermitStatus(revoked=False, valid_until_ms=NOW_MS + 1)
 CHOSEN = upstream_record(9)
 
 
 def judge(
     current: UpstreamRecord | None = CHOSEN,
-    permit: PermitStanding = GOOD,
+    permit: PermitStatus = GOOD,
     deadline_ms: float = float("inf"),
     key_holds: bool = True,
     standing: Standing = Standing.FREE,
@@ -35,22 +35,22 @@
 class SendGateTest(unittest.TestCase):
     def test_what_still_holds_may_be_sent(self) -> None:
         self.assertIsNone(judge())
-        self.assertIsNone(judge(permit=PermitStanding(False, float("inf"))))
+        self.assertIsNone(judge(permit=PermitStatus(False, float("inf"))))
         self.assertIsNone(judge(deadline_ms=NOW_MS + 1))
         # A change that does not concern the sending.
         self.assertIsNone(judge(upstream_record(9, slots=3)))
 
     def test_work_under_suspicion_runs_alone_if_at_all(self) -> None:
-        lone = PermitStanding(False, NOW_MS + 1, alone=True)
-        for standing, beside, by_itself in (
+        isolated_permit = PermitStatus(False, NOW_MS + 1, isolated=True)
+        for standing, concurrently, in_isolation in (
             (Standing.FREE, None, None),
-            (Standing.ALONE, SendRefusal.NOT_ALONE, None),
-            (Standing.UNSETTLED, SendRefusal.NOT_ALONE, SendRefusal.NOT_ALONE),
+            (Standing.ALONE, SendRefusal.NOT_ISOLATED, None),
+            (Standing.UNSETTLED, SendRefusal.NOT_ISOLATED, SendRefusal.NOT_ISOLATED),
             (Standing.REFUSED, SendRefusal.HARMFUL, SendRefusal.HARMFUL),
         ):
             with self.subTest(standing=standing):
-                self.assertIs(judge(standing=standing), beside)
-                self.assertIs(judge(permit=lone, standing=standing), by_itself)
+                self.assertIs(judge(standing=standing), concurrently)
+                self.assertIs(judge(permit=isolated_permit, standing=standing), in_isolation)
 
     def test_each_reason_is_told(self) -> None:
         cases = [
@@ -59,8 +59,8 @@
             (SendRefusal.MOVED, judge(upstream_record(9, host="127.0.0.2"))),
             (SendRefusal.REPLACED, judge(upstream_record(9, software_version="v2"))),
             (SendRefusal.LEAVING, judge(upstream_record(9, leaving=True))),
-            (SendRefusal.REVOKED, judge(permit=PermitStanding(True, NOW_MS + 1))),
-            (SendRefusal.LAPSED, judge(permit=PermitStanding(False, NOW_MS))),
+            (SendRefusal.REVOKED, judge(permit=PermitStatus(True, NOW_MS + 1))),
+            (SendRefusal.LAPSED, judge(permit=PermitStatus(False, NOW_MS))),
             (SendRefusal.LATE, judge(deadline_ms=NOW_MS)),
             (SendRefusal.KEY_GONE, judge(key_holds=False)),
         ]
--- a/tests/test_store_decisions.py
+++ b/tests/test_store_decisions.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from fescuedock.core.job_keys import member_job_created_s, member_job_id, member_job_key
-from fescuedock.core.repair import Pace, StableSites, find_shortages
+from fescuedock.core.repair import ByteRateLimiter, StableSites, find_shortages
 from fescuedock.core.segments import LineReader, SegmentCutter, item_lines
 from fescuedock.core.store_placement import CopyPlan, StoreSite, rank_stores
 from fescuedock.schema.result_codes import ResultCode
@@ -57,17 +57,17 @@
         while waiting:
             site = waiting.pop(chance.randrange(len(waiting)))
             if site in willing:
-                plan.written(site)
+                plan.record_written(site)
             else:
-                plan.refused(site, ResultCode.DISK_FULL)
+                plan.record_refusal(site, ResultCode.DISK_FULL)
             more = plan.next_sites()
             asked += more
             waiting += more
         self.assertEqual(len(asked), len(set(asked)))
         held_domains = {site.failure_domain for site in plan.held}
         willing_domains = {site.failure_domain for site in willing}
-        self.assertEqual(plan.is_enough, len(held_domains) >= min_copies)
-        self.assertEqual(plan.is_enough, len(willing_domains) >= min_copies)
+        self.assertEqual(plan.is_sufficient, len(held_domains) >= min_copies)
+        self.assertEqual(plan.is_sufficient, len(willing_domains) >= min_copies)
         self.assertGreaterEqual(len(plan.held), min(3, len(willing)))
         if not avoided:
             self.assertEqual(len(held_domains), min(3, len(willing_domains)))
@@ -108,12 +108,12 @@
 
     @given(st.lists(st.integers(1, 5000), min_size=2), st.lists(st.floats(0, 500), min_size=2))
     def test_pace_never_passes_its_rate(self, sizes: list[int], gaps_ms: list[float]) -> None:
-        pace = Pace(bytes_per_s=1000)
+        limiter = ByteRateLimiter(bytes_per_s=1000)
         now_ms = 0.0
         passed = []
         for size_bytes, gap_ms in zip(sizes, gaps_ms, strict=False):
             now_ms += gap_ms
-            now_ms += pace.delay_ms(size_bytes, now_ms)
+            now_ms += limiter.delay_ms(size_bytes, now_ms)
             passed.append((now_ms, size_bytes))
         for number, (start_ms, _) in enumerate(passed):
             for last in range(number + 1, len(passed)):
@@ -125,7 +125,7 @@
         sites = StableSites(after_ms=1000)
         self.assertEqual(sites.observe([one, two], 0), 1000)
         self.assertEqual(sites.observe([one, two], 1000), 0)
-        sites.settle()
+        sites.accept_change()
         self.assertIsNone(sites.observe([one, two], 1500))
         self.assertEqual(sites.observe([one], 2000), 1000)
         self.assertIsNone(sites.observe([two, one], 2900))
@@ -146,17 +146,17 @@
     ) -> None:
         stream = b"\n".join(lines) + (b"" if ends_open else b"\n")
         reader, cutter = LineReader(12), SegmentCutter(max_items, max_bytes)
-        pieces: list[bytes] = []
-        rest, turn = stream, 0
-        while rest:
-            size = sizes[turn % len(sizes)]
-            pieces += reader.feed(rest[:size])
-            rest, turn = rest[size:], turn + 1
-        pieces += reader.finish()
-        cuts = [cut for cut in map(cutter.add, pieces) if cut] + [cutter.finish()]
+        lines_read: list[bytes] = []
+        remaining, index = stream, 0
+        while remaining:
+            size = sizes[index % len(sizes)]
+            lines_read += reader.feed(remaining[:size])
+            remaining, index = remaining[size:], index + 1
+        lines_read += reader.finish()
+        cuts = [cut for cut in map(cutter.add, lines_read) if cut] + [cutter.finish()]
         segments = [cut for cut in cuts if cut]
         self.assertEqual(b"".join(cut.body for cut in segments), stream)
-        self.assertTrue(all(len(piece) <= 14 for piece in pieces))
+        self.assertTrue(all(len(line) <= 14 for line in lines_read))
         for cut in segments:
             self.assertLessEqual(cut.items, max_items)
             self.assertLessEqual(len(cut.body), max(max_bytes, 14))
--- a/tests/test_upstream_entries.py
+++ b/tests/test_upstream_entries.py
@@ -26,7 +26,7 @@
         self.logged.append((name, fields["key"]))
 
     def put(self, name: str, value: bytes, revision: int) -> None:
-        self.table.note(KvEntry(f"servers/{name}", value, revision))
+        self.table.record_entry(KvEntry(f"servers/{name}", value, revision))
 
     def put_worker(self, name: str, revision: int, **changes: object) -> None:
         self.put(name, json.dumps(worker_entry("10.0.0.9:80", **changes)).encode(), revision)
