--- a/tests/test_log_bounds.py
+++ b/tests/test_log_bounds.py
@@ -11,7 +11,7 @@
 
 
 class LogBudgetTest(unittest.TestCase):
-    def test_a_kind_of_line_has_its_rate_and_what_is_left_out_is_counted(self) -> None:
+    def test_each_kind_of_line_has_its_rate_and_dropped_lines_are_counted(self) -> None:
         budget = LogBudget(routine_per_s=10.0, other_per_s=40.0)
         written = sum(budget.allow("call", 0.0, routine=True) for _ in range(50))
         self.assertEqual((written, budget.pop_dropped_counts()), (10, {"call": 40}))
@@ -33,14 +33,14 @@
         self.addCleanup(os.close, self.writing)
         os.set_blocking(self.reader, False)
 
-    def test_lines_go_through_while_the_reader_takes_them(self) -> None:
+    def test_lines_are_written_while_the_reader_reads(self) -> None:
         writer = BoundedWriter(self.writing)
         for number in range(3):
             writer.write(b"line %d\n" % number)
             writer.flush()
         self.assertEqual(os.read(self.reader, 1000), b"line 0\nline 1\nline 2\n")
 
-    def test_a_reader_that_stops_holds_up_nobody_and_learns_what_it_missed(self) -> None:
+    def test_a_stopped_reader_delays_no_writer_and_gets_the_count_of_dropped_lines(self) -> None:
         writer = BoundedWriter(self.writing, max_bytes=1000)
         line = b"x" * 99 + b"\n"
         for _ in range(5000):
@@ -54,10 +54,12 @@
         writer.flush()
         read += self.read_all()
         lines = read.decode().splitlines()
-        whole = [item for item in lines if item == "x" * 99]
+        complete = [item for item in lines if item == "x" * 99]
         dropped = json.loads(lines[-2])
         self.assertEqual(lines[-1], "after")
-        self.assertEqual(dropped, {"message_type": "log_lines_dropped", "count": 5000 - len(whole)})
+        self.assertEqual(
+            dropped, {"message_type": "log_lines_dropped", "count": 5000 - len(complete)}
+        )
 
     def test_the_log_library_writes_lines_through_it(self) -> None:
         destination = eliot.FileDestination(file=BoundedWriter(self.writing))
@@ -65,7 +67,7 @@
         [line] = self.read_all().splitlines()
         self.assertEqual(json.loads(line), {"message_type": "started", "vm_id": "vm-1"})
 
-    def test_a_reader_that_has_gone_is_no_error(self) -> None:
+    def test_a_closed_reader_is_no_error(self) -> None:
         reader, writing = os.pipe()
         os.close(reader)
         writer = BoundedWriter(writing)
--- a/tests/test_online_claims_core.py
+++ b/tests/test_online_claims_core.py
@@ -170,7 +170,7 @@
         claim = self.claim(unsent=("t1",))
         self.assertIsInstance(self.run_claim(claim, self.written_by("t1")), Dispatch)
 
-    def test_an_outage_refuses_not_run_with_a_time_to_come_back(self) -> None:
+    def test_an_outage_refuses_the_call_with_a_retry_time(self) -> None:
         kv = MemoryKv()
         kv.faults.down = True
         outcome = self.run_claim(self.claim(), kv)
@@ -189,14 +189,14 @@
         with self.assertRaises(RuntimeError):
             claim.on_write(Ok(2))
 
-    def test_an_answer_over_the_bound_is_not_kept(self) -> None:
+    def test_an_answer_over_the_bound_is_not_stored(self) -> None:
         claim = self.claim()
         claim.start()
         claim.on_write(Ok(1))
         step = claim.record_answer(RecordedAnswer(200, "", b"x" * (33 * 1024)))
         self.assertEqual(step.record.answer, b"")
 
-    def test_a_removed_claim_is_no_leave_to_send(self) -> None:
+    def test_a_removed_claim_does_not_permit_sending(self) -> None:
         claim = self.claim()
         claim.start()
         conflict: Result[int, Fault] = Err(Fault(ResultCode.KV_CONFLICT, ""))
@@ -208,7 +208,7 @@
         names = {claim_key("/p/", *parts) for parts in [("a", "b", "c"), ("ab", "", "c")]}
         self.assertEqual(len(names), 2)
 
-    def test_expiry_spares_what_cannot_be_read(self) -> None:
+    def test_an_unreadable_claim_never_expires(self) -> None:
         kv = self.written_by()
         entry = trio.run(kv.get, KEY).unwrap()
         self.assertFalse(is_expired(entry, 60, 60))
--- a/tests/test_replica_changes.py
+++ b/tests/test_replica_changes.py
@@ -50,23 +50,23 @@
     def check(self) -> None:
         self.assertEqual(self.value_at(self.receiving), self.value_at(self.watching))
 
-    def test_a_key_that_is_removed_and_written_again_alike_is_there_for_all(self) -> None:
+    def test_a_key_that_is_removed_and_written_again_unchanged_exists_everywhere(self) -> None:
         self.start(b"ready1")
         self.apply_answer(None, b"ready2")
         self.check()
 
-    def test_it_is_there_for_all_after_further_heartbeats_too(self) -> None:
+    def test_it_exists_everywhere_after_further_heartbeats_too(self) -> None:
         self.start(b"ready1")
         self.apply_answer(None, b"ready2")
         self.apply_answer(b"ready3")
         self.check()
 
-    def test_a_key_that_changes_and_changes_back_is_the_same_for_all(self) -> None:
+    def test_a_key_that_changes_and_changes_back_is_the_same_everywhere(self) -> None:
         self.start(b"draining1")
         self.apply_answer(b"ready2", b"draining3")
         self.check()
 
-    def test_a_key_that_is_written_once_more_before_it_changes_is_the_same_for_all(self) -> None:
+    def test_a_key_that_is_written_once_more_before_it_changes_is_the_same_everywhere(self) -> None:
         self.start(b"ready1")
         self.apply_answer(b"ready2", b"draining3")
         self.check()
--- a/tests/test_replica_core.py
+++ b/tests/test_replica_core.py
@@ -29,7 +29,7 @@
         table.replace([entry("a/1", 3, b"older")], 9, 2.0)
         self.assertEqual(table.entries["a/1"].value, b"new")
 
-    def test_a_heartbeat_is_taken_but_is_no_news(self) -> None:
+    def test_a_heartbeat_is_applied_but_not_reported(self) -> None:
         def is_heartbeat(before: bytes, after: bytes) -> bool:
             return before[:1] == after[:1]
 
@@ -43,7 +43,7 @@
         self.assertEqual(table.apply([event], 11, 2.0), [event])
         self.assertGreater(table.version, version)
 
-    def test_what_a_node_noted_itself_is_news_to_the_others(self) -> None:
+    def test_an_entry_that_a_node_recorded_itself_is_reported_to_others(self) -> None:
         table = ReplicaTable("a/")
         table.replace([], 9, 0.0)
         own = entry("a/1", 10, b"x")
@@ -51,7 +51,7 @@
         event = KvEvent("a/1", 10, own)
         self.assertEqual(table.apply([event], 10, 1.0), [event])
 
-    def test_a_key_was_absent_when_the_table_was_last_known_to_be_all_there_was(self) -> None:
+    def test_a_key_was_absent_when_the_table_was_last_known_complete(self) -> None:
         table = ReplicaTable("a/")
         table.replace([entry("a/1", 7)], 9, 100.0)
         table.apply([KvEvent("a/2", 10, entry("a/2", 10))], 10, 300.0, 250.0)
@@ -62,27 +62,27 @@
         table.record_entry(entry("a/2", 13))
         self.assertEqual(table.absent_as_of_ms("a/2"), 450.0)
 
-    def test_a_whole_state_that_is_older_changes_nothing(self) -> None:
+    def test_an_older_snapshot_changes_nothing(self) -> None:
         table = ReplicaTable("a/")
         table.replace([entry("a/1", 7)], 9, 0.0)
         table.replace([], 8, 1.0)
         self.assertIn("a/1", table.entries)
         self.assertEqual(table.revision, 9)
 
-    def test_what_a_whole_state_lacks_has_gone(self) -> None:
+    def test_keys_missing_from_a_snapshot_are_removed(self) -> None:
         table = ReplicaTable("a/")
         table.replace([entry("a/1", 7), entry("a/2", 8)], 9, 0.0)
         table.replace([entry("a/2", 8)], 10, 1.0)
         self.assertEqual(list(table.entries), ["a/2"])
 
-    def test_a_key_written_after_the_whole_state_was_read_stays(self) -> None:
+    def test_a_key_written_after_the_snapshot_stays(self) -> None:
         table = ReplicaTable("a/")
         table.replace([], 9, 0.0)
         table.record_entry(entry("a/1", 12))
         table.replace([], 10, 1.0)
         self.assertIn("a/1", table.entries)
 
-    def test_a_removed_key_does_not_come_back_by_an_older_state(self) -> None:
+    def test_an_older_entry_does_not_restore_a_removed_key(self) -> None:
         table = ReplicaTable("a/")
         table.replace([entry("a/1", 7)], 7, 0.0)
         table.apply([KvEvent("a/1", 8, None)], 8, 1.0)
@@ -100,7 +100,7 @@
 
 
 class StoreContactTest(unittest.TestCase):
-    def test_one_failure_is_no_outage_and_a_long_time_of_them_is(self) -> None:
+    def test_only_failures_over_a_long_time_are_an_outage(self) -> None:
         contact = StoreContact(ContactPolicy(outage_ms=800.0))
         contact.record_answer(1000.0)
         self.assertFalse(contact.record_failure(1100.0))
@@ -119,7 +119,7 @@
         self.assertTrue(contact.in_grace(6400.0))
         self.assertFalse(contact.in_grace(6500.0))
 
-    def test_a_neighbour_s_news_end_an_outage_and_begin_its_grace(self) -> None:
+    def test_an_answer_to_a_neighbour_ends_an_outage_and_starts_its_grace_period(self) -> None:
         contact = StoreContact(ContactPolicy(outage_ms=800.0, grace_ms=2500.0))
         contact.record_answer(1000.0)
         contact.record_failure(3000.0)
@@ -128,7 +128,7 @@
         self.assertFalse(contact.is_away(4000.0))
         self.assertTrue(contact.in_grace(6400.0))
 
-    def test_a_quiet_time_without_calls_is_no_outage(self) -> None:
+    def test_a_time_without_calls_is_no_outage(self) -> None:
         contact = StoreContact()
         contact.record_answer(1000.0)
         self.assertFalse(contact.is_away(60_000.0))
@@ -143,13 +143,15 @@
 
 
 class UpstreamListingTest(unittest.TestCase):
-    def test_an_entry_that_vanishes_at_a_calm_time_is_gone_at_once(self) -> None:
+    def test_an_entry_that_vanishes_outside_an_outage_is_removed_at_once(self) -> None:
         listing = UpstreamListing()
         listing.take({"i-1": upstream("i-1")}, in_grace=False)
         listing.take({}, in_grace=False)
         self.assertEqual(list(listing.upstreams()), [])
 
-    def test_an_entry_that_vanishes_in_an_outage_is_kept_until_its_grace_ends(self) -> None:
+    def test_an_entry_that_vanishes_in_an_outage_is_retained_until_its_grace_period_ends(
+        self,
+    ) -> None:
         listing = UpstreamListing()
         listing.take({"i-1": upstream("i-1")}, in_grace=False)
         listing.take({}, in_grace=True)
@@ -158,7 +160,7 @@
         listing.take({}, in_grace=False)
         self.assertEqual(list(listing.upstreams()), [])
 
-    def test_an_entry_that_comes_back_counts_once(self) -> None:
+    def test_an_entry_that_returns_counts_once(self) -> None:
         listing = UpstreamListing()
         listing.take({"i-1": upstream("i-1")}, in_grace=False)
         listing.take({}, in_grace=True)
--- a/tests/test_replica_removals.py
+++ b/tests/test_replica_removals.py
@@ -29,17 +29,17 @@
         table.record_entry(KvEntry("live/a", b"x", 7))
         self.assertNotIn("live/a", table.entries)
 
-    def test_news_older_than_the_table_bring_no_key_back(self) -> None:
+    def test_an_update_older_than_the_table_restores_no_key(self) -> None:
         async def run() -> None:
             replicas = self.started_node()
             entry = ReplicaEntry("live/a", 7, b"x")
-            news = ReplicaNews(PREFIX, 5, 8, [entry], {}, sender="n-2/1", sent_ms=int(now_ms()))
-            await replicas.handlers()[ReplicaNews](news, None)
+            update = ReplicaNews(PREFIX, 5, 8, [entry], {}, sender="n-2/1", sent_ms=int(now_ms()))
+            await replicas.handlers()[ReplicaNews](update, None)
             self.assertNotIn("live/a", replicas.tables[PREFIX].entries)
 
         trio.run(run, clock=trio.testing.MockClock())
 
-    def test_what_another_node_noted_long_ago_brings_no_key_back(self) -> None:
+    def test_an_old_entry_that_another_node_recorded_restores_no_key(self) -> None:
         async def run() -> None:
             replicas = self.started_node()
             noted = ReplicaNoted(PREFIX, [ReplicaEntry("live/a", 7, b"x")])
--- a/tests/test_report_burn.py
+++ b/tests/test_report_burn.py
@@ -78,7 +78,7 @@
             self.count(hour * 3600, kept=90, missed=10)
         self.assertIs(self.online().alarm, Alarm.SLOW)
 
-    def test_each_objective_can_burn_fast_but_no_promise_never_does(self) -> None:
+    def test_every_objective_above_zero_can_burn_fast(self) -> None:
         for share in (0.5, 0.9, 0.95, 0.999):
             self.assertGreater(1 / (1 - share), fast_rate(share), share)
         self.count(0, kept=0, missed=10)
--- a/tests/test_send_gate.py
+++ b/tests/test_send_gate.py
@@ -10,13 +10,13 @@
 from tests.builders.permits import ask_for, upstream_record
 
 NOW_MS = 5000.0
-GOOD = PermitStatus(revoked=False, valid_until_ms=NOW_MS + 1)
+VALID_PERMIT = PermitStatus(revoked=False, valid_until_ms=NOW_MS + 1)
 CHOSEN = upstream_record(9)
 
 
-def judge(
+def check_send(
     current: UpstreamRecord | None = CHOSEN,
-    permit: PermitStatus = GOOD,
+    permit: PermitStatus = VALID_PERMIT,
     deadline_ms: float = float("inf"),
     key_holds: bool = True,
     standing: Standing = Standing.FREE,
@@ -33,14 +33,14 @@
 
 
 class SendGateTest(unittest.TestCase):
-    def test_what_still_holds_may_be_sent(self) -> None:
-        self.assertIsNone(judge())
-        self.assertIsNone(judge(permit=PermitStatus(False, float("inf"))))
-        self.assertIsNone(judge(deadline_ms=NOW_MS + 1))
+    def test_a_valid_request_may_be_sent(self) -> None:
+        self.assertIsNone(check_send())
+        self.assertIsNone(check_send(permit=PermitStatus(False, float("inf"))))
+        self.assertIsNone(check_send(deadline_ms=NOW_MS + 1))
         # A change that does not concern the sending.
-        self.assertIsNone(judge(upstream_record(9, slots=3)))
+        self.assertIsNone(check_send(upstream_record(9, slots=3)))
 
-    def test_work_under_suspicion_runs_alone_if_at_all(self) -> None:
+    def test_suspected_work_runs_only_in_isolation(self) -> None:
         isolated_permit = PermitStatus(False, NOW_MS + 1, isolated=True)
         for standing, concurrently, in_isolation in (
             (Standing.FREE, None, None),
@@ -49,20 +49,20 @@
             (Standing.REFUSED, SendRefusal.HARMFUL, SendRefusal.HARMFUL),
         ):
             with self.subTest(standing=standing):
-                self.assertIs(judge(standing=standing), concurrently)
-                self.assertIs(judge(permit=isolated_permit, standing=standing), in_isolation)
+                self.assertIs(check_send(standing=standing), concurrently)
+                self.assertIs(check_send(permit=isolated_permit, standing=standing), in_isolation)
 
-    def test_each_reason_is_told(self) -> None:
+    def test_each_reason_is_returned(self) -> None:
         cases = [
-            (SendRefusal.GONE, judge(None)),
-            (SendRefusal.MOVED, judge(upstream_record(10))),
-            (SendRefusal.MOVED, judge(upstream_record(9, host="127.0.0.2"))),
-            (SendRefusal.REPLACED, judge(upstream_record(9, software_version="v2"))),
-            (SendRefusal.LEAVING, judge(upstream_record(9, leaving=True))),
-            (SendRefusal.REVOKED, judge(permit=PermitStatus(True, NOW_MS + 1))),
-            (SendRefusal.LAPSED, judge(permit=PermitStatus(False, NOW_MS))),
-            (SendRefusal.LATE, judge(deadline_ms=NOW_MS)),
-            (SendRefusal.KEY_GONE, judge(key_holds=False)),
+            (SendRefusal.GONE, check_send(None)),
+            (SendRefusal.MOVED, check_send(upstream_record(10))),
+            (SendRefusal.MOVED, check_send(upstream_record(9, host="127.0.0.2"))),
+            (SendRefusal.REPLACED, check_send(upstream_record(9, software_version="v2"))),
+            (SendRefusal.LEAVING, check_send(upstream_record(9, leaving=True))),
+            (SendRefusal.REVOKED, check_send(permit=PermitStatus(True, NOW_MS + 1))),
+            (SendRefusal.LAPSED, check_send(permit=PermitStatus(False, NOW_MS))),
+            (SendRefusal.LATE, check_send(deadline_ms=NOW_MS)),
+            (SendRefusal.KEY_GONE, check_send(key_holds=False)),
         ]
         for wanted, found in cases:
             with self.subTest(wanted=wanted):
@@ -76,10 +76,10 @@
         by_ms = lapsed_by_ms(1000.0, arrived_ms, 1000.0, 300.0)
         return HeldGrant(ask, arrived_ms, 1000.0 + 300.0, lapsed_by_ms=by_ms)
 
-    def test_a_permit_that_was_queued_for_longer_than_it_is_good_can_be_used(self) -> None:
+    def test_a_permit_that_was_queued_for_longer_than_its_validity_can_be_used(self) -> None:
         self.assertEqual(self.held(1900.0).sendable_until_ms, 2200.0)
 
-    def test_a_permit_whose_answer_lay_unread_for_long_cannot(self) -> None:
+    def test_a_permit_whose_answer_was_read_late_cannot_be_used(self) -> None:
         self.assertEqual(self.held(6000.0).sendable_until_ms, 2300.0)
 
     def test_a_renewal_counts(self) -> None:
--- a/tests/test_store_decisions.py
+++ b/tests/test_store_decisions.py
@@ -47,32 +47,32 @@
         st.randoms(),
     )
     def test_plan_finds_enough_copies_whenever_there_are_enough_stores(
-        self, sites, answers, avoidance, min_copies, chance
+        self, sites, answers, avoidance, min_copies, rng
     ) -> None:
-        willing = {site for site, answer in zip(sites, answers, strict=False) if answer}
+        accepting = {site for site, answer in zip(sites, answers, strict=False) if answer}
         avoided = {site.vm_id for site, avoid in zip(sites, avoidance, strict=False) if avoid}
         plan = CopyPlan(rank_stores("key", sites), 3, min_copies, avoided)
         waiting = plan.next_sites()
-        asked = list(waiting)
+        requested = list(waiting)
         while waiting:
-            site = waiting.pop(chance.randrange(len(waiting)))
-            if site in willing:
+            site = waiting.pop(rng.randrange(len(waiting)))
+            if site in accepting:
                 plan.record_written(site)
             else:
                 plan.record_refusal(site, ResultCode.DISK_FULL)
             more = plan.next_sites()
-            asked += more
+            requested += more
             waiting += more
-        self.assertEqual(len(asked), len(set(asked)))
+        self.assertEqual(len(requested), len(set(requested)))
         held_domains = {site.failure_domain for site in plan.held}
-        willing_domains = {site.failure_domain for site in willing}
+        accepting_domains = {site.failure_domain for site in accepting}
         self.assertEqual(plan.is_sufficient, len(held_domains) >= min_copies)
-        self.assertEqual(plan.is_sufficient, len(willing_domains) >= min_copies)
-        self.assertGreaterEqual(len(plan.held), min(3, len(willing)))
+        self.assertEqual(plan.is_sufficient, len(accepting_domains) >= min_copies)
+        self.assertGreaterEqual(len(plan.held), min(3, len(accepting)))
         if not avoided:
-            self.assertEqual(len(held_domains), min(3, len(willing_domains)))
+            self.assertEqual(len(held_domains), min(3, len(accepting_domains)))
 
-    def test_avoided_store_is_asked_only_for_want_of_others(self) -> None:
+    def test_an_avoided_store_is_used_only_when_others_do_not_suffice(self) -> None:
         sites = [StoreSite("vm-0", "palermo"), *(StoreSite(f"vm-{n}", "chipre") for n in (1, 2, 3))]
         two_domains = CopyPlan([*sites, StoreSite("vm-4", "villamaria")], 3, 2, {"vm-0"})
         self.assertNotIn(sites[0], two_domains.next_sites())
@@ -107,7 +107,9 @@
             self.assertEqual(find_shortages(me, {"hash": names | made}, sites, copies), [])
 
     @given(st.lists(st.integers(1, 5000), min_size=2), st.lists(st.floats(0, 500), min_size=2))
-    def test_pace_never_passes_its_rate(self, sizes: list[int], gaps_ms: list[float]) -> None:
+    def test_the_rate_limiter_never_exceeds_its_rate(
+        self, sizes: list[int], gaps_ms: list[float]
+    ) -> None:
         limiter = ByteRateLimiter(bytes_per_s=1000)
         now_ms = 0.0
         passed = []
