--- a/src/fescuedock/core/acceptance.py
+++ b/src/fescuedock/core/acceptance.py
@@ -1,6 +1,6 @@
-"""Decides whether an input may become a job.
+"""Validates batch inputs and decides whether a file may become a job.
 
-Nothing is accepted of an input with a single wrong line; the refusal names the first one.
+One invalid line rejects the entire input; the error names the first such line.
 """
 
 import re
@@ -33,7 +33,7 @@
 _MAX_NAME_CHARS = 512
 _MAX_SHOWN_CHARS = 80
 _MAX_MODELS = 64
-# Two of 110,000 identities share a digest once in 10**28 inputs.
+# At this size two of 110,000 custom_ids collide once in 10**28 inputs.
 _DIGEST_BYTES = 16
 _MAX_WINDOW_S = 14 * 24 * 3600
 _UNIT_S = {"": 1, "s": 1, "m": 60, "h": 3600, "d": 86400}
@@ -52,10 +52,10 @@
 
 
 class InputChecker(msgspec.Struct):
-    """Checks the lines of one input as they come.
+    """Validates the lines of one input in order.
 
-    After the first ``problem`` nothing is checked any more.  Memory grows by a digest for each
-    line up to ``max_items``.
+    After the first ``problem`` no further line is checked.  Memory grows by one digest per line, up
+    to ``max_items``.
     """
 
     settings: BatchSettings
@@ -70,7 +70,7 @@
     )
 
     def check(self, line: bytes) -> None:
-        """Check the next line; blank ones count for the line number only."""
+        """Check the next line; a blank line only advances the line number."""
         if self.problem is not None:
             return
         self._line_number += 1
@@ -83,7 +83,7 @@
         self.item_count += 1
 
     def finish(self) -> None:
-        """Note that the input has ended."""
+        """End the input; without any item that is a problem too."""
         self._digests.clear()
         if self.problem is None and not self.item_count:
             self.problem = Fault(ResultCode.EMPTY_INPUT, "the input has no lines")
@@ -98,7 +98,7 @@
                 ResultCode.LINE_TOO_LONG, f"over {self.settings.max_line_bytes} bytes"
             )
         try:
-            # The decoder does not look into the strings that it skips.
+            # The decoder does not validate UTF-8 in strings that it skips.
             line.decode()
             decoded = self._decoder.decode(line)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -143,9 +143,9 @@
 def check_file(
     file: FileRecord, endpoint: str, service_of_model: Callable[[str], str | None]
 ) -> Result[str, Fault]:
-    """Return the service that a job of ``file`` for ``endpoint`` belongs to, or why it cannot be.
+    """Return the service of a job with input ``file`` for ``endpoint``, or why there can be none.
 
-    ``service_of_model`` gives None for a model that no service offers.
+    ``service_of_model`` returns None for a model that no service offers.
     """
     if file.purpose != BATCH_PURPOSE:
         text = f"file {file.file_id!r} has purpose {file.purpose!r}, not {BATCH_PURPOSE!r}"
--- a/src/fescuedock/core/burn.py
+++ b/src/fescuedock/core/burn.py
@@ -1,7 +1,7 @@
-"""Service-level burn: how fast each service uses up the failures its objectives allow.
+"""Error-budget burn: how fast each service uses up the failures that its objectives allow.
 
-Counts are kept as users count them, a query answered in time or a job delivered whole, in slots of
-time that can be added across processes without loss.
+Events are counted as users see them, a query answered in time or a job complete by its deadline, in
+time slots that can be added up across processes without loss.
 """
 
 from collections.abc import Iterable, Sequence
@@ -30,19 +30,19 @@
 _COARSE_SLOT_S = 900
 _FINE_RETENTION_S = 6 * 3600
 _COARSE_RETENTION_S = 3 * 86400
-# Ageing leaves 663 at most; it is put off until it joins many at once.
+# After old slots are joined at most 663 remain; joining waits for this number to do many at once.
 _MAX_SLOTS = 1000
 
 
 class Promise(StrEnum):
-    """What is counted."""
+    """An objective of a service; the value names it in reports."""
 
     ONLINE = "online in time"
     JOBS = "jobs whole by deadline"
 
 
 class Alarm(StrEnum):
-    """How urgent the burn is."""
+    """The urgency of a burn."""
 
     NONE = "none"
     SLOW = "slow burn"
@@ -50,7 +50,7 @@
 
 
 class Window(msgspec.Struct, frozen=True):
-    """A stretch of time that ends now."""
+    """A period of time that ends now."""
 
     name: str
     length_s: int
@@ -63,20 +63,22 @@
     Window("3 d", _COARSE_RETENTION_S),
 )
 
-# Burn rates at which a short and a long window together raise an alarm.  A fast burn uses 2% of a
-# 30-day budget in an hour, a slow one 10% in three days: the usual choice for paging and tickets.
+# A short and a long window that both exceed such a burn rate raise an alarm.  A fast burn uses 2%
+# of a 30-day budget in an hour, a slow one 10% in three days: the usual values for pages and
+# tickets.
 _FAST_RATE = 14.4
 _SLOW_RATE = 1.0
-# Where the objective allows so many failures that no rate gets that high, this share of the highest
-# possible rate counts as fast.
+# For an objective that allows so many failures that no rate can reach ``_FAST_RATE``, this share of
+# the highest possible rate counts as fast.
 _FAST_SHARE = 0.8
 
 
 class WindowBurn(msgspec.Struct, frozen=True):
-    """Counts of one window.
+    """Counts of one window: ``kept`` of ``total`` events met the objective.
 
-    A rate of 1 uses the budget up exactly; ``None`` says that nothing was counted.  ``budget_left``
-    is a share of the failures that the objective allowed in the window, negative when overdrawn.
+    A rate of 1 uses up the budget exactly; ``None`` means that nothing was counted.
+    ``budget_left`` is a share of the failures that the objective allows in the window, negative
+    when there were more.
     """
 
     window: Window
@@ -87,7 +89,7 @@
 
 
 class Burn(msgspec.Struct, frozen=True):
-    """One promise of one service over all windows."""
+    """The burn of one objective of one service over all windows."""
 
     service: str
     promise: Promise
@@ -97,7 +99,7 @@
 
 
 class SlotSeries:
-    """Counts of one service by time: a minute each for six hours, then a quarter hour each."""
+    """Counts of one service in time slots: of a minute for six hours, then of a quarter hour."""
 
     __slots__ = ("_slots", "total")
 
@@ -117,7 +119,7 @@
             slot.jobs_in_time += in_time
 
     def slots(self, now_s: int) -> list[SlotCounts]:
-        """Return the slots kept at ``now_s``, oldest first, after joining and dropping old ones."""
+        """Return the slots as of ``now_s``, oldest first, after joining and dropping old ones."""
         self._slots = {
             (slot.length_s, slot.start_s): slot
             for slot in merge_slots(_coarsened(slot, now_s) for slot in self._slots.values())
@@ -136,7 +138,7 @@
 
 
 def merge_slots(slots: Iterable[SlotCounts]) -> list[SlotCounts]:
-    """Add up slots that cover the same time; oldest first."""
+    """Add up slots that cover the same time; return them oldest first."""
     merged: dict[tuple[int, int], SlotCounts] = {}
     for slot in slots:
         key = (slot.start_s, slot.length_s)
@@ -152,7 +154,7 @@
 def assess_burn(
     service: str, objectives: ServiceObjectives, slots: Sequence[SlotCounts], now_s: int
 ) -> tuple[Burn, ...]:
-    """Return the burn of each promise of ``service`` at ``now_s`` (Unix time)."""
+    """Return the burn of each objective of ``service`` at ``now_s`` (Unix time)."""
     shares = {Promise.ONLINE: objectives.online_share, Promise.JOBS: objectives.batch_share}
     return tuple(_burn(service, promise, share, slots, now_s) for promise, share in shares.items())
 
@@ -179,7 +181,7 @@
 
 
 def _alarm(windows: Sequence[WindowBurn], share: float) -> Alarm:
-    """A short window together with a long one: it goes out soon after the cause is mended."""
+    """Return the alarm; requiring a short window too ends it soon after the cause is fixed."""
     five_min, hour, six_hours, three_days = (burn.rate or 0.0 for burn in windows)
     if min(five_min, hour) > fast_rate(share):
         return Alarm.FAST
@@ -189,14 +191,14 @@
 
 
 def fast_rate(share: float) -> float:
-    """Return the rate over which the burn of an objective of ``share`` is fast."""
+    """Return the rate above which the burn of an objective of ``share`` is fast."""
     if share >= 1:
         return _FAST_RATE
     return min(_FAST_RATE, max(_SLOW_RATE, _FAST_SHARE / (1 - share)))
 
 
 def burn_rate(total: int, kept: int, share: float) -> float:
-    """Return the share missed over the share that may be missed; ``total`` is not 0."""
+    """Return the share that missed the objective over the share that may; ``total`` is not 0."""
     missed = (total - kept) / total
     if share < 1:
         return missed / (1 - share)
@@ -204,7 +206,7 @@
 
 
 def counts_of(promise: Promise, slots: Iterable[SlotCounts]) -> tuple[int, int]:
-    """Return how many there were and how many kept the promise."""
+    """Return the number of events and the number of those that met the objective."""
     if promise is Promise.ONLINE:
         pairs = [(slot.online, slot.online_in_time) for slot in slots]
     else:
@@ -213,9 +215,9 @@
 
 
 def _coarsened(slot: SlotCounts, now_s: int) -> SlotCounts:
-    """Return ``slot``, or a quarter-hour one with its counts when it is old."""
+    """Return ``slot``, or a quarter-hour slot with its counts when it is old."""
     start_s = slot.start_s - slot.start_s % _COARSE_SLOT_S
-    # A whole quarter hour ages at once, so that it never stands in both forms.
+    # All slots of a quarter hour are converted at once, so that none is covered in both forms.
     if slot.length_s == _COARSE_SLOT_S or start_s + _COARSE_SLOT_S > now_s - _FINE_RETENTION_S:
         return slot
     return SlotCounts(
--- a/src/fescuedock/core/claims.py
+++ b/src/fescuedock/core/claims.py
@@ -1,11 +1,11 @@
 """At most one execution of a call that carries an ``Idempotency-Key``.
 
 Before the call is dispatched, one record is created in the key-value service by compare-and-swap;
-whoever finds it there does not dispatch.  The record says ``dispatched`` from the start, so that
-a writer which dies leaves behind a call that may have run and will not run again.  Only a writer
-that knows its call was not sent changes that, and only its own record.
+an entry that finds the record does not dispatch.  The record's state is ``dispatched`` from the
+start: if its writer dies, the call may have run and will not run again.  Only a writer that knows
+that its call was not sent changes the state, and only in its own record.
 
-A pure state machine: it returns what to do next and is told how that went.
+A pure state machine: it returns the next step and receives the result of each step.
 """
 
 import re
@@ -45,7 +45,7 @@
 
 
 class PutRecord(msgspec.Struct, frozen=True):
-    """Write ``record`` if the key is at ``expected_revision``, finding out what became of it."""
+    """Write ``record`` if the key is at ``expected_revision``, and determine the outcome."""
 
     key: str
     record: ClaimRecord
@@ -59,11 +59,11 @@
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """The claim is ours: send the call, once."""
+    """This entry holds the claim: send the call, once."""
 
 
 class Replay(msgspec.Struct, frozen=True):
-    """The call was answered before: give the caller that answer."""
+    """The call was answered before: return that answer to the caller."""
 
     answer: RecordedAnswer
 
@@ -82,10 +82,10 @@
 
 
 class Claim(msgspec.Struct):
-    """One entry's attempt to be the one that dispatches a call.
+    """One entry's attempt to claim the dispatch of a call.
 
     ``token`` must be unguessable and new.  ``unsent_tokens`` are those of earlier attempts by this
-    process which certainly dispatched nothing, although their records may stand.
+    process that certainly dispatched nothing, although their records may still be stored.
     """
 
     key: str
@@ -101,7 +101,7 @@
         return PutRecord(self.key, self._record(ClaimState.DISPATCHED), 0)
 
     def on_write(self, result: Result[int, Fault]) -> Dispatch | ReadRecord | Refuse:
-        """Take in how the write of the claim went."""
+        """Handle the result of writing the claim; return the next step."""
         self._require_phase(_Phase.CREATING)
         match result:
             case Ok(revision):
@@ -115,7 +115,7 @@
                 return self._unavailable(str(fault))
 
     def on_read(self, result: Result["KvEntry | None", Fault]) -> PutRecord | Replay | Refuse:
-        """Take in the record that was there first."""
+        """Handle the record that another attempt had written; return the next step."""
         self._require_phase(_Phase.READING)
         match result:
             case Err(fault):
@@ -126,13 +126,13 @@
                 return self._evaluate(entry)
 
     def record_not_sent(self) -> PutRecord:
-        """The call was certainly not sent: return the write that lets another one try."""
+        """Return the write that lets another attempt claim a call that was certainly not sent."""
         self._require_phase(_Phase.OWNED)
         self._phase = _Phase.FINISHED
         return PutRecord(self.key, self._record(ClaimState.NOT_SENT), self.revision)
 
     def record_answer(self, answer: RecordedAnswer) -> PutRecord:
-        """The call was answered: return the write that keeps the answer if it is small."""
+        """Return the write that marks the call as answered, with the answer if it is small."""
         self._require_phase(_Phase.OWNED)
         self._phase = _Phase.FINISHED
         small = len(answer.body) <= MAX_RECORDED_BYTES
@@ -179,20 +179,20 @@
 
 
 def claim_key(prefix: str, member: str, service: str, idempotency_key: str) -> str:
-    """Return the key of the record; each member has keys of its own."""
+    """Return the key of the record; members do not share keys."""
     name = "\0".join((member, service, idempotency_key))
     return f"{prefix}claims/{sha256(name.encode()).hexdigest()}"
 
 
 def request_hash(method: str, target: str, body: bytes) -> str:
-    """Return what tells one call from another under the same Idempotency-Key."""
+    """Return a hash that distinguishes calls under the same Idempotency-Key."""
     digest = sha256(f"{method}\0{target}\0".encode())
     digest.update(body)
     return digest.hexdigest()
 
 
 def is_expired(entry: "KvEntry", retention_s: int, now_s: int) -> bool:
-    """Whether a record is older than ``retention_s``; one that cannot be read never is."""
+    """Whether a record is older than ``retention_s``; an unreadable one never is."""
     try:
         record = msgspec.json.decode(entry.value, type=ClaimRecord)
     except msgspec.MsgspecError:
@@ -203,7 +203,7 @@
 def is_non_idempotent(rules: Iterable[str], method: str, path: str) -> bool:
     """Whether a rule of the form ``METHOD /path-prefix`` covers the call; ``*`` is any method.
 
-    Repeated slashes and dot segments do not get a call around a rule.
+    Repeated slashes and dot segments do not bypass a rule.
     """
     normalized_path = _normalize_path(path)
     for rule in rules:
--- a/src/fescuedock/core/job_identity.py
+++ b/src/fescuedock/core/job_identity.py
@@ -1,4 +1,4 @@
-"""Which job a request stands for, and the record that accepts it."""
+"""Derives the identity of the job that a request submits, and builds the job's record."""
 
 from collections.abc import Mapping
 from hashlib import sha256
@@ -24,7 +24,7 @@
 
 
 class JobRequest(msgspec.Struct, frozen=True):
-    """What a member asks for; ``idempotency_key`` is empty when it gave none."""
+    """A member's request for a job; ``idempotency_key`` is empty when it sent none."""
 
     member: str
     idempotency_key: str
@@ -35,15 +35,15 @@
 
     @property
     def content_hash(self) -> str:
-        """SHA-256, in hex, of everything that makes it this job and not another."""
+        """SHA-256, in hex, of all fields that distinguish this job from others of the member."""
         metadata = sorted(self.metadata.items())
         return _digest(self.endpoint, self.window_s, metadata, self.input_hash)
 
 
 def job_identity(request: JobRequest) -> str:
-    """Return the identity of the one job that ``request``, however often it comes, stands for.
+    """Return the identity of the job of ``request``, the same for every repetition of it.
 
-    It follows from the member's idempotency key or, without one, from the content.
+    It is derived from the member's idempotency key or, without one, from the content.
     """
     if request.idempotency_key:
         digest = _digest(request.member, "key", request.idempotency_key)
@@ -58,7 +58,7 @@
 
 
 def check_same_job(record: JobRecord, request: JobRequest) -> Result[None, Fault]:
-    """Check that the job found under the identity of ``request`` is the one asked for."""
+    """Check that the job found under the identity of ``request`` is the requested one."""
     if record.member == request.member and record.content_hash == request.content_hash:
         return Ok(None)
     return _key_reused(request)
@@ -67,7 +67,7 @@
 def check_same_job_by_file(
     record: JobRecord, request: JobRequest, file_id: str
 ) -> Result[None, Fault]:
-    """Check as ``check_same_job`` does when the file's record, and with it the hash, is gone."""
+    """Check as ``check_same_job`` does, without the hash, when the file's record is gone."""
     same = (
         record.member == request.member
         and record.input_file_id == file_id
@@ -87,10 +87,10 @@
 def new_record(
     request: JobRequest, file: FileRecord, service: str, now_s: int, *, non_idempotent: bool
 ) -> JobRecord:
-    """Return the record that makes ``request`` an accepted job.
+    """Return the job record whose storage accepts ``request``.
 
-    The input's references leave out where the copies are: they are found by hash, and the record
-    is rewritten with each commit.
+    References to the input omit the locations of copies, to keep the record small, which is
+    rewritten with each commit; copies are found by hash.
     """
     segments = [
         SegmentRef(
--- a/src/fescuedock/core/job_keys.py
+++ b/src/fescuedock/core/job_keys.py
@@ -1,6 +1,6 @@
-"""The names under which jobs and files stand in the key-value service.
+"""Keys of jobs and files in the key-value service.
 
-Jobs are spread over buckets, so that one range read stays small and buckets can be shared out.
+Jobs are spread over buckets, so that a range read is small and buckets can be divided among VMs.
 """
 
 from hashlib import blake2b
@@ -23,7 +23,7 @@
 ]
 
 BUCKETS = 256
-# Keys sort by age with the youngest first when they count down from here.
+# Keys contain this minus the time of creation, so that the newest job sorts first.
 _LAST_SECOND = 9_999_999_999
 
 
@@ -33,7 +33,7 @@
 
 
 def job_prefix(key_prefix: str, bucket: int) -> str:
-    """Return what the keys of the records of all jobs of ``bucket`` begin with."""
+    """Return the prefix of the keys of all job records in ``bucket``."""
     return f"{key_prefix}jobs/{bucket:02x}/"
 
 
@@ -43,46 +43,46 @@
 
 
 def open_jobs_prefix(key_prefix: str) -> str:
-    """Return what the keys of the index of open jobs begin with."""
+    """Return the prefix of the keys of the index of open jobs."""
     return f"{key_prefix}open/"
 
 
 def open_job_key(key_prefix: str, job_id: str) -> str:
-    """Return the key that shows the job in the index of open jobs."""
+    """Return the key of the job in the index of open jobs."""
     return f"{open_jobs_prefix(key_prefix)}{bucket_of(job_id):02x}/{job_id}"
 
 
 def member_jobs_prefix(key_prefix: str) -> str:
-    """Return what the keys of the lists of all members' jobs begin with."""
+    """Return the prefix of the keys of all members' job lists."""
     return f"{key_prefix}member-jobs/"
 
 
 def member_job_prefix(key_prefix: str, member: str) -> str:
-    """Return what the keys of a member's jobs begin with, youngest first."""
+    """Return the prefix of the keys of a member's job list, which sorts by age, newest first."""
     return f"{member_jobs_prefix(key_prefix)}{quote(member, safe='')}/"
 
 
 def member_job_key(key_prefix: str, member: str, created_at_s: int, job_id: str) -> str:
-    """Return the key that lists the job among its member's."""
+    """Return the key of the job in its member's job list."""
     age = f"{_LAST_SECOND - created_at_s:010d}"
     return f"{member_job_prefix(key_prefix, member)}{age}-{job_id}"
 
 
 def member_job_id(key: str) -> str:
-    """Return the job that a key of ``member_job_key`` names."""
+    """Return the job id in a key of ``member_job_key``."""
     return key.rpartition("/")[2].partition("-")[2]
 
 
 def member_job_created_s(key: str) -> int:
-    """Return the time of creation, in Unix seconds, that a key of ``member_job_key`` holds."""
+    """Return the time of creation, in Unix seconds, in a key of ``member_job_key``."""
     return _LAST_SECOND - int(key.rpartition("/")[2].partition("-")[0])
 
 
 def file_prefix(key_prefix: str, member: str = "") -> str:
-    """Return what the keys of a member's files begin with, or of all without a ``member``."""
+    """Return the prefix of the keys of a member's files, or of all files without ``member``."""
     return f"{key_prefix}files/{quote(member, safe='')}/" if member else f"{key_prefix}files/"
 
 
 def file_key(key_prefix: str, member: str, file_id: str) -> str:
-    """Return the key of a file's record; under another member's name there is nothing."""
+    """Return the key of a file's record, which contains the owning member."""
     return file_prefix(key_prefix, member) + file_id
--- a/src/fescuedock/core/log_budget.py
+++ b/src/fescuedock/core/log_budget.py
@@ -1,6 +1,6 @@
-"""How many lines of each kind may be logged, so that load cannot fill a disk or slow a request.
+"""Limits the rate of log lines of each kind, so that load cannot fill a disk or slow requests.
 
-Routine lines, which say that all went well, get a smaller share than those that explain a failure.
+Routine lines, which report success, have a lower limit than lines that explain a failure.
 
 Pure: the caller passes the time.
 """
@@ -13,10 +13,10 @@
 
 
 class LogBudget(msgspec.Struct):
-    """A token bucket for each kind of line, filled at its rate, of one second's size.
+    """One token bucket per kind of line; each holds the lines of one second.
 
-    The rates are those of one node at four times today's load: 15 calls a second and as many runs
-    of items, each with one line; failures come in bursts of a few hundred.
+    The rates suffice for one node at four times the usual load, 15 calls and 15 item runs per
+    second with one line each; failures come in bursts of a few hundred.
     """
 
     routine_per_s: float = 100.0
@@ -25,7 +25,7 @@
     _dropped: Counter[str] = msgspec.field(default_factory=Counter)
 
     def allow(self, kind: str, now_s: float, *, routine: bool) -> bool:
-        """Whether a line of ``kind`` may be written now; counts it as left out if not."""
+        """Whether a line of ``kind`` may be written now; if not, it is counted as dropped."""
         rate = self.routine_per_s if routine else self.other_per_s
         tokens, at_s = self._tokens.get(kind, (rate, now_s))
         tokens = min(rate, tokens + max(now_s - at_s, 0.0) * rate)
@@ -36,7 +36,7 @@
         return allowed
 
     def pop_dropped_counts(self) -> dict[str, int]:
-        """Return the lines left out by kind since the last call."""
+        """Return the number of lines dropped since the last call, by kind."""
         dropped = dict(self._dropped)
         self._dropped.clear()
         return dropped
--- a/src/fescuedock/core/log_frames.py
+++ b/src/fescuedock/core/log_frames.py
@@ -1,4 +1,4 @@
-"""The framing of log records: length and checksum, so that a torn last write is recognised."""
+"""Framing of log records by length and checksum, so that a torn last write is detected."""
 
 from collections.abc import Iterable
 from struct import Struct
@@ -14,10 +14,10 @@
 
 
 class Frames(msgspec.Struct, frozen=True):
-    """The whole records at the beginning of some bytes.
+    """The complete records at the start of some data.
 
-    ``size_bytes`` is the length of their frames.  ``needed_bytes`` is 0 when the next frame is
-    damaged, and otherwise how many bytes from the end of these frames it takes to judge the next.
+    ``size_bytes`` is the length of their frames.  ``needed_bytes`` is the number of bytes after
+    these frames that are needed to read on, or 0 when the next frame is damaged.
     """
 
     records: list[bytes]
@@ -35,7 +35,7 @@
 
 
 def read_frames(data: bytes) -> Frames:
-    """Return the whole records that ``data`` begins with."""
+    """Return the complete records at the start of ``data``."""
     records: list[bytes] = []
     offset = 0
     while len(data) - offset >= HEADER_BYTES:
@@ -52,5 +52,5 @@
 
 
 def _checksum(record: bytes) -> int:
-    # The length is covered too, so that a run of zeros, as a torn write leaves, is no record.
+    # The checksum covers the length too, so that zeros left by a torn write are not a valid record.
     return crc32(record, crc32(len(record).to_bytes(4, "big")))
--- a/src/fescuedock/core/rendezvous.py
+++ b/src/fescuedock/core/rendezvous.py
@@ -1,6 +1,6 @@
-"""Rendezvous hashing: every VM that knows the same names picks the same one for a key.
+"""Rendezvous hashing: all VMs with the same set of names choose the same one for a key.
 
-When a name comes or goes, only the keys that it wins or won change hands.
+When a name is added or removed, only the keys assigned to it move.
 """
 
 from collections.abc import Iterable
@@ -12,10 +12,9 @@
 __all__ = ["OwnerIndex", "choose_name", "rank_names"]
 
 _SCORE_BYTES = 8
-# The owners of all upstreams are chosen anew whenever a VM comes or goes, which in a restart of the
-# whole fleet is ten times a second: 50 upstreams before 33 VMs of a failure domain are 1,650
-# scores.
-# At about 200 bytes each these take 3 MB.
+# Every change of the VMs reassigns the owners of all upstreams, ten times per second while the
+# entire fleet restarts; 50 upstreams and 33 VMs in a failure domain take 1,650 scores.  The full
+# cache takes 3 MB at about 200 bytes per score.
 _MAX_CACHED_SCORES = 16384
 
 
@@ -30,9 +29,9 @@
 
 
 class OwnerIndex:
-    """Which VM owns each upstream: one of its failure domain, else of its region, else any.
+    """Assigns each upstream an owner: a VM of its failure domain, else of its region, else any.
 
-    ``vms`` are those that can own at all.  Answers are kept, since there are many upstreams.
+    ``vms`` are the VMs that can be owners.  Results are cached, since there are many upstreams.
     """
 
     __slots__ = ("_all", "_by_domain", "_by_region", "_locations", "_owners")
@@ -49,11 +48,11 @@
         self._owners: dict[tuple[str, str, str], str | None] = {}
 
     def matches(self, vms: Iterable[VmRecord]) -> bool:
-        """Whether an index of ``vms`` would give the same answers as this one."""
+        """Whether an index of ``vms`` would assign the same owners as this one."""
         return _locations(vms) == self._locations
 
     def owner_id(self, upstream: UpstreamRecord) -> str | None:
-        """Return the owner's identity, or None when there are no VMs."""
+        """Return the VM id of the owner, or None when there are no VMs."""
         key = (upstream.upstream_id, upstream.failure_domain, upstream.region)
         if key not in self._owners:
             candidates = self._by_domain.get(upstream.failure_domain)
--- a/src/fescuedock/core/repair.py
+++ b/src/fescuedock/core/repair.py
@@ -1,7 +1,7 @@
-"""Decides which copies are missing, which store makes them, and how fast.
+"""Decides which segments lack copies, which store makes these, and at which rate.
 
-Every store looks after the segments that it holds itself; nothing else names them.  When two
-stores disagree about who should copy, the segment is written twice, which changes nothing.
+Every store checks the segments that it holds itself; there is no other index of them.  When two
+stores disagree about which one copies, the segment is written twice, which is harmless.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -15,7 +15,7 @@
 
 
 class Shortage(msgspec.Struct, frozen=True):
-    """A segment with too few copies: ``missing`` more are wanted, of ``targets`` in this order."""
+    """A segment with too few copies: ``missing`` more are needed, at ``targets`` in this order."""
 
     segment_hash: str
     missing: int
@@ -42,7 +42,7 @@
 
 
 def is_responsible(own_vm_id: str, key: str, names: Iterable[str]) -> bool:
-    """Return whether, of ``names``, the choice for ``key`` is ``own_vm_id``."""
+    """Whether rendezvous hashing chooses ``own_vm_id`` of ``names`` for ``key``."""
     return choose_name(key, names) == own_vm_id
 
 
@@ -62,22 +62,22 @@
 
 
 class ByteRateLimiter(msgspec.Struct):
-    """Spreads bytes over time so that on average no more than ``bytes_per_s`` pass."""
+    """Delays transfers so that their average rate is at most ``bytes_per_s``."""
 
     bytes_per_s: int
     _free_at_ms: float = 0.0
 
     def delay_ms(self, size_bytes: int, now_ms: float) -> float:
-        """Return how long to wait before the next ``size_bytes``, which count from here on."""
+        """Reserve ``size_bytes`` and return how long to wait before transferring them."""
         start_ms = max(now_ms, self._free_at_ms)
         self._free_at_ms = start_ms + 1000.0 * size_bytes / self.bytes_per_s
         return start_ms - now_ms
 
 
 class StableSites(msgspec.Struct):
-    """Says when a change of the stores has lasted long enough to copy segments for it.
+    """Delays repair until a change of the set of stores has lasted for ``after_ms``.
 
-    A VM that restarts is back before that, and its segments with it.
+    A VM that only restarts returns within that time together with its segments.
     """
 
     after_ms: float
@@ -86,9 +86,9 @@
     _since_ms: float = 0.0
 
     def observe(self, sites: Iterable[StoreSite], now_ms: float) -> float | None:
-        """Take the stores as they are now.
+        """Record the current stores.
 
-        Returns the time left in ms until a change has lasted, 0 once it has; None without one.
+        Return the ms until their change has lasted long enough, 0 once it has, None without one.
         """
         now = frozenset(sites)
         if now != self._seen:
@@ -98,5 +98,5 @@
         return max(0.0, self._since_ms + self.after_ms - now_ms)
 
     def accept_change(self) -> None:
-        """Note that segments are being copied for the stores as last seen."""
+        """Accept the stores as last observed: segments are now copied for them."""
         self._accepted = self._seen
--- a/src/fescuedock/core/replica_table.py
+++ b/src/fescuedock/core/replica_table.py
@@ -1,7 +1,7 @@
-"""A node's copy of the keys below one prefix of the key-value service.
+"""A node's replica of the keys below one prefix of the key-value service.
 
-It never goes back: a key's older state is ignored wherever it comes from, be it a stale read, a
-neighbour that lags, or an answer that was overtaken.
+It never moves backwards: an older state of a key is ignored, whether it comes from a stale read, a
+lagging neighbour or a reply that a newer one overtook.
 
 Pure: the caller passes the time.
 """
@@ -14,27 +14,28 @@
 
 __all__ = ["IsHeartbeat", "ReplicaTable", "no_heartbeat"]
 
-# Whether the second value of a key says nothing that the first, an earlier one, did not.  Of 45
-# upstreams that write every 2 s nearly all say nothing new, and each made every node go through its
-# fleet: 27 times in the 14 s around the start of a calm day's traffic.
+# Whether a key's new value (second argument) changes nothing against its previous one (first).
+# Most writes of 45 upstreams that each write every 2 s are such heartbeats; handled as changes,
+# each makes every node process its entire fleet, 27 times in the 14 s around the start of light
+# traffic.
 IsHeartbeat = Callable[[bytes, bytes], bool]
 
 
 def no_heartbeat(_before: bytes, _after: bytes) -> bool:
-    """Take every value for news: its revision may be needed, even if it is the same."""
+    """Treat every value as a change: its revision may matter even if the value is the same."""
     return False
 
 
-# Revision of a table that holds nothing yet; the first revision of a service is 1 or more.
+# Revision of a table that was never filled; the first revision of a service is 1 or more.
 UNKNOWN_REVISION = -1
 
 
 class ReplicaTable(msgspec.Struct):
     """The keys below ``prefix`` as of ``revision``.
 
-    ``version`` rises whenever ``entries`` change, but for heartbeats.  ``confirmed_ms`` is when
-    this node last heard that this is all there is.  What it heard may have been long on its way:
-    ``as_of_ms`` is a time at which this certainly was all there was.
+    ``version`` increases whenever ``entries`` change, except by heartbeats.  ``confirmed_ms`` is
+    when this node last received confirmation that the table is complete.  As messages may be
+    delayed, ``as_of_ms`` is a time at which the table certainly was complete and current.
     """
 
     prefix: str
@@ -44,11 +45,12 @@
     confirmed_ms: float = float("-inf")
     as_of_ms: float = float("-inf")
     entries: dict[str, KvEntry] = msgspec.field(default_factory=dict)
-    # The newest of all entries; beyond ``revision`` while one was noted that no news have told of.
+    # The newest of all entries.  It exceeds ``revision`` while an entry recorded by this node
+    # itself has not arrived as a change yet.
     _newest_revision: int = UNKNOWN_REVISION
-    # For each key, a time at which it certainly was not there yet.
+    # For each key, a time at which it certainly did not exist yet.
     _absent_ms: dict[str, float] = msgspec.field(default_factory=dict)
-    # Revisions of removals, so that an older state does not bring a key back.
+    # Revisions of removals, so that an older state does not restore a key.
     _removed: dict[str, int] = msgspec.field(default_factory=dict)
 
     @property
@@ -56,24 +58,24 @@
         return self.revision != UNKNOWN_REVISION
 
     def age_ms(self, now_ms: float) -> float:
-        """Return the time since this node last heard that the table is current."""
+        """Return the time since this node last received confirmation that the table is current."""
         return now_ms - self.confirmed_ms
 
     def as_of_age_ms(self, now_ms: float) -> float:
-        """Return the longest time for which there may have been changes that are not here."""
+        """Return the longest time for which changes may be missing from the table."""
         return now_ms - self.as_of_ms
 
     def absent_as_of_ms(self, key: str) -> float:
-        """Return a time at which ``key`` certainly was not there yet, by this node's own clock.
+        """Return a time at which ``key`` certainly did not exist yet, by this node's clock.
 
-        Infinitely long ago for a key that was there when this node first heard of the prefix.
+        Minus infinity for a key that existed when the table was first filled.
         """
         return self._absent_ms.get(key, float("-inf"))
 
     def replace(self, entries: Iterable[KvEntry], revision: int, confirmed_ms: float) -> None:
-        """Take all keys as of ``revision``; those that are missing have gone by then.
+        """Apply a snapshot of all keys as of ``revision``; keys missing from it were removed.
 
-        ``confirmed_ms`` is no later than when that was read.
+        ``confirmed_ms`` must not be later than the time of the read.
         """
         if revision < self.revision:
             return
@@ -91,14 +93,16 @@
         confirmed_ms: float,
         as_of_ms: float = float("-inf"),
     ) -> list[KvEvent]:
-        """Take the changes that lead from this table's revision to ``revision``.
+        """Apply the changes that lead from this table's revision to ``revision``.
 
-        ``confirmed_ms`` is when they were heard of, ``as_of_ms`` no later than when they were all.
-        Returns those that others have to hear of, which heartbeats are not.
+        ``confirmed_ms`` is when they were received; ``as_of_ms`` is a time no later than the one at
+        which they were all the changes.  Return the changes to send to other nodes, which excludes
+        heartbeats.
         """
         relevant_events: list[KvEvent] = []
         for event in events:
-            # Each against what those before it have left: a key may have gone and come back alike.
+            # Compare each change with the state after the previous ones: a key may have been
+            # removed and then written again with the same value.
             if not self._is_heartbeat(event):
                 relevant_events.append(event)
             if event.entry is None:
@@ -115,16 +119,16 @@
         return self.is_heartbeat(known.value, event.entry.value)
 
     def confirm(self, as_of_ms: float) -> None:
-        """Take word that what this table holds was all there was at ``as_of_ms``."""
+        """Record that this table was complete and current at ``as_of_ms``."""
         self.confirmed_ms = max(self.confirmed_ms, as_of_ms)
         self.as_of_ms = max(self.as_of_ms, as_of_ms)
 
     def record_entry(self, entry: KvEntry) -> None:
-        """Take a single key that this node has itself written or read."""
+        """Apply a single entry that this node has itself written or read."""
         self._apply_entry(entry)
 
     def own_entries(self) -> list[KvEntry]:
-        """Return the entries that this node knows of by itself alone, beyond ``revision``."""
+        """Return the entries newer than ``revision``, which this node recorded itself."""
         if self._newest_revision <= self.revision:
             return []
         return [entry for entry in self.entries.values() if entry.mod_revision > self.revision]
@@ -137,8 +141,8 @@
             self._drop_oldest_removals()
 
     def _apply_entry(self, entry: KvEntry) -> None:
-        # A key that is not here though it is no newer than the table has been removed: by then, or
-        # before this node started, of which it remembers nothing.
+        # An unknown key that is no newer than the table has been removed, possibly before this node
+        # started, in which case ``_removed`` does not have it.
         if entry.key in self.entries or entry.mod_revision > self.revision:
             self._store_entry(entry)
 
@@ -165,11 +169,11 @@
         self.version += 1
 
     def _drop_oldest_removals(self) -> None:
-        """Drop the oldest half; what is older than the table's revision is ignored anyway."""
+        """Drop the older half; entries no newer than the table's revision are ignored anyway."""
         oldest = sorted(self._removed, key=self._removed.__getitem__)
         for key in oldest[: len(oldest) // 2]:
             del self._removed[key]
 
 
-# Removals remembered beyond the number of keys, about 60 bytes each.
+# Removals stored in addition to the number of keys, about 60 bytes each.
 _MAX_EXTRA_REMOVALS = 1000
--- a/src/fescuedock/core/segments.py
+++ b/src/fescuedock/core/segments.py
@@ -1,6 +1,6 @@
-"""Cuts a stream of bytes into lines, and lines into segments bounded in items and bytes.
+"""Splits a byte stream into lines, and groups lines into segments bounded in items and bytes.
 
-Nothing is added or taken away: the segments of a stream, one after the other, are the stream.
+The concatenated segments of a stream are equal to the stream.
 """
 
 import msgspec
@@ -11,27 +11,27 @@
 
 
 class CutSegment(msgspec.Struct, frozen=True):
-    """A segment ready to be stored; ``items`` counts its lines that are not blank."""
+    """A segment ready to be stored; ``items`` is the number of its lines that are not blank."""
 
     body: bytes
     items: int
 
 
 def is_blank(line: bytes) -> bool:
-    """Whether ``line`` is no item."""
+    """Whether ``line`` contains only white space and so is no item."""
     return not line.strip()
 
 
 def item_lines(body: bytes) -> list[bytes]:
-    """Return the items of a segment: its lines that are not blank, without their ends."""
+    """Return the items of a segment: its lines that are not blank, without their newlines."""
     return [line for line in body.split(_NEWLINE) if not is_blank(line)]
 
 
 class LineReader:
-    """Cuts chunks of a stream into lines that keep their newline.
+    """Splits a stream, fed in chunks of any size, into lines that include their newline.
 
-    A line over ``max_line_bytes`` comes in pieces of ``max_line_bytes + 1``, so that memory stays
-    bounded and the first piece is seen to be too long.
+    A line over ``max_line_bytes`` is returned in chunks of ``max_line_bytes + 1`` bytes, so that
+    memory is bounded and the first chunk is recognized as too long.
     """
 
     __slots__ = ("_max_chunk_bytes", "_partial", "_partial_bytes")
@@ -52,7 +52,7 @@
         return lines
 
     def finish(self) -> list[bytes]:
-        """Return the last line if the stream did not end with a newline."""
+        """End the stream; return its last line if that has no newline."""
         return [self._pop_line()] if self._partial_bytes else []
 
     def _buffer(self, part: bytes, lines: list[bytes]) -> None:
@@ -73,9 +73,9 @@
 
 
 class SegmentCutter(msgspec.Struct):
-    """Gathers lines into segments of at most ``max_items`` items and ``max_bytes`` bytes.
+    """Groups lines into segments of at most ``max_items`` items and ``max_bytes`` bytes.
 
-    Only a single line longer than that makes a larger one.
+    Only a segment of a single longer line may exceed ``max_bytes``.
     """
 
     max_items: int
@@ -85,7 +85,7 @@
     _size_bytes: int = 0
 
     def add(self, line: bytes) -> CutSegment | None:
-        """Add ``line`` with its newline; returns the segment that it has no place in any more."""
+        """Add ``line`` with its newline; return the segment before it if that has no room left."""
         is_item = not is_blank(line)
         full = self._items + is_item > self.max_items
         full = full or self._size_bytes + len(line) > self.max_bytes
@@ -96,7 +96,7 @@
         return cut
 
     def finish(self) -> CutSegment | None:
-        """Return what has been gathered; None when that is nothing."""
+        """Return the segment of the lines added since the last one; None without such lines."""
         if not self._lines:
             return None
         cut = CutSegment(b"".join(self._lines), self._items)
--- a/src/fescuedock/core/send_gate.py
+++ b/src/fescuedock/core/send_gate.py
@@ -1,10 +1,10 @@
-"""Whether a request may be written to an upstream now: the one place that decides it for any work.
+"""Decides whether a request may be written to an upstream now, for calls and items alike.
 
-An upstream is chosen, its owner is asked for a permit and a connection is opened; what was known at
-the choice may hold no more by then.  So this is asked for at the writing itself, of calls and of
-items, whose own gates judge the job besides.
+Choosing an upstream, getting a permit from its owner and opening a connection take time, in which
+the facts behind the choice may change.  So this check runs immediately before the request is
+written.  For items the state of the job is checked separately.
 
-Pure: the caller passes what was chosen, what it knows now and what time it is.
+Pure: the caller passes the choice, the current facts and the time.
 """
 
 import enum
@@ -18,7 +18,7 @@
 
 
 class SendRefusal(enum.Enum):
-    """Why a request must not be written any more."""
+    """Why a request must no longer be written."""
 
     GONE = "the upstream has gone"
     MOVED = "the upstream has another address"
@@ -33,9 +33,9 @@
 
 
 class PermitStatus(msgspec.Struct, frozen=True):
-    """How a permit stands; ``valid_until_ms`` is infinite for one that no owner gave.
+    """The state of a permit; ``valid_until_ms`` is infinite for one that no owner granted.
 
-    ``isolated`` says that its owner lets nothing else run at the upstream.
+    ``isolated``: its owner lets nothing else run at the upstream.
     """
 
     revoked: bool
@@ -55,12 +55,12 @@
 ) -> SendRefusal | None:
     """Return why the request must not be written to ``chosen``, or None when it may.
 
-    ``verdict`` is that on the work: what is known against it may have come since the permit was
-    asked for, from another node where a client tried it too.  ``key_holds`` tells whether the
-    version in force still gives the caller's key to the same customer, as it may have been taken
-    away while the call waited.  ``current`` is what is known of the upstream now, None when it is
-    not there.  A permit that has lapsed may have been given to other work, also where one that
-    already runs may go on without.
+    ``verdict`` is the current one on the unit of work: another node, where a client tried the same
+    work, may have reported crashes since the permit was requested.  ``key_holds`` tells whether the
+    configuration in force still assigns the caller's key to the same customer, as it may have been
+    revoked while the call waited.  ``current`` is the upstream's current record, None when there is
+    none.  The capacity of a lapsed permit may have been granted to other work; this refuses the
+    request even where an attempt that already runs may continue without its permit.
     """
     if current is None:
         return SendRefusal.GONE
--- a/src/fescuedock/core/store_contact.py
+++ b/src/fescuedock/core/store_contact.py
@@ -1,7 +1,7 @@
-"""Whether the key-value service answers this node, and since when.
+"""Tracks whether the key-value service answers this node, and since when.
 
-After an outage what was held by leases may be missing although its owner lives: owners write again
-within a grace period, and only what is still missing then is gone.
+After an outage, keys held by leases may be missing although their owners are alive: owners write
+them again within a grace period, and only keys still missing after it count as removed.
 
 Pure: the caller passes the time.
 """
@@ -12,11 +12,13 @@
 
 
 class ContactPolicy(msgspec.Struct, frozen=True):
-    """``outage_ms`` without any answer is an outage: three held watches that failed at once.
+    """Times of outages and retries.
 
-    ``grace_ms`` after it, owners of lapsed keys have written them again; the platform says two
-    seconds, and half a second more covers our own way of noticing.  Between failed calls the pause
-    grows from ``first_pause_ms`` to ``max_pause_ms``, since refused calls are paid for too.
+    ``outage_ms`` without any answer, the time of three held watches that fail immediately, is an
+    outage.  Within ``grace_ms`` after it, owners of lapsed keys have written them again; the
+    platform promises two seconds, and half a second more covers the time to notice its end.
+    Between failed calls the pause grows from ``first_pause_ms`` to ``max_pause_ms``, since refused
+    calls are billed too.
     """
 
     outage_ms: float = 800.0
@@ -26,7 +28,7 @@
 
 
 class StoreContact(msgspec.Struct):
-    """What the answers and failures of the service's calls tell."""
+    """The availability of the service, derived from the answers and failures of calls."""
 
     policy: ContactPolicy = ContactPolicy()
     reached: bool = False
@@ -36,7 +38,7 @@
     _was_away: bool = False
 
     def record_answer(self, now_ms: float) -> bool:
-        """Note an answer; return whether it ends a time without any."""
+        """Record an answer; return whether it is the first, or the first after an outage."""
         had_been_away = self.is_away(now_ms)
         if had_been_away:
             self.returned_ms = now_ms
@@ -48,9 +50,9 @@
         return regained
 
     def record_neighbour_answer(self, now_ms: float) -> None:
-        """Note that a neighbour has just got an answer: the service is worth asking again.
+        """Record that a neighbour has just had an answer, so that calls are worth retrying.
 
-        Without this a node went on refusing jobs for up to 0.7 s after others had reached it.
+        Otherwise a node refuses jobs for up to 0.7 s after others have reached the service.
         """
         if self.is_away(now_ms):
             self.returned_ms = now_ms
@@ -59,23 +61,23 @@
         self.last_answer_ms = max(self.last_answer_ms, now_ms)
 
     def record_failure(self, now_ms: float) -> bool:
-        """Note a call without an answer; return whether the service counts as away from now on."""
+        """Record a call without an answer; return whether an outage begins with it."""
         self._failures += 1
         was_reported = self._was_away
         self._was_away = self.is_away(now_ms)
         return self._was_away and not was_reported
 
     def is_away(self, now_ms: float) -> bool:
-        """Whether the service has not answered for the length of an outage, though asked."""
+        """Whether calls have failed and none was answered for ``outage_ms``."""
         if not self._failures:
             return False
         return now_ms - max(self.last_answer_ms, 0.0) >= self.policy.outage_ms
 
     def in_grace(self, now_ms: float) -> bool:
-        """Whether keys that are missing may still come back."""
+        """Whether missing keys may still be written again by their owners."""
         return self.is_away(now_ms) or now_ms - self.returned_ms < self.policy.grace_ms
 
     def pause_ms(self) -> float:
-        """Return how long to wait after the last failure."""
+        """Return the pause before the call after the last failure."""
         doublings = min(max(self._failures - 1, 0), 6)
         return min(self.policy.first_pause_ms * 2**doublings, self.policy.max_pause_ms)
--- a/src/fescuedock/core/store_placement.py
+++ b/src/fescuedock/core/store_placement.py
@@ -1,4 +1,4 @@
-"""Decides which stores get the copies of a segment or log, and when there are enough of them."""
+"""Decides which stores get the copies of a segment or log, and when there are enough copies."""
 
 from collections.abc import Collection, Iterable
 
@@ -20,11 +20,11 @@
 def rank_stores(
     key: str, sites: Iterable[StoreSite], avoided: Collection[str] = ()
 ) -> list[StoreSite]:
-    """Return ``sites`` in the order in which they should be tried for ``key``.
+    """Return ``sites`` in the order in which to try them for ``key``.
 
-    The best of each failure domain come first, then the second best of each, and so on; within
-    one such round, and within a domain, rendezvous hashing decides.  The VMs in ``avoided`` come
-    last.
+    The first round has the best site of each failure domain, the second round the second best of
+    each, and so on; rendezvous hashing orders sites within a round and within a domain.  The VMs in
+    ``avoided`` come last.
     """
     by_id = {site.vm_id: site for site in sites}
     ranked = [by_id[name] for name in rank_names(key, by_id)]
@@ -45,10 +45,11 @@
 
 
 class CopyPlan(msgspec.Struct):
-    """The writing of one object's copies: whom to ask next, and whether it is enough.
+    """Plans the writes of one object's copies: the next stores, and whether copies suffice.
 
-    ``candidates`` are in their order by rank.  ``copies`` are wanted; ``min_copies`` in distinct
-    failure domains are needed.  The VMs in ``avoided`` are asked only for want of others.
+    ``candidates`` are ordered by rank.  ``copies`` is the target; ``min_copies`` in distinct
+    failure domains are required.  The VMs in ``avoided`` are used only when the others do not
+    suffice.
     """
 
     candidates: list[StoreSite]
@@ -61,7 +62,7 @@
     _pending: set[StoreSite] = msgspec.field(default_factory=set)
 
     def next_sites(self) -> list[StoreSite]:
-        """Return the stores to ask now; each counts as asked from here on."""
+        """Return the stores to send the object to now; each is returned only once."""
         chosen = self._choose(self.copies - len(self.held) - len(self._pending))
         self._requested.update(site.vm_id for site in chosen)
         self._pending.update(chosen)
@@ -79,21 +80,21 @@
         return chosen
 
     def _preference(self, site: StoreSite, domains: Collection[str]) -> tuple[bool, bool]:
-        """Return a key that sorts better stores first; ``domains`` have or get a copy already.
+        """Return a sort key, best store first; ``domains`` already have or get a copy.
 
-        A new domain counts most until there are enough of them, then whether the store answers.
+        Until there are enough domains a new domain matters most, then whether to avoid the store.
         """
         old = site.failure_domain in domains
         avoided = site.vm_id in self.avoided
         return (old, avoided) if len(domains) < self.min_copies else (avoided, old)
 
     def record_written(self, site: StoreSite) -> None:
-        """Note that ``site`` has the object on disk."""
+        """Record that ``site`` has the object on disk."""
         self._pending.discard(site)
         self.held.append(site)
 
     def record_refusal(self, site: StoreSite, code: ResultCode) -> None:
-        """Note that ``site`` did not write the object, or did not say so in time."""
+        """Record that ``site`` did not write the object, or did not confirm it in time."""
         self._pending.discard(site)
         self.refusals[site.vm_id] = code
 
@@ -104,7 +105,7 @@
 
     @property
     def failure_code(self) -> ResultCode:
-        """Why it is not enough: ``DISK_FULL`` when a store said so."""
+        """The reason for too few copies: ``DISK_FULL`` if any store reported that."""
         if ResultCode.DISK_FULL in self.refusals.values():
             return ResultCode.DISK_FULL
         return ResultCode.STORES_UNAVAILABLE
--- a/src/fescuedock/core/watch_duty.py
+++ b/src/fescuedock/core/watch_duty.py
@@ -1,10 +1,11 @@
-"""Which nodes ask the key-value service for changes, and which hear of them from those.
+"""Decides which nodes watch the key-value service, and to which nodes these forward changes.
 
-One node of each group asks for all of it: the region while that is small, else the failure domain.
-Calls are paid for and limited in number, so they must not grow with the nodes: 66 nodes that ask
-for themselves make over 200 calls a second.
+One node of each group watches for the group: the region if that is small, else the failure domain.
+Calls are billed and limited in rate, so their number must not grow with the number of nodes: 66
+nodes that each watch make over 200 calls per second.
 
-Who watches is only a matter of effort: a node that hears nothing for its patience asks by itself.
+The choice affects only load, not correctness: a node that receives no change for a limited time
+queries the service itself.
 """
 
 from collections.abc import Iterable
@@ -14,12 +15,12 @@
 
 __all__ = ["WatchDuty"]
 
-# Nodes that one may tell: at 5 news a second to each, 24 take about 1% of a core.
+# At 5 changes per second, forwarding to 24 nodes takes about 1% of a core.
 _MAX_GROUP_NODES = 24
 
 
 class WatchDuty:
-    """This node's part; ``vm_id``, ``region`` and ``failure_domain`` are its own."""
+    """Decides for this node; ``vm_id``, ``region`` and ``failure_domain`` are its own."""
 
     __slots__ = ("_failure_domain", "_region", "_vm_id")
 
@@ -29,16 +30,16 @@
         self._failure_domain = failure_domain
 
     def watches(self, prefix: str, vms: Iterable[VmRecord]) -> bool:
-        """Whether this node asks for the changes below ``prefix``.
+        """Whether this node watches ``prefix`` for its group.
 
-        A node that knows no other in its group asks for itself.
+        A node that knows no other node of its group watches for itself.
         """
         names = {vm.vm_id for vm in self._group_members(vms) if vm.state is not VmState.LEAVING}
         chosen = choose_name(prefix, names)
         return chosen is None or chosen == self._vm_id
 
     def recipients(self, vms: Iterable[VmRecord]) -> list[VmRecord]:
-        """Return the nodes that are to be told, leaving ones included."""
+        """Return the nodes to forward changes to, including leaving ones."""
         return [vm for vm in self._group_members(vms) if vm.vm_id != self._vm_id and vm.agent_port]
 
     def _group_members(self, vms: Iterable[VmRecord]) -> list[VmRecord]:
--- a/tests/test_log_bounds.py
+++ b/tests/test_log_bounds.py
@@ -1,4 +1,4 @@
-"""Logs are bounded and never wait: the budget of lines, the writer, a reader that stops."""
+"""Logging is bounded and never blocks: the rate limit, the writer, and a reader that stops."""
 
 import json
 import os
--- a/tests/test_online_claims_core.py
+++ b/tests/test_online_claims_core.py
@@ -1,4 +1,4 @@
-"""Claims: at most one execution through lost answers, outages, deaths and several entries."""
+"""Claims: at most one execution despite lost answers, outages, crashes and several entries."""
 
 import unittest
 
@@ -44,7 +44,7 @@
 
 
 async def run_claim(claim: Claim, kv: MemoryKv) -> Dispatch | Replay | Refuse:
-    """Do the claim's steps as an entry does."""
+    """Carry out the claim's steps as an entry does."""
     step = claim.start()
     while True:
         match step:
@@ -64,7 +64,7 @@
 
 
 class SimulatedEntry:
-    """One entry with its own faults towards the shared key-value service."""
+    """One entry with its own faults of calls to the shared key-value service."""
 
     def __init__(self, kv: MemoryKv) -> None:
         self.kv = kv
@@ -72,7 +72,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Resends of one call through two entries, with every fault we know of between them."""
+    """Resends of one call through two entries, with all known faults in between."""
 
     @initialize()
     def start(self) -> None:
@@ -218,7 +218,7 @@
 
 
 class RuleTest(unittest.TestCase):
-    """Which calls the configuration marks."""
+    """Which calls the configuration marks as non-idempotent."""
 
     RULES = ("POST /bookings", "* /payments/")
 
--- a/tests/test_replica_agreement.py
+++ b/tests/test_replica_agreement.py
@@ -1,4 +1,4 @@
-"""Which neighbours can say that a node's old knowledge still holds while it misses the store."""
+"""Which neighbours can confirm a node's table while that node cannot reach the store."""
 
 import random
 import unittest
@@ -19,15 +19,18 @@
 
 
 class AgreementTest(unittest.TestCase):
-    """The store turned away some nodes and served others, among them the one that ended a job.
+    """The store rejects some nodes and serves others, among them the one that ends a job.
 
-    The owner of the job asked a neighbour that the store turned away as well.  Its answer held
-    nothing, as it knew less than the owner, and passed for word that there was nothing newer: the
-    owner went on beginning items of the job for as long as it asked only such neighbours.
+    The job's owner queries a neighbour that the store rejects too.  As that knows less than the
+    owner, its reply is empty; if that counts as confirmation that nothing is newer, the owner
+    keeps starting items of the ended job for as long as it queries only such neighbours.
     """
 
     def agrees_after_request(self, neighbour_revision: int | None) -> bool:
-        """Ask a neighbour whose table is as of a revision; return whether it counts as agreed."""
+        """Query a neighbour with a table of that revision; return whether it confirmed the own one.
+
+        ``None`` stands for a neighbour whose table was never filled.
+        """
         agreed: list[bool] = []
 
         async def run() -> None:
--- a/tests/test_replica_changes.py
+++ b/tests/test_replica_changes.py
@@ -1,4 +1,4 @@
-"""Several changes of one key in one answer of the store, as other nodes get to hear of them."""
+"""Several changes of one key in one answer of the store, and which are forwarded to other nodes."""
 
 import unittest
 
@@ -17,11 +17,11 @@
 
 
 class ChangesOfOneAnswerTest(unittest.TestCase):
-    """A worker's entry lapsed and was back within the pause between two watches.
+    """A worker's entry lapses and returns within the pause between two watches.
 
-    The node that watches compared both changes with the table as it was before them, so the second
-    passed for a heartbeat: it told the others of the removal alone.  They had lost the worker until
-    its entry changed by more than a heartbeat; the node that watched had it all the time.
+    If the watching node compares both changes with the table before them, the second looks like a
+    heartbeat and only the removal is forwarded.  The other nodes then lack the worker until its
+    entry changes by more than a heartbeat, while the watching node has it all the time.
     """
 
     def setUp(self) -> None:
@@ -33,7 +33,7 @@
             table.replace([KvEntry(KEY, value, 5)], 5, 0.0)
 
     def apply_answer(self, *values: bytes | None) -> None:
-        """Let the store answer with changes of the key, and the others hear what is told."""
+        """Apply an answer with changes of the key, and forward them to the other node."""
         revision = self.watching.revision
         events = [
             KvEvent(KEY, number, None if value is None else KvEntry(KEY, value, number))
@@ -83,7 +83,7 @@
                     fleet.store.state.delete(f"servers/{worker.upstream_id}")
                     fleet.register(worker, sequence=2)
                     await trio.sleep(1.0)
-                    # Its heartbeats go on.
+                    # Its heartbeats continue.
                     fleet.register(worker, sequence=3)
                     await trio.sleep(2.0)
                     for node in fleet.nodes:
--- a/tests/test_replica_core.py
+++ b/tests/test_replica_core.py
@@ -1,4 +1,4 @@
-"""What a node knows of the store: tables that never go back, outages, and lapsed upstreams."""
+"""A node's replicas of the store: tables never move backwards, outages, and lapsed upstreams."""
 
 import unittest
 
--- a/tests/test_replica_removals.py
+++ b/tests/test_replica_removals.py
@@ -1,4 +1,4 @@
-"""Keys that were removed before a node read the store stay removed, however late old news come."""
+"""Keys removed before a node read the store stay removed, however late old updates arrive."""
 
 import random
 import unittest
@@ -17,10 +17,10 @@
 
 
 class RemovedBeforeTheStartTest(unittest.TestCase):
-    """A node that had stood still told of a key from before it did; the key had gone meanwhile.
+    """A node that was paused reports a key from before the pause that has been removed meanwhile.
 
-    A node that was started in between had read the store without that key, and had no memory of its
-    removal.  It took the key for a new one, and no later news took it away again.
+    A node started in between has read the store without that key and has no record of its removal.
+    If it accepts the key as a new one, no later update removes it again.
     """
 
     def test_a_single_key_older_than_the_table_is_no_new_key(self) -> None:
--- a/tests/test_report_burn.py
+++ b/tests/test_report_burn.py
@@ -1,4 +1,4 @@
-"""The burn report: windows, alarms, golden reports, merging of processes."""
+"""The burn report: windows, alarms, golden reports, and merging reports of processes."""
 
 import os
 import tempfile
@@ -64,7 +64,7 @@
 
     def test_fast_burn_needs_the_short_and_the_long_window(self) -> None:
         self.count(1800, kept=0, missed=100)
-        self.assertIsNot(self.online().alarm, Alarm.FAST, "mended: the last minutes are clean")
+        self.assertIsNot(self.online().alarm, Alarm.FAST, "fixed: no failures in the last minutes")
         self.count(0, kept=0, missed=100)
         self.assertIs(self.online().alarm, Alarm.FAST)
 
--- a/tests/test_send_gate.py
+++ b/tests/test_send_gate.py
@@ -1,4 +1,4 @@
-"""The one place that decides whether a request may be written to an upstream."""
+"""The check that decides whether a request may be written to an upstream."""
 
 import unittest
 
@@ -37,7 +37,7 @@
         self.assertIsNone(check_send())
         self.assertIsNone(check_send(permit=PermitStatus(False, float("inf"))))
         self.assertIsNone(check_send(deadline_ms=NOW_MS + 1))
-        # A change that does not concern the sending.
+        # A change that is irrelevant to sending.
         self.assertIsNone(check_send(upstream_record(9, slots=3)))
 
     def test_suspected_work_runs_only_in_isolation(self) -> None:
@@ -71,7 +71,7 @@
 
 class PermitTimeTest(unittest.TestCase):
     def held(self, arrived_ms: float) -> HeldGrant:
-        """Return a permit good for 300 ms, asked for at 1000 ms, by an ask that may wait 1 s."""
+        """Return a permit valid for 300 ms, requested at 1000 ms with a maximum wait of 1 s."""
         ask = ask_for(WorkClass.BATCH)
         by_ms = lapsed_by_ms(1000.0, arrived_ms, 1000.0, 300.0)
         return HeldGrant(ask, arrived_ms, 1000.0 + 300.0, lapsed_by_ms=by_ms)
--- a/tests/test_store_decisions.py
+++ b/tests/test_store_decisions.py
@@ -1,4 +1,4 @@
-"""Placement, repair, cutting and key names: the pure decisions of stores."""
+"""The pure decisions of stores: placement, repair, splitting into segments, and keys."""
 
 import unittest
 from collections import Counter
