--- a/src/fescuedock/agent/config_service.py
+++ b/src/fescuedock/agent/config_service.py
@@ -34,11 +34,11 @@
 
 CONFIG_KEY = "config"
 # How long an uncertain write is followed up before the operator is told that it is unknown.
-_RESOLVE_MS = 4000
+_MAX_RESOLVE_MS = 4000
 _FIRST_PAUSE_MS = 50
 _PUSH_TIMEOUT_MS = 1000
 # A patch is answered when another VM has it too, or after this time.
-_FIRST_COPY_MS = 300
+_MAX_COPY_WAIT_MS = 300
 
 # Calls the agent of another VM: the VM, the message, the timeout in milliseconds.
 CallPeer = Callable[[VmRecord, msgspec.Struct, float], Awaitable[Result[msgspec.Struct, Fault]]]
@@ -78,8 +78,8 @@
         self._wake = trio.Event()
         self._changed = trio.Event()
         self._copied = trio.Event()
-        self._seen_version = 0
-        self._seen_standing = Standing.EMPTY
+        self._published_version = 0
+        self._published_standing = Standing.EMPTY
 
     @property
     def current_version(self) -> int:
@@ -150,7 +150,7 @@
             while True:
                 for action in self._node.tick(now_ms()):
                     nursery.start_soon(self._perform, action)
-                self._note_changes()
+                self._publish_changes()
                 self._wake = trio.Event()
                 due_ms = self._node.next_due_ms()
                 with trio.move_on_at(due_ms / 1000 if due_ms < inf else inf):
@@ -168,32 +168,32 @@
                 async with trio.open_nursery() as nursery:
                     for vm in vms:
                         nursery.start_soon(self._push, vm, message)
-        self._note_changes()
+        self._publish_changes()
         self._wake_if_due()
 
     async def _read_revision(self) -> None:
-        asked_at_ms = now_ms()
+        requested_at_ms = now_ms()
         revision = None
         match await self._kv.get_range(self._key, limit=1, keys_only=True):
             case Ok(page):
                 found = [entry for entry in page.entries if entry.key == self._key]
                 revision = found[0].mod_revision if found else 0
-        for action in self._node.on_revision(revision, asked_at_ms):
+        for action in self._node.on_revision(revision, requested_at_ms):
             await self._perform(action)
 
     async def _read_record(self) -> None:
-        asked_at_ms = now_ms()
+        requested_at_ms = now_ms()
         match await self._kv.get(self._key):
             case Ok(None):
-                self._node.on_record(None, 0, asked_at_ms)
+                self._node.on_record(None, 0, requested_at_ms)
             case Ok(entry):
-                self._node.on_record(entry.value, entry.mod_revision, asked_at_ms)
+                self._node.on_record(entry.value, entry.mod_revision, requested_at_ms)
 
     async def _pull(self, vm: VmRecord, message: ConfigPull) -> None:
-        asked_at_ms = now_ms()
+        requested_at_ms = now_ms()
         match await self._call_peer(vm, message, self._node.limits.pull_timeout_ms):
             case Ok(ConfigPush() as answer):
-                self._node.on_push(answer, asked_at_ms, now_ms())
+                self._node.on_push(answer, requested_at_ms, now_ms())
             case _:
                 self._node.on_pull_failed(vm)
 
@@ -201,17 +201,17 @@
         if (await self._call_peer(vm, message, _PUSH_TIMEOUT_MS)).is_ok():
             self._copied.set()
 
-    def _note_changes(self) -> None:
+    def _publish_changes(self) -> None:
         """Wake whoever waits for a new version, and log what an operator must know."""
-        if self._node.version != self._seen_version:
-            self._seen_version = self._node.version
+        if self._node.version != self._published_version:
+            self._published_version = self._node.version
             self._changed.set()
             self._changed = trio.Event()
             self._wake.set()
-            log_event("config_in_force", version=self._seen_version)
+            log_event("config_in_force", version=self._published_version)
         standing = self._node.standing(now_ms())
-        if standing is not self._seen_standing:
-            self._seen_standing = standing
+        if standing is not self._published_standing:
+            self._published_standing = standing
             log_event("config_standing", standing=standing.value, alarm=self.alarm)
 
     def _wake_if_due(self) -> None:
@@ -225,7 +225,7 @@
 
     async def _on_push(self, message: ConfigPush, _peer: ServerPeer) -> Acknowledgement:
         self._node.on_push(message, -inf, now_ms())
-        self._note_changes()
+        self._publish_changes()
         return Acknowledgement()
 
     async def _on_submit(self, message: SubmitPatch, _peer: ServerPeer) -> SubmitPatchReply:
@@ -236,13 +236,13 @@
         self._copied = trio.Event()
         # A read that is under way may still show the version before.
         self._node.replica.hear(self._node.version, now_ms())
-        self._note_changes()
-        with trio.move_on_after(_FIRST_COPY_MS / 1000):
+        self._publish_changes()
+        with trio.move_on_after(_MAX_COPY_WAIT_MS / 1000):
             await self._copied.wait()
         return SubmitPatchReply(ResultCode.OK.value, step.version)
 
     async def _on_republish(self, message: RepublishConfig, _peer: ServerPeer) -> SubmitPatchReply:
-        asked_at_ms = now_ms()
+        requested_at_ms = now_ms()
         code = ResultCode.KV_UNAVAILABLE
         found = await self._kv.get(self._key)
         if isinstance(found, Ok):
@@ -251,7 +251,7 @@
             code = await self._republish(plan_republish(self._node.replica, value, revision))
         if code is ResultCode.OK:
             self._node.replica.alarm = None
-            self._node.replica.confirm(asked_at_ms)
+            self._node.replica.confirm(requested_at_ms)
         version = self._node.version
         log_event("config_republished", actor=message.actor, version=version, code=code.name)
         return SubmitPatchReply(code.value, version)
@@ -270,7 +270,7 @@
 
     async def _write(self, writer: PatchWriter) -> Accepted | Refusal:
         """Carry out the writer's steps until it is known what became of the patch."""
-        deadline_ms = now_ms() + _RESOLVE_MS
+        deadline_ms = now_ms() + _MAX_RESOLVE_MS
         pause_ms = _FIRST_PAUSE_MS
         step: WriterStep | None = Read()
         while not isinstance(step, Accepted | Refusal):
@@ -284,14 +284,14 @@
         return step
 
     async def _write_step(self, writer: PatchWriter, step: Read | Put) -> WriterStep | None:
-        asked_at_ms = now_ms()
+        requested_at_ms = now_ms()
         if isinstance(step, Put):
             outcome = await self._kv.put_if(self._key, step.value, step.expected_revision)
-            return writer.on_put(outcome, asked_at_ms)
+            return writer.on_put(outcome, requested_at_ms)
         match await self._kv.get(self._key):
             case Ok(None):
-                return writer.on_read(None, 0, asked_at_ms)
+                return writer.on_read(None, 0, requested_at_ms)
             case Ok(entry):
-                return writer.on_read(entry.value, entry.mod_revision, asked_at_ms)
+                return writer.on_read(entry.value, entry.mod_revision, requested_at_ms)
             case Err(_):
                 return None
--- a/src/fescuedock/agent/link.py
+++ b/src/fescuedock/agent/link.py
@@ -35,9 +35,9 @@
 _CALL_TIMEOUT_MS = 3000
 _RETRY_S = 0.2
 # How long an upstream's end is news: what clocks of VMs differ by, and what reports take.
-_JUST_ENDED_MS = 3000.0
+_RECENT_END_MS = 3000.0
 # What the agent says of the key-value service is good for one poll that gets no answer.
-_KV_AWAY_MS = _POLL_WAIT_MS + _CALL_TIMEOUT_MS
+_KV_AWAY_VALIDITY_MS = _POLL_WAIT_MS + _CALL_TIMEOUT_MS
 _PORT_FIELDS = {program: f"{program.value}_port" for program in Program}
 
 
@@ -138,15 +138,15 @@
     def has_just_ended(self, upstream_id: str) -> bool:
         """Whether an upstream was found to have ended in the last seconds."""
         self.unix_clock = self.unix_clock or unix_clock()
-        since_ms = self.unix_clock() * 1000.0 - _JUST_ENDED_MS
+        since_ms = self.unix_clock() * 1000.0 - _RECENT_END_MS
         return self.quarantine.has_ended_since(upstream_id, since_ms)
 
-    def note_quarantine(self) -> None:
+    def notify_quarantine_changed(self) -> None:
         """Wake those who wait for a change of ``quarantine``."""
         self._quarantine_changed.set()
         self._quarantine_changed = trio.Event()
 
-    async def wait_quarantine(self) -> None:
+    async def wait_quarantine_changed(self) -> None:
         """Wait until something new is known of a work."""
         await self._quarantine_changed.wait()
 
@@ -166,19 +166,19 @@
         """Take a new snapshot of the members and wake those who wait."""
         self.vms = {vm.vm_id: vm for vm in vms}
         self.upstreams = {item.upstream_id: item for item in upstreams}
-        self.note_list_age(membership_age_ms)
+        self.record_list_age(membership_age_ms)
         agents = self.live_vms(Program.AGENT)
         if not self._owners.matches(agents):
             self._owners = OwnerIndex(agents)
         self._advance(version)
 
-    def note_list_age(self, age_ms: float) -> None:
+    def record_list_age(self, age_ms: float) -> None:
         """Take the time since the VM list was last read."""
         self._listed_at_ms = now_ms() - age_ms
 
-    def note_kv(self, away: bool) -> None:
+    def record_kv_state(self, away: bool) -> None:
         """Take whether the key-value service answers nobody."""
-        self._kv_away_until_ms = now_ms() + _KV_AWAY_MS if away else float("-inf")
+        self._kv_away_until_ms = now_ms() + _KV_AWAY_VALIDITY_MS if away else float("-inf")
 
     def replace_configuration(
         self, view_version: int, config_version: int, configuration: Configuration, age_ms: float
@@ -244,8 +244,8 @@
     async with ChannelClient.open(address, codec) as client, trio.open_nursery() as nursery:
         link = AgentLink(client, hello)
         nursery.start_soon(_announce, link)
-        nursery.start_soon(_follow, link, view)
-        nursery.start_soon(_follow_crashes, link, view)
+        nursery.start_soon(_poll_view, link, view)
+        nursery.start_soon(_poll_crashes, link, view)
         yield link, view
         nursery.cancel_scope.cancel()
 
@@ -256,7 +256,7 @@
         await trio.sleep(_HELLO_INTERVAL_S)
 
 
-async def _follow(link: AgentLink, view: FleetView) -> None:
+async def _poll_view(link: AgentLink, view: FleetView) -> None:
     while True:
         request = ViewRequest(
             seen_version=view.version,
@@ -265,27 +265,27 @@
         )
         match await link.call(request, request.wait_ms + _CALL_TIMEOUT_MS):
             case Ok(ViewReply() as reply):
-                _take(view, reply)
+                _apply_reply(view, reply)
             case _:
                 await trio.sleep(_RETRY_S)
 
 
-async def _follow_crashes(link: AgentLink, view: FleetView) -> None:
+async def _poll_crashes(link: AgentLink, view: FleetView) -> None:
     request = CrashesRequest()
     while True:
         match await link.call(request, request.wait_ms + _CALL_TIMEOUT_MS):
             case Ok(CrashesReply() as reply):
                 for fact in facts_of(reply.news):
                     view.quarantine.note(fact)
-                view.note_quarantine()
+                view.notify_quarantine_changed()
                 request = CrashesRequest(reply.agent_boot, reply.seen, _POLL_WAIT_MS)
             case _:
                 await trio.sleep(_RETRY_S)
 
 
-def _take(view: FleetView, reply: ViewReply) -> None:
-    view.note_list_age(reply.membership_age_ms)
-    view.note_kv(reply.kv_away)
+def _apply_reply(view: FleetView, reply: ViewReply) -> None:
+    view.record_list_age(reply.membership_age_ms)
+    view.record_kv_state(reply.kv_away)
     configuration = view.configuration
     config_version = view.config_version
     if reply.config_document and reply.config_version > view.config_version:
--- a/src/fescuedock/agent/load_slots.py
+++ b/src/fescuedock/agent/load_slots.py
@@ -18,7 +18,7 @@
 
 __all__ = ["LoadSlots"]
 
-_KEEPS_PER_LEASE = 3
+_RENEWALS_PER_LEASE = 3
 _PAUSE_GROWTH = 1.5
 
 
@@ -44,7 +44,7 @@
             lease_id = await self._try_claim(slot, is_urgent())
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._keep, lease_id)
+                nursery.start_soon(self._renew_lease, lease_id)
                 yield
                 nursery.cancel_scope.cancel()
         finally:
@@ -79,9 +79,9 @@
         await self._kv.revoke_lease(lease_id)
         return None
 
-    async def _keep(self, lease_id: int) -> None:
+    async def _renew_lease(self, lease_id: int) -> None:
         while True:
-            await trio.sleep(self._settings.slot_lease_s / _KEEPS_PER_LEASE)
+            await trio.sleep(self._settings.slot_lease_s / _RENEWALS_PER_LEASE)
             await self._kv.keep_lease(lease_id)
 
     def _index(self, entry: KvEntry) -> int:
--- a/src/fescuedock/agent/main.py
+++ b/src/fescuedock/agent/main.py
@@ -109,7 +109,7 @@
         self.permits = PermitService(
             settings, self.view, engine_checks(http, rng), rng, self.orders.is_loading
         )
-        self.orders.on_change = self.permits.follow_again
+        self.orders.on_change = self.permits.reapply_view
 
     def vms(self) -> list[VmRecord]:
         """Return every VM that membership knows, gone ones included."""
--- a/src/fescuedock/agent/membership_service.py
+++ b/src/fescuedock/agent/membership_service.py
@@ -120,13 +120,13 @@
         self._first_version = first_version
         self._upstreams: tuple[UpstreamRecord, ...] = ()
         self._read_list: VmList | None = None
-        self._dirty = True
+        self._upstreams_changed = True
         self._profile_due_ms = float("-inf")
         self._published_revision = -1
         self._published_at_ms = float("-inf")
         # When the tick loop wakes by itself, and what wakes it before.
         self._wake_ms = float("-inf")
-        self._sooner = trio.Event()
+        self._wake_event = trio.Event()
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
         """Handlers by message type, to be merged with those of the agent's other services."""
@@ -145,7 +145,7 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._receive_forever)
             nursery.start_soon(self._tick_forever)
-            nursery.start_soon(self._follow_list)
+            nursery.start_soon(self._poll_list)
 
     def leave(self) -> None:
         """Announce that this VM takes no new work."""
@@ -161,8 +161,8 @@
     async def _receive_forever(self) -> None:
         while True:
             for data, source in await self._udp.receive():
-                self._take(data, source)
-            self._wake_if_sooner()
+                self._handle_datagram(data, source)
+            self._wake_if_due_earlier()
 
     async def _tick_forever(self) -> None:
         while True:
@@ -170,15 +170,15 @@
             at_ms = now_ms()
             latest_ms = min(at_ms + _MAX_SLEEP_MS, self._publish_due_ms())
             self._wake_ms = self._membership.schedule(at_ms, latest_ms)
-            self._sooner = trio.Event()
+            self._wake_event = trio.Event()
             with trio.move_on_at(self._wake_ms / 1000):
-                await self._sooner.wait()
+                await self._wake_event.wait()
 
-    async def _follow_list(self) -> None:
+    async def _poll_list(self) -> None:
         while True:
             match await self._vm_list.read():
                 case Ok(VmList() as listed):
-                    self._take_list(listed)
+                    self._apply_list(listed)
             await self._vm_list.wait_due()
 
     def _tick(self, at_ms: float) -> None:
@@ -195,17 +195,17 @@
 
     def _publish_due_ms(self) -> float:
         """Return when the view is to be replaced; infinite while it is current."""
-        changed = self._dirty or self._membership.revision != self._published_revision
+        changed = self._upstreams_changed or self._membership.revision != self._published_revision
         changed = changed or self._configuration.current_version != self._view.config_version
         return self._published_at_ms + _PUBLISH_INTERVAL_MS if changed else float("inf")
 
-    def _wake_if_sooner(self) -> None:
+    def _wake_if_due_earlier(self) -> None:
         """Wake the tick loop when there is something to do before it would look."""
         due_ms = min(self._membership.next_due_ms(now_ms()), self._publish_due_ms())
         if due_ms < self._wake_ms:
-            self._sooner.set()
+            self._wake_event.set()
 
-    def _take(self, data: bytes, source: Address) -> None:
+    def _handle_datagram(self, data: bytes, source: Address) -> None:
         if len(data) > _MAX_DATAGRAM_BYTES:
             return
         try:
@@ -215,20 +215,20 @@
         if is_membership_message(message):
             self._perform(self._membership.receive(message, source, now_ms()))
 
-    def _take_list(self, listed: VmList) -> None:
+    def _apply_list(self, listed: VmList) -> None:
         if listed is not self._read_list:
             self._read_list = listed
             self._upstreams = listed.upstreams
-            self._dirty = True
+            self._upstreams_changed = True
             candidates = [
                 Candidate(vm.vm_id, Address(vm.host, vm.port), vm.is_leaving)
                 for vm in listed.system
             ]
             self._membership.replace_list(candidates, now_ms())
-            self._wake_if_sooner()
+            self._wake_if_due_earlier()
         else:
             self._membership.record_list_read(now_ms())
-        self._view.note_list_age(now_ms() - self._membership.list_read_at_ms)
+        self._view.record_list_age(now_ms() - self._membership.list_read_at_ms)
 
     def _perform(self, actions: list[Action]) -> None:
         for action in actions:
@@ -244,27 +244,27 @@
 
     def _publish(self, at_ms: float) -> None:
         """Replace the view by what is known now, and wake those who wait for it."""
-        self._dirty = False
+        self._upstreams_changed = False
         self._published_at_ms = at_ms
         self._published_revision = self._membership.revision
-        self._take_configuration()
+        self._apply_configuration()
         view = self._view
         vms, upstreams = view.vms, view.upstreams
         # Above those of this agent's former lives, which programs may still hold.
         version = max(view.version, self._first_version) + 1
         age_ms = at_ms - self._membership.list_read_at_ms
-        view.replace(version, self._membership.records(), self._shown_upstreams(), age_ms)
-        self._history.note(version, (vms, view.vms), (upstreams, view.upstreams))
+        view.replace(version, self._membership.records(), self._published_upstreams(), age_ms)
+        self._history.record(version, (vms, view.vms), (upstreams, view.upstreams))
 
-    def _shown_upstreams(self) -> list[UpstreamRecord]:
+    def _published_upstreams(self) -> list[UpstreamRecord]:
         """Return the listed upstreams, those that an operator drains as leaving."""
-        drained = _drained(self._view.configuration)
+        drained = _drained_upstreams(self._view.configuration)
         return [
             msgspec.structs.replace(item, leaving=True) if item.upstream_id in drained else item
             for item in self._upstreams
         ]
 
-    def _take_configuration(self) -> None:
+    def _apply_configuration(self) -> None:
         source = self._configuration
         configuration = self._view.configuration
         if source.current_version != self._view.config_version:
@@ -276,7 +276,7 @@
     # --- handlers ------------------------------------------------------------------------------
 
     async def _on_hello(self, message: Hello, _peer: ServerPeer) -> HelloReply:
-        self._programs.note(message, now_ms())
+        self._programs.record_hello(message, now_ms())
         self._profile_due_ms = float("-inf")
         return HelloReply(self._settings.vm.vm_id)
 
@@ -297,9 +297,9 @@
             view_version=view.version,
             vms=[],
             upstreams=[],
-            membership_age_ms=_whole(view.membership_age_ms),
+            membership_age_ms=_to_integer_ms(view.membership_age_ms),
             config_version=view.config_version,
-            config_age_ms=_whole(source.confirmed_age_ms),
+            config_age_ms=_to_integer_ms(source.confirmed_age_ms),
             config_document=source.document if newer else b"",
             kv_away=source.kv_away,
             unchanged=view.version == message.seen_version,
@@ -325,10 +325,10 @@
         reply.gone_upstreams = sorted(changes.upstream_ids - view.upstreams.keys())
 
 
-def _drained(configuration: Configuration) -> set[str]:
+def _drained_upstreams(configuration: Configuration) -> set[str]:
     return {name for name, policy in configuration.upstreams.items() if policy.drain}
 
 
-def _whole(age_ms: float) -> int:
+def _to_integer_ms(age_ms: float) -> int:
     """Return an age as a message carries it; "never" becomes a very long time."""
     return int(min(age_ms, 2**53))
--- a/src/fescuedock/agent/order_service.py
+++ b/src/fescuedock/agent/order_service.py
@@ -42,7 +42,7 @@
 
 ORDERS_PREFIX = "orders/"
 SLOTS_PREFIX = "load-slots/"
-_MAX_AT_ONCE = 4
+_MAX_CONCURRENT_ORDERS = 4
 _ROUNDING_MS = 1.0
 _OUTCOMES = {
     ResultCode.PEER_UNREACHABLE: GiveOutcome.NOT_SENT,
@@ -75,15 +75,15 @@
         self._prefix = settings.platform.key_prefix + ORDERS_PREFIX
         self._slots = LoadSlots(kv, settings.platform.key_prefix + SLOTS_PREFIX, settings.orders)
         self._holder_id = f"{settings.vm.vm_id}/{rng.getrandbits(64):016x}"
-        self._turns = trio.CapacityLimiter(_MAX_AT_ONCE)
+        self._order_limiter = trio.CapacityLimiter(_MAX_CONCURRENT_ORDERS)
         self._serving: dict[str, ServedUpstream] = {}
         # Called when ``is_loading`` may have changed for an upstream.
-        self.on_change: Callable[[], None] = _ignore
+        self.on_change: Callable[[], None] = _do_nothing
 
     def is_loading(self, upstream_id: str) -> bool:
         """Whether the upstream is known to lack a model that requests may ask it for."""
-        part = self._serving.get(upstream_id)
-        return part is not None and part.is_loading
+        served = self._serving.get(upstream_id)
+        return served is not None and served.is_loading
 
     async def run(self) -> None:
         """Follow the view and serve each engine that this VM owns, until cancelled."""
@@ -92,11 +92,11 @@
                 version = self._view.version
                 for upstream in self._owned():
                     if upstream.upstream_id not in self._serving:
-                        part = self._new_part(upstream)
-                        self._serving[upstream.upstream_id] = part
-                        nursery.start_soon(self._serve, part)
-                for part in self._serving.values():
-                    part.wake.set()
+                        served = self._new_served(upstream)
+                        self._serving[upstream.upstream_id] = served
+                        nursery.start_soon(self._serve, served)
+                for served in self._serving.values():
+                    served.wake.set()
                 await self._view.wait_changed(version)
 
     def _owned(self) -> list[UpstreamRecord]:
@@ -110,77 +110,77 @@
         owner = self._view.owner_of(upstream_id)
         return owner is not None and owner.vm_id == self._settings.vm.vm_id
 
-    def _new_part(self, upstream: UpstreamRecord) -> ServedUpstream:
+    def _new_served(self, upstream: UpstreamRecord) -> ServedUpstream:
         return ServedUpstream(upstream, OrderHolder(self._holder_id, False, self._settings.orders))
 
-    async def _serve(self, part: ServedUpstream) -> None:
+    async def _serve(self, served: ServedUpstream) -> None:
         """Bring one upstream to what it has to have, and keep it there, while it is ours."""
-        name = part.upstream.upstream_id
-        while self._owns(name) or part.holder.holds:
-            part.refresh(self._view)
-            part.wake = trio.Event()
-            if part.holder.phase is Phase.UNKNOWN:
-                await self._learn(part)
-            elif part.has_work(self._wanted(part)):
-                async with self._turns:
-                    wait_ms = await self._work(part)
+        name = served.upstream.upstream_id
+        while self._owns(name) or served.holder.holds:
+            served.refresh(self._view)
+            served.wake = trio.Event()
+            if served.holder.phase is Phase.UNKNOWN:
+                await self._read_state(served)
+            elif served.has_work(self._next_order(served)):
+                async with self._order_limiter:
+                    wait_ms = await self._run_steps(served)
                 wait_ms = min(max(wait_ms, 0), self._settings.orders.settled_poll_ms)
                 with trio.move_on_after((wait_ms + _ROUNDING_MS) / 1000):
-                    await part.wake.wait()
+                    await served.wake.wait()
             else:
-                await self._rest(part)
+                await self._wait_and_recheck(served)
         del self._serving[name]
 
-    async def _learn(self, part: ServedUpstream) -> None:
+    async def _read_state(self, served: ServedUpstream) -> None:
         """Read what the record and the engine itself say of the upstream."""
-        await self._read(part)
-        part.listed = (await self._control.models(part.upstream)).ok()
-        self._judge(part)
+        await self._read(served)
+        served.listed = (await self._control.models(served.upstream)).ok()
+        self._update_loading(served)
 
-    async def _rest(self, part: ServedUpstream) -> None:
+    async def _wait_and_recheck(self, served: ServedUpstream) -> None:
         with trio.move_on_after(self._settings.orders.settled_poll_ms / 1000):
-            await part.wake.wait()
+            await served.wake.wait()
             return
-        match await self._control.models(part.upstream):
+        match await self._control.models(served.upstream):
             case Ok(listed):
-                part.listed = listed
-                part.holder.state = without_lost(part.holder.state, listed)
-                self._judge(part)
+                served.listed = listed
+                served.holder.state = without_lost(served.holder.state, listed)
+                self._update_loading(served)
 
-    def _judge(self, part: ServedUpstream) -> None:
+    def _update_loading(self, served: ServedUpstream) -> None:
         """Judge whether requests have to stay away; without knowledge they need not."""
         loading = False
-        if part.listed is not None and not part.refused(now_ms()):
-            placement = placement_of(self._view.configuration, part.upstream)
-            loading = lacks_model(part.holder.state, part.listed, placement)
-        if loading is not part.is_loading:
-            part.is_loading = loading
+        if served.listed is not None and not served.refused_orders(now_ms()):
+            placement = placement_of(self._view.configuration, served.upstream)
+            loading = lacks_model(served.holder.state, served.listed, placement)
+        if loading is not served.is_loading:
+            served.is_loading = loading
             self.on_change()
 
-    async def _work(self, part: ServedUpstream) -> float:
+    async def _run_steps(self, served: ServedUpstream) -> float:
         """Take steps until there is nothing to do or a wait without holding; returns the wait."""
         while True:
             # Each step may take as long as an order, in which the upstream may begin to leave.
-            part.refresh(self._view)
-            wanted = self._wanted(part)
-            match part.holder.step(wanted, now_ms()):
+            served.refresh(self._view)
+            wanted = self._next_order(served)
+            match served.holder.step(wanted, now_ms()):
                 case ReadRecord():
-                    await self._read(part)
+                    await self._read(served)
                 case Write() as write:
-                    await self._write(part, write)
+                    await self._write(served, write)
                 case Give() as give:
-                    await self._give(part, give)
-                case Wait(until_ms) if part.holder.holds:
+                    await self._give(served, give)
+                case Wait(until_ms) if served.holder.holds:
                     await _sleep_past(until_ms)
                 case Wait(until_ms):
                     return until_ms - now_ms()
 
-    def _wanted(self, part: ServedUpstream) -> PlannedOrder | None:
+    def _next_order(self, served: ServedUpstream) -> PlannedOrder | None:
         """Return the next order; None too when the upstream is no longer ours or is leaving."""
-        if part.upstream.leaving or not self._owns(part.upstream.upstream_id):
+        if served.upstream.leaving or not self._owns(served.upstream.upstream_id):
             return None
-        placement = placement_of(self._view.configuration, part.upstream)
-        return next_order(part.holder.state, placement, part.refused(now_ms()))
+        placement = placement_of(self._view.configuration, served.upstream)
+        return next_order(served.holder.state, placement, served.refused_orders(now_ms()))
 
     def _has_online_demand(self, service: str) -> bool:
         loads = [
@@ -188,31 +188,31 @@
         ]
         return any(load.queued_online + load.in_flight_online for load in loads)
 
-    async def _read(self, part: ServedUpstream) -> None:
-        match await self._kv.get(self._key(part)):
+    async def _read(self, served: ServedUpstream) -> None:
+        match await self._kv.get(self._key(served)):
             case Ok(None):
-                part.holder.on_read(None, 0, now_ms())
+                served.holder.on_read(None, 0, now_ms())
             case Ok(entry):
                 record = msgspec.msgpack.decode(entry.value, type=OrderRecord)
-                part.holder.on_read(record, entry.mod_revision, now_ms())
+                served.holder.on_read(record, entry.mod_revision, now_ms())
             case Err(_):
                 await trio.sleep(self._settings.orders.retry_ms / 1000)
 
-    async def _write(self, part: ServedUpstream, write: Write) -> None:
+    async def _write(self, served: ServedUpstream, write: Write) -> None:
         data = msgspec.msgpack.encode(write.record)
-        part.holder.begin_write(write, now_ms())
-        match await self._kv.put_if(self._key(part), data, write.expected_revision):
+        served.holder.begin_write(write, now_ms())
+        match await self._kv.put_if(self._key(served), data, write.expected_revision):
             case Ok(revision):
-                part.holder.on_write(revision, True, now_ms())
+                served.holder.on_write(revision, True, now_ms())
             case Err(fault):
                 certain = fault.code is ResultCode.KV_CONFLICT
-                part.holder.on_write(None, certain, now_ms())
+                served.holder.on_write(None, certain, now_ms())
                 await trio.sleep(self._settings.orders.retry_ms / 1000)
 
-    def _key(self, part: ServedUpstream) -> str:
-        return self._prefix + part.upstream.upstream_id
+    def _key(self, served: ServedUpstream) -> str:
+        return self._prefix + served.upstream.upstream_id
 
-    async def _give(self, part: ServedUpstream, give: Give) -> None:
+    async def _give(self, served: ServedUpstream, give: Give) -> None:
         """Give the order, renewing the lease meanwhile; stop when the lease has run out.
 
         The scope's deadline covers the sending too: after a pause of this process the loop sees
@@ -221,16 +221,16 @@
         outcome = GiveOutcome.NOT_SENT
         scope = trio.CancelScope(deadline=give.until_ms / 1000)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._renew, part, scope)
+            nursery.start_soon(self._renew, served, scope)
             with scope:
-                async with self._slot(part.upstream, give.order):
+                async with self._slot(served.upstream, give.order):
                     outcome = GiveOutcome.UNKNOWN
-                    outcome = await self._send(part.upstream.upstream_id, give)
+                    outcome = await self._send(served.upstream.upstream_id, give)
             nursery.cancel_scope.cancel()
         if outcome is GiveOutcome.REJECTED:
-            part.refuse(give.order, now_ms())
-        part.holder.on_given(outcome, now_ms())
-        self._judge(part)
+            served.record_refusal(give.order, now_ms())
+        served.holder.on_given(outcome, now_ms())
+        self._update_loading(served)
 
     def _slot(
         self, upstream: UpstreamRecord, order: PlannedOrder
@@ -240,16 +240,16 @@
         slot = LoadSlot(self._holder_id, upstream.upstream_id, order.model)
         return self._slots.claim(slot, lambda: self._has_online_demand(upstream.service))
 
-    async def _renew(self, part: ServedUpstream, scope: trio.CancelScope) -> None:
-        holder = part.holder
+    async def _renew(self, served: ServedUpstream, scope: trio.CancelScope) -> None:
+        holder = served.holder
         while holder.holds:
             scope.deadline = holder.lease_end_ms / 1000
             await _sleep_past(holder.renewal_due_ms)
             write = holder.renewal(now_ms())
             if write is not None:
-                await self._write(part, write)
+                await self._write(served, write)
             else:
-                await self._read(part)
+                await self._read(served)
 
     async def _send(self, upstream_id: str, give: Give) -> GiveOutcome:
         """Send an order to the upstream as the view has it now.
@@ -285,7 +285,7 @@
         return outcome
 
 
-def _ignore() -> None:
+def _do_nothing() -> None:
     """Stand for nobody who wants to know."""
 
 
--- a/src/fescuedock/agent/peers.py
+++ b/src/fescuedock/agent/peers.py
@@ -16,25 +16,27 @@
         self._codec = codec
         self._nursery = nursery
         self._on_push = on_push
-        self._open: dict[Address, ChannelClient] = {}
+        self._channels: dict[Address, ChannelClient] = {}
 
     async def get(self, address: Address) -> ChannelClient:
         """Return the channel to ``address``; connecting goes on in the background."""
-        channel = self._open.get(address)
+        channel = self._channels.get(address)
         if channel is None:
             # Opening waits for nothing.  A task that is started by a cancelled one ends with it,
             # and the channel is for all callers.
             with trio.CancelScope(shield=True):
-                channel = await self._nursery.start(self._hold, address)
+                channel = await self._nursery.start(self._keep_open, address)
         return channel
 
-    async def _hold(self, address: Address, *, task_status: trio.TaskStatus[ChannelClient]) -> None:
+    async def _keep_open(
+        self, address: Address, *, task_status: trio.TaskStatus[ChannelClient]
+    ) -> None:
         async with ChannelClient.open(address, self._codec, self._on_push) as channel:
             # Two callers may have got here at once; both channels work, the last one is kept.
-            self._open[address] = channel
+            self._channels[address] = channel
             task_status.started(channel)
             try:
                 await trio.sleep_forever()
             finally:
-                if self._open.get(address) is channel:
-                    del self._open[address]
+                if self._channels.get(address) is channel:
+                    del self._channels[address]
--- a/src/fescuedock/agent/permit_client.py
+++ b/src/fescuedock/agent/permit_client.py
@@ -1,7 +1,7 @@
 """How an entry or a batch runner gets permits from the agents that own upstreams.
 
 async with open_permit_client(settings, codec, view, holder_id) as permits:
-    match await permits.ask(PermitAsk(...), timeout_ms=20):
+    match await permits.request(PermitAsk(...), timeout_ms=20):
         case Ok(grant): ...      # run the attempt, watch grant.revoked, then grant.end(...)
         case Err(fault): ...     # refused (retry_after_ms is truthful) or a silent owner
 """
@@ -50,15 +50,15 @@
 
 _DEFAULT_VALID_MS = 2000
 # Ends by which an upstream may have ended as well.
-_BROKEN_OFF = (AttemptOutcome.TRUNCATED, AttemptOutcome.RESPONSE_TIMEOUT)
+_BROKEN_OUTCOMES = (AttemptOutcome.TRUNCATED, AttemptOutcome.RESPONSE_TIMEOUT)
 # Ends of our own making, after which an upstream may still be at work.
-_GIVEN_UP = (AttemptOutcome.CANCELLED, AttemptOutcome.REVOKED)
+_ABANDONED_OUTCOMES = (AttemptOutcome.CANCELLED, AttemptOutcome.REVOKED)
 # How long a permit for a run alone is kept after an answer that ended with its connection, at most.
-_LONE_PAUSE_S = 1.5
+_MAX_ISOLATED_HOLD_S = 1.5
 # For each VM, in which one of those that know a part to be sound says so before the others.
-_VOUCH_PAUSE_S = 0.002
+_CONFIRM_PAUSE_PER_VM_S = 0.002
 # Beyond the time that an ask may be queued, for an owner in the same process.
-_OWN_TIMEOUT_MS = 2000
+_LOCAL_OWNER_TIMEOUT_MS = 2000
 # Three renewals fit into the validity, so that two may be lost.
 _RENEWALS_PER_VALIDITY = 3
 
@@ -113,7 +113,7 @@
         return self._held.parts
 
     @property
-    def alone(self) -> bool:
+    def isolated(self) -> bool:
         """Whether its owner lets nothing else run at the upstream meanwhile."""
         return self._held.ask.alone
 
@@ -139,20 +139,20 @@
             self._held.first_token_ms = now_ms() - self._held.granted_ms
         self._held.generated_tokens += count
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         """Note that the attempt's request is written."""
         self._held.sent = True
 
-    def note_unframed(self) -> None:
+    def record_unframed(self) -> None:
         """Note that the attempt's answer ends with its connection."""
         self._held.unframed = True
 
-    def choose(self, work_id: str, parts: tuple[str, ...] = ()) -> None:
+    def assign_work(self, work_id: str, parts: tuple[str, ...] = ()) -> None:
         """Note which work runs under a permit that was asked for before it was chosen."""
         self._held.ask = msgspec.structs.replace(self._held.ask, work_id=work_id)
         self._held.parts = parts
 
-    def describe(
+    def update_work_state(
         self, stage: BatchStage, slack_ms: float, left_ms: float, barren_runs: int
     ) -> None:
         """Tell the owner, with the next renewal, how the work stands that was chosen to run."""
@@ -169,13 +169,13 @@
         self._end(ended)
 
 
-class _OwnPeer(msgspec.Struct, frozen=True):
+class _LocalPeer(msgspec.Struct, frozen=True):
     """This process as an owner in it sees its caller."""
 
-    take_push: Push
+    handle_push: Push
 
     def push(self, message: msgspec.Struct) -> bool:
-        self.take_push(message)
+        self.handle_push(message)
         return True
 
 
@@ -200,23 +200,23 @@
         self._book = HolderBook()
         self._grants: dict[str, Grant] = {}
         self._valid_ms = settings.agent.permit_valid_ms if settings.agent else _DEFAULT_VALID_MS
-        self._something_ended = trio.Event()
+        self._permit_ended = trio.Event()
         self._own_agent = Address(settings.vm.host, settings.agent.port) if settings.agent else None
         # What this VM's agent is to be told of works, in order.
-        self._to_tell: list[BrokenRun | WholeRun] = []
-        self._given_up = RecentRuns()
+        self._unsent_reports: list[BrokenRun | WholeRun] = []
+        self._abandoned_runs = RecentRuns()
         self._unanswered = UnansweredAsks()
         self._rng = random.Random(holder_id)
         self._nursery: trio.Nursery | None = None
         # Attempts whose ask is under way; True once a revocation has overtaken the grant.
-        self._asking: dict[str, bool] = {}
+        self._pending_requests: dict[str, bool] = {}
 
     @property
     def is_unanswered(self) -> bool:
         """Whether no owner has answered any ask for seconds; nobody else's may be concerned."""
         return self._unanswered.is_long(now_ms())
 
-    async def ask(
+    async def request(
         self, ask: PermitAsk, timeout_ms: float, parts: tuple[str, ...] = ()
     ) -> Result[Grant, Fault]:
         """Ask the owner of ``ask.upstream_id``; wait ``timeout_ms`` at most for its answer.
@@ -226,21 +226,21 @@
         ``timeout_ms`` should exceed ``ask.wait_ms``, the time the owner may queue the ask.  Where
         this process is the owner itself it is waited for longer: late is not silent then.
         ``PEER_UNREACHABLE`` and ``PEER_UNKNOWN`` mean a silent owner: an online attempt may then
-        use ``ask_local`` or another upstream, batch waits.  ``NOT_OWNER`` means that the views of
-        the two nodes differ for a moment.  Any other fault is the owner's refusal.
+        use ``request_local`` or another upstream, batch waits.  ``NOT_OWNER`` means that the views
+        of the two nodes differ for a moment.  Any other fault is the owner's refusal.
         ``NOT_OWNER`` also tells that the upstream has gone or is leaving by the time of the grant.
         A late grant is given back by the client itself.
         """
         sent_ms = now_ms()
         answered = False
-        self._asking[ask.attempt_id] = False
+        self._pending_requests[ask.attempt_id] = False
         own = self._own_handler(ask.upstream_id)
         if own is not None:
-            timeout_ms = max(timeout_ms, ask.wait_ms + _OWN_TIMEOUT_MS)
+            timeout_ms = max(timeout_ms, ask.wait_ms + _LOCAL_OWNER_TIMEOUT_MS)
         try:
             with trio.move_on_after(timeout_ms / 1000):
                 if own is not None:
-                    reply = Ok(await own(ask, _OwnPeer(self.take_push)))
+                    reply = Ok(await own(ask, _LocalPeer(self.handle_push)))
                 else:
                     channel = await self._channel_of(ask.upstream_id)
                     if channel is None:
@@ -252,15 +252,15 @@
                     self._unanswered.note_answer()
                 else:
                     self._unanswered.note_silence(now_ms())
-                return reply.and_then(lambda found: self._settle(ask, found, sent_ms, parts))
+                return reply.and_then(lambda found: self._handle_reply(ask, found, sent_ms, parts))
             self._unanswered.note_silence(now_ms())
             return Err(Fault(ResultCode.PEER_UNKNOWN, f"no answer for {ask.upstream_id}"))
         finally:
-            self._asking.pop(ask.attempt_id, None)
+            self._pending_requests.pop(ask.attempt_id, None)
             if not answered:
-                self._give_up(ask)
+                self._abandon_request(ask)
 
-    def ask_local(self, ask: PermitAsk, parts: tuple[str, ...] = ()) -> Result[Grant, Fault]:
+    def request_local(self, ask: PermitAsk, parts: tuple[str, ...] = ()) -> Result[Grant, Fault]:
         """Grant one online attempt without its owner, under the conservative local limit.
 
         ``NO_CAPACITY`` when the local limit is used up, or for batch work, which must wait;
@@ -271,7 +271,7 @@
             return Err(Fault(ResultCode.NO_CAPACITY, message, self._settings.adjust_ms))
         return self._grant(HeldGrant(ask, now_ms(), float("inf"), local=True, parts=parts))
 
-    def give_back(self, grant: Grant) -> None:
+    def return_unused(self, grant: Grant) -> None:
         """Give a permit back that nothing was done with."""
         outcome = AttemptOutcome.CANCELLED
         work_class = grant.work_class
@@ -282,10 +282,10 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._renew_forever)
-            nursery.start_soon(self._report_forever)
-            nursery.start_soon(self._follow_ends)
+            nursery.start_soon(self._report_ends_forever)
+            nursery.start_soon(self._report_abandoned_runs)
 
-    def take_push(self, message: msgspec.Struct) -> None:
+    def handle_push(self, message: msgspec.Struct) -> None:
         """Take a message that an owner sent of its own accord."""
         if isinstance(message, PermitsRevoked):
             self._revoke(message.permit_ids)
@@ -314,12 +314,12 @@
         code = ResultCode.PEER_UNREACHABLE if known else ResultCode.NOT_OWNER
         return Fault(code, f"no owner is known for {upstream_id!r}")
 
-    def _settle(
+    def _handle_reply(
         self, ask: PermitAsk, reply: PermitReply, sent_ms: float, parts: tuple[str, ...]
     ) -> Result[Grant, Fault]:
         code = ResultCode(reply.code)
         if code is not ResultCode.NOT_OWNER:
-            self._note_loads([reply.load])
+            self._record_loads([reply.load])
         if code is ResultCode.OK:
             renew_at_ms = sent_ms + reply.valid_ms / _RENEWALS_PER_VALIDITY
             held = HeldGrant(ask, now_ms(), sent_ms + reply.valid_ms, renew_at_ms)
@@ -334,14 +334,14 @@
         An ask may wait at its owner for a second, and the owner may know less than this node by the
         time it grants.  All permits pass through here, so that none is used on its word alone.
         """
-        grant = self._take(held)
-        fault = self._overtaken(grant.upstream_id)
+        grant = self._register(held)
+        fault = self._refusal_by_view(grant.upstream_id)
         if fault is None:
             return Ok(grant)
-        self.give_back(grant)
+        self.return_unused(grant)
         return Err(fault)
 
-    def _overtaken(self, upstream_id: str) -> Fault | None:
+    def _refusal_by_view(self, upstream_id: str) -> Fault | None:
         """Return why no attempt may begin at an upstream by what this node knows now, if so."""
         upstream = self._view.upstreams.get(upstream_id)
         if upstream is None:
@@ -351,11 +351,11 @@
             return Fault(ResultCode.NOT_OWNER, f"{upstream_id!r} is leaving")
         return None
 
-    def _take(self, held: HeldGrant) -> Grant:
+    def _register(self, held: HeldGrant) -> Grant:
         self._book.add(held)
         grant = Grant(held, self._end)
         self._grants[grant.permit_id] = grant
-        if self._asking.get(grant.permit_id):
+        if self._pending_requests.get(grant.permit_id):
             grant.revoked.set()
         return grant
 
@@ -363,9 +363,9 @@
         held = self._book.get(ended.permit_id)
         if held is None or self._grants.pop(ended.permit_id, None) is None:
             return
-        self._note_run(held, ended)
+        self._record_run(held, ended)
         if held.ask.alone and held.unframed and self._nursery is not None:
-            self._nursery.start_soon(self._return_later, held, ended)
+            self._nursery.start_soon(self._return_when_settled, held, ended)
         else:
             self._return(held, ended)
 
@@ -373,19 +373,21 @@
         self._book.end(ended)
         if held.local:
             self.local_limit.give_back(ended.upstream_id)
-        self._something_ended.set()
+        self._permit_ended.set()
 
-    async def _return_later(self, held: HeldGrant, ended: EndedPermit) -> None:
+    async def _return_when_settled(self, held: HeldGrant, ended: EndedPermit) -> None:
         """Keep other work off an upstream that may be about to end under a run alone."""
-        self._something_ended.set()
+        self._permit_ended.set()
         work_id = held.ask.work_id
-        with trio.move_on_after(_LONE_PAUSE_S):
+        with trio.move_on_after(_MAX_ISOLATED_HOLD_S):
             while any(map(self._view.quarantine.suspects, (work_id, *held.parts))):
-                await self._view.wait_quarantine()
-        self._to_tell.append(BrokenRun(ended.upstream_id, work_id, given_up=True, looks_whole=True))
+                await self._view.wait_quarantine_changed()
+        self._unsent_reports.append(
+            BrokenRun(ended.upstream_id, work_id, given_up=True, looks_whole=True)
+        )
         self._return(held, ended)
 
-    def _note_run(self, held: HeldGrant, ended: EndedPermit) -> None:
+    def _record_run(self, held: HeldGrant, ended: EndedPermit) -> None:
         """Note what a run says of the work; all runs end here, so that none is missed."""
         work_id = held.ask.work_id
         upstream_id = ended.upstream_id
@@ -394,47 +396,47 @@
         run = BrokenRun(
             upstream_id, work_id, alone=held.ask.alone, begun=begun, parts=list(unknown)
         )
-        if ended.outcome in (*_BROKEN_OFF, AttemptOutcome.CONNECT_REFUSED):
+        if ended.outcome in (*_BROKEN_OUTCOMES, AttemptOutcome.CONNECT_REFUSED):
             # What was given up just before may be what ended it, and nobody else would tell.
-            self._to_tell += self._given_up.take(upstream_id, now_ms())
+            self._unsent_reports += self._abandoned_runs.take(upstream_id, now_ms())
         if ended.outcome is AttemptOutcome.CONNECT_REFUSED:
-            self._note_refused(upstream_id)
+            self._report_refused_connect(upstream_id)
         if not work_id:
             return
-        if ended.outcome in _GIVEN_UP and held.sent:
+        if ended.outcome in _ABANDONED_OUTCOMES and held.sent:
             run = msgspec.structs.replace(run, given_up=True)
-            self._given_up.note(run, now_ms())
-        elif ended.outcome in _BROKEN_OFF:
-            self._to_tell.append(run)
+            self._abandoned_runs.note(run, now_ms())
+        elif ended.outcome in _BROKEN_OUTCOMES:
+            self._unsent_reports.append(run)
         elif ended.outcome is AttemptOutcome.COMPLETED:
-            self._note_whole(held, run)
+            self._record_completed_run(held, run)
 
-    def _note_whole(self, held: HeldGrant, run: BrokenRun) -> None:
+    def _record_completed_run(self, held: HeldGrant, run: BrokenRun) -> None:
         """Note that a run became whole, or that it looks so and its upstream may have ended."""
         quarantine = self._view.quarantine
         traits = (run.work_id, *held.parts)
         suspected = [trait for trait in traits if quarantine.suspects(trait)]
         if held.unframed:
             if run.parts or suspected:
-                self._to_tell.append(msgspec.structs.replace(run, looks_whole=True))
+                self._unsent_reports.append(msgspec.structs.replace(run, looks_whole=True))
             return
         self._view.sound_parts.note(held.parts, now_ms())
-        self._to_tell += [WholeRun(trait) for trait in suspected]
+        self._unsent_reports += [WholeRun(trait) for trait in suspected]
 
-    def _give_up(self, ask: PermitAsk) -> None:
+    def _abandon_request(self, ask: PermitAsk) -> None:
         outcome = AttemptOutcome.CANCELLED
         self._book.give_up(EndedPermit(ask.attempt_id, ask.upstream_id, outcome, ask.work_class))
-        self._something_ended.set()
+        self._permit_ended.set()
 
     def _revoke(self, permit_ids: Iterable[str]) -> None:
         for permit_id in permit_ids:
             grant = self._grants.get(permit_id)
             if grant is not None:
                 grant.revoked.set()
-            elif permit_id in self._asking:
-                self._asking[permit_id] = True
+            elif permit_id in self._pending_requests:
+                self._pending_requests[permit_id] = True
 
-    def _note_loads(self, loads: Iterable[LoadSnapshot]) -> None:
+    def _record_loads(self, loads: Iterable[LoadSnapshot]) -> None:
         at_ms = now_ms()
         self.loads = {**self.loads, **{load.upstream_id: TimedLoad(load, at_ms) for load in loads}}
 
@@ -466,18 +468,18 @@
         if reply.is_err():
             return
         renewed = reply.unwrap()
-        self._note_loads(renewed.loads)
+        self._record_loads(renewed.loads)
         self._revoke(renewed.revoked)
         known = {load.upstream_id for load in renewed.loads}
         good = [held.ask.attempt_id for held in group if held.ask.upstream_id in known]
         renew_at_ms = sent_ms + renewed.valid_ms / _RENEWALS_PER_VALIDITY
         self._book.renewed(good, sent_ms + renewed.valid_ms, renew_at_ms)
 
-    async def _report_forever(self) -> None:
+    async def _report_ends_forever(self) -> None:
         while True:
-            await self._something_ended.wait()
-            self._something_ended = trio.Event()
-            await self._tell_agent()
+            await self._permit_ended.wait()
+            self._permit_ended = trio.Event()
+            await self._send_reports()
             await trio.sleep(self._settings.ended_batch_ms / 1000)
             by_owner: dict[Address, list[EndedPermit]] = defaultdict(list)
             for ended in self._book.take_ended():
@@ -488,22 +490,22 @@
                 channel = await self._channels.get(address)
                 channel.push(PermitsEnded(self.holder_id, group))
 
-    def _note_refused(self, upstream_id: str) -> None:
+    def _report_refused_connect(self, upstream_id: str) -> None:
         """Have it found out whether an upstream has ended: others may have given runs up there."""
         if not self._view.has_just_ended(upstream_id):
-            self._to_tell.append(BrokenRun(upstream_id, ""))
+            self._unsent_reports.append(BrokenRun(upstream_id, ""))
 
-    async def _follow_ends(self) -> None:
+    async def _report_abandoned_runs(self) -> None:
         """Tell of runs that were given up at upstreams which other VMs have found to have ended."""
         while True:
-            await self._view.wait_quarantine()
-            for upstream_id in self._given_up.upstream_ids(now_ms()):
+            await self._view.wait_quarantine_changed()
+            for upstream_id in self._abandoned_runs.upstream_ids(now_ms()):
                 if self._view.has_just_ended(upstream_id):
-                    self._to_tell += self._given_up.take(upstream_id, now_ms())
-            await self._tell_agent()
-            await self._vouch()
+                    self._unsent_reports += self._abandoned_runs.take(upstream_id, now_ms())
+            await self._send_reports()
+            await self._confirm_sound_parts()
 
-    async def _vouch(self) -> None:
+    async def _confirm_sound_parts(self) -> None:
         """Tell of parts under suspicion that runs of this process have become whole with.
 
         One that is popular is known to many nodes; whoever comes first spares the others.
@@ -512,20 +514,20 @@
         suspected = self._view.quarantine.suspected_among
         if not sound.sound_among(suspected(sound.parts), now_ms()):
             return
-        await trio.sleep(_VOUCH_PAUSE_S * len(self._view.vms) * self._rng.random())
+        await trio.sleep(_CONFIRM_PAUSE_PER_VM_S * len(self._view.vms) * self._rng.random())
         found = sound.sound_among(suspected(sound.parts), now_ms())
-        self._to_tell += [WholeRun(part) for part in sorted(found)]
-        await self._tell_agent()
+        self._unsent_reports += [WholeRun(part) for part in sorted(found)]
+        await self._send_reports()
 
-    async def _tell_agent(self) -> None:
+    async def _send_reports(self) -> None:
         """Tell this VM's agent of works at once: the next try of one may be on its way."""
-        messages, self._to_tell = self._to_tell, []
+        messages, self._unsent_reports = self._unsent_reports, []
         if not messages or self._own_agent is None:
             return
         for message in messages:
             handler = self._handlers.get(type(message))
             if handler is not None:
-                await handler(message, _OwnPeer(self.take_push))
+                await handler(message, _LocalPeer(self.handle_push))
                 continue
             channel = await self._channels.get(self._own_agent)
             if not channel.push(message):
@@ -547,7 +549,7 @@
     ``handlers`` are those of this VM's agent, where it runs in the same process.
     """
     async with trio.open_nursery() as nursery:
-        channels = PeerChannels(codec, nursery, lambda message: client.take_push(message))
+        channels = PeerChannels(codec, nursery, lambda message: client.handle_push(message))
         client = PermitClient(settings, view, channels, holder_id, handlers or {})
         nursery.start_soon(client.run)
         try:
--- a/src/fescuedock/agent/permit_service.py
+++ b/src/fescuedock/agent/permit_service.py
@@ -72,9 +72,9 @@
         self._owner = PermitOwner(settings.permits, settings.agent.permit_valid_ms)
         self._waiters: dict[str, list[_Waiter]] = defaultdict(list)
         self._peers: dict[str, ServerPeer] = {}
-        self._followed_version = 0
+        self._applied_version = 0
         # Wakes the ticks.
-        self._asked = trio.Event()
+        self._wake = trio.Event()
 
     def handlers(self) -> dict[type, CallHandler]:
         """Handlers by message type, to be merged with those of the agent's other services."""
@@ -96,25 +96,25 @@
         waiter = _Waiter()
         self._waiters[ask.attempt_id].append(waiter)
         try:
-            self._perform(self._informed().ask(ask, now_ms()))
+            self._perform(self._current_owner().ask(ask, now_ms()))
             if ask.work_class is WorkClass.ONLINE and not waiter.settled:
                 # It may wait for less than the tick that is under way.
-                self._asked.set()
+                self._wake.set()
             action = await waiter.wait()
         finally:
-            self._forget(ask.attempt_id, waiter)
+            self._remove_waiter(ask.attempt_id, waiter)
         return self._reply(action)
 
     async def _renew(self, message: PermitRenew, peer: ServerPeer) -> PermitRenewReply:
         self._peers[message.holder_id] = peer
-        renewal = self._informed().renew(message, now_ms())
+        renewal = self._current_owner().renew(message, now_ms())
         self._perform(renewal.actions)
         return renewal.reply
 
     async def _end(self, message: PermitsEnded, _peer: ServerPeer) -> None:
-        self._perform(self._informed().end(message, now_ms()))
+        self._perform(self._current_owner().end(message, now_ms()))
 
-    def _forget(self, attempt_id: str, waiter: "_Waiter") -> None:
+    def _remove_waiter(self, attempt_id: str, waiter: "_Waiter") -> None:
         waiters = self._waiters[attempt_id]
         waiters.remove(waiter)
         if not waiters:
@@ -145,27 +145,27 @@
 
     async def _follow_view(self) -> None:
         while True:
-            self._follow()
-            await self._view.wait_changed(self._followed_version)
+            self._apply_view()
+            await self._view.wait_changed(self._applied_version)
 
-    def follow_again(self) -> None:
+    def reapply_view(self) -> None:
         """Take in what ``is_loading`` says now."""
-        self._followed_version = -1
-        self._follow()
+        self._applied_version = -1
+        self._apply_view()
 
-    def _informed(self) -> PermitOwner:
+    def _current_owner(self) -> PermitOwner:
         """Return the owner's state as the newest view has it, which each decision rests on.
 
         The loop that follows the view may not have run since it changed: an end that came before
         it granted the freed slot of an upstream that was leaving.
         """
-        self._follow()
+        self._apply_view()
         return self._owner
 
-    def _follow(self) -> None:
-        if self._view.version == self._followed_version:
+    def _apply_view(self) -> None:
+        if self._view.version == self._applied_version:
             return
-        self._followed_version = self._view.version
+        self._applied_version = self._view.version
         self._owner.set_validity(validity_ms(self._settings.agent, len(self._view.vms)))
         counts = Counter(item.service for item in self._view.upstreams.values())
         owned = {
@@ -174,7 +174,7 @@
             if self._is_ours(upstream_id)
         }
         self._perform(self._owner.set_upstreams(owned, counts, now_ms()))
-        self._asked.set()
+        self._wake.set()
 
     def _terms(self, upstream: UpstreamRecord) -> UpstreamTerms:
         terms = _terms(self._view.configuration, upstream)
@@ -188,10 +188,10 @@
 
     async def _tick_forever(self) -> None:
         while True:
-            self._perform(self._informed().tick(now_ms()))
-            self._asked = trio.Event()
+            self._perform(self._current_owner().tick(now_ms()))
+            self._wake = trio.Event()
             with trio.move_on_after(self._tick_s()):
-                await self._asked.wait()
+                await self._wake.wait()
 
     def _tick_s(self) -> float:
         if self._owner.waits(WorkClass.ONLINE):
@@ -203,8 +203,8 @@
         """Read the load of each engine that is ours, one round at a time."""
         while True:
             interval_s = self._settings.permits.load_poll_ms / 1000
-            if not self._informed().owns_any:
-                await self._view.wait_changed(self._followed_version)
+            if not self._current_owner().owns_any:
+                await self._view.wait_changed(self._applied_version)
                 continue
             await trio.sleep(interval_s * self._rng.uniform(0.8, 1.2))
             async with trio.open_nursery() as nursery:
@@ -216,16 +216,16 @@
     async def _poll(self, upstream: UpstreamRecord) -> None:
         if self._owner.take_trial(upstream.upstream_id, now_ms()):
             outcome = await self._checks.probe(upstream, self._view.configuration)
-            self._perform(self._informed().observe(upstream.upstream_id, outcome, now_ms()))
+            self._perform(self._current_owner().observe(upstream.upstream_id, outcome, now_ms()))
         elif upstream.kind is UpstreamKind.ENGINE and self._checks.load is not None:
-            self._take_load(upstream.upstream_id, await self._checks.load(upstream))
+            self._apply_load(upstream.upstream_id, await self._checks.load(upstream))
 
-    def _take_load(self, upstream_id: str, result: Result["EngineLoad", Fault]) -> None:
+    def _apply_load(self, upstream_id: str, result: Result["EngineLoad", Fault]) -> None:
         if isinstance(result, Err):
             # A lost report says little; a refused connection says that the process is gone.
             if result.err_value.code is ResultCode.PEER_UNREACHABLE:
                 refused = AttemptOutcome.CONNECT_REFUSED
-                self._perform(self._informed().observe(upstream_id, refused, now_ms()))
+                self._perform(self._current_owner().observe(upstream_id, refused, now_ms()))
             return
         load = result.ok_value
         self._owner.observe_load(upstream_id, load.running, load.waiting, now_ms())
--- a/src/fescuedock/agent/programs.py
+++ b/src/fescuedock/agent/programs.py
@@ -10,10 +10,10 @@
 
 __all__ = ["LocalPrograms"]
 
-_SILENT_MS = 3500.0
+_MAX_SILENCE_MS = 3500.0
 
 
-class _Announced(msgspec.Struct):
+class _Announcement(msgspec.Struct):
     hello: Hello
     at_ms: float
 
@@ -23,11 +23,11 @@
 
     settings: VmSettings
     agent_port: int
-    _announced: dict[Program, _Announced] = msgspec.field(default_factory=dict)
+    _announced: dict[Program, _Announcement] = msgspec.field(default_factory=dict)
 
-    def note(self, hello: Hello, now_ms: float) -> None:
+    def record_hello(self, hello: Hello, now_ms: float) -> None:
         """Take a program's announcement."""
-        self._announced[hello.program] = _Announced(hello, now_ms)
+        self._announced[hello.program] = _Announcement(hello, now_ms)
 
     def profile(
         self, now_ms: float, config_version: int, config_confirmed: bool, serving: bool
@@ -36,7 +36,7 @@
         hellos = {
             program: item.hello
             for program, item in self._announced.items()
-            if now_ms - item.at_ms <= _SILENT_MS
+            if now_ms - item.at_ms <= _MAX_SILENCE_MS
         }
         ready = [program for program, hello in hellos.items() if hello.ready]
         if not serving and Program.ENTRY in ready:
--- a/src/fescuedock/agent/send_check.py
+++ b/src/fescuedock/agent/send_check.py
@@ -29,7 +29,7 @@
         refusal = refusal_of(
             upstream,
             view.upstreams.get(upstream.upstream_id),
-            PermitStatus(grant.revoked.is_set(), grant.sendable_until_ms, grant.alone),
+            PermitStatus(grant.revoked.is_set(), grant.sendable_until_ms, grant.isolated),
             deadline_ms=deadline_ms,
             now_ms=now_ms(),
             verdict=view.verdict_on(grant.work_id, grant.parts),
@@ -37,7 +37,7 @@
         )
         if refusal is None:
             # Nothing comes between this and the writing.
-            grant.note_sent()
+            grant.record_sent()
         return refusal
 
     return check
--- a/src/fescuedock/agent/served_upstream.py
+++ b/src/fescuedock/agent/served_upstream.py
@@ -15,7 +15,7 @@
 
 __all__ = ["ServedUpstream"]
 
-_REFUSED_PAUSE_MS = 60000
+_REFUSAL_PAUSE_MS = 60000
 
 
 class ServedUpstream:
@@ -28,24 +28,24 @@
         # The names that the engine said it serves; None when it was not asked or did not answer.
         self.listed: frozenset[str] | None = None
         self.is_loading = False
-        self._refused: list[tuple[PlannedOrder, float]] = []
+        self._refusals: list[tuple[PlannedOrder, float]] = []
 
     def refresh(self, view: "FleetView") -> None:
         """Take the upstream as the view has it now; it is leaving when it is no longer there."""
         found = view.upstreams.get(self.upstream.upstream_id)
         self.upstream = found or msgspec.structs.replace(self.upstream, leaving=True)
         service = view.configuration.services.get(self.upstream.service)
-        checks = service is not None and service.order_check is OrderCheck.FENCED
-        self.holder.engine_checks = checks
+        engine_checks = service is not None and service.order_check is OrderCheck.FENCED
+        self.holder.engine_checks = engine_checks
 
     def has_work(self, wanted: PlannedOrder | None) -> bool:
         return wanted is not None or self.holder.current is not None or self.holder.holds
 
-    def refuse(self, order: PlannedOrder, at_ms: float) -> None:
+    def record_refusal(self, order: PlannedOrder, at_ms: float) -> None:
         """Note that the engine would not carry out ``order``, which is left for a while."""
-        self._refused.append((order, at_ms + _REFUSED_PAUSE_MS))
+        self._refusals.append((order, at_ms + _REFUSAL_PAUSE_MS))
 
-    def refused(self, at_ms: float) -> list[PlannedOrder]:
+    def refused_orders(self, at_ms: float) -> list[PlannedOrder]:
         """Return the orders that are not to be tried now."""
-        self._refused = [item for item in self._refused if item[1] > at_ms]
-        return [order for order, _ in self._refused]
+        self._refusals = [item for item in self._refusals if item[1] > at_ms]
+        return [order for order, _ in self._refusals]
--- a/src/fescuedock/agent/upstream_probe.py
+++ b/src/fescuedock/agent/upstream_probe.py
@@ -42,11 +42,11 @@
         except ResponseLostError:
             return AttemptOutcome.TRUNCATED
         except EngineError as error:
-            return _answered(error.status)
+            return _outcome_of_status(error.status)
         return AttemptOutcome.COMPLETED
 
 
-def _answered(status: int) -> AttemptOutcome:
+def _outcome_of_status(status: int) -> AttemptOutcome:
     # An engine that rejects the probe itself, as for an unknown model, is alive.
     failed = status >= _SERVER_ERROR_STATUS
     return AttemptOutcome.SERVER_ERROR if failed else AttemptOutcome.COMPLETED
--- a/src/fescuedock/agent/view_history.py
+++ b/src/fescuedock/agent/view_history.py
@@ -9,7 +9,7 @@
 
 __all__ = ["ViewChanges", "ViewHistory"]
 
-_KEPT_VERSIONS = 64
+_MAX_VERSIONS = 64
 
 
 class ViewChanges(msgspec.Struct):
@@ -23,10 +23,10 @@
     """The changes of the last versions; versions rise by one."""
 
     _changes: deque[tuple[int, ViewChanges]] = msgspec.field(
-        default_factory=lambda: deque(maxlen=_KEPT_VERSIONS)
+        default_factory=lambda: deque(maxlen=_MAX_VERSIONS)
     )
 
-    def note(
+    def record(
         self,
         version: int,
         vms: tuple[Mapping[str, VmRecord], Mapping[str, VmRecord]],
--- a/src/fescuedock/batch/dispatch.py
+++ b/src/fescuedock/batch/dispatch.py
@@ -124,7 +124,7 @@
             prompt_tokens=len(item.line) // _BYTES_PER_TOKEN if item else 0,
             wait_ms=wait_ms,
         )
-        return await context.permits.ask(ask, wait_ms + _ASK_MARGIN_MS)
+        return await context.permits.request(ask, wait_ms + _ASK_MARGIN_MS)
 
     async def _use(self, upstream_id: str, grant: Grant) -> None:
         """Run an item under ``grant``, or give it back at once when there is none any more."""
@@ -144,11 +144,11 @@
         work = _work_of(assignment.run, assignment.item, upstream.service)
         standing = self._context.view.verdict_on(work.work_id, work.parts).standing
         if standing is Standing.FREE and assignment.isolation is not Isolation.ALONE:
-            grant.choose(work.work_id, work.parts)
+            grant.assign_work(work.work_id, work.parts)
             self._begin(task, assignment, upstream, grant)
             return
         # It needs an upstream where nothing of any VM runs, or none at all.
-        self._context.permits.give_back(grant)
+        self._context.permits.return_unused(grant)
         scope = trio.CancelScope()
         task.attempts.add(scope)
         self._nursery.start_soon(self._run_alone, task, assignment, work, scope)
@@ -180,7 +180,7 @@
         task.attempts.discard(scope)
         if scope.cancel_called:
             if granted is not None:
-                self._context.permits.give_back(granted[1])
+                self._context.permits.return_unused(granted[1])
             self._note_end(task, assignment, AttemptEnd(EndKind.STOPPED), 0.0)
             return
         if granted is None:
@@ -215,7 +215,7 @@
                 continue
             ask = self._alone_ask(upstream, assignment.run, work.work_id)
             timeout_ms = _ALONE_WAIT_MS + _ASK_MARGIN_MS
-            result = await context.permits.ask(ask, timeout_ms, work.parts)
+            result = await context.permits.request(ask, timeout_ms, work.parts)
             if isinstance(result, Ok):
                 return upstream, result.ok_value
             pause_ms = max(result.err_value.retry_after_ms, _REFUSED_PAUSE_MS)
--- a/src/fescuedock/entry/online_permits.py
+++ b/src/fescuedock/entry/online_permits.py
@@ -137,7 +137,7 @@
             return Err(_harmful(verdict))
         if verdict.standing is Standing.UNSETTLED:
             with trio.move_on_after(verdict.retry_after_ms / 1000):
-                await state.view.wait_quarantine()
+                await state.view.wait_quarantine_changed()
             continue
         if verdict.standing is Standing.ALONE:
             answer = await _ask_alone(state, call, avoid)
@@ -203,7 +203,7 @@
     """
     with trio.move_on_after(_NEWS_S):
         while state.view.verdict_on(call.work_id, call.parts).standing is Standing.ALONE:
-            await state.view.wait_quarantine()
+            await state.view.wait_quarantine_changed()
         return True
     return False
 
@@ -223,12 +223,12 @@
 
             nursery.start_soon(ask_alone)
             while state.view.verdict_on(call.work_id, call.parts).standing is Standing.ALONE:
-                await state.view.wait_quarantine()
+                await state.view.wait_quarantine_changed()
             nursery.cancel_scope.cancel()
     except BaseException:
         # The call was cancelled just when a grant had come, which nobody would ever use.
         if isinstance(granted, Ok):
-            state.permits.give_back(granted.ok_value)
+            state.permits.return_unused(granted.ok_value)
         raise
     return granted
 
@@ -441,11 +441,11 @@
         try:
             moved = await _ask(state, call, other, run_ms)
         except BaseException:
-            state.permits.give_back(granted.ok_value)
+            state.permits.return_unused(granted.ok_value)
             raise
         if isinstance(moved, Err):
             return granted
-        state.permits.give_back(granted.ok_value)
+        state.permits.return_unused(granted.ok_value)
         log_event(
             "permit_moved",
             routine=True,
@@ -491,10 +491,10 @@
     except BaseException:
         # The call was cancelled just when a grant had come, which nobody would ever use.
         for grant in grants:
-            state.permits.give_back(grant)
+            state.permits.return_unused(grant)
         raise
     for grant in grants[1:]:
-        state.permits.give_back(grant)
+        state.permits.return_unused(grant)
     if grants:
         return _Answer(Ok(grants[0]))
     return _sum_up(refusals)
@@ -548,12 +548,12 @@
         waited_ms=waited_ms,
     )
     if ask.local:
-        return state.permits.ask_local(message, call.parts)
+        return state.permits.request_local(message, call.parts)
     started_ms = now_ms()
     state.ask_timeout.under_way += 1
     try:
         timeout_ms = ask.wait_ms + state.ask_timeout.timeout_ms
-        granted = await state.permits.ask(message, timeout_ms, call.parts)
+        granted = await state.permits.request(message, timeout_ms, call.parts)
     finally:
         state.ask_timeout.under_way -= 1
     _note_answer(state, ask, granted, now_ms() - started_ms)
--- a/src/fescuedock/node/attempt.py
+++ b/src/fescuedock/node/attempt.py
@@ -58,7 +58,7 @@
         """Note that the head of an answer has come."""
         self.answered = True
         if answer.response.unframed:
-            self.grant.note_unframed()
+            self.grant.record_unframed()
 
     def note_events(self, count: int) -> None:
         """Note that ``count`` events came just now."""
--- a/src/fescuedock/node/item_asking.py
+++ b/src/fescuedock/node/item_asking.py
@@ -161,7 +161,7 @@
         if upstream is None:
             return
         timeout_ms = self._settings.ask_wait_ms + _ASK_MARGIN_MS
-        granted = await self._permits.ask(self._new_ask(upstream, choose(upstream)), timeout_ms)
+        granted = await self._permits.request(self._new_ask(upstream, choose(upstream)), timeout_ms)
         if isinstance(granted, Ok):
             self._refused.clear()
             self._use(upstream_id, granted.ok_value)
--- a/src/fescuedock/node/item_isolation.py
+++ b/src/fescuedock/node/item_isolation.py
@@ -53,7 +53,7 @@
         while True:
             if self._view.quarantine.is_empty:
                 # An idle node is not woken for what is hardly ever there.
-                await self._view.wait_quarantine()
+                await self._view.wait_quarantine_changed()
                 continue
             for service in sorted({item.service for item in self._view.upstreams.values()}):
                 item = self._wanted(service)
@@ -79,11 +79,11 @@
             alone=True,
             priority=item.priority,
         )
-        granted = await self._permits.ask(ask, _WAIT_MS + _ASK_MARGIN_MS)
+        granted = await self._permits.request(ask, _WAIT_MS + _ASK_MARGIN_MS)
         upstream = self._view.upstreams.get(upstream_id)
         if not isinstance(granted, Ok):
             return
         if upstream is None:
-            self._permits.give_back(granted.ok_value)
+            self._permits.return_unused(granted.ok_value)
             return
         self._use(upstream, granted.ok_value)
--- a/src/fescuedock/node/job_runner.py
+++ b/src/fescuedock/node/job_runner.py
@@ -552,13 +552,15 @@
         if upstream is not None and choice is None:
             choice = self._choose(upstream, customer=grant.member)
         if choice is None:
-            self._permits.give_back(grant)
+            self._permits.return_unused(grant)
             return
         self._begin(choice, upstream, grant)
 
     def _begin(self, choice: ItemChoice, upstream: UpstreamRecord, grant: Grant) -> None:
-        grant.choose(choice.run.work_id, choice.run.parts)
-        grant.describe(choice.stage, choice.slack_ms, choice.left_ms, choice.run.barren_runs)
+        grant.assign_work(choice.run.work_id, choice.run.parts)
+        grant.update_work_state(
+            choice.stage, choice.slack_ms, choice.left_ms, choice.run.barren_runs
+        )
         self._pool.start(choice.run, now_ms())
         job = self._jobs[choice.job.job_id]
         waited_ms = choice.waited_ms
@@ -582,7 +584,7 @@
         """Run the most urgent item that may only run alone, or give the permit back."""
         choice = self._pool.choose_alone(upstream.service, now_ms())
         if choice is None:
-            self._permits.give_back(grant)
+            self._permits.return_unused(grant)
             return
         self._begin(choice, upstream, grant)
 
--- a/src/fescuedock/node/main.py
+++ b/src/fescuedock/node/main.py
@@ -438,7 +438,7 @@
         while True:
             if table.version != seen:
                 seen = table.version
-                self._crashes.take_entries(table.entries.values())
+                self._crashes.apply_entries(table.entries.values())
             await self._replicas.wait_changed(self._replicas.version)
 
     async def _drop_connections(self) -> None:
@@ -498,7 +498,7 @@
             if program is Program.BATCH:
                 ready = ready and not self._permits.is_unanswered
             hello = Hello(program, port, ready, in_flight=0)
-            self._programs.note(hello, now_ms())
+            self._programs.record_hello(hello, now_ms())
 
     # --- helpers ---------------------------------------------------------------------------------
 
--- a/tests/builders/load_player.py
+++ b/tests/builders/load_player.py
@@ -188,7 +188,7 @@
         async def deliver() -> None:
             await trio.sleep(self.hop_s)
             if self.holder.group == self.owner.group:
-                self.holder.permits.take_push(message)
+                self.holder.permits.handle_push(message)
 
         self.owner.nursery.start_soon(deliver)
         return True
@@ -280,7 +280,7 @@
         self.nursery.start_soon(self._service.run)
 
     def spoil_reports(self, rng: random.Random, lost_share: float, age_ms: float) -> None:
-        note = self.permits._note_loads
+        note = self.permits._record_loads
 
         async def note_late(loads: list[LoadSnapshot]) -> None:
             await trio.sleep(rng.uniform(0.0, age_ms) / 1000)
@@ -290,7 +290,7 @@
             if rng.random() >= lost_share:
                 self.nursery.start_soon(note_late, loads)
 
-        self.permits._note_loads = spoil
+        self.permits._record_loads = spoil
 
     async def handle(self, message: msgspec.Struct, peer: _Peer) -> msgspec.Struct | None:
         return await self._handlers[type(message)](message, peer)
@@ -603,9 +603,11 @@
             choice = self._pool.take_overdue_turn(upstream_id, SERVICE, now_ms())
         choice = choice or self._choose(upstream)
         if choice is None:
-            self._node.permits.give_back(grant)
+            self._node.permits.return_unused(grant)
             return
-        grant.describe(choice.stage, choice.slack_ms, choice.left_ms, choice.run.barren_runs)
+        grant.update_work_state(
+            choice.stage, choice.slack_ms, choice.left_ms, choice.run.barren_runs
+        )
         self._pool.start(choice.run, now_ms())
         self._node.nursery.start_soon(self._run_item, choice.job, choice.run, grant)
 
--- a/tests/builders/runner_world.py
+++ b/tests/builders/runner_world.py
@@ -176,7 +176,7 @@
         shown = set(self._world.present()) - (self._world.hidden - {self._own})
         return {name: _Vm(name) for name in shown}
 
-    async def wait_quarantine(self) -> None:
+    async def wait_quarantine_changed(self) -> None:
         await self._world.crashed.wait()
 
     def verdict_on(self, work_id: str, _parts: object = ()) -> Verdict:
@@ -203,14 +203,14 @@
         self._slots = world.slots
         self.loads: dict = {}
 
-    async def ask(self, ask: msgspec.Struct, _timeout_ms: float) -> Result["_Grant", Fault]:
+    async def request(self, ask: msgspec.Struct, _timeout_ms: float) -> Result["_Grant", Fault]:
         await trio.sleep(_WAY_S)
         if self._world.full or self._slots[ask.upstream_id] <= 0:
             return Err(Fault(ResultCode.KV_UNAVAILABLE, "full", 60))
         self._slots[ask.upstream_id] -= 1
-        return Ok(_Grant(ask.upstream_id, alone=ask.alone))
+        return Ok(_Grant(ask.upstream_id, isolated=ask.alone))
 
-    def give_back(self, grant: "_Grant") -> None:
+    def return_unused(self, grant: "_Grant") -> None:
         self._slots[grant.upstream_id] += 1
 
 
@@ -218,19 +218,19 @@
     upstream_id: str
     revoked: trio.Event = msgspec.field(default_factory=trio.Event)
     sendable_until_ms: float = float("inf")
-    alone: bool = False
+    isolated: bool = False
     work_id: str = ""
     parts: tuple[str, ...] = ()
     member: str = ""
     is_overdue: bool = False
 
-    def choose(self, _work_id: str, _parts: object = ()) -> None:
+    def assign_work(self, _work_id: str, _parts: object = ()) -> None:
         return None
 
-    def note_sent(self) -> None:
+    def record_sent(self) -> None:
         return None
 
-    def describe(self, *_standing: object) -> None:
+    def update_work_state(self, *_standing: object) -> None:
         return None
 
 
@@ -546,7 +546,7 @@
         await trio.sleep(_CRASH_S)
         self.slots[upstream.upstream_id] += 1
         number = self.crashes.total()
-        run = CrashedRun(item.work_id, alone=grant.alone)
+        run = CrashedRun(item.work_id, alone=grant.isolated)
         upstream_id = f"{upstream.upstream_id}+{number}"
         report = CrashReport(str(number), upstream_id, int(now_ms()), [run])
         self.quarantine.note_crash(report)
--- a/tests/test_batch_dispatch_address.py
+++ b/tests/test_batch_dispatch_address.py
@@ -59,13 +59,13 @@
             verdict_on=lambda _work_id, _parts: FREE,
         )
 
-        async def ask(*_args: object) -> Ok:
+        async def request(*_args: object) -> Ok:
             await trio.sleep(1.0)
             view.upstreams = {"u1": AFTER}
             grant = SimpleNamespace(permit_id="p", upstream_id="u1", revoked=trio.Event())
-            grant.work_id, grant.parts, grant.alone = "", (), False
-            grant.choose = lambda _work_id, _parts: None
-            grant.note_sent = lambda: None
+            grant.work_id, grant.parts, grant.isolated = "", (), False
+            grant.assign_work = lambda _work_id, _parts: None
+            grant.record_sent = lambda: None
             grant.end = lambda _ended: None
             return Ok(grant)
 
@@ -75,7 +75,7 @@
                 view=view,
                 upstreams=UpstreamClients(engine, None),
                 scheduler=ItemScheduler(world.settings),
-                permits=SimpleNamespace(holder_id="h", ask=ask),
+                permits=SimpleNamespace(holder_id="h", request=request),
                 metrics=None,
                 signal=WorkSignal(),
                 work_changed=lambda: None,
--- a/tests/test_batch_starts.py
+++ b/tests/test_batch_starts.py
@@ -240,9 +240,9 @@
         sendable_until_ms=float("inf"),
         work_id="",
         parts=(),
-        alone=False,
-        choose=lambda _work_id, _parts: None,
-        note_sent=lambda: None,
+        isolated=False,
+        assign_work=lambda _work_id, _parts: None,
+        record_sent=lambda: None,
         end=ended.append,
     )
 
@@ -354,13 +354,13 @@
             dispatcher = Dispatcher(context, lambda _job_id: task)
             granted = _grant([])
 
-            async def ask(_ask: object, _timeout_ms: float, _parts: object = ()) -> Ok:
+            async def request(_ask: object, _timeout_ms: float, _parts: object = ()) -> Ok:
                 await trio.sleep(0.01)
                 # Another server has the address by the time that the permit is there.
                 context.view.upstreams["u1"] = replace(_UPSTREAM, port=2)
                 return Ok(granted)
 
-            context.permits = SimpleNamespace(holder_id="h", ask=ask)
+            context.permits = SimpleNamespace(holder_id="h", request=request)
             context.settings = SimpleNamespace(batch=world.settings)
             async with trio.open_nursery() as nursery:
                 dispatcher._nursery = nursery
--- a/tests/test_crash_service.py
+++ b/tests/test_crash_service.py
@@ -32,11 +32,11 @@
     """A key-value service in memory that may be away."""
 
     state: KvState = field(default_factory=lambda: KvState())
-    away: bool = False
+    unavailable: bool = False
 
     async def put_if(self, key: str, value: bytes, expected: int) -> Result[int, Fault]:
         await trio.sleep(0.001)
-        if self.away:
+        if self.unavailable:
             return Err(Fault(ResultCode.KV_UNAVAILABLE, "away"))
         return Ok(self.state.put_if(key, value, expected))
 
@@ -73,7 +73,7 @@
 class StubPool:
     """Takes what is pushed to other agents."""
 
-    told: list[tuple[str, CrashNews]] = field(default_factory=list)
+    pushed: list[tuple[str, CrashNews]] = field(default_factory=list)
 
     async def client(self, address: Address) -> "StubPool.Client":
         return StubPool.Client(self, address.host)
@@ -86,7 +86,7 @@
         host: str
 
         def push(self, message: CrashNews) -> None:
-            self.pool.told.append((self.host, message))
+            self.pool.pushed.append((self.host, message))
 
 
 class Agent:
@@ -101,20 +101,20 @@
             VmRecord(f"vm-{n}", "r", "d", f"10.0.0.{n}", 1, VmState.ALIVE, agent_port=7)
             for n in range(2)
         ]
-        self.show(vms, "u")
+        self.set_view(vms, "u")
         self.view.unix_clock = lambda: int(START_S + trio.current_time())
         self.service = CrashService(
             self.view, self.http, self.pool, kv, PREFIX, random.Random(1), self.view.unix_clock
         )
 
-    def show(self, vms: list[VmRecord], *upstreams: str, leaving: bool = False) -> None:
+    def set_view(self, vms: list[VmRecord], *upstreams: str, leaving: bool = False) -> None:
         records = [
             UpstreamRecord(name, "r", "d", "10.0.1.1", 1, UpstreamKind.ENGINE, "s", leaving=leaving)
             for name in upstreams
         ]
         self.view.replace(self.view.version + 1, vms, records, 0.0)
 
-    async def tell(self, message: BrokenRun | WholeRun) -> None:
+    async def send(self, message: BrokenRun | WholeRun) -> None:
         await self.service.handlers()[type(message)](message, None)
 
 
@@ -134,9 +134,9 @@
     def test_runs_that_one_end_broke_off_are_told_to_others_and_written_once(self) -> None:
         async def test(agent: Agent) -> None:
             for name in ("a", "b"):
-                await agent.tell(BrokenRun("u", name))
+                await agent.send(BrokenRun("u", name))
             await trio.sleep(0.1)
-            [(host, news)] = agent.pool.told
+            [(host, news)] = agent.pool.pushed
             self.assertEqual(host, "10.0.0.1")
             [report] = news.crashes
             self.assertEqual([run.work_id for run in report.runs], ["a", "b"])
@@ -150,13 +150,13 @@
 
         async def test(agent: Agent) -> None:
             agent.http.acceptance = Acceptance.ACCEPTED
-            await agent.tell(BrokenRun("u", "first", alone=True, looks_whole=True))
+            await agent.send(BrokenRun("u", "first", alone=True, looks_whole=True))
             await trio.sleep(0.2)
-            await agent.tell(BrokenRun("u", "first", given_up=True, looks_whole=True))
-            await agent.tell(BrokenRun("u", "second", alone=True, looks_whole=True))
+            await agent.send(BrokenRun("u", "first", given_up=True, looks_whole=True))
+            await agent.send(BrokenRun("u", "second", alone=True, looks_whole=True))
             agent.http.acceptance = Acceptance.REFUSED
             await trio.sleep(0.5)
-            [(_, news)] = agent.pool.told
+            [(_, news)] = agent.pool.pushed
             [report] = news.crashes
             found = [(run.work_id, run.alone, run.given_up) for run in report.runs]
             self.assertEqual(found, [("first", False, True), ("second", True, False)])
@@ -166,40 +166,40 @@
     def test_an_upstream_that_takes_connections_and_stays_has_not_ended(self) -> None:
         async def test(agent: Agent) -> None:
             agent.http.acceptance = Acceptance.ACCEPTED
-            await agent.tell(BrokenRun("u", "a"))
+            await agent.send(BrokenRun("u", "a"))
             await trio.sleep(10.0)
-            self.assertEqual((agent.pool.told, agent.kv.entries()), ([], ()))
+            self.assertEqual((agent.pool.pushed, agent.kv.entries()), ([], ()))
 
         self.run_agent(test)
 
     def test_one_that_answers_nobody_has_ended_when_it_goes_from_the_list(self) -> None:
         async def test(agent: Agent) -> None:
             agent.http.acceptance = Acceptance.UNKNOWN
-            await agent.tell(BrokenRun("u", "a"))
+            await agent.send(BrokenRun("u", "a"))
             await trio.sleep(2.0)
-            self.assertEqual(agent.pool.told, [])
-            agent.show(list(agent.view.vms.values()))
+            self.assertEqual(agent.pool.pushed, [])
+            agent.set_view(list(agent.view.vms.values()))
             await trio.sleep(0.1)
-            self.assertEqual(len(agent.pool.told), 1)
+            self.assertEqual(len(agent.pool.pushed), 1)
 
         self.run_agent(test)
 
     def test_one_that_was_to_leave_has_ended_as_planned(self) -> None:
         async def test(agent: Agent) -> None:
-            agent.show(list(agent.view.vms.values()), "u", leaving=True)
-            await agent.tell(BrokenRun("u", "a"))
+            agent.set_view(list(agent.view.vms.values()), "u", leaving=True)
+            await agent.send(BrokenRun("u", "a"))
             await trio.sleep(1.0)
-            self.assertEqual(agent.pool.told, [])
+            self.assertEqual(agent.pool.pushed, [])
 
         self.run_agent(test)
 
     def test_what_cannot_be_written_is_told_at_once_and_written_later(self) -> None:
         async def test(agent: Agent) -> None:
-            agent.kv.away = True
-            await agent.tell(BrokenRun("u", "a"))
+            agent.kv.unavailable = True
+            await agent.send(BrokenRun("u", "a"))
             await trio.sleep(5.0)
-            self.assertEqual((len(agent.pool.told), agent.kv.entries()), (1, ()))
-            agent.kv.away = False
+            self.assertEqual((len(agent.pool.pushed), agent.kv.entries()), (1, ()))
+            agent.kv.unavailable = False
             await trio.sleep(3.0)
             self.assertEqual(len(agent.kv.entries()), 1)
 
@@ -207,12 +207,12 @@
 
     def test_a_whole_run_of_a_suspect_is_told_and_one_of_others_is_not(self) -> None:
         async def test(agent: Agent) -> None:
-            await agent.tell(BrokenRun("u", "a"))
+            await agent.send(BrokenRun("u", "a"))
             await trio.sleep(1.0)
-            await agent.tell(WholeRun("b"))
-            await agent.tell(WholeRun("a"))
+            await agent.send(WholeRun("b"))
+            await agent.send(WholeRun("a"))
             await trio.sleep(1.0)
-            self.assertEqual(len(agent.pool.told), 2)
+            self.assertEqual(len(agent.pool.pushed), 2)
             self.assertTrue(agent.view.quarantine.is_empty)
 
         self.run_agent(test)
--- a/tests/test_item_asking.py
+++ b/tests/test_item_asking.py
@@ -32,7 +32,7 @@
         self.loads: dict = {}
         self.asks: list[PermitAsk] = []
 
-    async def ask(self, ask: PermitAsk, _timeout_ms: float) -> Err[Fault]:
+    async def request(self, ask: PermitAsk, _timeout_ms: float) -> Err[Fault]:
         self.asks.append(ask)
         return Err(Fault(ResultCode.NO_CAPACITY, "full", 5000))
 
--- a/tests/test_membership_view.py
+++ b/tests/test_membership_view.py
@@ -34,7 +34,7 @@
             new_vms = {name: _vm(name, number) for name, number in numbers.items()}
             new_upstreams = {name: _upstream(name, port) for name, port in ports.items()}
             version += 1
-            history.note(version, (vms, new_vms), (upstreams, new_upstreams))
+            history.record(version, (vms, new_vms), (upstreams, new_upstreams))
             vms, upstreams = new_vms, new_upstreams
             if not polls:
                 continue
@@ -49,8 +49,8 @@
 
     def test_a_version_of_an_earlier_process_gets_everything(self) -> None:
         history = ViewHistory()
-        history.note(FIRST_VERSION + 1, ({}, {"a": _vm("a", 1)}), ({}, {}))
-        history.note(FIRST_VERSION + 2, ({"a": _vm("a", 1)}, {}), ({}, {}))
+        history.record(FIRST_VERSION + 1, ({}, {"a": _vm("a", 1)}), ({}, {}))
+        history.record(FIRST_VERSION + 2, ({"a": _vm("a", 1)}, {}), ({}, {}))
         for seen_version in (0, 1, FIRST_VERSION - 5, FIRST_VERSION + 9):
             self.assertIsNone(history.since(seen_version))
         self.assertEqual({"a"}, history.since(FIRST_VERSION + 1).vm_ids)
--- a/tests/test_permit_moves.py
+++ b/tests/test_permit_moves.py
@@ -42,7 +42,7 @@
     def __post_init__(self) -> None:
         self.loads = {load.upstream_id: TimedLoad(load, now_ms()) for load in (_QUICK, _OTHER)}
 
-    async def ask(
+    async def request(
         self, ask: PermitAsk, _timeout_ms: float, _parts: object = ()
     ) -> Result[PermitAsk, Fault]:
         if ask.upstream_id == "other":
@@ -51,7 +51,7 @@
         self.loads = {**self.loads, "quick": TimedLoad(load, now_ms())}
         return Ok(ask)
 
-    def give_back(self, grant: PermitAsk) -> None:
+    def return_unused(self, grant: PermitAsk) -> None:
         self.given_back.append(grant.upstream_id)
 
 
--- a/tests/test_permit_search.py
+++ b/tests/test_permit_search.py
@@ -37,11 +37,11 @@
         load = LoadSnapshot(UPSTREAM, 8, 0, 40, 8, QUEUE_MS, True)
         return {UPSTREAM: TimedLoad(load, now_ms())}
 
-    async def ask(self, ask: PermitAsk, _timeout_ms: float, _parts: object = ()) -> Ok:
+    async def request(self, ask: PermitAsk, _timeout_ms: float, _parts: object = ()) -> Ok:
         self.asked.append(ask)
         return Ok(ask)
 
-    def ask_local(self, ask: PermitAsk, _parts: object = ()) -> Ok:
+    def request_local(self, ask: PermitAsk, _parts: object = ()) -> Ok:
         self.asked.append(ask)
         return Ok(ask)
 
@@ -118,11 +118,11 @@
         self._code = code
         self._refusals = refusals
 
-    async def ask(self, ask: PermitAsk, timeout_ms: float, _parts: object = ()) -> Ok | Err:
+    async def request(self, ask: PermitAsk, timeout_ms: float, _parts: object = ()) -> Ok | Err:
         if len(self.asked) < self._refusals:
             self.asked.append(ask)
             return Err(Fault(self._code, "refused"))
-        return await super().ask(ask, timeout_ms)
+        return await super().request(ask, timeout_ms)
 
 
 class MovedUpstreamTest(unittest.TestCase):
--- a/tests/test_permits_service.py
+++ b/tests/test_permits_service.py
@@ -48,7 +48,7 @@
                 nursery.start_soon(busy, random.Random(1))
                 for _ in range(40):
                     ask = ask_for(wait_ms=0)
-                    asked = await owner.client.ask(ask, timeout_ms=25.0)
+                    asked = await owner.client.request(ask, timeout_ms=25.0)
                     codes.append(asked.is_ok())
                     if asked.is_ok():
                         asked.unwrap().end(end_of(ask, AttemptOutcome.COMPLETED))
@@ -62,7 +62,7 @@
         async def run() -> None:
             async with served_owner(same_process=True) as owner:
                 ask = ask_for()
-                grant = (await owner.client.ask(ask, TIMEOUT_MS)).unwrap()
+                grant = (await owner.client.request(ask, TIMEOUT_MS)).unwrap()
                 self.assertEqual(owner.client.loads["u1"].load.in_flight_online, 1)
                 # Longer than a permit that is not renewed is valid.
                 await trio.sleep(1.5 * VALID_MS / 1000)
@@ -81,13 +81,13 @@
         async def run() -> None:
             async with served_owner() as owner:
                 ask = ask_for()
-                grant = (await owner.client.ask(ask, TIMEOUT_MS)).unwrap()
+                grant = (await owner.client.request(ask, TIMEOUT_MS)).unwrap()
                 self.assertEqual(owner.client.loads["u1"].load.in_flight_online, 1)
                 grant.end(end_of(ask, AttemptOutcome.COMPLETED))
                 grant.end(end_of(ask, AttemptOutcome.COMPLETED))
                 while owner.client.loads["u1"].load.in_flight_online:
                     probe = ask_for(wait_ms=0)
-                    other = (await owner.client.ask(probe, TIMEOUT_MS)).unwrap()
+                    other = (await owner.client.request(probe, TIMEOUT_MS)).unwrap()
                     other.end(end_of(probe, AttemptOutcome.CANCELLED))
                     if owner.client.loads["u1"].load.in_flight_online == 1:
                         return
@@ -98,8 +98,8 @@
         async def run() -> None:
             async with served_owner() as owner:
                 ask = ask_for()
-                first = (await owner.client.ask(ask, TIMEOUT_MS)).unwrap()
-                again = (await owner.client.ask(ask, TIMEOUT_MS)).unwrap()
+                first = (await owner.client.request(ask, TIMEOUT_MS)).unwrap()
+                again = (await owner.client.request(ask, TIMEOUT_MS)).unwrap()
                 self.assertEqual(first.permit_id, again.permit_id)
                 self.assertEqual(owner.client.loads["u1"].load.in_flight_online, 1)
 
@@ -115,7 +115,7 @@
 
         async def run() -> None:
             async with served_owner() as owner:
-                held = (await owner.client.ask(ask_for(), TIMEOUT_MS)).unwrap()._held
+                held = (await owner.client.request(ask_for(), TIMEOUT_MS)).unwrap()._held
                 first_ms = held.renew_at_ms
                 self.assertLess(first_ms, held.valid_until_ms - VALID_MS / 2)
                 while True:
@@ -131,9 +131,9 @@
             async with served_owner() as owner:
                 batch = ask_for(WorkClass.BATCH)
                 # Batch waits out the rebuild of the new owner first.
-                grant = (await owner.client.ask(batch, 2 * TIMEOUT_MS)).unwrap()
+                grant = (await owner.client.request(batch, 2 * TIMEOUT_MS)).unwrap()
                 while not grant.revoked.is_set():
-                    match await owner.client.ask(ask_for(), TIMEOUT_MS):
+                    match await owner.client.request(ask_for(), TIMEOUT_MS):
                         case Ok(_):
                             await trio.sleep(0.01)
                         case Err(fault):
@@ -144,9 +144,9 @@
     def test_an_online_ask_is_answered_when_its_wait_is_over(self) -> None:
         async def run() -> None:
             async with served_owner(upstream_record(slots=1)) as owner:
-                (await owner.client.ask(ask_for(), TIMEOUT_MS)).unwrap()
+                (await owner.client.request(ask_for(), TIMEOUT_MS)).unwrap()
                 began_s = trio.current_time()
-                refusal = await owner.client.ask(ask_for(wait_ms=20, target_ms=1000), 3000)
+                refusal = await owner.client.request(ask_for(wait_ms=20, target_ms=1000), 3000)
                 self.assertEqual(_code(refusal), ResultCode.NO_CAPACITY)
                 # Before the renewal of the other permit, 200 ms after its grant, serves the queue.
                 self.assertLess(trio.current_time() - began_s, 0.15)
@@ -165,10 +165,10 @@
 
         async def run() -> None:
             async with served_owner(upstream_record(slots=1)) as owner:
-                (await owner.client.ask(ask_for(), TIMEOUT_MS)).unwrap()
+                (await owner.client.request(ask_for(), TIMEOUT_MS)).unwrap()
                 before = len(ticks)
                 with trio.move_on_after(0.5):
-                    await owner.client.ask(ask_for(WorkClass.BATCH, wait_ms=5000), 5000)
+                    await owner.client.request(ask_for(WorkClass.BATCH, wait_ms=5000), 5000)
                 self.assertLess(len(ticks) - before, 20)
 
         with mock.patch.object(PermitOwner, "tick", counted):
@@ -177,9 +177,9 @@
     def test_a_leaving_upstream_gives_no_new_permit_and_answers_who_waits(self) -> None:
         async def run() -> None:
             async with served_owner() as owner:
-                (await owner.client.ask(ask_for(), TIMEOUT_MS)).unwrap()
+                (await owner.client.request(ask_for(), TIMEOUT_MS)).unwrap()
                 owner.show(upstream_record(leaving=True))
-                refusal = await owner.client.ask(ask_for(), TIMEOUT_MS)
+                refusal = await owner.client.request(ask_for(), TIMEOUT_MS)
                 self.assertEqual(_code(refusal), ResultCode.NO_CAPACITY)
                 self.assertFalse(owner.client.loads["u1"].load.accepting)
 
@@ -198,11 +198,11 @@
     async def _use_overtaken_permit(self, newer: UpstreamRecord) -> None:
         async with served_owner(upstream_record(slots=1)) as owner:
             running = ask_for()
-            (await owner.client.ask(running, TIMEOUT_MS)).unwrap()
+            (await owner.client.request(running, TIMEOUT_MS)).unwrap()
             answers: list[Result] = []
 
             async def ask() -> None:
-                answers.append(await owner.client.ask(ask_for(wait_ms=5000), TIMEOUT_MS))
+                answers.append(await owner.client.request(ask_for(wait_ms=5000), TIMEOUT_MS))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(ask)
@@ -224,10 +224,10 @@
         async def run() -> None:
             async with served_owner() as owner:
                 owner.show_holder(upstream_record(leaving=True))
-                refusal = owner.client.ask_local(ask_for())
+                refusal = owner.client.request_local(ask_for())
                 self.assertIs(_code(refusal), ResultCode.NOT_OWNER)
                 owner.show_holder(upstream_record())
-                grants = [owner.client.ask_local(ask_for()) for _ in range(3)]
+                grants = [owner.client.request_local(ask_for()) for _ in range(3)]
                 self.assertEqual([grant.is_ok() for grant in grants], [True, True, False])
 
         _run(run)
@@ -236,11 +236,11 @@
         async def run() -> None:
             async with served_owner(upstream_record(slots=1)) as owner:
                 first = ask_for()
-                (await owner.client.ask(first, TIMEOUT_MS)).unwrap()
+                (await owner.client.request(first, TIMEOUT_MS)).unwrap()
                 answers: list[Result] = []
 
                 async def ask() -> None:
-                    answers.append(await owner.client.ask(ask_for(wait_ms=5000), TIMEOUT_MS))
+                    answers.append(await owner.client.request(ask_for(wait_ms=5000), TIMEOUT_MS))
 
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(ask)
@@ -256,11 +256,11 @@
         async def run() -> None:
             async with served_owner() as owner:
                 owner.show(upstream_record(), Address("127.0.0.1", 9))
-                silent = await owner.client.ask(ask_for(), 50)
+                silent = await owner.client.request(ask_for(), 50)
                 self.assertIn(_code(silent), (ResultCode.PEER_UNKNOWN, ResultCode.PEER_UNREACHABLE))
-                grants = [owner.client.ask_local(ask_for()) for _ in range(3)]
+                grants = [owner.client.request_local(ask_for()) for _ in range(3)]
                 self.assertEqual([grant.is_ok() for grant in grants], [True, True, False])
-                batch = owner.client.ask_local(ask_for(WorkClass.BATCH))
+                batch = owner.client.request_local(ask_for(WorkClass.BATCH))
                 self.assertEqual(_code(batch), ResultCode.NO_CAPACITY)
 
         _run(run)
@@ -268,7 +268,9 @@
     def test_a_batch_permit_that_no_owner_renews_is_revoked_by_its_holder(self) -> None:
         async def run() -> None:
             async with served_owner() as owner:
-                grant = (await owner.client.ask(ask_for(WorkClass.BATCH), 2 * TIMEOUT_MS)).unwrap()
+                grant = (
+                    await owner.client.request(ask_for(WorkClass.BATCH), 2 * TIMEOUT_MS)
+                ).unwrap()
                 owner.show(upstream_record(), Address("127.0.0.1", 9))
                 await grant.revoked.wait()
 
@@ -285,12 +287,12 @@
                 first, second = (
                     ask_for(alone=True, work_id="work", wait_ms=5000) for _ in range(2)
                 )
-                grant = (await owner.client.ask(first, TIMEOUT_MS)).unwrap()
-                grant.note_sent()
-                grant.note_unframed()
+                grant = (await owner.client.request(first, TIMEOUT_MS)).unwrap()
+                grant.record_sent()
+                grant.record_unframed()
                 grant.end(end_of(first, AttemptOutcome.COMPLETED))
                 ended_s = trio.current_time()
-                (await owner.client.ask(second, TIMEOUT_MS)).unwrap()
+                (await owner.client.request(second, TIMEOUT_MS)).unwrap()
                 self.assertGreaterEqual(trio.current_time() - ended_s, 1.0)
 
         _run(run)
@@ -311,16 +313,16 @@
                 first, second = (
                     ask_for(alone=True, work_id="work", wait_ms=5000) for _ in range(2)
                 )
-                grant = (await owner.client.ask(first, TIMEOUT_MS)).unwrap()
-                grant.note_sent()
-                grant.note_unframed()
+                grant = (await owner.client.request(first, TIMEOUT_MS)).unwrap()
+                grant.record_sent()
+                grant.record_unframed()
                 grant.end(end_of(first, AttemptOutcome.COMPLETED))
                 ended_s = trio.current_time()
                 await trio.sleep(0.1)
                 self.assertEqual([item.given_up for item in told], [False])
                 quarantine.note_cleared(WorkCleared("cleared", "work", ["report"], 0))
-                owner.view.note_quarantine()
-                (await owner.client.ask(second, TIMEOUT_MS)).unwrap()
+                owner.view.notify_quarantine_changed()
+                (await owner.client.request(second, TIMEOUT_MS)).unwrap()
                 self.assertLess(trio.current_time() - ended_s, 1.0)
                 self.assertEqual([item.given_up for item in told], [False, True])
                 self.assertTrue(all(item.looks_whole for item in told))
@@ -331,7 +333,7 @@
         async def run() -> None:
             async with served_owner() as owner:
                 gone = msgspec.structs.replace(ask_for(), upstream_id="gone")
-                refused = await owner.client.ask(gone, TIMEOUT_MS)
+                refused = await owner.client.request(gone, TIMEOUT_MS)
                 self.assertIs(_code(refused), ResultCode.NOT_OWNER)
                 self.assertNotIn("gone", owner.client.loads)
 
@@ -342,9 +344,9 @@
             async with served_owner() as owner:
                 # Nothing listens on the discard port.
                 owner.show(upstream_record(port=9, kind=UpstreamKind.ENGINE))
-                while (granted := await owner.client.ask(ask_for(), TIMEOUT_MS)).is_ok():
+                while (granted := await owner.client.request(ask_for(), TIMEOUT_MS)).is_ok():
                     # Kept, they would use up the limit first, which is refused as well.
-                    owner.client.give_back(granted.ok_value)
+                    owner.client.return_unused(granted.ok_value)
                     await trio.sleep(0.005)
                 self.assertFalse(owner.client.loads["u1"].load.accepting)
 
