--- a/src/fescuedock/core/membership/detection.py
+++ b/src/fescuedock/core/membership/detection.py
@@ -238,8 +238,8 @@
         return []
 
     def _evaluate_silence(self, member: Member, witnesses: Sequence[str], now_ms: float) -> None:
-        alone = self._table.present_count <= 2
-        if witnesses or alone:
+        no_helpers = self._table.present_count <= 2
+        if witnesses or no_helpers:
             if self._health.may_accuse:
                 self.accuse(member, [self._vm_id, *witnesses], now_ms)
             return
--- a/src/fescuedock/core/membership/table.py
+++ b/src/fescuedock/core/membership/table.py
@@ -85,8 +85,8 @@
     def count_domains(self, without: str) -> int:
         """Return the number of failure domains that have members other than ``without``."""
         excluded = self._present.get(without)
-        alone = excluded is not None and self._domains[excluded.failure_domain] == 1
-        return len(self._domains) - alone
+        is_last_in_domain = excluded is not None and self._domains[excluded.failure_domain] == 1
+        return len(self._domains) - is_last_in_domain
 
     def forget(self, vm_id: str) -> None:
         """Remove a member from the table."""
--- a/tests/test_crash_service.py
+++ b/tests/test_crash_service.py
@@ -131,7 +131,7 @@
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_runs_that_one_end_broke_off_are_told_to_others_and_written_once(self) -> None:
+    def test_runs_broken_off_by_one_crash_are_sent_to_others_and_written_once(self) -> None:
         async def test(agent: Agent) -> None:
             for name in ("a", "b"):
                 await agent.send(BrokenRun("u", name))
@@ -145,7 +145,7 @@
 
         self.run_agent(test)
 
-    def test_a_run_alone_whose_permit_was_returned_is_reported_as_over(self) -> None:
+    def test_an_isolated_run_whose_permit_was_returned_is_reported_as_ended(self) -> None:
         """The next run alone had company by it, or it seemed to have been alone in its place."""
 
         async def test(agent: Agent) -> None:
@@ -163,7 +163,7 @@
 
         self.run_agent(test)
 
-    def test_an_upstream_that_takes_connections_and_stays_has_not_ended(self) -> None:
+    def test_an_upstream_that_keeps_accepting_connections_has_not_ended(self) -> None:
         async def test(agent: Agent) -> None:
             agent.http.acceptance = Acceptance.ACCEPTED
             await agent.send(BrokenRun("u", "a"))
@@ -172,7 +172,7 @@
 
         self.run_agent(test)
 
-    def test_one_that_answers_nobody_has_ended_when_it_goes_from_the_list(self) -> None:
+    def test_an_unresponsive_upstream_has_ended_once_it_leaves_the_list(self) -> None:
         async def test(agent: Agent) -> None:
             agent.http.acceptance = Acceptance.UNKNOWN
             await agent.send(BrokenRun("u", "a"))
@@ -184,7 +184,7 @@
 
         self.run_agent(test)
 
-    def test_one_that_was_to_leave_has_ended_as_planned(self) -> None:
+    def test_a_leaving_upstream_has_ended_as_planned(self) -> None:
         async def test(agent: Agent) -> None:
             agent.set_view(list(agent.view.vms.values()), "u", leaving=True)
             await agent.send(BrokenRun("u", "a"))
@@ -193,7 +193,7 @@
 
         self.run_agent(test)
 
-    def test_what_cannot_be_written_is_told_at_once_and_written_later(self) -> None:
+    def test_a_report_that_cannot_be_written_is_sent_at_once_and_written_later(self) -> None:
         async def test(agent: Agent) -> None:
             agent.kv.unavailable = True
             await agent.send(BrokenRun("u", "a"))
@@ -205,7 +205,7 @@
 
         self.run_agent(test)
 
-    def test_a_whole_run_of_a_suspect_is_told_and_one_of_others_is_not(self) -> None:
+    def test_a_completed_run_is_sent_only_for_suspected_work(self) -> None:
         async def test(agent: Agent) -> None:
             await agent.send(BrokenRun("u", "a"))
             await trio.sleep(1.0)
@@ -217,7 +217,7 @@
 
         self.run_agent(test)
 
-    def test_an_agent_that_starts_knows_what_was_written_but_for_what_is_old(self) -> None:
+    def test_a_starting_agent_knows_the_stored_reports_except_old_ones(self) -> None:
         kv = StubKv()
         names = [f"old-{number}" for number in range(6)]
         for name, age_s in (("young", 60), *((name, 2 * DAY_S) for name in names)):
@@ -230,11 +230,11 @@
             self.assertEqual([quarantine.suspects(n) for n in ("young", "old-1")], [True, False])
             await trio.sleep(QuarantinePolicy().kept_ms / 1000 + 1800)
             self.assertTrue(quarantine.is_empty)
-            kept = {entry.key.removeprefix(PREFIX) for entry in kv.entries()}
+            remaining = {entry.key.removeprefix(PREFIX) for entry in kv.entries()}
             # Each key is removed by the one agent that all choose.
             vms = agent.view.vms
             others = {n for n in (*names, "young") if choose_name(PREFIX + n, vms) != "vm-0"}
-            self.assertEqual(kept, {"odd"} | others)
+            self.assertEqual(remaining, {"odd"} | others)
             self.assertLess(len(others), len(names))
 
         self.run_agent(test, kv=kv)
--- a/tests/test_unanswered_asks.py
+++ b/tests/test_unanswered_asks.py
@@ -16,7 +16,7 @@
     def setUp(self) -> None:
         self.asks = UnansweredAsks()
 
-    def test_a_few_silent_asks_or_a_short_silence_say_nothing(self) -> None:
+    def test_a_few_unanswered_requests_or_a_short_silence_do_not_count(self) -> None:
         for number in range(7):
             self.asks.note_silence(number * 1000.0)
         self.assertFalse(self.asks.is_long(7000.0))
@@ -25,7 +25,7 @@
             self.asks.note_silence(number * 100.0)
         self.assertFalse(self.asks.is_long(2000.0))
 
-    def test_a_long_silence_counts_until_an_answer_or_until_it_is_tried_again(self) -> None:
+    def test_a_long_silence_counts_until_an_answer_or_until_the_next_try(self) -> None:
         for number in range(12):
             self.asks.note_silence(number * 500.0)
         self.assertTrue(self.asks.is_long(6000.0))
@@ -35,7 +35,7 @@
 
 
 class UnansweredNodeTest(unittest.TestCase):
-    def test_its_jobs_go_to_a_node_that_owners_answer(self) -> None:
+    def test_its_jobs_move_to_a_node_that_owners_answer(self) -> None:
         """A restarted node accepted and claimed jobs for 38 s and ran no item of any."""
         channel_of, own_handler = PermitClient._channel_of, PermitClient._own_handler
 
