--- a/src/fescuedock/agent/codec.py
+++ b/src/fescuedock/agent/codec.py
@@ -1,4 +1,4 @@
-"""The one codec of all messages between our processes."""
+"""The codec of all messages between the processes of a fleet."""
 
 from collections.abc import Sequence
 from pathlib import Path
@@ -19,7 +19,7 @@
 
 __all__ = ["open_codec", "open_node_codec"]
 
-# What nodes and spools speak.
+# Schema modules of the messages of nodes and spools.
 _MODULES = (
     config,
     crashes,
@@ -34,16 +34,17 @@
 
 
 def open_node_codec(settings: VmSettings) -> Codec:
-    """Return a codec over what nodes and spools speak; otherwise as ``open_codec``."""
+    """Return a codec for the messages of nodes and spools; otherwise as ``open_codec``."""
     return Codec(_MODULES, _keys_of(settings))
 
 
 def open_codec(settings: VmSettings) -> Codec:
-    """Return a codec over every schema module, signing with the keys that ``settings`` names.
+    """Return a codec for every schema module that signs with the key file of ``settings``.
 
-    ``OSError`` or ``ValueError`` when the key file cannot be read; without one nothing is signed.
+    Without a key file messages are not signed.  Raise ``OSError`` or ``ValueError`` when the file
+    cannot be read.
     """
-    # Loaded here, as each module that a start loads costs all restarts of a fleet.
+    # Imported here, as every module imported at start-up slows each restart of the fleet.
     from fescuedock.schema import batch, store
 
     return Codec((*_MODULES, batch, store), _keys_of(settings))
--- a/src/fescuedock/agent/config_service.py
+++ b/src/fescuedock/agent/config_service.py
@@ -1,4 +1,4 @@
-"""The configuration as one VM's agent holds it: confirms, spreads and changes it."""
+"""The configuration at one VM's agent: confirms, spreads and changes the version in force."""
 
 from collections.abc import Awaitable, Callable, Sequence
 from math import inf
@@ -33,26 +33,26 @@
 __all__ = ["CONFIG_KEY", "CallPeer", "ConfigService", "VmSource"]
 
 CONFIG_KEY = "config"
-# How long an uncertain write is followed up before the operator is told that it is unknown.
+# How long an uncertain write is resolved before its outcome is reported as unknown.
 _MAX_RESOLVE_MS = 4000
 _FIRST_PAUSE_MS = 50
 _PUSH_TIMEOUT_MS = 1000
-# A patch is answered when another VM has it too, or after this time.
+# A patch is acknowledged when another VM has it too, or after this time.
 _MAX_COPY_WAIT_MS = 300
 
-# Calls the agent of another VM: the VM, the message, the timeout in milliseconds.
+# Calls the agent of another VM.  Arguments: the VM, the message, the timeout in milliseconds.
 CallPeer = Callable[[VmRecord, msgspec.Struct, float], Awaitable[Result[msgspec.Struct, Fault]]]
 
 
 class VmSource(Protocol):
-    """What the service needs of membership."""
+    """The part of membership that the service uses."""
 
     def vms(self) -> Sequence[VmRecord]:
-        """Return every VM that membership knows, this one and gone ones included."""
+        """Return every VM that membership knows, including this one and gone ones."""
 
 
 class ConfigService:
-    """Made once by the agent, which runs ``run`` and merges ``handlers`` into its own."""
+    """Created once by the agent, which runs ``run`` and merges ``handlers`` into its own."""
 
     def __init__(
         self,
@@ -83,7 +83,7 @@
 
     @property
     def current_version(self) -> int:
-        """The version in force on this VM; 0 when none was ever accepted."""
+        """The version in force on this VM; 0 if none was ever accepted."""
         return self._node.version
 
     @property
@@ -93,27 +93,27 @@
 
     @property
     def confirmed_age_ms(self) -> float:
-        """Time since the version in force was known to be the newest; infinite when never."""
+        """Time since the version in force was known to be the newest; infinite if it never was."""
         return now_ms() - self._node.replica.confirmed_at_ms
 
     @property
     def unconfirmed(self) -> bool:
-        """Whether the age is over ``config_confirm_ms``."""
+        """Whether ``confirmed_age_ms`` exceeds ``config_confirm_ms``."""
         return self._node.standing(now_ms()) is not Standing.CONFIRMED
 
     @property
     def serving(self) -> bool:
-        """Whether the cut-off policy lets the entry of this VM take new requests."""
+        """Whether the cut-off policy lets the entry of this VM accept new requests."""
         return is_serving(self._node.standing(now_ms()), self._settings.agent.config_cut_off)
 
     @property
     def kv_away(self) -> bool:
-        """Whether the key-value service seems to answer nobody."""
+        """Whether the key-value service appears to be unavailable to the entire fleet."""
         return self._node.kv_away(now_ms())
 
     @property
     def alarm(self) -> str:
-        """What was refused and has to be looked at, in one line; empty when there is nothing."""
+        """A rejected version that an operator must inspect, in one line; empty without one."""
         alarm = self._node.replica.alarm
         if alarm is None:
             return ""
@@ -123,7 +123,7 @@
         )
 
     def on_peer_version(self, vm: VmRecord, version: int) -> None:
-        """Note the version that a membership message of ``vm`` carried."""
+        """Handle the version that a membership message of ``vm`` carried."""
         if version > self._node.version:
             self._node.on_peer_version(vm, version, now_ms())
             self._wake.set()
@@ -131,7 +131,7 @@
             self._node.replica.hear(version, now_ms())
 
     async def wait_changed(self, seen_version: int) -> None:
-        """Return when the version in force is above ``seen_version``."""
+        """Wait until the version in force is above ``seen_version``."""
         while self._node.version <= seen_version:
             await self._changed.wait()
 
@@ -145,7 +145,7 @@
         }
 
     async def run(self) -> None:
-        """Keep the version confirmed and spread it until cancelled."""
+        """Keep the version confirmed and spread it; runs until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 for action in self._node.tick(now_ms()):
@@ -202,7 +202,7 @@
             self._copied.set()
 
     def _publish_changes(self) -> None:
-        """Wake whoever waits for a new version, and log what an operator must know."""
+        """Wake the tasks that wait for a new version, and log changes of version and state."""
         if self._node.version != self._published_version:
             self._published_version = self._node.version
             self._changed.set()
@@ -234,7 +234,7 @@
         if not isinstance(step, Accepted):
             return SubmitPatchReply(step.code.value, step.version, list(step.problems))
         self._copied = trio.Event()
-        # A read that is under way may still show the version before.
+        # A read in progress may still return the previous version.
         self._node.replica.hear(self._node.version, now_ms())
         self._publish_changes()
         with trio.move_on_after(_MAX_COPY_WAIT_MS / 1000):
@@ -269,7 +269,7 @@
                 return fault.code
 
     async def _write(self, writer: PatchWriter) -> Accepted | Refusal:
-        """Carry out the writer's steps until it is known what became of the patch."""
+        """Carry out the writer's steps until the outcome of the patch is known."""
         deadline_ms = now_ms() + _MAX_RESOLVE_MS
         pause_ms = _FIRST_PAUSE_MS
         step: WriterStep | None = Read()
--- a/src/fescuedock/agent/crash_service.py
+++ b/src/fescuedock/agent/crash_service.py
@@ -1,8 +1,8 @@
-"""The agent's part in what is known of upstreams that ended: found out, shared, and kept.
+"""Detects upstreams that ended under work, and shares and stores these crash reports.
 
-Programs tell of runs that were broken off.  Whether the upstream has ended is found out by asking
-it for a connection; what is found goes to the other agents by message and to the key-value service,
-where it outlives them all.
+Programs report runs that were broken off.  Connection attempts show whether the upstream has ended;
+if so, a report goes to the other agents by message and to the key-value service, where it outlives
+all agents.
 """
 
 import math
@@ -47,28 +47,28 @@
 
 _REPORT_ID_BYTES = 12
 _SAME_END_WINDOW_MS = QuarantinePolicy().same_end_ms
-# A dying process may still take connections while those that it had are cut already.
+# A crashing process may still accept connections after its existing ones were cut.
 _SECOND_CONNECT_DELAY_S = 0.05
-# Runs that were broken off by one end come in within milliseconds of each other.
+# Runs broken off by the same crash are reported within milliseconds of each other.
 _GATHER_PAUSE_S = 0.01
-# Between two writes of one node.
+# Mean pause between two writes of this agent.
 _WRITE_PAUSE_S = 0.5
 _FIRST_PAUSE_MS = 100.0
 _MAX_PAUSE_MS = 2000.0
-# Between two looks at what is too old.
+# Interval at which expired reports are removed.
 _FORGET_INTERVAL_S = 600.0
-# Agents hear of what others find by message; this is for those that were away.  370 of them make 6
-# reads a second of it.
+# Agents receive the reports of others by message; these reads serve agents that missed some.  With
+# 370 agents they make 6 reads per second.
 _READ_INTERVAL_S = 60.0
-# Waiting longer than this would hold an answer that a program does not wait for any more.
+# Longest wait of a request: a program does not wait longer for the reply.
 _MAX_WAIT_MS = 30000
 
 
 class CrashService:
-    """Keeps ``view.quarantine`` current, and finds out about the upstreams of this VM's programs.
+    """Keeps ``view.quarantine`` current, and checks the upstreams of this VM's broken runs.
 
-    ``prefix`` is where reports lie in the key-value service; whoever follows it hands what lies
-    there to ``apply_entries``.
+    Reports are stored below ``prefix`` in the key-value service; the reader of that prefix passes
+    its entries to ``apply_entries``.
     """
 
     def __init__(
@@ -87,21 +87,21 @@
         self._kv = kv
         self._prefix = prefix
         self._rng = rng
-        # Unix time at trio's time 0; the clock itself gives whole seconds.
+        # Unix time at trio's time 0; the clock itself has a resolution of a second.
         self._unix_base_ms = unix_clock() * 1000.0 - now_ms()
         self._log = CrashLog(view.quarantine, boot=rng.getrandbits(53))
-        # Set when something was learned, or found out here.
+        # Set when a fact was applied, and when there are facts to send or write.
         self._changed = trio.Event()
         self._new_facts = trio.Event()
-        # Runs that were broken off, by upstream, while it is being found out whether that ended.
+        # Broken runs by upstream, while it is checked whether the upstream has ended.
         self._broken: dict[str, BrokenRuns] = {}
-        # When upstreams of this VM's broken runs were found to have ended.
+        # When upstreams of this VM's broken runs were detected as ended.
         self._ended_ms: dict[str, float] = {}
-        # What others are still to be told, by whether they pass it on; and what is to be written.
+        # Facts of this agent not sent yet, facts of others to relay, and facts not written yet.
         self._unsent: list[CrashFact] = []
         self._to_relay: list[CrashFact] = []
         self._to_write: list[CrashFact] = []
-        # What was read from the key-value service, with the time of the newest fact in it.
+        # Keys read from the key-value service, with the time of the newest fact in each.
         self._stored_at_ms: dict[str, float] = {}
         self._nursery: trio.Nursery | None = None
 
@@ -115,7 +115,7 @@
         }
 
     async def run(self) -> None:
-        """Find out, share and keep until cancelled."""
+        """Check upstreams, and send, write and expire reports; runs until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             for upstream_id in self._broken:
@@ -129,7 +129,7 @@
                 await self._remove_expired()
 
     async def read_forever(self) -> None:
-        """Read what lies in the key-value service now and then, where nothing follows its keys."""
+        """Read the stored reports periodically, where nothing else reads their keys."""
         while True:
             was_read = await self._read_all()
             pause_s = _READ_INTERVAL_S if was_read else _MAX_PAUSE_MS / 1000
@@ -148,14 +148,14 @@
             start_after = page.entries[-1].key
 
     def apply_entries(self, entries: Iterable[KvEntry]) -> None:
-        """Take in what lies in the key-value service, each entry as often as it may come."""
+        """Apply stored reports; entries may be passed repeatedly."""
         for entry in entries:
             if not entry.key.startswith(self._prefix) or entry.key in self._stored_at_ms:
                 continue
             try:
                 news = msgspec.msgpack.decode(entry.value, type=CrashNews)
             except msgspec.MsgspecError as error:
-                # Of a newer version, which will remove it.
+                # Written by a newer version, which also removes it.
                 self._stored_at_ms[entry.key] = math.inf
                 log_event("crash_news_unreadable", key=entry.key, reason=str(error))
                 continue
@@ -169,14 +169,14 @@
 
     async def _on_broken(self, message: BrokenRun, _peer: ServerPeer) -> None:
         if message.looks_whole and message.given_up:
-            # The permit of a run alone was returned; the run itself was told of before.
+            # The permit of an isolated run was returned; the run itself was reported before.
             if message.upstream_id in self._broken:
                 self._broken[message.upstream_id].note_returned(message.work_id)
             return
         upstream = self._view.upstreams.get(message.upstream_id)
         known = self._has_just_ended(message.upstream_id) or message.upstream_id in self._broken
         if not known and (upstream is None or upstream.leaving):
-            # One that was to leave has ended as planned, with what ran there.
+            # A leaving upstream has ended as planned, together with its runs.
             reason = "the upstream is unknown" if upstream is None else "the upstream is leaving"
             log_event(
                 "broken_run_ignored",
@@ -188,7 +188,7 @@
             return
         broken_runs = self._broken.get(message.upstream_id)
         if broken_runs is None:
-            # Imported when a run was broken off, which a start need not wait for.
+            # Imported at the first broken run to keep the start-up short.
             from fescuedock.core.broken_runs import BrokenRuns
 
             broken_runs = self._broken[message.upstream_id] = BrokenRuns()
@@ -200,7 +200,7 @@
         self._clear(message.work_id)
 
     def _clear(self, trait: str) -> None:
-        """Take back what is known against a trait of a run that became whole."""
+        """Void the crash reports against a trait of a run that completed."""
         reports = self._view.quarantine.reports_against(trait)
         if reports:
             self._publish(WorkCleared(_new_id(), trait, reports, int(self._now_ms())))
@@ -212,7 +212,7 @@
                 await self._changed.wait()
         return self._log.reply_after(seen)
 
-    # --- finding out -----------------------------------------------------------------------------
+    # --- detection -------------------------------------------------------------------------------
 
     async def _check_upstream(self, upstream_id: str) -> None:
         """Report the runs that an upstream broke off, if it has ended."""
@@ -244,17 +244,17 @@
         )
 
     def _record_completed_run(self, run: BrokenRun) -> None:
-        """Note that a run that looks whole is, as its upstream goes on."""
+        """Record that a run that looked complete is complete, as its upstream keeps running."""
         self._view.sound_parts.note(run.parts, now_ms())
         for trait in (run.work_id, *run.parts):
             self._clear(trait)
 
     async def _report_end(self, upstream_id: str, *, refused: bool) -> None:
-        """Report what ran at an upstream when it ended."""
+        """Report the runs at an upstream when it ended."""
         if not self._has_just_ended(upstream_id):
             self._ended_ms[upstream_id] = now_ms()
         if not self._broken[upstream_id].has_alone:
-            # Beside a run alone there is nothing to wait for, and its next try may be on its way.
+            # Nothing runs concurrently with an isolated run, and its retry may be imminent.
             await trio.sleep(_GATHER_PAUSE_S)
         broken = self._broken.pop(upstream_id).take_ended(refused=refused)
         runs = [
@@ -271,7 +271,7 @@
         return now_ms() - ended_ms <= _SAME_END_WINDOW_MS
 
     async def _connect_twice(self, address: Address) -> Acceptance:
-        """Find out whether a server still takes connections, and goes on doing so."""
+        """Return whether a server accepts connections, and still does a little later."""
         acceptance = await self._http.try_connect(address)
         if acceptance is Acceptance.ACCEPTED:
             await trio.sleep(_SECOND_CONNECT_DELAY_S)
@@ -281,11 +281,11 @@
     # --- sharing ---------------------------------------------------------------------------------
 
     def _publish(self, fact: CrashFact) -> None:
-        """Learn a fact that was found here, and see to it that all others do."""
+        """Apply a fact detected here, and queue it for sending and storage."""
         self._apply_fact(fact)
         self._unsent.append(fact)
         if not isinstance(fact, CrashReport) or fact.runs:
-            # That an upstream ended under nothing is of use for a moment only.
+            # That an upstream ended without runs matters only for seconds, so it is not stored.
             self._to_write.append(fact)
         self._wake_sender()
 
@@ -353,9 +353,9 @@
                 client.push(news)
 
     async def _write_forever(self) -> None:
-        """Write what was found here, together what comes within a pause, until it is all there.
+        """Write the facts detected here; those of the same pause are written together.
 
-        When a failure domain goes, each node that had work there finds many upstreams ended.
+        When a failure domain is lost, each node with work there detects many ended upstreams.
         """
         while True:
             while not self._to_write:
@@ -370,13 +370,13 @@
         pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         while True:
             written = await self._kv.put_if(key, value, 0)
-            # A conflict is the answer to a write of our own whose answer was lost.
+            # A conflict means that an earlier write was applied and only its answer was lost.
             if not isinstance(written, Err) or written.err_value.code is ResultCode.KV_CONFLICT:
                 return
             await pauses.wait()
 
     async def _remove_expired(self) -> None:
-        """Remove what has been forgotten from the key-value service; one agent does it."""
+        """Remove expired reports from the key-value service; all agents choose one to do it."""
         vm_ids = [vm.vm_id for vm in self._view.live_vms()]
         for key, at_ms in list(self._stored_at_ms.items()):
             if not self._view.quarantine.is_forgotten(at_ms, self._now_ms()):
@@ -386,7 +386,10 @@
                 await self._remove(key)
 
     async def _remove(self, key: str) -> None:
-        """Remove a key, which nobody writes twice; one that stays is met again at the next read."""
+        """Remove a key.
+
+        Keys are written only once; if the removal fails, the next read finds the key again.
+        """
         read = await self._kv.get(key)
         entry = None if isinstance(read, Err) else read.ok_value
         if entry is not None:
--- a/src/fescuedock/agent/link.py
+++ b/src/fescuedock/agent/link.py
@@ -1,4 +1,4 @@
-"""How a program of a VM follows the fleet: a link to its VM's agent and a view kept fresh by it."""
+"""The link of a program to its VM's agent, and the view of the fleet that it keeps current."""
 
 from collections.abc import AsyncIterator, Callable, Collection, Sequence
 from contextlib import asynccontextmanager
@@ -34,23 +34,23 @@
 _POLL_WAIT_MS = 2000
 _CALL_TIMEOUT_MS = 3000
 _RETRY_S = 0.2
-# How long an upstream's end is news: what clocks of VMs differ by, and what reports take.
+# How long an upstream's end counts as recent; covers clock differences of VMs and report delays.
 _RECENT_END_MS = 3000.0
-# What the agent says of the key-value service is good for one poll that gets no answer.
+# The agent's report on the key-value service stays valid over one poll without an answer.
 _KV_AWAY_VALIDITY_MS = _POLL_WAIT_MS + _CALL_TIMEOUT_MS
 _PORT_FIELDS = {program: f"{program.value}_port" for program in Program}
 
 
 def port_of(vm: VmRecord, program: Program) -> int:
-    """Return the port of ``program`` on ``vm``, 0 when it does not run there."""
+    """Return the port of ``program`` on ``vm``; 0 if it does not run there."""
     return getattr(vm, _PORT_FIELDS[program])
 
 
 class FleetView:
-    """The fleet as this VM sees it now; always a whole snapshot, replaced at once.
+    """The fleet as known to this VM: always a complete snapshot, replaced atomically.
 
-    ``vms`` and ``upstreams`` are keyed by identity and hold those that are not gone.  ``version``
-    is 0 until the first snapshot; only differences of it mean anything.
+    ``vms`` and ``upstreams`` are keyed by identity and exclude gone ones.  ``version`` is 0 until
+    the first snapshot; versions may only be compared for equality.
     """
 
     __slots__ = (
@@ -83,17 +83,17 @@
         self._kv_away_until_ms = float("-inf")
         self._owners = OwnerIndex()
         self._changed = trio.Event()
-        # What is known of works that were running when upstreams ended.
+        # Facts on units of work that were running when upstreams ended.
         self.quarantine = Quarantine()
-        # Of prompts, by the runs of this process.
+        # Parts of prompts with which runs of this process have completed.
         self.sound_parts = SoundParts()
         self._quarantine_changed = trio.Event()
-        # That of this process; made when first needed.
+        # The clock of this process; created at first use.
         self.unix_clock: UnixClock | None = None
 
     @property
     def membership_age_ms(self) -> float:
-        """Time since this VM's agent last read the VM list; infinite before the first time."""
+        """Time since this VM's agent last read the VM list; infinite before the first read."""
         return now_ms() - self._listed_at_ms
 
     @property
@@ -103,13 +103,13 @@
 
     @property
     def kv_away(self) -> bool:
-        """Whether this VM's agent says that the key-value service answers nobody."""
+        """Whether this VM's agent reports the key-value service as unavailable to all."""
         return now_ms() < self._kv_away_until_ms
 
     def live_vms(self, program: Program | None = None) -> list[VmRecord]:
-        """Return the VMs that may get new work, for ``program`` if given.
+        """Return the VMs that may get new work; with ``program``, those where it is ready.
 
-        Suspected VMs count as live; leaving ones, and those whose program is not ready, do not.
+        Suspected VMs count as live, leaving ones do not.
         """
         live = (VmState.ALIVE, VmState.SUSPECT)
         vms = [vm for vm in self.vms.values() if vm.state in live]
@@ -118,40 +118,40 @@
         return [vm for vm in vms if program in vm.ready and port_of(vm, program)]
 
     def upstreams_of(self, service: str) -> list[UpstreamRecord]:
-        """Return the upstreams of ``service``, those that are leaving included."""
+        """Return the upstreams of ``service``, including leaving ones."""
         return [item for item in self.upstreams.values() if item.service == service]
 
     def owner_of(self, upstream_id: str) -> VmRecord | None:
-        """Return the VM whose agent owns the upstream; None for an unknown one or no live VM."""
+        """Return the VM whose agent owns the upstream; None if that is unknown or no VM is live."""
         upstream = self.upstreams.get(upstream_id)
         if upstream is None:
             return None
         return self.vms.get(self._owners.owner_id(upstream) or "")
 
     def verdict_on(self, work_id: str, parts: Collection[str] = ()) -> Verdict:
-        """Return how a piece of work may run now that has ``parts`` in its prompt."""
+        """Return the current verdict on a unit of work with ``parts`` in its prompt."""
         if self.quarantine.is_empty:
             return FREE
         self.unix_clock = self.unix_clock or unix_clock()
         return self.quarantine.verdict(work_id, self.unix_clock() * 1000.0, parts)
 
     def has_just_ended(self, upstream_id: str) -> bool:
-        """Whether an upstream was found to have ended in the last seconds."""
+        """Whether an upstream was reported to have ended in the last ``_RECENT_END_MS``."""
         self.unix_clock = self.unix_clock or unix_clock()
         since_ms = self.unix_clock() * 1000.0 - _RECENT_END_MS
         return self.quarantine.has_ended_since(upstream_id, since_ms)
 
     def notify_quarantine_changed(self) -> None:
-        """Wake those who wait for a change of ``quarantine``."""
+        """Wake the tasks that wait for a change of ``quarantine``."""
         self._quarantine_changed.set()
         self._quarantine_changed = trio.Event()
 
     async def wait_quarantine_changed(self) -> None:
-        """Wait until something new is known of a work."""
+        """Wait for the next change of ``quarantine``."""
         await self._quarantine_changed.wait()
 
     async def wait_changed(self, seen_version: int) -> int:
-        """Return the version as soon as it is another than ``seen_version``."""
+        """Wait until the version differs from ``seen_version`` and return it."""
         while self.version == seen_version:
             await self._changed.wait()
         return self.version
@@ -163,7 +163,7 @@
         upstreams: Sequence[UpstreamRecord],
         membership_age_ms: float,
     ) -> None:
-        """Take a new snapshot of the members and wake those who wait."""
+        """Set a new snapshot of VMs and upstreams, and wake the tasks that wait for a change."""
         self.vms = {vm.vm_id: vm for vm in vms}
         self.upstreams = {item.upstream_id: item for item in upstreams}
         self.record_list_age(membership_age_ms)
@@ -173,17 +173,17 @@
         self._advance(version)
 
     def record_list_age(self, age_ms: float) -> None:
-        """Take the time since the VM list was last read."""
+        """Record the time since the VM list was last read."""
         self._listed_at_ms = now_ms() - age_ms
 
     def record_kv_state(self, away: bool) -> None:
-        """Take whether the key-value service answers nobody."""
+        """Record whether the key-value service is reported as unavailable to all."""
         self._kv_away_until_ms = now_ms() + _KV_AWAY_VALIDITY_MS if away else float("-inf")
 
     def replace_configuration(
         self, view_version: int, config_version: int, configuration: Configuration, age_ms: float
     ) -> None:
-        """Take a configuration, or the news that the one in force is still current."""
+        """Set the configuration, or confirm the one in force as ``age_ms`` old."""
         self._confirmed_at_ms = now_ms() - age_ms
         self.configuration = configuration
         self.config_version = config_version
@@ -198,7 +198,7 @@
 
 
 class AgentLink:
-    """Calls this VM's own agent."""
+    """Calls the agent of this VM."""
 
     __slots__ = ("_client", "_hello")
 
@@ -213,9 +213,9 @@
         return await self._client.call(message, timeout_ms)
 
     async def hello(self) -> bool:
-        """Tell the agent now what is told every second; False when it did not answer.
+        """Send the periodic announcement now; return False when the agent does not answer.
 
-        For a change of readiness that should not wait.
+        For a change of readiness that should take effect at once.
         """
         return (await self.call(self._hello())).is_ok()
 
--- a/src/fescuedock/agent/load_slots.py
+++ b/src/fescuedock/agent/load_slots.py
@@ -1,7 +1,7 @@
-"""Claims to load weights: a few keys in the key-value service, each under a lease.
+"""Slots for loading weights: a few keys in the key-value service, each claimed under a lease.
 
-They keep the loads of the whole fleet within the rate of the weight store.  Only the rate depends
-on them, so a claim that lapses early costs speed and nothing else.
+They bound the concurrent loads of the fleet to the rate of the weight store.  Only speed depends on
+them: a claim that lapses early causes nothing but slower loads.
 """
 
 from collections.abc import AsyncIterator, Callable
@@ -23,7 +23,7 @@
 
 
 class LoadSlots:
-    """The slots under ``prefix``, as one agent claims them."""
+    """Claims slots below ``prefix`` for one agent."""
 
     def __init__(self, kv: KvStore, prefix: str, settings: OrderSettings) -> None:
         self._kv = kv
@@ -32,9 +32,9 @@
 
     @asynccontextmanager
     async def claim(self, slot: LoadSlot, is_urgent: Callable[[], bool]) -> AsyncIterator[None]:
-        """Hold one slot while the block runs, after waiting until one is free.
+        """Wait for a free slot and hold it while the block runs.
 
-        ``is_urgent`` says whether online traffic waits for the load now.
+        ``is_urgent`` returns whether online traffic is waiting for the load now.
         """
         pause_ms: float = self._settings.retry_ms
         lease_id = await self._try_claim(slot, is_urgent())
@@ -49,11 +49,11 @@
                 nursery.cancel_scope.cancel()
         finally:
             with trio.move_on_after(self._settings.retry_ms / 1000, shield=True):
-                # Not answered: the lease ends by itself.
+                # Without an answer the lease expires by itself.
                 await self._kv.revoke_lease(lease_id)
 
     async def _try_claim(self, slot: LoadSlot, urgent: bool) -> int | None:
-        """Return the lease of a slot that was got, None when there is none now."""
+        """Return the lease of a claimed slot; None when none is free."""
         page = await self._kv.get_range(self._prefix)
         if isinstance(page, Err):
             return None
@@ -75,7 +75,7 @@
         match await self._kv.put_if(key, msgspec.msgpack.encode(slot), 0, lease_id=lease_id):
             case Ok(_):
                 return lease_id
-        # Should the write come late, it goes with its lease.
+        # If the write is applied late, revoking its lease removes it.
         await self._kv.revoke_lease(lease_id)
         return None
 
--- a/src/fescuedock/agent/main.py
+++ b/src/fescuedock/agent/main.py
@@ -36,19 +36,19 @@
 
 __all__ = ["main", "run_agent"]
 
-# Where what is known of upstreams that ended lies in the key-value service.
+# Prefix of crash reports in the key-value service.
 CRASHES_PREFIX = "crashes/"
-# How long a stopping agent still answers, in probe intervals: its leave must have spread.
+# Probe intervals for which a stopping agent still answers, so that its leave can spread.
 _LEAVE_INTERVALS = 3
 
 
 async def run_agent(
     settings: Settings, stop: Stop, *, task_status: trio.TaskStatus[Address]
 ) -> None:
-    """Run the agent until ``stop``; reports the address of its messages and datagrams.
+    """Run the agent until ``stop``; pass the address of its port to ``task_status``.
 
-    A stop is announced at once, so that other agents take over the upstreams; the agent answers
-    until that has spread, and then says that it is gone.
+    A stop is announced immediately, so that other agents take over the upstreams.  The agent
+    answers until the announcement has spread, and then announces that it is gone.
     """
     codec = open_codec(settings.vm)
     handlers: dict[type[msgspec.Struct], CallHandler] = {}
@@ -68,7 +68,7 @@
 
 
 class _Services:
-    """The agent's services, wired to each other."""
+    """The agent's services, connected to each other."""
 
     def __init__(
         self, settings: Settings, codec: Codec, http: HttpClient, pool: ChannelPool, udp: UdpSocket
@@ -112,7 +112,7 @@
         self.orders.on_change = self.permits.reapply_view
 
     def vms(self) -> list[VmRecord]:
-        """Return every VM that membership knows, gone ones included."""
+        """Return every VM that membership knows, including gone ones."""
         return self.membership.vms()
 
     def handlers(self) -> Mapping[type[msgspec.Struct], CallHandler]:
--- a/src/fescuedock/agent/membership_service.py
+++ b/src/fescuedock/agent/membership_service.py
@@ -1,4 +1,4 @@
-"""The shell of membership: datagrams, the VM list, and the view that this VM's programs follow."""
+"""The I/O of membership: datagrams, the VM list, and the view that this VM's programs poll."""
 
 from typing import Protocol
 
@@ -43,13 +43,13 @@
 _PUBLISH_INTERVAL_MS = 100.0
 _PROFILE_INTERVAL_MS = 250.0
 _MAX_POLL_MS = 30000
-# How long the tick loop sleeps at most: a change of the configuration does not wake it.  A tenth of
-# the 2 s in which a change has to be in force.
+# Longest sleep of the tick loop, since a change of the configuration does not wake it: a tenth of
+# the 2 s within which a change must be in force.
 _MAX_SLEEP_MS = 200.0
 
 
 class ConfigSource(Protocol):
-    """What membership needs of the configuration on this VM."""
+    """The part of the configuration service that membership uses."""
 
     @property
     def current_version(self) -> int:
@@ -65,35 +65,36 @@
 
     @property
     def unconfirmed(self) -> bool:
-        """Whether that is too long ago."""
+        """Whether ``confirmed_age_ms`` is too long."""
 
     @property
     def serving(self) -> bool:
-        """Whether the entry of this VM may take new requests all the same."""
+        """Whether the entry of this VM may accept new requests even so."""
 
     @property
     def kv_away(self) -> bool:
-        """Whether the key-value service seems to answer nobody."""
+        """Whether the key-value service appears to be unavailable to the entire fleet."""
 
     def on_peer_version(self, vm: VmRecord, version: int) -> None:
-        """Note the version that a datagram of ``vm`` carried."""
+        """Handle the version that a datagram of ``vm`` carried."""
 
 
 class VmListSource(Protocol):
-    """Where the VM list comes from."""
+    """A source of the VM list."""
 
     async def read(self) -> Result[VmList, Fault]:
-        """Return the list; the very object of the last read when nothing has changed."""
+        """Return the list; the same object as the last read if nothing has changed."""
 
     async def wait_due(self) -> None:
-        """Wait until the list is worth another read."""
+        """Wait until the next read is due."""
 
 
 class MembershipService:
     """Runs ``Membership`` over one UDP socket and keeps ``view`` current.
 
-    ``programs`` gets the announcements of the VM's programs; ``configuration`` says what is in
-    force here.  ``first_version`` must rise with each start of the agent, faster than versions do.
+    ``programs`` stores the announcements of the VM's programs; ``configuration`` provides the
+    version in force here.  ``first_version`` must increase with each start of the agent, faster
+    than view versions do while it runs.
     """
 
     def __init__(
@@ -124,7 +125,7 @@
         self._profile_due_ms = float("-inf")
         self._published_revision = -1
         self._published_at_ms = float("-inf")
-        # When the tick loop wakes by itself, and what wakes it before.
+        # When the tick loop wakes by itself, and the event that wakes it earlier.
         self._wake_ms = float("-inf")
         self._wake_event = trio.Event()
 
@@ -137,18 +138,18 @@
         }
 
     def vms(self) -> list[VmRecord]:
-        """Return every VM that membership knows, gone ones included."""
+        """Return every VM that membership knows, including gone ones."""
         return self._membership.records(with_gone=True)
 
     async def run(self) -> None:
-        """Take part in membership until cancelled."""
+        """Run membership until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._receive_forever)
             nursery.start_soon(self._tick_forever)
             nursery.start_soon(self._poll_list)
 
     def leave(self) -> None:
-        """Announce that this VM takes no new work."""
+        """Announce that this VM accepts no new work."""
         self._perform(self._membership.leave(now_ms()))
         self._publish(now_ms())
 
@@ -194,13 +195,13 @@
             self._publish(at_ms)
 
     def _publish_due_ms(self) -> float:
-        """Return when the view is to be replaced; infinite while it is current."""
+        """Return when to replace the view; infinite while it is current."""
         changed = self._upstreams_changed or self._membership.revision != self._published_revision
         changed = changed or self._configuration.current_version != self._view.config_version
         return self._published_at_ms + _PUBLISH_INTERVAL_MS if changed else float("inf")
 
     def _wake_if_due_earlier(self) -> None:
-        """Wake the tick loop when there is something to do before it would look."""
+        """Wake the tick loop if something is due before it wakes by itself."""
         due_ms = min(self._membership.next_due_ms(now_ms()), self._publish_due_ms())
         if due_ms < self._wake_ms:
             self._wake_event.set()
@@ -243,21 +244,21 @@
     # --- the view ------------------------------------------------------------------------------
 
     def _publish(self, at_ms: float) -> None:
-        """Replace the view by what is known now, and wake those who wait for it."""
+        """Replace the view with the current state, which wakes the tasks that wait for it."""
         self._upstreams_changed = False
         self._published_at_ms = at_ms
         self._published_revision = self._membership.revision
         self._apply_configuration()
         view = self._view
         vms, upstreams = view.vms, view.upstreams
-        # Above those of this agent's former lives, which programs may still hold.
+        # Above the versions of earlier processes of this agent, which programs may still have.
         version = max(view.version, self._first_version) + 1
         age_ms = at_ms - self._membership.list_read_at_ms
         view.replace(version, self._membership.records(), self._published_upstreams(), age_ms)
         self._history.record(version, (vms, view.vms), (upstreams, view.upstreams))
 
     def _published_upstreams(self) -> list[UpstreamRecord]:
-        """Return the listed upstreams, those that an operator drains as leaving."""
+        """Return the listed upstreams; those that an operator drains are marked as leaving."""
         drained = _drained_upstreams(self._view.configuration)
         return [
             msgspec.structs.replace(item, leaving=True) if item.upstream_id in drained else item
@@ -330,5 +331,5 @@
 
 
 def _to_integer_ms(age_ms: float) -> int:
-    """Return an age as a message carries it; "never" becomes a very long time."""
+    """Return an age as an integer for a message; infinity becomes a very long time."""
     return int(min(age_ms, 2**53))
--- a/src/fescuedock/agent/order_service.py
+++ b/src/fescuedock/agent/order_service.py
@@ -1,6 +1,6 @@
 """Gives orders to the engines of the upstreams that this VM's agent owns.
 
-Nothing is held and nothing written while an upstream has what it has to have.
+No lease is held and no record written while an upstream matches its placement.
 """
 
 from collections.abc import Callable
@@ -53,9 +53,9 @@
 
 
 class OrderService:
-    """Made once by the agent, which runs ``run``; follows ``view``.
+    """Created once by the agent, which runs ``run``; follows ``view``.
 
-    ``load_of`` gives the load of an upstream that this VM owns, as evidence of demand.
+    ``load_of`` returns the load of an upstream that this VM owns, from which demand is derived.
     """
 
     def __init__(
@@ -81,12 +81,12 @@
         self.on_change: Callable[[], None] = _do_nothing
 
     def is_loading(self, upstream_id: str) -> bool:
-        """Whether the upstream is known to lack a model that requests may ask it for."""
+        """Whether the upstream is known to lack a model that requests may need."""
         served = self._serving.get(upstream_id)
         return served is not None and served.is_loading
 
     async def run(self) -> None:
-        """Follow the view and serve each engine that this VM owns, until cancelled."""
+        """Follow the view and serve each engine that this VM owns; runs until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 version = self._view.version
@@ -114,7 +114,7 @@
         return ServedUpstream(upstream, OrderHolder(self._holder_id, False, self._settings.orders))
 
     async def _serve(self, served: ServedUpstream) -> None:
-        """Bring one upstream to what it has to have, and keep it there, while it is ours."""
+        """Bring one upstream to its placement and keep it there, while this VM owns it."""
         name = served.upstream.upstream_id
         while self._owns(name) or served.holder.holds:
             served.refresh(self._view)
@@ -132,7 +132,7 @@
         del self._serving[name]
 
     async def _read_state(self, served: ServedUpstream) -> None:
-        """Read what the record and the engine itself say of the upstream."""
+        """Read the upstream's order record and the engine's own list of models."""
         await self._read(served)
         served.listed = (await self._control.models(served.upstream)).ok()
         self._update_loading(served)
@@ -148,7 +148,7 @@
                 self._update_loading(served)
 
     def _update_loading(self, served: ServedUpstream) -> None:
-        """Judge whether requests have to stay away; without knowledge they need not."""
+        """Update whether requests must avoid the upstream; without information they need not."""
         loading = False
         if served.listed is not None and not served.refused_orders(now_ms()):
             placement = placement_of(self._view.configuration, served.upstream)
@@ -158,9 +158,9 @@
             self.on_change()
 
     async def _run_steps(self, served: ServedUpstream) -> float:
-        """Take steps until there is nothing to do or a wait without holding; returns the wait."""
+        """Take steps until nothing is due while no lease is held; return the ms to wait."""
         while True:
-            # Each step may take as long as an order, in which the upstream may begin to leave.
+            # A step may take as long as an order, during which the upstream may begin to leave.
             served.refresh(self._view)
             wanted = self._next_order(served)
             match served.holder.step(wanted, now_ms()):
@@ -176,7 +176,7 @@
                     return until_ms - now_ms()
 
     def _next_order(self, served: ServedUpstream) -> PlannedOrder | None:
-        """Return the next order; None too when the upstream is no longer ours or is leaving."""
+        """Return the next order; None if there is none, or the upstream is leaving or not owned."""
         if served.upstream.leaving or not self._owns(served.upstream.upstream_id):
             return None
         placement = placement_of(self._view.configuration, served.upstream)
@@ -213,10 +213,10 @@
         return self._prefix + served.upstream.upstream_id
 
     async def _give(self, served: ServedUpstream, give: Give) -> None:
-        """Give the order, renewing the lease meanwhile; stop when the lease has run out.
+        """Give the order while renewing the lease; stop when the lease has expired.
 
-        The scope's deadline covers the sending too: after a pause of this process the loop sees
-        that it has passed before it lets anything be sent.
+        The scope's deadline covers sending too: after a pause of this process, trio cancels the
+        scope before anything is sent.
         """
         outcome = GiveOutcome.NOT_SENT
         scope = trio.CancelScope(deadline=give.until_ms / 1000)
@@ -252,10 +252,10 @@
                 await self._read(served)
 
     async def _send(self, upstream_id: str, give: Give) -> GiveOutcome:
-        """Send an order to the upstream as the view has it now.
+        """Send an order to the upstream at its address in the current view.
 
-        The order may have waited long for its slot; the address of an upstream that has gone
-        meanwhile may be another one's.
+        The order may have waited long for its slot; if the upstream has gone meanwhile, its address
+        may belong to another one.
         """
         upstream = self._view.upstreams.get(upstream_id)
         if upstream is None:
@@ -286,9 +286,9 @@
 
 
 def _do_nothing() -> None:
-    """Stand for nobody who wants to know."""
+    """Ignore the change; the default of ``on_change``."""
 
 
 async def _sleep_past(until_ms: float) -> None:
-    """Sleep until a little after a time, so that rounding does not wake us before it."""
+    """Sleep until slightly after a time, so that rounding does not end the sleep before it."""
     await trio.sleep_until((until_ms + _ROUNDING_MS) / 1000)
--- a/src/fescuedock/agent/peers.py
+++ b/src/fescuedock/agent/peers.py
@@ -1,4 +1,4 @@
-"""Channels to other processes of ours, opened when first needed and kept."""
+"""Channels to other processes of the fleet, opened at first use and kept open."""
 
 import trio
 
@@ -10,7 +10,7 @@
 
 
 class PeerChannels:
-    """One channel for each address; they live as long as ``nursery``."""
+    """One channel per address; channels stay open as long as ``nursery`` runs."""
 
     def __init__(self, codec: Codec, nursery: trio.Nursery, on_push: Push | None = None) -> None:
         self._codec = codec
@@ -19,11 +19,11 @@
         self._channels: dict[Address, ChannelClient] = {}
 
     async def get(self, address: Address) -> ChannelClient:
-        """Return the channel to ``address``; connecting goes on in the background."""
+        """Return the channel to ``address``; it connects in the background."""
         channel = self._channels.get(address)
         if channel is None:
-            # Opening waits for nothing.  A task that is started by a cancelled one ends with it,
-            # and the channel is for all callers.
+            # Opening a channel does not block.  Without the shield, a cancelled caller would end
+            # the channel's task as it starts, though the channel serves all callers.
             with trio.CancelScope(shield=True):
                 channel = await self._nursery.start(self._keep_open, address)
         return channel
@@ -32,7 +32,7 @@
         self, address: Address, *, task_status: trio.TaskStatus[ChannelClient]
     ) -> None:
         async with ChannelClient.open(address, self._codec, self._on_push) as channel:
-            # Two callers may have got here at once; both channels work, the last one is kept.
+            # Two callers may open a channel concurrently; both work, the last one is stored.
             self._channels[address] = channel
             task_status.started(channel)
             try:
--- a/src/fescuedock/agent/permit_client.py
+++ b/src/fescuedock/agent/permit_client.py
@@ -1,9 +1,9 @@
-"""How an entry or a batch runner gets permits from the agents that own upstreams.
+"""Gets permits for an entry or a batch runner from the agents that own upstreams.
 
 async with open_permit_client(settings, codec, view, holder_id) as permits:
     match await permits.request(PermitAsk(...), timeout_ms=20):
         case Ok(grant): ...      # run the attempt, watch grant.revoked, then grant.end(...)
-        case Err(fault): ...     # refused (retry_after_ms is truthful) or a silent owner
+        case Err(fault): ...     # refused (see retry_after_ms), or a silent owner
 """
 
 import random
@@ -49,31 +49,32 @@
 __all__ = ["Grant", "PermitClient", "TimedLoad", "open_permit_client"]
 
 _DEFAULT_VALID_MS = 2000
-# Ends by which an upstream may have ended as well.
+# Outcomes after which the upstream may have ended too.
 _BROKEN_OUTCOMES = (AttemptOutcome.TRUNCATED, AttemptOutcome.RESPONSE_TIMEOUT)
-# Ends of our own making, after which an upstream may still be at work.
+# Outcomes caused by the holder itself, after which the upstream may still process the attempt.
 _ABANDONED_OUTCOMES = (AttemptOutcome.CANCELLED, AttemptOutcome.REVOKED)
-# How long a permit for a run alone is kept after an answer that ended with its connection, at most.
+# Longest time to hold the permit of an isolated run after an answer that ended with its connection.
 _MAX_ISOLATED_HOLD_S = 1.5
-# For each VM, in which one of those that know a part to be sound says so before the others.
+# Pause per VM of the fleet: over the total, the first VM that can confirm a part as sound does so
+# before the others.
 _CONFIRM_PAUSE_PER_VM_S = 0.002
-# Beyond the time that an ask may be queued, for an owner in the same process.
+# Added to the time for which a request may be queued when the owner is in the same process.
 _LOCAL_OWNER_TIMEOUT_MS = 2000
-# Three renewals fit into the validity, so that two may be lost.
+# Three renewals per validity, so that two may be lost.
 _RENEWALS_PER_VALIDITY = 3
 
 
 class TimedLoad(msgspec.Struct, frozen=True):
-    """A load snapshot and when it arrived, by ``clock.now_ms``."""
+    """A load snapshot and its time of arrival by ``clock.now_ms``."""
 
     load: LoadSnapshot
     at_ms: float
 
 
 class Grant(msgspec.Struct, eq=False):
-    """Leave to run one attempt.  ``end`` must be called once, however the attempt went.
+    """A permit to run one attempt.  ``end`` must be called once, whatever the outcome.
 
-    When ``revoked`` is set, the holder cancels the attempt at once and ends the permit.
+    When ``revoked`` is set, the holder must cancel the attempt at once and end the permit.
     """
 
     _held: HeldGrant
@@ -94,68 +95,71 @@
 
     @property
     def member(self) -> str:
-        """Whose share it was granted from."""
+        """The member from whose share it was granted."""
         return self._held.ask.member
 
     @property
     def is_overdue(self) -> bool:
-        """Whether it was asked for on behalf of overdue batch work."""
+        """Whether it was requested for overdue batch work."""
         return is_overdue(self._held.ask.stage, self._held.ask.slack_ms)
 
     @property
     def work_id(self) -> str:
-        """The identity of the work that runs under it; empty while none is chosen."""
+        """The identity of the unit of work that runs under it; empty while none is assigned."""
         return self._held.ask.work_id
 
     @property
     def parts(self) -> tuple[str, ...]:
-        """Identities of the parts that the work's prompt may share with others."""
+        """Identities of the parts that the work's prompt may share with other work."""
         return self._held.parts
 
     @property
     def isolated(self) -> bool:
-        """Whether its owner lets nothing else run at the upstream meanwhile."""
+        """Whether its owner lets nothing else run at the upstream at the same time."""
         return self._held.ask.alone
 
     @property
     def sendable_until_ms(self) -> float:
-        """When no attempt may begin under it any more, by ``clock.now_ms``.
+        """The time by ``clock.now_ms`` from which no attempt may begin under it.
 
-        Infinite for a local one.
+        Infinite for a local permit.
         """
         return self._held.sendable_until_ms
 
     @property
     def local(self) -> bool:
-        """Whether no owner gave it (see ``PermitClient.ask_local``)."""
+        """Whether it was granted without an owner (see ``PermitClient.request_local``)."""
         return self._held.local
 
     def count_tokens(self, count: int = 1) -> None:
-        """Note more tokens, for the next renewal; optional, but lets the owner choose better.
+        """Count generated tokens for the next renewal; optional, improves the owner's decisions.
 
-        The first one gives the time to the first token seconds before the attempt ends.
+        The first token reports the time to first token seconds before the attempt ends.
         """
         if not self._held.generated_tokens:
             self._held.first_token_ms = now_ms() - self._held.granted_ms
         self._held.generated_tokens += count
 
     def record_sent(self) -> None:
-        """Note that the attempt's request is written."""
+        """Record that the attempt's request is written."""
         self._held.sent = True
 
     def record_unframed(self) -> None:
-        """Note that the attempt's answer ends with its connection."""
+        """Record that the attempt's answer has no framing and ends with its connection."""
         self._held.unframed = True
 
     def assign_work(self, work_id: str, parts: tuple[str, ...] = ()) -> None:
-        """Note which work runs under a permit that was asked for before it was chosen."""
+        """Assign the work to a permit that was requested before the work was chosen."""
         self._held.ask = msgspec.structs.replace(self._held.ask, work_id=work_id)
         self._held.parts = parts
 
     def update_work_state(
         self, stage: BatchStage, slack_ms: float, left_ms: float, barren_runs: int
     ) -> None:
-        """Tell the owner, with the next renewal, how the work stands that was chosen to run."""
+        """Set the urgency and progress of the assigned work, sent with the next renewal.
+
+        ``barren_runs`` is the number of its previous runs without output.
+        """
         self._held.ask = msgspec.structs.replace(
             self._held.ask,
             stage=stage,
@@ -165,12 +169,15 @@
         )
 
     def end(self, ended: EndedPermit) -> None:
-        """Report how the attempt went; sent to the owner with others.  Further calls do nothing."""
+        """End the permit with the attempt's outcome; further calls do nothing.
+
+        Ends are sent to the owner in batches.
+        """
         self._end(ended)
 
 
 class _LocalPeer(msgspec.Struct, frozen=True):
-    """This process as an owner in it sees its caller."""
+    """The caller as seen by an owner in the same process."""
 
     handle_push: Push
 
@@ -180,7 +187,7 @@
 
 
 class PermitClient:
-    """Asks owners for permits, renews what is held, and keeps their load snapshots."""
+    """Requests permits from owners, renews held ones, and stores the owners' load snapshots."""
 
     def __init__(
         self,
@@ -202,34 +209,36 @@
         self._valid_ms = settings.agent.permit_valid_ms if settings.agent else _DEFAULT_VALID_MS
         self._permit_ended = trio.Event()
         self._own_agent = Address(settings.vm.host, settings.agent.port) if settings.agent else None
-        # What this VM's agent is to be told of works, in order.
+        # Reports on runs to send to this VM's agent, in order.
         self._unsent_reports: list[BrokenRun | WholeRun] = []
         self._abandoned_runs = RecentRuns()
         self._unanswered = UnansweredAsks()
         self._rng = random.Random(holder_id)
         self._nursery: trio.Nursery | None = None
-        # Attempts whose ask is under way; True once a revocation has overtaken the grant.
+        # Attempts with a request in progress; True if a revocation arrived before the grant.
         self._pending_requests: dict[str, bool] = {}
 
     @property
     def is_unanswered(self) -> bool:
-        """Whether no owner has answered any ask for seconds; nobody else's may be concerned."""
+        """Whether no owner has answered this client for seconds; other nodes may be unaffected."""
         return self._unanswered.is_long(now_ms())
 
     async def request(
         self, ask: PermitAsk, timeout_ms: float, parts: tuple[str, ...] = ()
     ) -> Result[Grant, Fault]:
-        """Ask the owner of ``ask.upstream_id``; wait ``timeout_ms`` at most for its answer.
+        """Request a permit from the owner of ``ask.upstream_id``; wait at most ``timeout_ms``.
 
-        ``parts`` are the identities of those that the work's prompt may share with others.
+        ``parts`` are the identities of the parts that the work's prompt may share with other work.
+
+        ``timeout_ms`` should exceed ``ask.wait_ms``, the time for which the owner may queue the
+        request.  If this process is the owner itself, the wait is longer, since a late answer is
+        then no sign of a silent owner.
 
-        ``timeout_ms`` should exceed ``ask.wait_ms``, the time the owner may queue the ask.  Where
-        this process is the owner itself it is waited for longer: late is not silent then.
         ``PEER_UNREACHABLE`` and ``PEER_UNKNOWN`` mean a silent owner: an online attempt may then
-        use ``request_local`` or another upstream, batch waits.  ``NOT_OWNER`` means that the views
-        of the two nodes differ for a moment.  Any other fault is the owner's refusal.
-        ``NOT_OWNER`` also tells that the upstream has gone or is leaving by the time of the grant.
-        A late grant is given back by the client itself.
+        use ``request_local`` or another upstream, batch work waits.  ``NOT_OWNER`` means that the
+        views of the two nodes differ temporarily, or that the upstream has gone or is leaving by
+        the time of the grant.  Any other fault is the owner's refusal.  The client itself returns a
+        permit that is granted too late.
         """
         sent_ms = now_ms()
         answered = False
@@ -263,7 +272,7 @@
     def request_local(self, ask: PermitAsk, parts: tuple[str, ...] = ()) -> Result[Grant, Fault]:
         """Grant one online attempt without its owner, under the conservative local limit.
 
-        ``NO_CAPACITY`` when the local limit is used up, or for batch work, which must wait;
+        Return ``NO_CAPACITY`` when the local limit is used up, and for batch work, which must wait;
         ``NOT_OWNER`` when the upstream has gone or is leaving.
         """
         if ask.work_class is not WorkClass.ONLINE or not self.local_limit.try_take(ask.upstream_id):
@@ -272,13 +281,13 @@
         return self._grant(HeldGrant(ask, now_ms(), float("inf"), local=True, parts=parts))
 
     def return_unused(self, grant: Grant) -> None:
-        """Give a permit back that nothing was done with."""
+        """Return a permit under which nothing was sent."""
         outcome = AttemptOutcome.CANCELLED
         work_class = grant.work_class
         grant.end(EndedPermit(grant.permit_id, grant.upstream_id, outcome, work_class))
 
     async def run(self) -> None:
-        """Renew, report ends and revoke what lapses; never returns."""
+        """Renew permits, report ended ones and revoke lapsed ones; never returns."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._renew_forever)
@@ -286,14 +295,15 @@
             nursery.start_soon(self._report_abandoned_runs)
 
     def handle_push(self, message: msgspec.Struct) -> None:
-        """Take a message that an owner sent of its own accord."""
+        """Handle a message that an owner pushed."""
         if isinstance(message, PermitsRevoked):
             self._revoke(message.permit_ids)
 
     def _own_handler(self, upstream_id: str) -> CallHandler | None:
-        """Return what answers asks if the owner of an upstream is in this process.
+        """Return the handler of permit requests if the upstream's owner is in this process.
 
-        A busy process reads answers late, also its own, and took itself for silent.
+        Over a channel, a busy process reads even its own answers late and would consider itself
+        silent.
         """
         owner = self._view.owner_of(upstream_id)
         if owner is None or Address(owner.host, owner.agent_port) != self._own_agent:
@@ -307,7 +317,7 @@
         return await self._channels.get(Address(owner.host, owner.agent_port))
 
     def _no_owner(self, upstream_id: str) -> Fault:
-        # One that has gone since it was chosen says nothing against the node that owned it.
+        # An upstream that has gone since it was chosen is no sign of a silent owner.
         known = upstream_id in self._view.upstreams
         if known:
             self._unanswered.note_silence(now_ms())
@@ -329,10 +339,11 @@
         return Err(Fault(code, f"refused at {ask.upstream_id}", reply.retry_after_ms))
 
     def _grant(self, held: HeldGrant) -> Result[Grant, Fault]:
-        """Hand out a permit; one for an upstream that takes no more work by now is given back.
+        """Return a grant, unless by now the upstream accepts no more work.
 
-        An ask may wait at its owner for a second, and the owner may know less than this node by the
-        time it grants.  All permits pass through here, so that none is used on its word alone.
+        A request may wait at its owner for a second, and the owner may know less than this node
+        when it grants.  All permits pass through this check, so that none is used on the owner's
+        view alone.
         """
         grant = self._register(held)
         fault = self._refusal_by_view(grant.upstream_id)
@@ -342,12 +353,12 @@
         return Err(fault)
 
     def _refusal_by_view(self, upstream_id: str) -> Fault | None:
-        """Return why no attempt may begin at an upstream by what this node knows now, if so."""
+        """Return why, by this node's view, no attempt may begin at an upstream; None if it may."""
         upstream = self._view.upstreams.get(upstream_id)
         if upstream is None:
             return Fault(ResultCode.NOT_OWNER, f"{upstream_id!r} has gone")
         if upstream.leaving:
-            # Not a lack of room: whoever asked has to choose another upstream at once.
+            # Not a lack of capacity: the requester must choose another upstream at once.
             return Fault(ResultCode.NOT_OWNER, f"{upstream_id!r} is leaving")
         return None
 
@@ -376,7 +387,11 @@
         self._permit_ended.set()
 
     async def _return_when_settled(self, held: HeldGrant, ended: EndedPermit) -> None:
-        """Keep other work off an upstream that may be about to end under a run alone."""
+        """Return the permit of an isolated run once its work is no longer under suspicion.
+
+        Until then, for at most ``_MAX_ISOLATED_HOLD_S``, this keeps other work off an upstream that
+        may be about to end because of the run.
+        """
         self._permit_ended.set()
         work_id = held.ask.work_id
         with trio.move_on_after(_MAX_ISOLATED_HOLD_S):
@@ -388,7 +403,7 @@
         self._return(held, ended)
 
     def _record_run(self, held: HeldGrant, ended: EndedPermit) -> None:
-        """Note what a run says of the work; all runs end here, so that none is missed."""
+        """Record what a run's end implies for its work; every run ends here, so none is missed."""
         work_id = held.ask.work_id
         upstream_id = ended.upstream_id
         begun = ended.generated_tokens > 0
@@ -397,7 +412,8 @@
             upstream_id, work_id, alone=held.ask.alone, begun=begun, parts=list(unknown)
         )
         if ended.outcome in (*_BROKEN_OUTCOMES, AttemptOutcome.CONNECT_REFUSED):
-            # What was given up just before may be what ended it, and nobody else would tell.
+            # A run abandoned shortly before may have ended the upstream, and only this node can
+            # report it.
             self._unsent_reports += self._abandoned_runs.take(upstream_id, now_ms())
         if ended.outcome is AttemptOutcome.CONNECT_REFUSED:
             self._report_refused_connect(upstream_id)
@@ -412,7 +428,7 @@
             self._record_completed_run(held, run)
 
     def _record_completed_run(self, held: HeldGrant, run: BrokenRun) -> None:
-        """Note that a run became whole, or that it looks so and its upstream may have ended."""
+        """Record that a run completed, or looks complete although its upstream may have ended."""
         quarantine = self._view.quarantine
         traits = (run.work_id, *held.parts)
         suspected = [trait for trait in traits if quarantine.suspects(trait)]
@@ -491,12 +507,12 @@
                 channel.push(PermitsEnded(self.holder_id, group))
 
     def _report_refused_connect(self, upstream_id: str) -> None:
-        """Have it found out whether an upstream has ended: others may have given runs up there."""
+        """Make the agent check whether an upstream ended: others may have abandoned runs there."""
         if not self._view.has_just_ended(upstream_id):
             self._unsent_reports.append(BrokenRun(upstream_id, ""))
 
     async def _report_abandoned_runs(self) -> None:
-        """Tell of runs that were given up at upstreams which other VMs have found to have ended."""
+        """Report abandoned runs at upstreams that other VMs report as ended; never returns."""
         while True:
             await self._view.wait_quarantine_changed()
             for upstream_id in self._abandoned_runs.upstream_ids(now_ms()):
@@ -506,9 +522,9 @@
             await self._confirm_sound_parts()
 
     async def _confirm_sound_parts(self) -> None:
-        """Tell of parts under suspicion that runs of this process have become whole with.
+        """Report suspected parts with which runs of this process have completed.
 
-        One that is popular is known to many nodes; whoever comes first spares the others.
+        Many nodes can confirm a frequent part; the first report makes the others unnecessary.
         """
         sound = self._view.sound_parts
         suspected = self._view.quarantine.suspected_among
@@ -520,7 +536,7 @@
         await self._send_reports()
 
     async def _send_reports(self) -> None:
-        """Tell this VM's agent of works at once: the next try of one may be on its way."""
+        """Send reports to this VM's agent at once: the next attempt of the work may be imminent."""
         messages, self._unsent_reports = self._unsent_reports, []
         if not messages or self._own_agent is None:
             return
@@ -544,9 +560,9 @@
     holder_id: str,
     handlers: Mapping[type[msgspec.Struct], CallHandler] | None = None,
 ) -> AsyncIterator[PermitClient]:
-    """Run a client's background work until the block is left.
+    """Run a client's background tasks until the block is left.
 
-    ``handlers`` are those of this VM's agent, where it runs in the same process.
+    ``handlers`` are those of this VM's agent if it runs in the same process.
     """
     async with trio.open_nursery() as nursery:
         channels = PeerChannels(codec, nursery, lambda message: client.handle_push(message))
--- a/src/fescuedock/agent/permit_service.py
+++ b/src/fescuedock/agent/permit_service.py
@@ -1,4 +1,4 @@
-"""The agent's part in permits: answers asks, renewals and ends for the upstreams that it owns."""
+"""Handles permit requests, renewals and ends for the upstreams that the agent owns."""
 
 import math
 import random
@@ -41,19 +41,18 @@
 
 __all__ = ["PermitService"]
 
-# How often time is let pass.  Asks and ends are served as they come; a tick only ends waits and
-# permits that are over, and adjusts limits.  An online ask waits for 150 ms at a time, so 10 ms
-# count there; batch asks wait for a second, nearly always some do, and their holders allow 300 ms
-# more: with 10 ms for them too, the ticks were 10% of the processor time of a node under load
-# (py-spy, 16 local nodes).
+# Tick intervals.  Requests and ends are handled as they arrive; a tick only expires waits and
+# permits, and adjusts limits.  Online requests wait for 150 ms at a time, so 10 ms matter to them.
+# Batch requests wait for a second and their holders allow 300 ms more; as some are nearly always
+# waiting, ticking every 10 ms for them too takes 10% of a loaded node's processor time.
 _ONLINE_TICK_S = 0.01
 _IDLE_TICK_S = 0.1
 
 
 class PermitService:
-    """Soft state for each upstream that ``view`` says this VM owns.
+    """Soft state of each upstream that this VM owns according to ``view``.
 
-    ``is_loading`` says of an upstream that it lacks a model and so must not get work yet.
+    ``is_loading`` returns whether an upstream lacks a model and so must not get work yet.
     """
 
     def __init__(
@@ -88,7 +87,7 @@
             nursery.start_soon(self._poll_forever)
 
     def load(self, upstream_id: str) -> LoadSnapshot:
-        """Return the load of an upstream as this agent counts it."""
+        """Return the load of an upstream as counted by this agent."""
         return self._owner.load(upstream_id, now_ms())
 
     async def _ask(self, ask: PermitAsk, peer: ServerPeer) -> PermitReply:
@@ -98,7 +97,7 @@
         try:
             self._perform(self._current_owner().ask(ask, now_ms()))
             if ask.work_class is WorkClass.ONLINE and not waiter.settled:
-                # It may wait for less than the tick that is under way.
+                # It may expire before the current tick interval ends.
                 self._wake.set()
             action = await waiter.wait()
         finally:
@@ -139,7 +138,7 @@
                         waiter.settle(action)
         for holder_id, permit_ids in revoked.items():
             peer = self._peers.get(holder_id)
-            # A push that is lost is made good by the answer to the holder's next renewal.
+            # The reply to the holder's next renewal makes up for a lost push.
             if peer is None or not peer.push(PermitsRevoked(permit_ids)):
                 self._peers.pop(holder_id, None)
 
@@ -149,15 +148,15 @@
             await self._view.wait_changed(self._applied_version)
 
     def reapply_view(self) -> None:
-        """Take in what ``is_loading`` says now."""
+        """Apply the view again after ``is_loading`` has changed."""
         self._applied_version = -1
         self._apply_view()
 
     def _current_owner(self) -> PermitOwner:
-        """Return the owner's state as the newest view has it, which each decision rests on.
+        """Return the owner after applying the newest view; every decision must go through here.
 
-        The loop that follows the view may not have run since it changed: an end that came before
-        it granted the freed slot of an upstream that was leaving.
+        The task that follows the view may not have run since a change.  An end handled before it
+        would grant the freed slot of an upstream that is leaving.
         """
         self._apply_view()
         return self._owner
@@ -196,11 +195,11 @@
     def _tick_s(self) -> float:
         if self._owner.waits(WorkClass.ONLINE):
             return _ONLINE_TICK_S
-        # Of 165 nodes before 50 upstreams two thirds own none, and ticked 10 times a second.
+        # With 165 nodes and 50 upstreams, two thirds of the nodes own none and need no ticks.
         return _IDLE_TICK_S if self._owner.owns_any else math.inf
 
     async def _poll_forever(self) -> None:
-        """Read the load of each engine that is ours, one round at a time."""
+        """Read the loads of all engines that this VM owns, one round at a time."""
         while True:
             interval_s = self._settings.permits.load_poll_ms / 1000
             if not self._current_owner().owns_any:
@@ -222,7 +221,7 @@
 
     def _apply_load(self, upstream_id: str, result: Result["EngineLoad", Fault]) -> None:
         if isinstance(result, Err):
-            # A lost report says little; a refused connection says that the process is gone.
+            # A lost answer proves little; a refused connection means that the process has ended.
             if result.err_value.code is ResultCode.PEER_UNREACHABLE:
                 refused = AttemptOutcome.CONNECT_REFUSED
                 self._perform(self._current_owner().observe(upstream_id, refused, now_ms()))
@@ -232,7 +231,7 @@
 
 
 class _Waiter:
-    """One handler that waits for the decision on its ask."""
+    """A handler's wait for the decision on its request."""
 
     __slots__ = ("_action", "_settled")
 
--- a/src/fescuedock/agent/port.py
+++ b/src/fescuedock/agent/port.py
@@ -1,4 +1,4 @@
-"""The port of an agent: one number for messages over TCP and for datagrams."""
+"""The port of an agent: one number for messages over TCP and datagrams over UDP."""
 
 import errno
 from collections.abc import AsyncIterator, Mapping
@@ -23,7 +23,7 @@
 async def open_agent_port(
     settings: Settings, codec: Codec, handlers: Mapping[type[msgspec.Struct], CallHandler]
 ) -> AsyncIterator[UdpSocket]:
-    """Serve messages, and give the socket for datagrams, on one port number."""
+    """Serve messages over TCP and yield a UDP socket, both on the same port number."""
 
     async def handle(message: msgspec.Struct, peer: ServerPeer) -> msgspec.Struct | None:
         handler = handlers.get(type(message))
@@ -38,7 +38,7 @@
                 except zmq.ZMQError as error:
                     if wanted.port or error.errno != errno.EADDRINUSE:
                         raise
-                    # A free port for datagrams, but not for messages: try another.
+                    # The port is free for UDP but not for TCP: try another.
                     continue
                 yield udp
                 nursery.cancel_scope.cancel()
--- a/src/fescuedock/agent/programs.py
+++ b/src/fescuedock/agent/programs.py
@@ -1,4 +1,4 @@
-"""The programs of this VM, as their agent knows them from what they announce every second."""
+"""The programs of this VM, known to its agent from their announcements every second."""
 
 from collections.abc import Collection
 
@@ -19,14 +19,14 @@
 
 
 class LocalPrograms(msgspec.Struct):
-    """What this VM may say of itself; a program that fell silent no longer counts."""
+    """Builds this VM's profile; a program without a recent announcement does not count."""
 
     settings: VmSettings
     agent_port: int
     _announced: dict[Program, _Announcement] = msgspec.field(default_factory=dict)
 
     def record_hello(self, hello: Hello, now_ms: float) -> None:
-        """Take a program's announcement."""
+        """Record a program's announcement."""
         self._announced[hello.program] = _Announcement(hello, now_ms)
 
     def profile(
--- a/src/fescuedock/agent/send_check.py
+++ b/src/fescuedock/agent/send_check.py
@@ -1,4 +1,4 @@
-"""The check that a request to an upstream has to pass when it is written."""
+"""The check that a request to an upstream must pass immediately before it is written."""
 
 from collections.abc import Callable
 
@@ -20,9 +20,9 @@
     deadline_ms: float = float("inf"),
     key_holds: Callable[[], bool] = lambda: True,
 ) -> SendCheck:
-    """Return the check of a request to ``upstream`` under ``grant``, by what is known then.
+    """Return the check of a request to ``upstream`` under ``grant``, by the view at its call.
 
-    ``key_holds`` says whether the key of the request's caller is still in force.
+    ``key_holds`` returns whether the API key of the request's caller is still in force.
     """
 
     def check() -> SendRefusal | None:
@@ -36,7 +36,7 @@
             key_holds=key_holds(),
         )
         if refusal is None:
-            # Nothing comes between this and the writing.
+            # The request is written next, without any other step in between.
             grant.record_sent()
         return refusal
 
--- a/src/fescuedock/agent/served_upstream.py
+++ b/src/fescuedock/agent/served_upstream.py
@@ -1,4 +1,4 @@
-"""One upstream whose engine an agent gives orders to."""
+"""The state of one upstream to whose engine an agent gives orders."""
 
 from typing import TYPE_CHECKING
 
@@ -19,19 +19,19 @@
 
 
 class ServedUpstream:
-    """What the agent keeps of it; ``wake`` is set when the fleet view has changed."""
+    """The agent's state of one upstream; ``wake`` is set when the fleet view has changed."""
 
     def __init__(self, upstream: UpstreamRecord, holder: OrderHolder) -> None:
         self.upstream = upstream
         self.holder = holder
         self.wake = trio.Event()
-        # The names that the engine said it serves; None when it was not asked or did not answer.
+        # The model names that the engine reports; None before the first answer or without one.
         self.listed: frozenset[str] | None = None
         self.is_loading = False
         self._refusals: list[tuple[PlannedOrder, float]] = []
 
     def refresh(self, view: "FleetView") -> None:
-        """Take the upstream as the view has it now; it is leaving when it is no longer there."""
+        """Update the upstream from the view; one that is no longer there counts as leaving."""
         found = view.upstreams.get(self.upstream.upstream_id)
         self.upstream = found or msgspec.structs.replace(self.upstream, leaving=True)
         service = view.configuration.services.get(self.upstream.service)
@@ -42,10 +42,10 @@
         return wanted is not None or self.holder.current is not None or self.holder.holds
 
     def record_refusal(self, order: PlannedOrder, at_ms: float) -> None:
-        """Note that the engine would not carry out ``order``, which is left for a while."""
+        """Record that the engine rejected ``order``, which is then not retried for a while."""
         self._refusals.append((order, at_ms + _REFUSAL_PAUSE_MS))
 
     def refused_orders(self, at_ms: float) -> list[PlannedOrder]:
-        """Return the orders that are not to be tried now."""
+        """Return the rejected orders that must not be retried yet."""
         self._refusals = [item for item in self._refusals if item[1] > at_ms]
         return [order for order, _ in self._refusals]
--- a/src/fescuedock/agent/upstream_checks.py
+++ b/src/fescuedock/agent/upstream_checks.py
@@ -1,4 +1,4 @@
-"""How the owner of an upstream looks at it, besides what its own attempts tell."""
+"""The owner's active checks of an upstream, in addition to the outcomes of attempts."""
 
 from collections.abc import Awaitable, Callable
 from typing import TYPE_CHECKING
@@ -18,10 +18,10 @@
 
 
 class UpstreamChecks(msgspec.Struct, frozen=True):
-    """``probe`` tries an upstream that was taken out; ``load`` reads an engine's own report.
+    """``probe`` tests an upstream that was taken out of use; ``load`` reads an engine's load.
 
     Without ``load`` nothing is read: where the number of slots is declared, the owner's own count
-    tells as much, and sooner.
+    is as precise, and earlier.
     """
 
     probe: Callable[[UpstreamRecord, Configuration], Awaitable[AttemptOutcome]]
--- a/src/fescuedock/agent/upstream_probe.py
+++ b/src/fescuedock/agent/upstream_probe.py
@@ -1,4 +1,4 @@
-"""One probe of an upstream that was taken out, by its owner alone."""
+"""Probes an upstream that was taken out of use; only its owner does so."""
 
 import random
 
@@ -18,14 +18,14 @@
 
 
 class UpstreamProbe:
-    """Probes by a real completion of one token, which shows more than an open port."""
+    """Probes with a real completion of one token, which proves more than an open port."""
 
     def __init__(self, http: HttpClient, rng: random.Random) -> None:
         self._engines = EngineClient(http)
         self._rng = rng
 
     async def run(self, upstream: UpstreamRecord, configuration: Configuration) -> AttemptOutcome:
-        """Return how the probe ended; a plain service is only connected to."""
+        """Return the outcome of a probe; a plain service is only probed by connecting to it."""
         with trio.move_on_after(_TIMEOUT_S):
             if upstream.kind is UpstreamKind.PLAIN:
                 return await _connect(upstream)
@@ -47,7 +47,7 @@
 
 
 def _outcome_of_status(status: int) -> AttemptOutcome:
-    # An engine that rejects the probe itself, as for an unknown model, is alive.
+    # An engine that rejects the probe, for instance for an unknown model, is running.
     failed = status >= _SERVER_ERROR_STATUS
     return AttemptOutcome.SERVER_ERROR if failed else AttemptOutcome.COMPLETED
 
--- a/src/fescuedock/agent/view_history.py
+++ b/src/fescuedock/agent/view_history.py
@@ -1,4 +1,4 @@
-"""What has changed in the fleet view lately, so that a program gets changes and not all of it."""
+"""Recent changes of the fleet view, so that programs receive changes instead of the full view."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -13,14 +13,14 @@
 
 
 class ViewChanges(msgspec.Struct):
-    """The identities of records that were added, changed or removed."""
+    """The identities of the records that were added, changed or removed."""
 
     vm_ids: set[str] = msgspec.field(default_factory=set)
     upstream_ids: set[str] = msgspec.field(default_factory=set)
 
 
 class ViewHistory(msgspec.Struct):
-    """The changes of the last versions; versions rise by one."""
+    """The changes of the last ``_MAX_VERSIONS`` versions, which increase by one each."""
 
     _changes: deque[tuple[int, ViewChanges]] = msgspec.field(
         default_factory=lambda: deque(maxlen=_MAX_VERSIONS)
@@ -32,7 +32,7 @@
         vms: tuple[Mapping[str, VmRecord], Mapping[str, VmRecord]],
         upstreams: tuple[Mapping[str, UpstreamRecord], Mapping[str, UpstreamRecord]],
     ) -> None:
-        """Take the records before and after the step to ``version``."""
+        """Record the step to ``version`` from the records before and after it."""
         self._changes.append((version, ViewChanges(_changed(*vms), _changed(*upstreams))))
 
     def since(self, seen_version: int) -> ViewChanges | None:
@@ -40,7 +40,7 @@
         if not self._changes or seen_version < self._changes[0][0] - 1:
             return None
         if seen_version > self._changes[-1][0]:
-            # A version of this agent's former life.
+            # A version of an earlier process of this agent.
             return None
         total = ViewChanges()
         for version, changes in self._changes:
@@ -51,7 +51,7 @@
 
 
 def _changed(before: Mapping[str, msgspec.Struct], after: Mapping[str, msgspec.Struct]) -> set[str]:
-    # Most records are the very same objects, which is quicker to see than their equality.
+    # Most records are identical objects; identity is faster to check than equality.
     names = {
         name
         for name, item in after.items()
--- a/tests/test_crash_service.py
+++ b/tests/test_crash_service.py
@@ -1,4 +1,4 @@
-"""What an agent finds out about ended upstreams, shares, keeps and forgets."""
+"""How an agent detects ended upstreams, and sends, stores and expires reports on them."""
 
 import random
 import unittest
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class StubKv:
-    """A key-value service in memory that may be away."""
+    """A key-value service in memory that can be made unavailable."""
 
     state: KvState = field(default_factory=lambda: KvState())
     unavailable: bool = False
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class StubUpstreams:
-    """What becomes of connections to all upstreams."""
+    """The result of connection attempts to all upstreams."""
 
     acceptance: Acceptance = Acceptance.REFUSED
 
@@ -71,7 +71,7 @@
 
 @dataclass(slots=True)
 class StubPool:
-    """Takes what is pushed to other agents."""
+    """Records the messages pushed to other agents."""
 
     pushed: list[tuple[str, CrashNews]] = field(default_factory=list)
 
@@ -90,7 +90,7 @@
 
 
 class Agent:
-    """One agent's service with what it stands on."""
+    """One agent's crash service with stubs of its dependencies."""
 
     def __init__(self, kv: StubKv, vm_id: str = "vm-0") -> None:
         self.kv = kv
@@ -146,7 +146,7 @@
         self.run_agent(test)
 
     def test_an_isolated_run_whose_permit_was_returned_is_reported_as_ended(self) -> None:
-        """The next run alone had company by it, or it seemed to have been alone in its place."""
+        """Otherwise it counts as concurrent with the next isolated run, or as the isolated one."""
 
         async def test(agent: Agent) -> None:
             agent.http.acceptance = Acceptance.ACCEPTED
@@ -231,7 +231,7 @@
             await trio.sleep(QuarantinePolicy().kept_ms / 1000 + 1800)
             self.assertTrue(quarantine.is_empty)
             remaining = {entry.key.removeprefix(PREFIX) for entry in kv.entries()}
-            # Each key is removed by the one agent that all choose.
+            # All agents choose the same one to remove a key.
             vms = agent.view.vms
             others = {n for n in (*names, "young") if choose_name(PREFIX + n, vms) != "vm-0"}
             self.assertEqual(remaining, {"odd"} | others)
--- a/tests/test_unanswered_asks.py
+++ b/tests/test_unanswered_asks.py
@@ -1,4 +1,4 @@
-"""A node whose asks reach no owner keeps no jobs."""
+"""A node whose permit requests reach no owner must not run jobs."""
 
 import unittest
 from unittest import mock
@@ -36,7 +36,7 @@
 
 class UnansweredNodeTest(unittest.TestCase):
     def test_its_jobs_move_to_a_node_that_owners_answer(self) -> None:
-        """A restarted node accepted and claimed jobs for 38 s and ran no item of any."""
+        """Otherwise a restarted node accepts and claims jobs for 38 s without running any item."""
         channel_of, own_handler = PermitClient._channel_of, PermitClient._own_handler
 
         async def no_channel(client: PermitClient, upstream_id: str):
