--- a/src/fescuedock/agent/send_check.py
+++ b/src/fescuedock/agent/send_check.py
@@ -18,11 +18,11 @@
     grant: Grant,
     *,
     deadline_ms: float = float("inf"),
-    key_holds: Callable[[], bool] = lambda: True,
+    key_is_valid: Callable[[], bool] = lambda: True,
 ) -> SendCheck:
     """Return the check of a request to ``upstream`` under ``grant``, by the view at its call.
 
-    ``key_holds`` returns whether the API key of the request's caller is still in force.
+    ``key_is_valid`` returns whether the API key of the request's caller is still in force.
     """
 
     def check() -> SendRefusal | None:
@@ -33,7 +33,7 @@
             deadline_ms=deadline_ms,
             now_ms=now_ms(),
             verdict=view.verdict_on(grant.work_id, grant.parts),
-            key_holds=key_holds(),
+            key_is_valid=key_is_valid(),
         )
         if refusal is None:
             # The request is written next, without any other step in between.
--- a/src/fescuedock/core/send_gate.py
+++ b/src/fescuedock/core/send_gate.py
@@ -51,16 +51,16 @@
     deadline_ms: float,
     now_ms: float,
     verdict: Verdict = FREE,
-    key_holds: bool = True,
+    key_is_valid: bool = True,
 ) -> SendRefusal | None:
     """Return why the request must not be written to ``chosen``, or None when it may.
 
     ``verdict`` is the current one on the unit of work: another node, where a client tried the same
-    work, may have reported crashes since the permit was requested.  ``key_holds`` tells whether the
-    configuration in force still assigns the caller's key to the same customer, as it may have been
-    revoked while the call waited.  ``current`` is the upstream's current record, None when there is
-    none.  The capacity of a lapsed permit may have been granted to other work; this refuses the
-    request even where an attempt that already runs may continue without its permit.
+    work, may have reported crashes since the permit was requested.  ``key_is_valid`` tells whether
+    the configuration in force still assigns the caller's key to the same customer, as it may have
+    been revoked while the call waited.  ``current`` is the upstream's current record, None when
+    there is none.  The capacity of a lapsed permit may have been granted to other work; this
+    refuses the request even where an attempt that already runs may continue without its permit.
     """
     if current is None:
         return SendRefusal.GONE
@@ -80,7 +80,7 @@
         return SendRefusal.REVOKED
     if permit.valid_until_ms <= now_ms:
         return SendRefusal.LAPSED
-    if not key_holds:
+    if not key_is_valid:
         return SendRefusal.KEY_GONE
     if deadline_ms <= now_ms:
         return SendRefusal.LATE
--- a/src/fescuedock/node/online_call.py
+++ b/src/fescuedock/node/online_call.py
@@ -332,7 +332,7 @@
             upstream,
             record.grant,
             deadline_ms=self.deadline_ms,
-            key_holds=self.key_holds,
+            key_is_valid=self.key_holds,
         )
         with trio.CancelScope() as stall:
             stall.deadline = self._stall_s(first=True)
--- a/tests/test_send_gate.py
+++ b/tests/test_send_gate.py
@@ -18,7 +18,7 @@
     current: UpstreamRecord | None = CHOSEN,
     permit: PermitStatus = VALID_PERMIT,
     deadline_ms: float = float("inf"),
-    key_holds: bool = True,
+    key_is_valid: bool = True,
     standing: Standing = Standing.FREE,
 ) -> SendRefusal | None:
     return refusal_of(
@@ -28,7 +28,7 @@
         deadline_ms=deadline_ms,
         now_ms=NOW_MS,
         verdict=Verdict(standing),
-        key_holds=key_holds,
+        key_is_valid=key_is_valid,
     )
 
 
@@ -62,7 +62,7 @@
             (SendRefusal.REVOKED, check_send(permit=PermitStatus(True, NOW_MS + 1))),
             (SendRefusal.LAPSED, check_send(permit=PermitStatus(False, NOW_MS))),
             (SendRefusal.LATE, check_send(deadline_ms=NOW_MS)),
-            (SendRefusal.KEY_GONE, check_send(key_holds=False)),
+            (SendRefusal.KEY_GONE, check_send(key_is_valid=False)),
         ]
         for wanted, found in cases:
             with self.subTest(wanted=wanted):
