--- a/src/fescuedock/agent/permit_client.py
+++ b/src/fescuedock/agent/permit_client.py
@@ -276,7 +276,7 @@
         ``NOT_OWNER`` when the upstream has gone or is leaving.
         """
         if ask.work_class is not WorkClass.ONLINE or not self.local_limit.try_take(ask.upstream_id):
-            message = f"no local room at {ask.upstream_id}"
+            message = f"no local capacity at {ask.upstream_id}"
             return Err(Fault(ResultCode.NO_CAPACITY, message, self._settings.adjust_ms))
         return self._grant(HeldGrant(ask, now_ms(), float("inf"), local=True, parts=parts))
 
--- a/src/fescuedock/core/acceptance.py
+++ b/src/fescuedock/core/acceptance.py
@@ -111,7 +111,7 @@
                 ResultCode.BAD_LINE, f"method must be POST, not {_quote(line.method)}"
             )
         if len(line.url) > _MAX_NAME_CHARS or not _is_endpoint(line.url):
-            return self._fault(ResultCode.BAD_LINE, f"no endpoint {_quote(line.url)}")
+            return self._fault(ResultCode.BAD_LINE, f"unknown endpoint {_quote(line.url)}")
         self.endpoint = self.endpoint or line.url
         if line.url != self.endpoint:
             text = f"url {_quote(line.url)} differs from {_quote(self.endpoint)} on earlier lines"
@@ -131,7 +131,7 @@
             return self._fault(ResultCode.BAD_LINE, text)
         digest = blake2b(custom_id.encode(), digest_size=_DIGEST_BYTES).digest()
         if digest in self._digests:
-            text = f"custom_id {_quote(custom_id)} stands on an earlier line too"
+            text = f"custom_id {_quote(custom_id)} is also used on an earlier line"
             return self._fault(ResultCode.DUPLICATE_CUSTOM_ID, text)
         self._digests.add(digest)
         return None
@@ -171,7 +171,8 @@
             return Err(Fault(ResultCode.UNKNOWN_MODEL, text))
         if service not in ("", found):
             text = (
-                f"line {line_number}: model {model!r} is of {found!r}, earlier ones of {service!r}"
+                f"line {line_number}: model {model!r} belongs to service {found!r}, "
+                f"earlier models to {service!r}"
             )
             return Err(Fault(ResultCode.BAD_LINE, text))
         service = found
--- a/src/fescuedock/core/claims.py
+++ b/src/fescuedock/core/claims.py
@@ -121,7 +121,7 @@
             case Err(fault):
                 return self._unavailable(str(fault))
             case Ok(None):
-                return self._unavailable("the claim there was has just been removed")
+                return self._unavailable("the existing claim was removed before it was read")
             case Ok(entry):
                 return self._evaluate(entry)
 
@@ -143,7 +143,7 @@
         try:
             found = msgspec.json.decode(entry.value, type=ClaimRecord)
         except msgspec.MsgspecError as error:
-            return self._unavailable(f"the claim there cannot be read: {error}")
+            return self._unavailable(f"the existing claim cannot be decoded: {error}")
         if found.request_hash != self.request_hash:
             message = "the Idempotency-Key was used for another call"
             return self._refuse(Fault(ResultCode.KEY_REUSED, message))
