--- a/tests/builders/agents.py
+++ b/tests/builders/agents.py
@@ -18,7 +18,7 @@
 from fescuedock.standin.platform import Standins
 from tests.builders.standins import running_standins
 
-__all__ = ["AgentFleet", "RunningAgent", "open_agents", "until"]
+__all__ = ["AgentFleet", "RunningAgent", "open_agents", "wait_until"]
 
 
 @dataclass(slots=True)
@@ -67,7 +67,7 @@
         ended.set()
 
     @asynccontextmanager
-    async def follow(
+    async def open_link(
         self, vm_id: str, program: Program = Program.ENTRY, ready: Callable[[], bool] = lambda: True
     ) -> AsyncIterator[tuple[AgentLink, FleetView]]:
         """Open the link of a program on ``vm_id`` to its agent, with the view that it updates."""
@@ -88,7 +88,9 @@
         nursery.cancel_scope.cancel()
 
 
-async def until(view: FleetView, holds: Callable[[FleetView], bool], limit_s: float = 20) -> None:
+async def wait_until(
+    view: FleetView, holds: Callable[[FleetView], bool], limit_s: float = 20
+) -> None:
     """Wait until ``holds`` is true of ``view``."""
     with trio.fail_after(limit_s):
         while not holds(view):
--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -19,7 +19,7 @@
 from fescuedock.schema.membership import DatagramHead, Gossip, MemberState, VmUpdate
 from fescuedock.schema.settings import VmSettings
 from fescuedock.schema.view import Hello, LeaveRequest, Program, ViewRequest, VmState
-from tests.builders.agents import open_agents, until
+from tests.builders.agents import open_agents, wait_until
 from tests.builders.standins import run_async
 
 
@@ -43,15 +43,15 @@
         async def check() -> None:
             async with (
                 open_agents(3) as fleet,
-                fleet.follow("vm-0") as (_, view),
-                fleet.follow("vm-1", Program.STORE) as (_, other),
+                fleet.open_link("vm-0") as (_, view),
+                fleet.open_link("vm-1", Program.STORE) as (_, other),
             ):
-                await until(view, lambda seen: len(seen.live_vms(Program.AGENT)) == 3)
-                await until(other, lambda seen: len(seen.live_vms(Program.ENTRY)) == 1)
-                await until(view, lambda seen: len(seen.live_vms(Program.STORE)) == 1)
+                await wait_until(view, lambda seen: len(seen.live_vms(Program.AGENT)) == 3)
+                await wait_until(other, lambda seen: len(seen.live_vms(Program.ENTRY)) == 1)
+                await wait_until(view, lambda seen: len(seen.live_vms(Program.STORE)) == 1)
                 # Each learns of the third VM at a different time; with equal views they agree.
-                await until(other, lambda seen: len(seen.live_vms(Program.AGENT)) == 3)
-                await until(other, lambda seen: _known(seen) == _known(view))
+                await wait_until(other, lambda seen: len(seen.live_vms(Program.AGENT)) == 3)
+                await wait_until(other, lambda seen: _known(seen) == _known(view))
                 self.assertEqual(8080, view.vms["vm-1"].store_port)
                 self.assertEqual(set(fleet.standins.engines), set(view.upstreams) - {"plain-1"})
                 for upstream_id in view.upstreams:
@@ -62,8 +62,8 @@
 
     def test_an_update_wakes_a_sleeping_agent(self) -> None:
         async def check() -> None:
-            async with open_agents(1) as fleet, fleet.follow("vm-0") as (_, view):
-                await until(view, lambda seen: bool(seen.upstreams), limit_s=3)
+            async with open_agents(1) as fleet, fleet.open_link("vm-0") as (_, view):
+                await wait_until(view, lambda seen: bool(seen.upstreams), limit_s=3)
 
         # Nothing is due for the agent itself, and it polls only every eight seconds.
         with (
@@ -76,33 +76,33 @@
         ready = [False]
 
         async def check() -> None:
-            async with open_agents(2) as fleet, fleet.follow("vm-0", Program.STORE) as (_, view):
-                async with fleet.follow("vm-1", ready=lambda: ready[0]) as (link, _):
-                    await until(view, lambda seen: "vm-1" in seen.vms)
-                    await until(view, lambda seen: seen.vms["vm-1"].entry_port == 8080)
+            async with open_agents(2) as fleet, fleet.open_link("vm-0", Program.STORE) as (_, view):
+                async with fleet.open_link("vm-1", ready=lambda: ready[0]) as (link, _):
+                    await wait_until(view, lambda seen: "vm-1" in seen.vms)
+                    await wait_until(view, lambda seen: seen.vms["vm-1"].entry_port == 8080)
                     self.assertEqual([], view.live_vms(Program.ENTRY))
                     ready[0] = True
                     self.assertTrue(await link.hello())
-                    await until(view, lambda seen: bool(seen.live_vms(Program.ENTRY)))
+                    await wait_until(view, lambda seen: bool(seen.live_vms(Program.ENTRY)))
                 # The program has ended without an announcement.
-                await until(view, lambda seen: not seen.vms["vm-1"].entry_port)
+                await wait_until(view, lambda seen: not seen.vms["vm-1"].entry_port)
 
         run_async(check)
 
     def test_planned_stop_is_announced_and_the_agent_answers_until_it_spread(self) -> None:
         async def check() -> None:
-            async with open_agents(3) as fleet, fleet.follow("vm-0") as (_, view):
-                await until(view, lambda seen: len(seen.live_vms(Program.AGENT)) == 3)
+            async with open_agents(3) as fleet, fleet.open_link("vm-0") as (_, view):
+                await wait_until(view, lambda seen: len(seen.live_vms(Program.AGENT)) == 3)
                 leaving = fleet.agents["vm-2"]
                 codec = open_codec(leaving.settings.vm)
                 async with ChannelClient.open(leaving.address, codec) as client:
                     leaving.stop.request()
-                    await until(view, lambda seen: _is_leaving(seen, "vm-2"))
+                    await wait_until(view, lambda seen: _is_leaving(seen, "vm-2"))
                     owners = {view.owner_of(name).vm_id for name in view.upstreams}
                     self.assertNotIn("vm-2", owners)
                     reply = await client.call(ViewRequest(), 5000)
                     self.assertIs(VmState.LEAVING, _own_state(reply.unwrap(), "vm-2"))
-                await until(view, lambda seen: "vm-2" not in seen.vms)
+                await wait_until(view, lambda seen: "vm-2" not in seen.vms)
                 with trio.fail_after(10):
                     await leaving.ended.wait()
 
@@ -110,44 +110,44 @@
 
     def test_leave_request_keeps_the_agent_running(self) -> None:
         async def check() -> None:
-            async with open_agents(2) as fleet, fleet.follow("vm-0") as (_, view):
-                await until(view, lambda seen: len(seen.live_vms(Program.AGENT)) == 2)
-                async with fleet.follow("vm-1") as (link, own):
+            async with open_agents(2) as fleet, fleet.open_link("vm-0") as (_, view):
+                await wait_until(view, lambda seen: len(seen.live_vms(Program.AGENT)) == 2)
+                async with fleet.open_link("vm-1") as (link, own):
                     self.assertTrue((await link.call(LeaveRequest("replaced"))).is_ok())
-                    await until(own, lambda seen: _is_leaving(seen, "vm-1"))
-                    await until(view, lambda seen: _is_leaving(seen, "vm-1"))
+                    await wait_until(own, lambda seen: _is_leaving(seen, "vm-1"))
+                    await wait_until(view, lambda seen: _is_leaving(seen, "vm-1"))
                 self.assertFalse(fleet.agents["vm-1"].ended.is_set())
 
         run_async(check)
 
     def test_a_killed_agent_is_removed_and_a_new_one_joins(self) -> None:
         async def check() -> None:
-            async with open_agents(3) as fleet, fleet.follow("vm-0") as (_, view):
-                await until(view, lambda seen: len(seen.live_vms(Program.AGENT)) == 3)
+            async with open_agents(3) as fleet, fleet.open_link("vm-0") as (_, view):
+                await wait_until(view, lambda seen: len(seen.live_vms(Program.AGENT)) == 3)
                 fleet.agents["vm-2"].scope.cancel()
-                await until(view, lambda seen: "vm-2" not in seen.vms)
+                await wait_until(view, lambda seen: "vm-2" not in seen.vms)
                 await fleet.start(3, listed=False)
                 # It knows only the VM list, and is itself on no VM list.
-                await until(view, lambda seen: "vm-3" in seen.vms)
+                await wait_until(view, lambda seen: "vm-3" in seen.vms)
                 await fleet.start(2)
-                await until(view, lambda seen: "vm-2" in seen.vms)
+                await wait_until(view, lambda seen: "vm-2" in seen.vms)
 
         run_async(check)
 
     def test_leaving_upstreams_are_shown_by_list_and_by_operator(self) -> None:
         async def check() -> None:
-            async with open_agents(2) as fleet, fleet.follow("vm-0") as (link, view):
-                await until(view, lambda seen: len(seen.upstreams) > 2)
+            async with open_agents(2) as fleet, fleet.open_link("vm-0") as (link, view):
+                await wait_until(view, lambda seen: len(seen.upstreams) > 2)
                 first, second, *_ = sorted(view.upstreams)
                 fleet.standins.vm_list.leave(first)
-                await until(view, lambda seen: seen.upstreams[first].leaving)
+                await wait_until(view, lambda seen: seen.upstreams[first].leaving)
                 self.assertFalse(view.upstreams[second].leaving)
                 patch = {"upstreams": {second: {"drain": True}}}
                 request = PatchRequest(view.config_version, "drain-1", patch)
                 reply = (await link.call(SubmitPatch(request), 8000)).unwrap()
                 self.assertIsInstance(reply, SubmitPatchReply)
                 self.assertEqual((0, []), (reply.code, reply.problems))
-                await until(view, lambda seen: seen.upstreams[second].leaving)
+                await wait_until(view, lambda seen: seen.upstreams[second].leaving)
 
         run_async(check)
 
@@ -163,8 +163,8 @@
         async def check() -> None:
             async with open_agents(2, key_file=str(self.key_file)) as fleet:
                 agent = fleet.agents["vm-0"]
-                async with fleet.follow("vm-0", Program.STORE) as (_, view):
-                    await until(view, lambda seen: len(seen.live_vms(Program.AGENT)) == 2)
+                async with fleet.open_link("vm-0", Program.STORE) as (_, view):
+                    await wait_until(view, lambda seen: len(seen.live_vms(Program.AGENT)) == 2)
                     self._send_forged_datagrams(agent)
                     unsigned = open_codec(VmSettings("x", "127.0.0.1", "r", "d"))
                     async with ChannelClient.open(agent.address, unsigned) as client:
@@ -204,8 +204,8 @@
                     await fleet.start(number, key_file=str(keys))
                 all_vms = {"vm-0", "vm-1", "vm-2", "vm-3"}
                 for vm_id, seen_by_it in (("vm-2", all_vms), ("vm-0", all_vms - {"vm-3"})):
-                    async with fleet.follow(vm_id, Program.STORE) as (_, view):
-                        await until(view, lambda seen, ids=seen_by_it: ids <= set(seen.vms))
+                    async with fleet.open_link(vm_id, Program.STORE) as (_, view):
+                        await wait_until(view, lambda seen, ids=seen_by_it: ids <= set(seen.vms))
 
         run_async(check)
 
