--- a/src/fescuedock/core/membership/detection.py
+++ b/src/fescuedock/core/membership/detection.py
@@ -139,7 +139,7 @@
     ) -> list[Action]:
         """Probe a VM that is no member or has not proved its boot.
 
-        No answer to such a probe is not held against the VM.
+        A missing answer is no evidence against the VM.
         """
         if (
             self._probing.targets(vm_id, ProbePurpose.CONTACT)
--- a/src/fescuedock/core/membership/membership.py
+++ b/src/fescuedock/core/membership/membership.py
@@ -39,6 +39,7 @@
 _TICKS_PER_INTERVAL = 20
 _MIN_TICK_MS = 5.0
 _MAX_TICK_MS = 50.0
+# Interval between gossip rounds, as a share of the probe interval.
 _GOSSIP_SHARE = 0.25
 _GOSSIP_FANOUT = 2
 _ANNOUNCE_FANOUT = 6
@@ -46,6 +47,7 @@
 # VMs announce at once.
 _DEFERRABLE_FIELDS = ("entry_load", "config_version")
 _MAX_DEFERRAL_MS_PER_VM = 300.0
+# How long the record of a gone member is retained.
 _TOMBSTONE_RETENTION_MS = 600000.0
 
 
