--- a/src/fescuedock/agent/crash_service.py
+++ b/src/fescuedock/agent/crash_service.py
@@ -197,9 +197,9 @@
         broken_runs.add(message, now_ms())
 
     async def _on_completed(self, message: WholeRun, _peer: ServerPeer) -> None:
-        self._clear(message.work_id)
+        self._void_reports(message.work_id)
 
-    def _clear(self, trait: str) -> None:
+    def _void_reports(self, trait: str) -> None:
         """Void the crash reports against a trait of a run that completed."""
         reports = self._view.quarantine.reports_against(trait)
         if reports:
@@ -247,7 +247,7 @@
         """Record that a run that looked complete is complete, as its upstream keeps running."""
         self._view.sound_parts.note(run.parts, now_ms())
         for trait in (run.work_id, *run.parts):
-            self._clear(trait)
+            self._void_reports(trait)
 
     async def _report_end(self, upstream_id: str, *, refused: bool) -> None:
         """Report the runs at an upstream when it ended."""
--- a/src/fescuedock/agent/permit_client.py
+++ b/src/fescuedock/agent/permit_client.py
@@ -486,10 +486,10 @@
         renewed = reply.unwrap()
         self._record_loads(renewed.loads)
         self._revoke(renewed.revoked)
-        known = {load.upstream_id for load in renewed.loads}
-        good = [held.ask.attempt_id for held in group if held.ask.upstream_id in known]
+        owned_ids = {load.upstream_id for load in renewed.loads}
+        renewed_ids = [held.ask.attempt_id for held in group if held.ask.upstream_id in owned_ids]
         renew_at_ms = sent_ms + renewed.valid_ms / _RENEWALS_PER_VALIDITY
-        self._book.renewed(good, sent_ms + renewed.valid_ms, renew_at_ms)
+        self._book.renewed(renewed_ids, sent_ms + renewed.valid_ms, renew_at_ms)
 
     async def _report_ends_forever(self) -> None:
         while True:
--- a/src/fescuedock/agent/permit_service.py
+++ b/src/fescuedock/agent/permit_service.py
@@ -77,7 +77,11 @@
 
     def handlers(self) -> dict[type, CallHandler]:
         """Handlers by message type, to be merged with those of the agent's other services."""
-        return {PermitAsk: self._ask, PermitRenew: self._renew, PermitsEnded: self._end}
+        return {
+            PermitAsk: self._handle_request,
+            PermitRenew: self._handle_renewal,
+            PermitsEnded: self._handle_ends,
+        }
 
     async def run(self) -> None:
         """Follow ownership, expire permits, poll engines and push revocations; never returns."""
@@ -90,7 +94,7 @@
         """Return the load of an upstream as counted by this agent."""
         return self._owner.load(upstream_id, now_ms())
 
-    async def _ask(self, ask: PermitAsk, peer: ServerPeer) -> PermitReply:
+    async def _handle_request(self, ask: PermitAsk, peer: ServerPeer) -> PermitReply:
         self._peers[ask.holder_id] = peer
         waiter = _Waiter()
         self._waiters[ask.attempt_id].append(waiter)
@@ -104,13 +108,13 @@
             self._remove_waiter(ask.attempt_id, waiter)
         return self._reply(action)
 
-    async def _renew(self, message: PermitRenew, peer: ServerPeer) -> PermitRenewReply:
+    async def _handle_renewal(self, message: PermitRenew, peer: ServerPeer) -> PermitRenewReply:
         self._peers[message.holder_id] = peer
         renewal = self._current_owner().renew(message, now_ms())
         self._perform(renewal.actions)
         return renewal.reply
 
-    async def _end(self, message: PermitsEnded, _peer: ServerPeer) -> None:
+    async def _handle_ends(self, message: PermitsEnded, _peer: ServerPeer) -> None:
         self._perform(self._current_owner().end(message, now_ms()))
 
     def _remove_waiter(self, attempt_id: str, waiter: "_Waiter") -> None:
--- a/src/fescuedock/core/membership/detection.py
+++ b/src/fescuedock/core/membership/detection.py
@@ -100,7 +100,7 @@
         if now_ms >= self._bootstrap_due_ms and self._table.present_count == 1:
             self._bootstrap_due_ms = now_ms + self._settings.probe_interval_ms / 5
             for _ in range(_BOOTSTRAP_PROBES):
-                actions += self._contact_candidate(now_ms)
+                actions += self._probe_candidate(now_ms)
         self._end_suspicions(now_ms)
         return actions
 
@@ -194,9 +194,9 @@
         others = [item.vm_id for item in self._table.present() if item.vm_id != self._vm_id]
         name = self._members.next(others)
         actions = [] if name is None else self.probe_member(self._table.get(name), now_ms)
-        return actions + self._contact_candidate(now_ms)
+        return actions + self._probe_candidate(now_ms)
 
-    def _contact_candidate(self, now_ms: float) -> list[Action]:
+    def _probe_candidate(self, now_ms: float) -> list[Action]:
         """Probe one VM that the VM list has but that is not among the members."""
         absent = [item for item in self._listing.all() if self._is_absent(item.vm_id)]
         name = self._candidates.next(item.vm_id for item in absent)
--- a/src/fescuedock/core/membership/freshness.py
+++ b/src/fescuedock/core/membership/freshness.py
@@ -9,8 +9,8 @@
 __all__ = ["Freshness", "ReplayWindows"]
 
 # In sequence numbers; datagrams of one sender overtake each other by far less.
-_WINDOW = 256
-_ALL_SEEN = (1 << _WINDOW) - 1
+_WINDOW_SIZE = 256
+_ALL_SEEN = (1 << _WINDOW_SIZE) - 1
 
 
 class Freshness(Enum):
@@ -48,11 +48,11 @@
             return Freshness.UNPROVEN
         ahead = head.sequence - window.highest
         if ahead > 0:
-            window.seen = (window.seen << min(ahead, _WINDOW) | 1) & _ALL_SEEN
+            window.seen = (window.seen << min(ahead, _WINDOW_SIZE) | 1) & _ALL_SEEN
             window.highest = head.sequence
             return Freshness.FRESH
         bit = 1 << -ahead
-        if -ahead >= _WINDOW or window.seen & bit:
+        if -ahead >= _WINDOW_SIZE or window.seen & bit:
             return Freshness.REPLAYED
         window.seen |= bit
         return Freshness.FRESH
