--- a/src/fescuedock/agent/permit_service.py
+++ b/src/fescuedock/agent/permit_service.py
@@ -1,4 +1,4 @@
-"""The agent's part in permits: answers asks, renewals and ends for the upstreams that it owns."""
+"""Handles permit requests, renewals and ends for the upstreams that the agent owns."""
 
 import math
 import random
@@ -41,19 +41,18 @@
 
 __all__ = ["PermitService"]
 
-# How often time is let pass.  Asks and ends are served as they come; a tick only ends waits and
-# permits that are over, and adjusts limits.  An online ask waits for 150 ms at a time, so 10 ms
-# count there; batch asks wait for a second, nearly always some do, and their holders allow 300 ms
-# more: with 10 ms for them too, the ticks were 10% of the processor time of a node under load
-# (py-spy, 16 local nodes).
+# Tick intervals.  Requests and ends are handled as they arrive; a tick only expires waits and
+# permits, and adjusts limits.  Online requests wait for 150 ms at a time, so 10 ms matter to them.
+# Batch requests wait for a second and their holders allow 300 ms more; as some are nearly always
+# waiting, ticking every 10 ms for them too takes 10% of a loaded node's processor time.
 _ONLINE_TICK_S = 0.01
 _IDLE_TICK_S = 0.1
 
 
 class PermitService:
-    """Soft state for each upstream that ``view`` says this VM owns.
+    """Soft state of each upstream that this VM owns according to ``view``.
 
-    ``is_loading`` says of an upstream that it lacks a model and so must not get work yet.
+    ``is_loading`` returns whether an upstream lacks a model and so must not get work yet.
     """
 
     def __init__(
@@ -72,13 +71,17 @@
         self._owner = PermitOwner(settings.permits, settings.agent.permit_valid_ms)
         self._waiters: dict[str, list[_Waiter]] = defaultdict(list)
         self._peers: dict[str, ServerPeer] = {}
-        self._followed_version = 0
+        self._applied_version = 0
         # Wakes the ticks.
-        self._asked = trio.Event()
+        self._wake = trio.Event()
 
     def handlers(self) -> dict[type, CallHandler]:
         """Handlers by message type, to be merged with those of the agent's other services."""
-        return {PermitAsk: self._ask, PermitRenew: self._renew, PermitsEnded: self._end}
+        return {
+            PermitAsk: self._handle_request,
+            PermitRenew: self._handle_renewal,
+            PermitsEnded: self._handle_ends,
+        }
 
     async def run(self) -> None:
         """Follow ownership, expire permits, poll engines and push revocations; never returns."""
@@ -88,33 +91,33 @@
             nursery.start_soon(self._poll_forever)
 
     def load(self, upstream_id: str) -> LoadSnapshot:
-        """Return the load of an upstream as this agent counts it."""
+        """Return the load of an upstream as counted by this agent."""
         return self._owner.load(upstream_id, now_ms())
 
-    async def _ask(self, ask: PermitAsk, peer: ServerPeer) -> PermitReply:
+    async def _handle_request(self, ask: PermitAsk, peer: ServerPeer) -> PermitReply:
         self._peers[ask.holder_id] = peer
         waiter = _Waiter()
         self._waiters[ask.attempt_id].append(waiter)
         try:
-            self._perform(self._informed().ask(ask, now_ms()))
+            self._perform(self._current_owner().ask(ask, now_ms()))
             if ask.work_class is WorkClass.ONLINE and not waiter.settled:
-                # It may wait for less than the tick that is under way.
-                self._asked.set()
+                # It may expire before the current tick interval ends.
+                self._wake.set()
             action = await waiter.wait()
         finally:
-            self._forget(ask.attempt_id, waiter)
+            self._remove_waiter(ask.attempt_id, waiter)
         return self._reply(action)
 
-    async def _renew(self, message: PermitRenew, peer: ServerPeer) -> PermitRenewReply:
+    async def _handle_renewal(self, message: PermitRenew, peer: ServerPeer) -> PermitRenewReply:
         self._peers[message.holder_id] = peer
-        renewal = self._informed().renew(message, now_ms())
+        renewal = self._current_owner().renew(message, now_ms())
         self._perform(renewal.actions)
         return renewal.reply
 
-    async def _end(self, message: PermitsEnded, _peer: ServerPeer) -> None:
-        self._perform(self._informed().end(message, now_ms()))
+    async def _handle_ends(self, message: PermitsEnded, _peer: ServerPeer) -> None:
+        self._perform(self._current_owner().end(message, now_ms()))
 
-    def _forget(self, attempt_id: str, waiter: "_Waiter") -> None:
+    def _remove_waiter(self, attempt_id: str, waiter: "_Waiter") -> None:
         waiters = self._waiters[attempt_id]
         waiters.remove(waiter)
         if not waiters:
@@ -139,33 +142,33 @@
                         waiter.settle(action)
         for holder_id, permit_ids in revoked.items():
             peer = self._peers.get(holder_id)
-            # A push that is lost is made good by the answer to the holder's next renewal.
+            # The reply to the holder's next renewal makes up for a lost push.
             if peer is None or not peer.push(PermitsRevoked(permit_ids)):
                 self._peers.pop(holder_id, None)
 
     async def _follow_view(self) -> None:
         while True:
-            self._follow()
-            await self._view.wait_changed(self._followed_version)
+            self._apply_view()
+            await self._view.wait_changed(self._applied_version)
 
-    def follow_again(self) -> None:
-        """Take in what ``is_loading`` says now."""
-        self._followed_version = -1
-        self._follow()
+    def reapply_view(self) -> None:
+        """Apply the view again after ``is_loading`` has changed."""
+        self._applied_version = -1
+        self._apply_view()
 
-    def _informed(self) -> PermitOwner:
-        """Return the owner's state as the newest view has it, which each decision rests on.
+    def _current_owner(self) -> PermitOwner:
+        """Return the owner after applying the newest view; every decision must go through here.
 
-        The loop that follows the view may not have run since it changed: an end that came before
-        it granted the freed slot of an upstream that was leaving.
+        The task that follows the view may not have run since a change.  An end handled before it
+        would grant the freed slot of an upstream that is leaving.
         """
-        self._follow()
+        self._apply_view()
         return self._owner
 
-    def _follow(self) -> None:
-        if self._view.version == self._followed_version:
+    def _apply_view(self) -> None:
+        if self._view.version == self._applied_version:
             return
-        self._followed_version = self._view.version
+        self._applied_version = self._view.version
         self._owner.set_validity(validity_ms(self._settings.agent, len(self._view.vms)))
         counts = Counter(item.service for item in self._view.upstreams.values())
         owned = {
@@ -174,7 +177,7 @@
             if self._is_ours(upstream_id)
         }
         self._perform(self._owner.set_upstreams(owned, counts, now_ms()))
-        self._asked.set()
+        self._wake.set()
 
     def _terms(self, upstream: UpstreamRecord) -> UpstreamTerms:
         terms = _terms(self._view.configuration, upstream)
@@ -188,23 +191,23 @@
 
     async def _tick_forever(self) -> None:
         while True:
-            self._perform(self._informed().tick(now_ms()))
-            self._asked = trio.Event()
+            self._perform(self._current_owner().tick(now_ms()))
+            self._wake = trio.Event()
             with trio.move_on_after(self._tick_s()):
-                await self._asked.wait()
+                await self._wake.wait()
 
     def _tick_s(self) -> float:
         if self._owner.waits(WorkClass.ONLINE):
             return _ONLINE_TICK_S
-        # Of 165 nodes before 50 upstreams two thirds own none, and ticked 10 times a second.
+        # With 165 nodes and 50 upstreams, two thirds of the nodes own none and need no ticks.
         return _IDLE_TICK_S if self._owner.owns_any else math.inf
 
     async def _poll_forever(self) -> None:
-        """Read the load of each engine that is ours, one round at a time."""
+        """Read the loads of all engines that this VM owns, one round at a time."""
         while True:
             interval_s = self._settings.permits.load_poll_ms / 1000
-            if not self._informed().owns_any:
-                await self._view.wait_changed(self._followed_version)
+            if not self._current_owner().owns_any:
+                await self._view.wait_changed(self._applied_version)
                 continue
             await trio.sleep(interval_s * self._rng.uniform(0.8, 1.2))
             async with trio.open_nursery() as nursery:
@@ -216,23 +219,23 @@
     async def _poll(self, upstream: UpstreamRecord) -> None:
         if self._owner.take_trial(upstream.upstream_id, now_ms()):
             outcome = await self._checks.probe(upstream, self._view.configuration)
-            self._perform(self._informed().observe(upstream.upstream_id, outcome, now_ms()))
+            self._perform(self._current_owner().observe(upstream.upstream_id, outcome, now_ms()))
         elif upstream.kind is UpstreamKind.ENGINE and self._checks.load is not None:
-            self._take_load(upstream.upstream_id, await self._checks.load(upstream))
+            self._apply_load(upstream.upstream_id, await self._checks.load(upstream))
 
-    def _take_load(self, upstream_id: str, result: Result["EngineLoad", Fault]) -> None:
+    def _apply_load(self, upstream_id: str, result: Result["EngineLoad", Fault]) -> None:
         if isinstance(result, Err):
-            # A lost report says little; a refused connection says that the process is gone.
+            # A lost answer proves little; a refused connection means that the process has ended.
             if result.err_value.code is ResultCode.PEER_UNREACHABLE:
                 refused = AttemptOutcome.CONNECT_REFUSED
-                self._perform(self._informed().observe(upstream_id, refused, now_ms()))
+                self._perform(self._current_owner().observe(upstream_id, refused, now_ms()))
             return
         load = result.ok_value
         self._owner.observe_load(upstream_id, load.running, load.waiting, now_ms())
 
 
 class _Waiter:
-    """One handler that waits for the decision on its ask."""
+    """A handler's wait for the decision on its request."""
 
     __slots__ = ("_action", "_settled")
 
--- a/src/fescuedock/core/acceptance.py
+++ b/src/fescuedock/core/acceptance.py
@@ -1,6 +1,6 @@
-"""Decides whether an input may become a job.
+"""Validates batch inputs and decides whether a file may become a job.
 
-Nothing is accepted of an input with a single wrong line; the refusal names the first one.
+One invalid line rejects the entire input; the error names the first such line.
 """
 
 import re
@@ -31,9 +31,9 @@
 
 _MAX_CUSTOM_ID_CHARS = 512
 _MAX_NAME_CHARS = 512
-_SHOWN_CHARS = 80
+_MAX_SHOWN_CHARS = 80
 _MAX_MODELS = 64
-# Two of 110,000 identities share a digest once in 10**28 inputs.
+# At this size two of 110,000 custom_ids collide once in 10**28 inputs.
 _DIGEST_BYTES = 16
 _MAX_WINDOW_S = 14 * 24 * 3600
 _UNIT_S = {"": 1, "s": 1, "m": 60, "h": 3600, "d": 86400}
@@ -52,10 +52,10 @@
 
 
 class InputChecker(msgspec.Struct):
-    """Checks the lines of one input as they come.
+    """Validates the lines of one input in order.
 
-    After the first ``problem`` nothing is checked any more.  Memory grows by a digest for each
-    line up to ``max_items``.
+    After the first ``problem`` no further line is checked.  Memory grows by one digest per line, up
+    to ``max_items``.
     """
 
     settings: BatchSettings
@@ -70,7 +70,7 @@
     )
 
     def check(self, line: bytes) -> None:
-        """Check the next line; blank ones count for the line number only."""
+        """Check the next line; a blank line only advances the line number."""
         if self.problem is not None:
             return
         self._line_number += 1
@@ -83,7 +83,7 @@
         self.item_count += 1
 
     def finish(self) -> None:
-        """Note that the input has ended."""
+        """End the input; without any item that is a problem too."""
         self._digests.clear()
         if self.problem is None and not self.item_count:
             self.problem = Fault(ResultCode.EMPTY_INPUT, "the input has no lines")
@@ -98,7 +98,7 @@
                 ResultCode.LINE_TOO_LONG, f"over {self.settings.max_line_bytes} bytes"
             )
         try:
-            # The decoder does not look into the strings that it skips.
+            # The decoder does not validate UTF-8 in strings that it skips.
             line.decode()
             decoded = self._decoder.decode(line)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
@@ -108,13 +108,13 @@
     def _problem_of_fields(self, line: _Line) -> Fault | None:
         if line.method != "POST":
             return self._fault(
-                ResultCode.BAD_LINE, f"method must be POST, not {_short(line.method)}"
+                ResultCode.BAD_LINE, f"method must be POST, not {_quote(line.method)}"
             )
         if len(line.url) > _MAX_NAME_CHARS or not _is_endpoint(line.url):
-            return self._fault(ResultCode.BAD_LINE, f"no endpoint {_short(line.url)}")
+            return self._fault(ResultCode.BAD_LINE, f"unknown endpoint {_quote(line.url)}")
         self.endpoint = self.endpoint or line.url
         if line.url != self.endpoint:
-            text = f"url {_short(line.url)} differs from {_short(self.endpoint)} on earlier lines"
+            text = f"url {_quote(line.url)} differs from {_quote(self.endpoint)} on earlier lines"
             return self._fault(ResultCode.BAD_LINE, text)
         if line.url not in MODEL_ENDPOINTS:
             return None
@@ -131,7 +131,7 @@
             return self._fault(ResultCode.BAD_LINE, text)
         digest = blake2b(custom_id.encode(), digest_size=_DIGEST_BYTES).digest()
         if digest in self._digests:
-            text = f"custom_id {_short(custom_id)} stands on an earlier line too"
+            text = f"custom_id {_quote(custom_id)} is also used on an earlier line"
             return self._fault(ResultCode.DUPLICATE_CUSTOM_ID, text)
         self._digests.add(digest)
         return None
@@ -143,9 +143,9 @@
 def check_file(
     file: FileRecord, endpoint: str, service_of_model: Callable[[str], str | None]
 ) -> Result[str, Fault]:
-    """Return the service that a job of ``file`` for ``endpoint`` belongs to, or why it cannot be.
+    """Return the service of a job with input ``file`` for ``endpoint``, or why there can be none.
 
-    ``service_of_model`` gives None for a model that no service offers.
+    ``service_of_model`` returns None for a model that no service offers.
     """
     if file.purpose != BATCH_PURPOSE:
         text = f"file {file.file_id!r} has purpose {file.purpose!r}, not {BATCH_PURPOSE!r}"
@@ -171,7 +171,8 @@
             return Err(Fault(ResultCode.UNKNOWN_MODEL, text))
         if service not in ("", found):
             text = (
-                f"line {line_number}: model {model!r} is of {found!r}, earlier ones of {service!r}"
+                f"line {line_number}: model {model!r} belongs to service {found!r}, "
+                f"earlier models to {service!r}"
             )
             return Err(Fault(ResultCode.BAD_LINE, text))
         service = found
@@ -192,6 +193,6 @@
     return url in MODEL_ENDPOINTS or url.startswith(SERVICE_PREFIX)
 
 
-def _short(text: str) -> str:
+def _quote(text: str) -> str:
     """Return ``text`` quoted for a message, cut if it is long."""
-    return repr(text if len(text) <= _SHOWN_CHARS else text[:_SHOWN_CHARS] + "...")
+    return repr(text if len(text) <= _MAX_SHOWN_CHARS else text[:_MAX_SHOWN_CHARS] + "...")
--- a/src/fescuedock/core/claims.py
+++ b/src/fescuedock/core/claims.py
@@ -1,11 +1,11 @@
 """At most one execution of a call that carries an ``Idempotency-Key``.
 
 Before the call is dispatched, one record is created in the key-value service by compare-and-swap;
-whoever finds it there does not dispatch.  The record says ``dispatched`` from the start, so that
-a writer which dies leaves behind a call that may have run and will not run again.  Only a writer
-that knows its call was not sent changes that, and only its own record.
+an entry that finds the record does not dispatch.  The record's state is ``dispatched`` from the
+start: if its writer dies, the call may have run and will not run again.  Only a writer that knows
+that its call was not sent changes the state, and only in its own record.
 
-A pure state machine: it returns what to do next and is told how that went.
+A pure state machine: it returns the next step and receives the result of each step.
 """
 
 import re
@@ -45,7 +45,7 @@
 
 
 class PutRecord(msgspec.Struct, frozen=True):
-    """Write ``record`` if the key is at ``expected_revision``, finding out what became of it."""
+    """Write ``record`` if the key is at ``expected_revision``, and determine the outcome."""
 
     key: str
     record: ClaimRecord
@@ -59,11 +59,11 @@
 
 
 class Dispatch(msgspec.Struct, frozen=True):
-    """The claim is ours: send the call, once."""
+    """This entry holds the claim: send the call, once."""
 
 
 class Replay(msgspec.Struct, frozen=True):
-    """The call was answered before: give the caller that answer."""
+    """The call was answered before: return that answer to the caller."""
 
     answer: RecordedAnswer
 
@@ -78,14 +78,14 @@
     CREATING = auto()
     READING = auto()
     OWNED = auto()
-    OVER = auto()
+    FINISHED = auto()
 
 
 class Claim(msgspec.Struct):
-    """One entry's attempt to be the one that dispatches a call.
+    """One entry's attempt to claim the dispatch of a call.
 
     ``token`` must be unguessable and new.  ``unsent_tokens`` are those of earlier attempts by this
-    process which certainly dispatched nothing, although their records may stand.
+    process that certainly dispatched nothing, although their records may still be stored.
     """
 
     key: str
@@ -100,9 +100,9 @@
         """Return the first step: create the record."""
         return PutRecord(self.key, self._record(ClaimState.DISPATCHED), 0)
 
-    def written(self, result: Result[int, Fault]) -> Dispatch | ReadRecord | Refuse:
-        """Take in how the write of the claim went."""
-        self._expect(_Phase.CREATING)
+    def on_write(self, result: Result[int, Fault]) -> Dispatch | ReadRecord | Refuse:
+        """Handle the result of writing the claim; return the next step."""
+        self._require_phase(_Phase.CREATING)
         match result:
             case Ok(revision):
                 self.revision = revision
@@ -114,36 +114,36 @@
             case Err(fault):
                 return self._unavailable(str(fault))
 
-    def read(self, result: Result["KvEntry | None", Fault]) -> PutRecord | Replay | Refuse:
-        """Take in the record that was there first."""
-        self._expect(_Phase.READING)
+    def on_read(self, result: Result["KvEntry | None", Fault]) -> PutRecord | Replay | Refuse:
+        """Handle the record that another attempt had written; return the next step."""
+        self._require_phase(_Phase.READING)
         match result:
             case Err(fault):
                 return self._unavailable(str(fault))
             case Ok(None):
-                return self._unavailable("the claim there was has just been removed")
+                return self._unavailable("the existing claim was removed before it was read")
             case Ok(entry):
-                return self._judge(entry)
+                return self._evaluate(entry)
 
-    def not_sent(self) -> PutRecord:
-        """The call was certainly not sent: return the write that lets another one try."""
-        self._expect(_Phase.OWNED)
-        self._phase = _Phase.OVER
+    def record_not_sent(self) -> PutRecord:
+        """Return the write that lets another attempt claim a call that was certainly not sent."""
+        self._require_phase(_Phase.OWNED)
+        self._phase = _Phase.FINISHED
         return PutRecord(self.key, self._record(ClaimState.NOT_SENT), self.revision)
 
-    def answered(self, answer: RecordedAnswer) -> PutRecord:
-        """The call was answered: return the write that keeps the answer if it is small."""
-        self._expect(_Phase.OWNED)
-        self._phase = _Phase.OVER
+    def record_answer(self, answer: RecordedAnswer) -> PutRecord:
+        """Return the write that marks the call as answered, with the answer if it is small."""
+        self._require_phase(_Phase.OWNED)
+        self._phase = _Phase.FINISHED
         small = len(answer.body) <= MAX_RECORDED_BYTES
         data = msgspec.json.encode(answer) if small else b""
         return PutRecord(self.key, self._record(ClaimState.ANSWERED, data), self.revision)
 
-    def _judge(self, entry: "KvEntry") -> PutRecord | Replay | Refuse:
+    def _evaluate(self, entry: "KvEntry") -> PutRecord | Replay | Refuse:
         try:
             found = msgspec.json.decode(entry.value, type=ClaimRecord)
         except msgspec.MsgspecError as error:
-            return self._unavailable(f"the claim there cannot be read: {error}")
+            return self._unavailable(f"the existing claim cannot be decoded: {error}")
         if found.request_hash != self.request_hash:
             message = "the Idempotency-Key was used for another call"
             return self._refuse(Fault(ResultCode.KEY_REUSED, message))
@@ -151,7 +151,7 @@
             self._phase = _Phase.CREATING
             return PutRecord(self.key, self._record(ClaimState.DISPATCHED), entry.mod_revision)
         if found.state is ClaimState.ANSWERED and found.answer:
-            self._phase = _Phase.OVER
+            self._phase = _Phase.FINISHED
             return Replay(msgspec.json.decode(found.answer, type=RecordedAnswer))
         message = "a call with this Idempotency-Key may have been dispatched before"
         return self._refuse(Fault(ResultCode.ALREADY_CLAIMED, message))
@@ -170,29 +170,29 @@
         return self._refuse(Fault(ResultCode.CLAIM_UNAVAILABLE, message, _RETRY_AFTER_MS))
 
     def _refuse(self, fault: Fault) -> Refuse:
-        self._phase = _Phase.OVER
+        self._phase = _Phase.FINISHED
         return Refuse(fault)
 
-    def _expect(self, phase: _Phase) -> None:
+    def _require_phase(self, phase: _Phase) -> None:
         if self._phase is not phase:
             raise RuntimeError(f"claim is {self._phase.name}, not {phase.name}")
 
 
 def claim_key(prefix: str, member: str, service: str, idempotency_key: str) -> str:
-    """Return the key of the record; each member has keys of its own."""
+    """Return the key of the record; members do not share keys."""
     name = "\0".join((member, service, idempotency_key))
     return f"{prefix}claims/{sha256(name.encode()).hexdigest()}"
 
 
 def request_hash(method: str, target: str, body: bytes) -> str:
-    """Return what tells one call from another under the same Idempotency-Key."""
+    """Return a hash that distinguishes calls under the same Idempotency-Key."""
     digest = sha256(f"{method}\0{target}\0".encode())
     digest.update(body)
     return digest.hexdigest()
 
 
 def is_expired(entry: "KvEntry", retention_s: int, now_s: int) -> bool:
-    """Whether a record is older than ``retention_s``; one that cannot be read never is."""
+    """Whether a record is older than ``retention_s``; an unreadable one never is."""
     try:
         record = msgspec.json.decode(entry.value, type=ClaimRecord)
     except msgspec.MsgspecError:
@@ -203,19 +203,19 @@
 def is_non_idempotent(rules: Iterable[str], method: str, path: str) -> bool:
     """Whether a rule of the form ``METHOD /path-prefix`` covers the call; ``*`` is any method.
 
-    Repeated slashes and dot segments do not get a call around a rule.
+    Repeated slashes and dot segments do not bypass a rule.
     """
-    plain_path = _plain(path)
+    normalized_path = _normalize_path(path)
     for rule in rules:
         rule_method, _, prefix = rule.strip().partition(" ")
         if rule_method not in (_ANY_METHOD, method):
             continue
-        if plain_path.startswith(_plain(prefix.strip())):
+        if normalized_path.startswith(_normalize_path(prefix.strip())):
             return True
     return False
 
 
-def _plain(path: str) -> str:
+def _normalize_path(path: str) -> str:
     parts: list[str] = []
     for part in _SLASHES.sub("/", "/" + path).split("/"):
         if part == "..":
--- a/src/fescuedock/core/membership/probing.py
+++ b/src/fescuedock/core/membership/probing.py
@@ -1,4 +1,4 @@
-"""Probes in flight: whom to probe next, through whom else, and what came of it."""
+"""Pending probes, the rotation of probe targets, and the choice of helpers."""
 
 from collections.abc import Iterable, Sequence
 from enum import Enum, auto
@@ -11,15 +11,16 @@
 
 __all__ = ["Probing", "ProbePurpose", "ProbeRotation", "PendingProbe", "choose_helpers"]
 
-HELPERS = 3
+_MAX_HELPERS = 3
 _MAX_NONCE = 2**53 - 1
 
 
 class ProbePurpose(Enum):
     """Why a probe was sent.
 
-    ``MEMBER``: its turn has come, or a suspicion asks for it.  ``HELP``: another VM asked.
-    ``CONTACT``: a VM that is no member, or whose boot is unproven; silence proves nothing.
+    ``MEMBER``: the next member in rotation, or one under suspicion.  ``HELP``: on request of
+    another VM.  ``CONTACT``: a VM that is no member, or whose boot is unproven; no answer proves
+    nothing.
     """
 
     MEMBER = auto()
@@ -28,9 +29,9 @@
 
 
 class PendingProbe(msgspec.Struct):
-    """A probe that was not answered yet.
+    """A probe that has not been answered yet.
 
-    ``helpers_due_ms`` is when helpers are asked, ``due_ms`` when it counts as unanswered.
+    At ``helpers_due_ms`` helpers are requested, at ``due_ms`` it counts as unanswered.
     """
 
     nonce: int
@@ -38,18 +39,18 @@
     purpose: ProbePurpose
     helpers_due_ms: float
     due_ms: float
-    helped: bool = False
+    helpers_requested: bool = False
     # Helpers that could not reach the target either.
     witnesses: list[str] = msgspec.field(default_factory=list)
-    # For HELP: who asked, and the nonce of the asker.
-    asker: str = ""
-    asker_nonce: int = 0
+    # For HELP: the VM that requested it, and the nonce of its own probe.
+    requester: str = ""
+    requester_nonce: int = 0
 
     @property
     def next_due_ms(self) -> float:
-        """When something is to be done about it, if no answer comes."""
-        asks_helpers = self.purpose is ProbePurpose.MEMBER and not self.helped
-        return min(self.helpers_due_ms, self.due_ms) if asks_helpers else self.due_ms
+        """Time of the next step if no answer arrives."""
+        needs_helpers = self.purpose is ProbePurpose.MEMBER and not self.helpers_requested
+        return min(self.helpers_due_ms, self.due_ms) if needs_helpers else self.due_ms
 
 
 class Probing:
@@ -91,63 +92,67 @@
         )
 
     def needing_helpers(self, now_ms: float) -> list[PendingProbe]:
-        """Return member probes whose target is late, each once."""
+        """Return the member probes that became late since the last call."""
         late = [
             probe
             for probe in self._pending.values()
             if probe.purpose is ProbePurpose.MEMBER
-            and not probe.helped
+            and not probe.helpers_requested
             and probe.helpers_due_ms <= now_ms
         ]
         for probe in late:
-            probe.helped = True
+            probe.helpers_requested = True
         return late
 
     def next_due_ms(self) -> float:
-        """Return when helpers or a verdict are due next; infinite without a pending probe."""
+        """Return when the next probe needs helpers or expires; infinite without pending ones."""
         return min((probe.next_due_ms for probe in self._pending.values()), default=float("inf"))
 
-    def take_due(self, now_ms: float) -> list[PendingProbe]:
-        """Remove and return the probes that count as unanswered now."""
+    def pop_due(self, now_ms: float) -> list[PendingProbe]:
+        """Remove and return the probes that count as unanswered by now."""
         due = [probe for probe in self._pending.values() if probe.due_ms <= now_ms]
         for probe in due:
             del self._pending[probe.nonce]
         return due
 
     def clear(self) -> None:
-        """Forget every probe, without any conclusion."""
+        """Drop every probe without drawing a conclusion."""
         self._pending.clear()
 
 
 class ProbeRotation:
-    """Each name once in random order, then again in another: bounded time between two turns."""
+    """Returns each name once in random order, then reshuffles.
 
-    __slots__ = ("_left", "_rng")
+    This bounds the time between two probes of the same name.
+    """
+
+    __slots__ = ("_remaining", "_rng")
 
     def __init__(self, rng: Random) -> None:
         self._rng = rng
-        self._left: list[str] = []
+        self._remaining: list[str] = []
 
     def next(self, names: Iterable[str]) -> str | None:
         """Return the next of ``names``, or None when there are none."""
         present = set(names)
         if not present:
             return None
-        while self._left:
-            name = self._left.pop()
+        while self._remaining:
+            name = self._remaining.pop()
             if name in present:
                 return name
-        self._left = sorted(present)
-        self._rng.shuffle(self._left)
-        return self._left.pop()
+        self._remaining = sorted(present)
+        self._rng.shuffle(self._remaining)
+        return self._remaining.pop()
 
 
 def choose_helpers(
     target: Member, own_domain: str, members: Sequence[Member], rng: Random
 ) -> list[Member]:
-    """Return a few members to probe ``target``, each from another failure domain if possible.
+    """Return up to ``_MAX_HELPERS`` members to probe ``target``, from distinct domains if possible.
 
-    One of them is of this VM's own domain, whose answer tells a dead target from our own failure.
+    One is of this VM's own failure domain: its answer distinguishes a dead target from a failure
+    of this VM.
     """
     others = [
         member
@@ -160,6 +165,6 @@
     for member in others:
         if member.failure_domain != own_domain:
             far_by_domain.setdefault(member.failure_domain, member)
-    chosen = [*list(far_by_domain.values())[: HELPERS - len(near)], *near]
+    chosen = [*list(far_by_domain.values())[: _MAX_HELPERS - len(near)], *near]
     spare = [member for member in others if member not in chosen]
-    return [*chosen, *spare][:HELPERS]
+    return [*chosen, *spare][:_MAX_HELPERS]
--- a/src/fescuedock/core/membership/suspicion.py
+++ b/src/fescuedock/core/membership/suspicion.py
@@ -1,4 +1,4 @@
-"""When a suspected VM counts as gone: after time to refute, and on evidence of enough others."""
+"""Decides when a suspected VM counts as gone: after time to refute, and on enough evidence."""
 
 import math
 from collections.abc import Callable, Iterable
@@ -9,24 +9,24 @@
 from fescuedock.schema.membership import MemberState
 from fescuedock.schema.settings import AgentSettings
 
-__all__ = ["Suspicions", "enough_evidence", "removable", "suspicion_ms"]
+__all__ = ["Suspicions", "enough_evidence", "max_weak_removals", "suspicion_ms"]
 
-# With too little evidence a suspicion lasts longer, for others to look for themselves.
-_WEAK_FACTOR = 3
-_NEEDED_VMS = 2
-_NEEDED_DOMAINS = 2
+# With too little evidence a suspicion lasts this much longer, so that others can probe themselves.
+_WEAK_DURATION_FACTOR = 3
+_MIN_ACCUSERS = 2
+_MIN_ACCUSER_DOMAINS = 2
 
 
 def suspicion_ms(settings: AgentSettings, fleet_size: int) -> float:
-    """Return how long a suspected VM may refute; news needs more rounds in a large fleet."""
+    """Return how long a suspected VM may refute; gossip takes more rounds in a large fleet."""
     return settings.suspicion_ms * max(1.0, math.log10(max(1, fleet_size)))
 
 
 def enough_evidence(vm_id: str, accusers: Iterable[str], table: MemberTable) -> bool:
-    """Whether ``accusers`` may remove ``vm_id`` for everybody.
+    """Whether the evidence of ``accusers`` removes ``vm_id`` for the entire fleet.
 
-    Two VMs of two failure domains, or as many as the rest of the fleet can give.  A VM's own word
-    is enough.
+    This takes two VMs of two failure domains, or as many as the rest of the fleet has.  A VM's own
+    statement is enough.
     """
     named = set(accusers)
     if vm_id in named:
@@ -36,8 +36,8 @@
     domains = {member.failure_domain for member in known}
     subject = table.get(vm_id)
     others = table.present_count - (subject is not None and not subject.gone)
-    return len(known) >= min(_NEEDED_VMS, others) and len(domains) >= min(
-        _NEEDED_DOMAINS, table.count_domains(vm_id)
+    return len(known) >= min(_MIN_ACCUSERS, others) and len(domains) >= min(
+        _MIN_ACCUSER_DOMAINS, table.count_domains(vm_id)
     )
 
 
@@ -58,28 +58,29 @@
     def __len__(self) -> int:
         return len(self._by_vm)
 
-    def watch(self, member: Member, duration_ms: float, now_ms: float) -> bool:
-        """Begin to count for a suspected member; False when that was done before."""
+    def start(self, member: Member, duration_ms: float, now_ms: float) -> bool:
+        """Start the time of a suspected member; False if it was already started."""
         known = self._by_vm.get(member.vm_id)
         if known is not None and known.incarnation == member.incarnation:
             return False
         self._by_vm[member.vm_id] = _Suspicion(
-            member.incarnation, now_ms + duration_ms, now_ms + _WEAK_FACTOR * duration_ms
+            member.incarnation, now_ms + duration_ms, now_ms + _WEAK_DURATION_FACTOR * duration_ms
         )
         return True
 
     def postpone(self, by_ms: float) -> None:
-        """Add the time in which this VM could not have heard a refutation."""
+        """Extend all suspicions by time in which this VM could not receive a refutation."""
         for suspicion in self._by_vm.values():
             suspicion.due_ms += by_ms
             suspicion.weak_due_ms += by_ms
 
-    def take_due(
-        self, table: MemberTable, now_ms: float, supported: Callable[[str], bool]
+    def pop_due(
+        self, table: MemberTable, now_ms: float, has_list_support: Callable[[str], bool]
     ) -> tuple[list[Member], list[Member]]:
-        """Return the members to remove now: on enough evidence, and on too little.
+        """Return the members to remove now: those with enough evidence, and those with too little.
 
-        ``supported`` says whether other evidence than probes speaks for a removal.
+        ``has_list_support`` says whether the VM list, evidence other than probes, supports a
+        removal.
         """
         strong: list[Member] = []
         weak: list[Member] = []
@@ -88,7 +89,7 @@
             if not _still_suspected(member, suspicion):
                 del self._by_vm[vm_id]
             elif suspicion.due_ms <= now_ms and (
-                supported(vm_id) or enough_evidence(vm_id, member.accusers, table)
+                has_list_support(vm_id) or enough_evidence(vm_id, member.accusers, table)
             ):
                 strong.append(member)
             elif suspicion.weak_due_ms <= now_ms:
@@ -96,8 +97,11 @@
         return strong, weak
 
 
-def removable(table: MemberTable, share: float) -> int:
-    """Return how many more members may be dropped on weak evidence at the same time."""
+def max_weak_removals(table: MemberTable, share: float) -> int:
+    """Return how many more members may be removed on weak evidence.
+
+    ``share`` bounds those removed so at the same time, as a share of them and the members present.
+    """
     dropped = sum(member.gone and member.local_only for member in table)
     present = table.present_count
     return max(0, math.floor(share * (present + dropped)) - dropped)
--- a/src/fescuedock/core/repair.py
+++ b/src/fescuedock/core/repair.py
@@ -1,7 +1,7 @@
-"""Decides which copies are missing, which store makes them, and how fast.
+"""Decides which segments lack copies, which store makes these, and at which rate.
 
-Every store looks after the segments that it holds itself; nothing else names them.  When two
-stores disagree about who should copy, the segment is written twice, which changes nothing.
+Every store checks the segments that it holds itself; there is no other index of them.  When two
+stores disagree about which one copies, the segment is written twice, which is harmless.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -11,11 +11,11 @@
 from fescuedock.core.rendezvous import choose_name
 from fescuedock.core.store_placement import StoreSite, rank_stores
 
-__all__ = ["Pace", "Shortage", "StableSites", "find_shortages", "is_responsible"]
+__all__ = ["ByteRateLimiter", "Shortage", "StableSites", "find_shortages", "is_responsible"]
 
 
 class Shortage(msgspec.Struct, frozen=True):
-    """A segment with too few copies: ``missing`` more are wanted, of ``targets`` in this order."""
+    """A segment with too few copies: ``missing`` more are needed, at ``targets`` in this order."""
 
     segment_hash: str
     missing: int
@@ -23,24 +23,27 @@
 
 
 def find_shortages(
-    me: str, holders: Mapping[str, Collection[str]], sites: Collection[StoreSite], copies: int
+    own_vm_id: str,
+    holders: Mapping[str, Collection[str]],
+    sites: Collection[StoreSite],
+    copies: int,
 ) -> list[Shortage]:
-    """Return the segments that ``me`` has to copy.
+    """Return the segments that ``own_vm_id`` has to copy.
 
-    ``holders`` gives the VMs that are known to hold each segment, ``me`` among them.  ``sites`` are
-    the stores that can take copies.
+    ``holders`` gives the VMs that are known to hold each segment, ``own_vm_id`` among them.
+    ``sites`` are the stores that can take copies.
     """
     shortages = []
     for segment_hash, names in holders.items():
         shortage = _shortage(segment_hash, names, sites, copies)
-        if shortage is not None and is_responsible(me, segment_hash, names):
+        if shortage is not None and is_responsible(own_vm_id, segment_hash, names):
             shortages.append(shortage)
     return shortages
 
 
-def is_responsible(me: str, key: str, names: Iterable[str]) -> bool:
-    """Return whether, of ``names``, the choice for ``key`` is ``me``."""
-    return choose_name(key, names) == me
+def is_responsible(own_vm_id: str, key: str, names: Iterable[str]) -> bool:
+    """Whether rendezvous hashing chooses ``own_vm_id`` of ``names`` for ``key``."""
+    return choose_name(key, names) == own_vm_id
 
 
 def _shortage(
@@ -58,42 +61,42 @@
     return Shortage(segment_hash, missing, ranked)
 
 
-class Pace(msgspec.Struct):
-    """Spreads bytes over time so that on average no more than ``bytes_per_s`` pass."""
+class ByteRateLimiter(msgspec.Struct):
+    """Delays transfers so that their average rate is at most ``bytes_per_s``."""
 
     bytes_per_s: int
     _free_at_ms: float = 0.0
 
     def delay_ms(self, size_bytes: int, now_ms: float) -> float:
-        """Return how long to wait before the next ``size_bytes``, which count from here on."""
+        """Reserve ``size_bytes`` and return how long to wait before transferring them."""
         start_ms = max(now_ms, self._free_at_ms)
         self._free_at_ms = start_ms + 1000.0 * size_bytes / self.bytes_per_s
         return start_ms - now_ms
 
 
 class StableSites(msgspec.Struct):
-    """Says when a change of the stores has lasted long enough to copy segments for it.
+    """Delays repair until a change of the set of stores has lasted for ``after_ms``.
 
-    A VM that restarts is back before that, and its segments with it.
+    A VM that only restarts returns within that time together with its segments.
     """
 
     after_ms: float
-    _settled: frozenset[StoreSite] = frozenset()
+    _accepted: frozenset[StoreSite] = frozenset()
     _seen: frozenset[StoreSite] = msgspec.field(default_factory=frozenset)
     _since_ms: float = 0.0
 
     def observe(self, sites: Iterable[StoreSite], now_ms: float) -> float | None:
-        """Take the stores as they are now.
+        """Record the current stores.
 
-        Returns the time left in ms until a change has lasted, 0 once it has; None without one.
+        Return the ms until their change has lasted long enough, 0 once it has, None without one.
         """
         now = frozenset(sites)
         if now != self._seen:
             self._seen, self._since_ms = now, now_ms
-        if now == self._settled:
+        if now == self._accepted:
             return None
         return max(0.0, self._since_ms + self.after_ms - now_ms)
 
-    def settle(self) -> None:
-        """Note that segments are being copied for the stores as last seen."""
-        self._settled = self._seen
+    def accept_change(self) -> None:
+        """Accept the stores as last observed: segments are now copied for them."""
+        self._accepted = self._seen
--- a/src/fescuedock/core/send_gate.py
+++ b/src/fescuedock/core/send_gate.py
@@ -1,10 +1,10 @@
-"""Whether a request may be written to an upstream now: the one place that decides it for any work.
+"""Decides whether a request may be written to an upstream now, for calls and items alike.
 
-An upstream is chosen, its owner is asked for a permit and a connection is opened; what was known at
-the choice may hold no more by then.  So this is asked for at the writing itself, of calls and of
-items, whose own gates judge the job besides.
+Choosing an upstream, getting a permit from its owner and opening a connection take time, in which
+the facts behind the choice may change.  So this check runs immediately before the request is
+written.  For items the state of the job is checked separately.
 
-Pure: the caller passes what was chosen, what it knows now and what time it is.
+Pure: the caller passes the choice, the current facts and the time.
 """
 
 import enum
@@ -14,11 +14,11 @@
 from fescuedock.core.quarantine import FREE, Standing, Verdict
 from fescuedock.schema.view import UpstreamRecord
 
-__all__ = ["PermitStanding", "SendRefusal", "refusal_of"]
+__all__ = ["PermitStatus", "SendRefusal", "refusal_of"]
 
 
 class SendRefusal(enum.Enum):
-    """Why a request must not be written any more."""
+    """Why a request must no longer be written."""
 
     GONE = "the upstream has gone"
     MOVED = "the upstream has another address"
@@ -28,39 +28,39 @@
     LAPSED = "its permit has lapsed"
     LATE = "its deadline has passed"
     HARMFUL = "upstreams have ended under this work"
-    NOT_ALONE = "this work may only run alone"
+    NOT_ISOLATED = "this work may only run alone"
     KEY_GONE = "its caller's API key does not hold any more"
 
 
-class PermitStanding(msgspec.Struct, frozen=True):
-    """How a permit stands; ``valid_until_ms`` is infinite for one that no owner gave.
+class PermitStatus(msgspec.Struct, frozen=True):
+    """The state of a permit; ``valid_until_ms`` is infinite for one that no owner granted.
 
-    ``alone`` says that its owner lets nothing else run at the upstream.
+    ``isolated``: its owner lets nothing else run at the upstream.
     """
 
     revoked: bool
     valid_until_ms: float
-    alone: bool = False
+    isolated: bool = False
 
 
 def refusal_of(
     chosen: UpstreamRecord,
     current: UpstreamRecord | None,
-    permit: PermitStanding,
+    permit: PermitStatus,
     *,
     deadline_ms: float,
     now_ms: float,
     verdict: Verdict = FREE,
-    key_holds: bool = True,
+    key_is_valid: bool = True,
 ) -> SendRefusal | None:
     """Return why the request must not be written to ``chosen``, or None when it may.
 
-    ``verdict`` is that on the work: what is known against it may have come since the permit was
-    asked for, from another node where a client tried it too.  ``key_holds`` tells whether the
-    version in force still gives the caller's key to the same customer, as it may have been taken
-    away while the call waited.  ``current`` is what is known of the upstream now, None when it is
-    not there.  A permit that has lapsed may have been given to other work, also where one that
-    already runs may go on without.
+    ``verdict`` is the current one on the unit of work: another node, where a client tried the same
+    work, may have reported crashes since the permit was requested.  ``key_is_valid`` tells whether
+    the configuration in force still assigns the caller's key to the same customer, as it may have
+    been revoked while the call waited.  ``current`` is the upstream's current record, None when
+    there is none.  The capacity of a lapsed permit may have been granted to other work; this
+    refuses the request even where an attempt that already runs may continue without its permit.
     """
     if current is None:
         return SendRefusal.GONE
@@ -73,14 +73,14 @@
     if verdict.standing is Standing.REFUSED:
         return SendRefusal.HARMFUL
     if verdict.standing is Standing.UNSETTLED:
-        return SendRefusal.NOT_ALONE
-    if verdict.standing is Standing.ALONE and not permit.alone:
-        return SendRefusal.NOT_ALONE
+        return SendRefusal.NOT_ISOLATED
+    if verdict.standing is Standing.ALONE and not permit.isolated:
+        return SendRefusal.NOT_ISOLATED
     if permit.revoked:
         return SendRefusal.REVOKED
     if permit.valid_until_ms <= now_ms:
         return SendRefusal.LAPSED
-    if not key_holds:
+    if not key_is_valid:
         return SendRefusal.KEY_GONE
     if deadline_ms <= now_ms:
         return SendRefusal.LATE
--- a/tests/builders/agents.py
+++ b/tests/builders/agents.py
@@ -1,4 +1,4 @@
-"""Running agents over stand-ins, with real sockets."""
+"""Agents that run over stand-ins of the platform, with real sockets."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -18,12 +18,12 @@
 from fescuedock.standin.platform import Standins
 from tests.builders.standins import running_standins
 
-__all__ = ["AgentFleet", "RunningAgent", "open_agents", "until"]
+__all__ = ["AgentFleet", "RunningAgent", "open_agents", "wait_until"]
 
 
 @dataclass(slots=True)
 class RunningAgent:
-    """One agent; ``settings`` name its real port."""
+    """One agent; ``settings`` have the port that it was given."""
 
     settings: Settings
     address: Address
@@ -67,10 +67,10 @@
         ended.set()
 
     @asynccontextmanager
-    async def follow(
+    async def open_link(
         self, vm_id: str, program: Program = Program.ENTRY, ready: Callable[[], bool] = lambda: True
     ) -> AsyncIterator[tuple[AgentLink, FleetView]]:
-        """Link a program of ``vm_id`` to its agent."""
+        """Open the link of a program on ``vm_id`` to its agent, with the view that it updates."""
         settings = self.agents[vm_id].settings
         codec = open_codec(settings.vm)
         async with open_agent_link(settings, codec, program, 8080, ready) as linked:
@@ -88,7 +88,9 @@
         nursery.cancel_scope.cancel()
 
 
-async def until(view: FleetView, holds: Callable[[FleetView], bool], limit_s: float = 20) -> None:
+async def wait_until(
+    view: FleetView, holds: Callable[[FleetView], bool], limit_s: float = 20
+) -> None:
     """Wait until ``holds`` is true of ``view``."""
     with trio.fail_after(limit_s):
         while not holds(view):
--- a/tests/builders/membership.py
+++ b/tests/builders/membership.py
@@ -1,4 +1,4 @@
-"""Many memberships joined by a plain loop, which passes, delays, drops or repeats datagrams."""
+"""A simulated fleet: memberships joined by a loop that delays, drops or repeats datagrams."""
 
 import heapq
 import itertools
@@ -19,7 +19,7 @@
 CODEC = Codec([schema], [Key("k1", b"0123456789abcdef")])
 LIVE = (VmState.ALIVE, VmState.SUSPECT)
 _STEP_MS = 10.0
-# What the shell of membership sleeps at most.
+# Longest sleep of the loop that runs membership.
 MAX_SLEEP_MS = 100.0
 
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True, eq=False)
 class Node:
-    """One VM of the loop; while ``paused``, datagrams wait in its socket's buffer."""
+    """One simulated VM; while it is ``paused``, datagrams wait in its socket's buffer."""
 
     vm_id: str
     number: int
@@ -66,10 +66,20 @@
 
 
 class Fleet:
-    """The loop.  ``loss`` and ``repeat`` are shares; ``reaches`` says who can send to whom."""
+    """The simulation.
+
+    ``loss`` and ``repeat`` are shares of the datagrams; ``reaches`` says whether one VM can send to
+    another.
+    """
 
     def __init__(
-        self, size: int, *, domains: int = 3, seed: int = 1, aware: bool = True, **settings: float
+        self,
+        size: int,
+        *,
+        domains: int = 3,
+        seed: int = 1,
+        health_aware: bool = True,
+        **settings: float,
     ) -> None:
         self.rng = random.Random(seed)
         self.settings = AgentSettings(port=0, **settings)
@@ -82,21 +92,27 @@
         self.nodes: dict[str, Node] = {}
         self.listed: set[str] = set()
         self.recorded: list[tuple[bytes, Address, Address]] = []
-        self._aware = aware
+        self._health_aware = health_aware
         self._by_address: dict[Address, Node] = {}
-        self._flying: list[tuple[float, int, Address, bytes, Address]] = []
+        self._in_flight: list[tuple[float, int, Address, bytes, Address]] = []
         self._order = itertools.count()
         for number in range(size):
             self.start(number, publish=False)
         self.publish_list()
 
     def start(self, number: int, *, listed: bool = True, publish: bool = True) -> Node:
-        """Start a VM, also one that was there before."""
+        """Start a VM, or restart one that was stopped."""
         profile = profile_of(number, self.domains)
         name = vm_name(number)
         boot = int(self.now_ms)
         membership = Membership(
-            self.settings, name, profile, boot, self.rng, self.now_ms, aware=self._aware
+            self.settings,
+            name,
+            profile,
+            boot,
+            self.rng,
+            self.now_ms,
+            health_aware=self._health_aware,
         )
         node = Node(name, number, membership, self.now_ms + self.rng.uniform(0, 50))
         self.nodes[name] = node
@@ -107,23 +123,23 @@
             self.publish_list()
         return node
 
-    def acquaint(self) -> None:
-        """Let every VM know all others from the beginning, as an old fleet's do.
+    def introduce_all(self) -> None:
+        """Make every VM know all others, as in a fleet that has run for long.
 
-        For large fleets, whose joining takes the loop long.
+        For large fleets, whose joining takes long to simulate.
         """
-        updates = [node.membership._own().update() for node in self.running()]
+        updates = [node.membership._own_member().update() for node in self.running()]
         for node in self.running():
             for update in updates:
                 if update.vm_id != node.vm_id:
-                    self.tell(node.vm_id, update)
+                    self.learn_silently(node.vm_id, update)
 
-    def tell(self, vm_id: str, update: VmUpdate) -> None:
-        """Let one VM know something that it does not gossip."""
-        self.nodes[vm_id].membership._learn(update, self.now_ms, spread=False)
+    def learn_silently(self, vm_id: str, update: VmUpdate) -> None:
+        """Apply ``update`` at one VM without spreading it by gossip."""
+        self.nodes[vm_id].membership._apply_update(update, self.now_ms, spread=False)
 
     def publish_list(self) -> None:
-        """Let every VM read the VM list as it is now."""
+        """Make every VM read the current VM list."""
         candidates = self.candidates()
         for node in self.running():
             node.membership.replace_list(candidates, self.now_ms)
@@ -135,7 +151,7 @@
         ]
 
     def kill(self, vm_id: str) -> None:
-        """Lose a VM without a word; the VM list still has it."""
+        """Stop a VM without an announcement; the VM list still has it."""
         self.nodes[vm_id].down = True
 
     def leave(self, vm_id: str) -> None:
@@ -151,7 +167,7 @@
         self.nodes[vm_id].paused = True
 
     def wake(self, vm_id: str) -> None:
-        """Go on: timers and what waited in the buffer come in either order, as in a real loop."""
+        """Resume a VM: its timers and buffered datagrams run in either order, as in a real loop."""
         node = self.nodes[vm_id]
         node.paused = False
         if self.rng.random() < 0.5:
@@ -164,14 +180,14 @@
         return [node for node in self.nodes.values() if not node.down]
 
     def run(self, duration_ms: float) -> None:
-        """Let time pass."""
+        """Advance the simulated time."""
         end_ms = self.now_ms + duration_ms
         while self.now_ms < end_ms:
             self.now_ms += _STEP_MS
             self._step()
 
     def run_until(self, done: Callable[[], bool], limit_ms: float) -> float:
-        """Return the time that passed until ``done``; infinity when the limit came first."""
+        """Return the time that passed until ``done``; infinity when ``limit_ms`` passed first."""
         start_ms = self.now_ms
         while not done():
             if self.now_ms - start_ms >= limit_ms:
@@ -180,7 +196,7 @@
         return self.now_ms - start_ms
 
     def inject(self, node: Node, data: bytes, source: Address) -> None:
-        """Hand bytes to a VM as a datagram from anywhere."""
+        """Deliver bytes to a VM as a datagram from any address."""
         self._deliver(node, data, source)
 
     def agrees(self) -> bool:
@@ -189,8 +205,8 @@
         return all(node.live() == names for node in self.running())
 
     def _step(self) -> None:
-        while self._flying and self._flying[0][0] <= self.now_ms:
-            _, _, target, data, source = heapq.heappop(self._flying)
+        while self._in_flight and self._in_flight[0][0] <= self.now_ms:
+            _, _, target, data, source = heapq.heappop(self._in_flight)
             node = self._by_address.get(target)
             if node is None or node.down:
                 continue
@@ -226,9 +242,9 @@
             assert len(data) <= 1200, (len(data), action.message)
             node.sent += 1
             node.sent_bytes += len(data)
-            self._carry(node, action.address, data)
+            self._transmit(node, action.address, data)
 
-    def _carry(self, sender: Node, target: Address, data: bytes) -> None:
+    def _transmit(self, sender: Node, target: Address, data: bytes) -> None:
         receiver = self._by_address.get(target)
         if receiver is None or not self.reaches(sender, receiver):
             return
@@ -239,7 +255,7 @@
             if self.rng.random() >= self.loss:
                 at_ms = self.now_ms + self.rng.uniform(*self.delay_ms)
                 item = (at_ms, next(self._order), target, data, source)
-                heapq.heappush(self._flying, item)
+                heapq.heappush(self._in_flight, item)
 
 
 def _address(profile: VmProfile) -> Address:
--- a/tests/test_crash_service.py
+++ b/tests/test_crash_service.py
@@ -1,4 +1,4 @@
-"""What an agent finds out about ended upstreams, shares, keeps and forgets."""
+"""How an agent detects ended upstreams, and sends, stores and expires reports on them."""
 
 import random
 import unittest
@@ -29,14 +29,14 @@
 
 @dataclass(slots=True)
 class StubKv:
-    """A key-value service in memory that may be away."""
+    """A key-value service in memory that can be made unavailable."""
 
     state: KvState = field(default_factory=lambda: KvState())
-    away: bool = False
+    unavailable: bool = False
 
     async def put_if(self, key: str, value: bytes, expected: int) -> Result[int, Fault]:
         await trio.sleep(0.001)
-        if self.away:
+        if self.unavailable:
             return Err(Fault(ResultCode.KV_UNAVAILABLE, "away"))
         return Ok(self.state.put_if(key, value, expected))
 
@@ -60,7 +60,7 @@
 
 @dataclass(slots=True)
 class StubUpstreams:
-    """What becomes of connections to all upstreams."""
+    """The result of connection attempts to all upstreams."""
 
     acceptance: Acceptance = Acceptance.REFUSED
 
@@ -71,9 +71,9 @@
 
 @dataclass(slots=True)
 class StubPool:
-    """Takes what is pushed to other agents."""
+    """Records the messages pushed to other agents."""
 
-    told: list[tuple[str, CrashNews]] = field(default_factory=list)
+    pushed: list[tuple[str, CrashNews]] = field(default_factory=list)
 
     async def client(self, address: Address) -> "StubPool.Client":
         return StubPool.Client(self, address.host)
@@ -86,11 +86,11 @@
         host: str
 
         def push(self, message: CrashNews) -> None:
-            self.pool.told.append((self.host, message))
+            self.pool.pushed.append((self.host, message))
 
 
 class Agent:
-    """One agent's service with what it stands on."""
+    """One agent's crash service with stubs of its dependencies."""
 
     def __init__(self, kv: StubKv, vm_id: str = "vm-0") -> None:
         self.kv = kv
@@ -101,20 +101,20 @@
             VmRecord(f"vm-{n}", "r", "d", f"10.0.0.{n}", 1, VmState.ALIVE, agent_port=7)
             for n in range(2)
         ]
-        self.show(vms, "u")
+        self.set_view(vms, "u")
         self.view.unix_clock = lambda: int(START_S + trio.current_time())
         self.service = CrashService(
             self.view, self.http, self.pool, kv, PREFIX, random.Random(1), self.view.unix_clock
         )
 
-    def show(self, vms: list[VmRecord], *upstreams: str, leaving: bool = False) -> None:
+    def set_view(self, vms: list[VmRecord], *upstreams: str, leaving: bool = False) -> None:
         records = [
             UpstreamRecord(name, "r", "d", "10.0.1.1", 1, UpstreamKind.ENGINE, "s", leaving=leaving)
             for name in upstreams
         ]
         self.view.replace(self.view.version + 1, vms, records, 0.0)
 
-    async def tell(self, message: BrokenRun | WholeRun) -> None:
+    async def send(self, message: BrokenRun | WholeRun) -> None:
         await self.service.handlers()[type(message)](message, None)
 
 
@@ -131,12 +131,12 @@
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_runs_that_one_end_broke_off_are_told_to_others_and_written_once(self) -> None:
+    def test_runs_broken_off_by_one_crash_are_sent_to_others_and_written_once(self) -> None:
         async def test(agent: Agent) -> None:
             for name in ("a", "b"):
-                await agent.tell(BrokenRun("u", name))
+                await agent.send(BrokenRun("u", name))
             await trio.sleep(0.1)
-            [(host, news)] = agent.pool.told
+            [(host, news)] = agent.pool.pushed
             self.assertEqual(host, "10.0.0.1")
             [report] = news.crashes
             self.assertEqual([run.work_id for run in report.runs], ["a", "b"])
@@ -145,79 +145,79 @@
 
         self.run_agent(test)
 
-    def test_a_run_alone_whose_permit_was_returned_is_reported_as_over(self) -> None:
-        """The next run alone had company by it, or it seemed to have been alone in its place."""
+    def test_an_isolated_run_whose_permit_was_returned_is_reported_as_ended(self) -> None:
+        """Otherwise it counts as concurrent with the next isolated run, or as the isolated one."""
 
         async def test(agent: Agent) -> None:
             agent.http.acceptance = Acceptance.ACCEPTED
-            await agent.tell(BrokenRun("u", "first", alone=True, looks_whole=True))
+            await agent.send(BrokenRun("u", "first", alone=True, looks_whole=True))
             await trio.sleep(0.2)
-            await agent.tell(BrokenRun("u", "first", given_up=True, looks_whole=True))
-            await agent.tell(BrokenRun("u", "second", alone=True, looks_whole=True))
+            await agent.send(BrokenRun("u", "first", given_up=True, looks_whole=True))
+            await agent.send(BrokenRun("u", "second", alone=True, looks_whole=True))
             agent.http.acceptance = Acceptance.REFUSED
             await trio.sleep(0.5)
-            [(_, news)] = agent.pool.told
+            [(_, news)] = agent.pool.pushed
             [report] = news.crashes
             found = [(run.work_id, run.alone, run.given_up) for run in report.runs]
             self.assertEqual(found, [("first", False, True), ("second", True, False)])
 
         self.run_agent(test)
 
-    def test_an_upstream_that_takes_connections_and_stays_has_not_ended(self) -> None:
+    def test_an_upstream_that_keeps_accepting_connections_has_not_ended(self) -> None:
         async def test(agent: Agent) -> None:
             agent.http.acceptance = Acceptance.ACCEPTED
-            await agent.tell(BrokenRun("u", "a"))
+            await agent.send(BrokenRun("u", "a"))
             await trio.sleep(10.0)
-            self.assertEqual((agent.pool.told, agent.kv.entries()), ([], ()))
+            self.assertEqual((agent.pool.pushed, agent.kv.entries()), ([], ()))
 
         self.run_agent(test)
 
-    def test_one_that_answers_nobody_has_ended_when_it_goes_from_the_list(self) -> None:
+    def test_an_unresponsive_upstream_has_ended_once_it_leaves_the_list(self) -> None:
         async def test(agent: Agent) -> None:
             agent.http.acceptance = Acceptance.UNKNOWN
-            await agent.tell(BrokenRun("u", "a"))
+            await agent.send(BrokenRun("u", "a"))
             await trio.sleep(2.0)
-            self.assertEqual(agent.pool.told, [])
-            agent.show(list(agent.view.vms.values()))
+            self.assertEqual(agent.pool.pushed, [])
+            agent.set_view(list(agent.view.vms.values()))
             await trio.sleep(0.1)
-            self.assertEqual(len(agent.pool.told), 1)
+            self.assertEqual(len(agent.pool.pushed), 1)
 
         self.run_agent(test)
 
-    def test_one_that_was_to_leave_has_ended_as_planned(self) -> None:
+    def test_a_leaving_upstream_has_ended_as_planned(self) -> None:
         async def test(agent: Agent) -> None:
-            agent.show(list(agent.view.vms.values()), "u", leaving=True)
-            await agent.tell(BrokenRun("u", "a"))
+            agent.set_view(list(agent.view.vms.values()), "u", leaving=True)
+            await agent.send(BrokenRun("u", "a"))
             await trio.sleep(1.0)
-            self.assertEqual(agent.pool.told, [])
+            self.assertEqual(agent.pool.pushed, [])
 
         self.run_agent(test)
 
-    def test_what_cannot_be_written_is_told_at_once_and_written_later(self) -> None:
+    def test_a_report_that_cannot_be_written_is_sent_at_once_and_written_later(self) -> None:
         async def test(agent: Agent) -> None:
-            agent.kv.away = True
-            await agent.tell(BrokenRun("u", "a"))
+            agent.kv.unavailable = True
+            await agent.send(BrokenRun("u", "a"))
             await trio.sleep(5.0)
-            self.assertEqual((len(agent.pool.told), agent.kv.entries()), (1, ()))
-            agent.kv.away = False
+            self.assertEqual((len(agent.pool.pushed), agent.kv.entries()), (1, ()))
+            agent.kv.unavailable = False
             await trio.sleep(3.0)
             self.assertEqual(len(agent.kv.entries()), 1)
 
         self.run_agent(test)
 
-    def test_a_whole_run_of_a_suspect_is_told_and_one_of_others_is_not(self) -> None:
+    def test_a_completed_run_is_sent_only_for_suspected_work(self) -> None:
         async def test(agent: Agent) -> None:
-            await agent.tell(BrokenRun("u", "a"))
+            await agent.send(BrokenRun("u", "a"))
             await trio.sleep(1.0)
-            await agent.tell(WholeRun("b"))
-            await agent.tell(WholeRun("a"))
+            await agent.send(WholeRun("b"))
+            await agent.send(WholeRun("a"))
             await trio.sleep(1.0)
-            self.assertEqual(len(agent.pool.told), 2)
+            self.assertEqual(len(agent.pool.pushed), 2)
             self.assertTrue(agent.view.quarantine.is_empty)
 
         self.run_agent(test)
 
-    def test_an_agent_that_starts_knows_what_was_written_but_for_what_is_old(self) -> None:
+    def test_a_starting_agent_knows_the_stored_reports_except_old_ones(self) -> None:
         kv = StubKv()
         names = [f"old-{number}" for number in range(6)]
         for name, age_s in (("young", 60), *((name, 2 * DAY_S) for name in names)):
@@ -230,11 +230,11 @@
             self.assertEqual([quarantine.suspects(n) for n in ("young", "old-1")], [True, False])
             await trio.sleep(QuarantinePolicy().kept_ms / 1000 + 1800)
             self.assertTrue(quarantine.is_empty)
-            kept = {entry.key.removeprefix(PREFIX) for entry in kv.entries()}
-            # Each key is removed by the one agent that all choose.
+            remaining = {entry.key.removeprefix(PREFIX) for entry in kv.entries()}
+            # All agents choose the same one to remove a key.
             vms = agent.view.vms
             others = {n for n in (*names, "young") if choose_name(PREFIX + n, vms) != "vm-0"}
-            self.assertEqual(kept, {"odd"} | others)
+            self.assertEqual(remaining, {"odd"} | others)
             self.assertLess(len(others), len(names))
 
         self.run_agent(test, kv=kv)
--- a/tests/test_membership_view.py
+++ b/tests/test_membership_view.py
@@ -1,4 +1,4 @@
-"""The fleet view of a program: whole at first, then changes, never anything but the agent's."""
+"""A program's fleet view: a full snapshot, then changes; it always equals the agent's view."""
 
 import unittest
 
@@ -34,7 +34,7 @@
             new_vms = {name: _vm(name, number) for name, number in numbers.items()}
             new_upstreams = {name: _upstream(name, port) for name, port in ports.items()}
             version += 1
-            history.note(version, (vms, new_vms), (upstreams, new_upstreams))
+            history.record(version, (vms, new_vms), (upstreams, new_upstreams))
             vms, upstreams = new_vms, new_upstreams
             if not polls:
                 continue
@@ -47,10 +47,10 @@
             seen_version = version
             self.assertEqual((vms, upstreams), (seen_vms, seen_upstreams))
 
-    def test_a_version_of_a_former_life_gets_everything(self) -> None:
+    def test_a_version_of_an_earlier_process_gets_everything(self) -> None:
         history = ViewHistory()
-        history.note(FIRST_VERSION + 1, ({}, {"a": _vm("a", 1)}), ({}, {}))
-        history.note(FIRST_VERSION + 2, ({"a": _vm("a", 1)}, {}), ({}, {}))
+        history.record(FIRST_VERSION + 1, ({}, {"a": _vm("a", 1)}), ({}, {}))
+        history.record(FIRST_VERSION + 2, ({"a": _vm("a", 1)}, {}), ({}, {}))
         for seen_version in (0, 1, FIRST_VERSION - 5, FIRST_VERSION + 9):
             self.assertIsNone(history.since(seen_version))
         self.assertEqual({"a"}, history.since(FIRST_VERSION + 1).vm_ids)
@@ -62,7 +62,7 @@
         if name in current:
             seen[name] = current[name]
         else:
-            # Perhaps it came and went between two polls.
+            # It may have been added and removed between two polls.
             seen.pop(name, None)
 
 
--- a/tests/test_replica_removals.py
+++ b/tests/test_replica_removals.py
@@ -1,4 +1,4 @@
-"""Keys that were removed before a node read the store stay removed, however late old news come."""
+"""Keys removed before a node read the store stay removed, however late old updates arrive."""
 
 import random
 import unittest
@@ -17,29 +17,29 @@
 
 
 class RemovedBeforeTheStartTest(unittest.TestCase):
-    """A node that had stood still told of a key from before it did; the key had gone meanwhile.
+    """A node that was paused reports a key from before the pause that has been removed meanwhile.
 
-    A node that was started in between had read the store without that key, and had no memory of its
-    removal.  It took the key for a new one, and no later news took it away again.
+    A node started in between has read the store without that key and has no record of its removal.
+    If it accepts the key as a new one, no later update removes it again.
     """
 
     def test_a_single_key_older_than_the_table_is_no_new_key(self) -> None:
         table = ReplicaTable(PREFIX)
         table.replace([], 20, 0.0)
-        table.note(KvEntry("live/a", b"x", 7))
+        table.record_entry(KvEntry("live/a", b"x", 7))
         self.assertNotIn("live/a", table.entries)
 
-    def test_news_older_than_the_table_bring_no_key_back(self) -> None:
+    def test_an_update_older_than_the_table_restores_no_key(self) -> None:
         async def run() -> None:
             replicas = self.started_node()
             entry = ReplicaEntry("live/a", 7, b"x")
-            news = ReplicaNews(PREFIX, 5, 8, [entry], {}, sender="n-2/1", sent_ms=int(now_ms()))
-            await replicas.handlers()[ReplicaNews](news, None)
+            update = ReplicaNews(PREFIX, 5, 8, [entry], {}, sender="n-2/1", sent_ms=int(now_ms()))
+            await replicas.handlers()[ReplicaNews](update, None)
             self.assertNotIn("live/a", replicas.tables[PREFIX].entries)
 
         trio.run(run, clock=trio.testing.MockClock())
 
-    def test_what_another_node_noted_long_ago_brings_no_key_back(self) -> None:
+    def test_an_old_entry_that_another_node_recorded_restores_no_key(self) -> None:
         async def run() -> None:
             replicas = self.started_node()
             noted = ReplicaNoted(PREFIX, [ReplicaEntry("live/a", 7, b"x")])
