--- a/src/fescuedock/node/job_runner.py
+++ b/src/fescuedock/node/job_runner.py
@@ -558,7 +558,9 @@
 
     def _begin(self, choice: ItemChoice, upstream: UpstreamRecord, grant: Grant) -> None:
         grant.assign_work(choice.run.work_id, choice.run.parts)
-        grant.update_work_state(choice.stage, choice.slack_ms, choice.left_ms, choice.run.runs_without_output)
+        grant.update_work_state(
+            choice.stage, choice.slack_ms, choice.left_ms, choice.run.runs_without_output
+        )
         self._pool.start(choice.run, now_ms())
         job = self._jobs[choice.job.job_id]
         waited_ms = choice.waited_ms
--- a/tests/builders/load_player.py
+++ b/tests/builders/load_player.py
@@ -605,7 +605,9 @@
         if choice is None:
             self._node.permits.return_unused(grant)
             return
-        grant.update_work_state(choice.stage, choice.slack_ms, choice.left_ms, choice.run.runs_without_output)
+        grant.update_work_state(
+            choice.stage, choice.slack_ms, choice.left_ms, choice.run.runs_without_output
+        )
         self._pool.start(choice.run, now_ms())
         self._node.nursery.start_soon(self._run_item, choice.job, choice.run, grant)
 
