--- a/bench/mix_actors.py
+++ b/bench/mix_actors.py
@@ -15,7 +15,7 @@
 from bench.virtual import Attempt, VirtualEngine, VirtualLoop
 from fescuedock.core.admission import Admission
 from fescuedock.core.permits.actions import Action, Granted, Refused, Revoked
-from fescuedock.core.permits.holder import HeldGrant, HolderBook, LocalLimit
+from fescuedock.core.permits.holder import GrantRegistry, HeldGrant, LocalLimit
 from fescuedock.core.permits.owner import OwnedUpstream, PermitOwner
 from fescuedock.core.permits.terms import UpstreamTerms
 from fescuedock.core.route_learning import SilentOwners
@@ -42,7 +42,7 @@
 if TYPE_CHECKING:
     from bench.mix_runs import Plan
 
-__all__ = ["BatchRunner", "Entry", "Fleet", "OnlineResult", "OwnerHost", "OwnerFactory"]
+__all__ = ["BatchRunner", "Entry", "Fleet", "OnlineResult", "OwnerFactory", "OwnerHost"]
 
 WORKERS = 6
 HOP_MS = 1.0
@@ -139,7 +139,7 @@
         self.fleet = fleet
         self.holder_id = holder_id
         self.loads: dict[str, tuple[LoadSnapshot, float]] = {}
-        self._book = HolderBook()
+        self._book = GrantRegistry()
         self._numbers = itertools.count()
         self._reporting = False
         fleet.loop.after(VALID_MS / 3, self._renew)
@@ -164,7 +164,7 @@
             elif action is None:
                 outcome = AttemptOutcome.CANCELLED
                 given_up = EndedPermit(ask.attempt_id, ask.upstream_id, outcome, ask.work_class)
-                self._book.give_up(given_up)
+                self._book.abandon(given_up)
                 self._report_soon()
             done(action)
 
@@ -189,7 +189,7 @@
 
     def _report(self) -> None:
         self._reporting = False
-        for ended in self._book.take_ended():
+        for ended in self._book.drain_ended():
             message = PermitsEnded(self.holder_id, [ended])
             self.fleet.loop.after(HOP_MS, self.fleet.owners[ended.upstream_id].end, message)
 
@@ -211,7 +211,9 @@
         def take(reply: object) -> None:
             for load in reply.loads:
                 self.loads[load.upstream_id] = (load, self.fleet.loop.now_ms)
-            self._book.renewed([grant.ask.attempt_id for grant in group], sent_ms + reply.valid_ms)
+            self._book.record_renewal(
+                [grant.ask.attempt_id for grant in group], sent_ms + reply.valid_ms
+            )
             for permit_id in reply.revoked:
                 self.revoke(permit_id)
 
@@ -275,7 +277,7 @@
         step = asks.popleft()
         message = self._message(result, step, slack_ms)
         if step.local:
-            if self._local.try_take(step.upstream_id):
+            if self._local.try_acquire(step.upstream_id):
                 self.hold_local(message)
                 self._run(result, message, avoid, local=True)
             else:
@@ -317,7 +319,7 @@
             span = (run.started_ms, self.fleet.loop.now_ms)
             self.fleet.spans.setdefault(ask.upstream_id, []).append(span)
             if local:
-                self._local.give_back(ask.upstream_id)
+                self._local.release(ask.upstream_id)
             ended = run.ended(whole)
             self.end(ended)
             if whole:
--- a/bench/mix_variants.py
+++ b/bench/mix_variants.py
@@ -28,10 +28,10 @@
 class _WaitingQueue(UpstreamQueue):
     """Never takes batch back: online starts at once all the same, beside all of it."""
 
-    def _give_way(self, now_ms: float) -> list:
+    def _revoke_excess_batch(self, now_ms: float) -> list:
         return []
 
-    def _clear_prefill(self, now_ms: float) -> list:
+    def _revoke_blocking_prefill(self, now_ms: float) -> list:
         return []
 
 
--- a/bench/permit_costs.py
+++ b/bench/permit_costs.py
@@ -51,7 +51,7 @@
         held = [_held(number) for number in range(8)]
         started_s = time.process_time()
         for number in range(CYCLES):
-            owner.ask(_ask(number), number * 10.0)
+            owner.submit(_ask(number), number * 10.0)
             owner.end(permits.PermitsEnded("vm-1/entry", [_ended(number)]), number * 10.0 + 5)
         cycles.append((time.process_time() - started_s) * 1e6 / CYCLES)
         started_s = time.process_time()
--- a/bench/queue_costs.py
+++ b/bench/queue_costs.py
@@ -38,7 +38,7 @@
     started_s = time.process_time()
     for number, ask in enumerate(asks):
         now_ms = number * 10.0
-        queue.ask(ask, now_ms)
+        queue.submit(ask, now_ms)
         over = number - SLOTS - waiting + 1
         if over >= 0:
             queue.end(_ended(over), now_ms + 5.0)
--- a/src/fescuedock/agent/permit_client.py
+++ b/src/fescuedock/agent/permit_client.py
@@ -19,7 +19,7 @@
 from fescuedock.address import Address
 from fescuedock.agent.peers import PeerChannels
 from fescuedock.clock import now_ms
-from fescuedock.core.permits.holder import HeldGrant, HolderBook, LocalLimit, lapsed_by_ms
+from fescuedock.core.permits.holder import GrantRegistry, HeldGrant, LocalLimit, lapsed_by_ms
 from fescuedock.core.permits.queued import is_overdue
 from fescuedock.core.recent_runs import RecentRuns
 from fescuedock.core.route_learning import UnansweredAsks
@@ -197,7 +197,7 @@
         self._view = view
         self._channels = channels
         self._handlers = handlers
-        self._book = HolderBook()
+        self._book = GrantRegistry()
         self._grants: dict[str, Grant] = {}
         self._valid_ms = settings.agent.permit_valid_ms if settings.agent else _DEFAULT_VALID_MS
         self._something_ended = trio.Event()
@@ -266,7 +266,9 @@
         ``NO_CAPACITY`` when the local limit is used up, or for batch work, which must wait;
         ``NOT_OWNER`` when the upstream has gone or is leaving.
         """
-        if ask.work_class is not WorkClass.ONLINE or not self.local_limit.try_take(ask.upstream_id):
+        if ask.work_class is not WorkClass.ONLINE or not self.local_limit.try_acquire(
+            ask.upstream_id
+        ):
             message = f"no local room at {ask.upstream_id}"
             return Err(Fault(ResultCode.NO_CAPACITY, message, self._settings.adjust_ms))
         return self._grant(HeldGrant(ask, now_ms(), float("inf"), local=True, parts=parts))
@@ -372,7 +374,7 @@
     def _return(self, held: HeldGrant, ended: EndedPermit) -> None:
         self._book.end(ended)
         if held.local:
-            self.local_limit.give_back(ended.upstream_id)
+            self.local_limit.release(ended.upstream_id)
         self._something_ended.set()
 
     async def _return_later(self, held: HeldGrant, ended: EndedPermit) -> None:
@@ -423,7 +425,7 @@
 
     def _give_up(self, ask: PermitAsk) -> None:
         outcome = AttemptOutcome.CANCELLED
-        self._book.give_up(EndedPermit(ask.attempt_id, ask.upstream_id, outcome, ask.work_class))
+        self._book.abandon(EndedPermit(ask.attempt_id, ask.upstream_id, outcome, ask.work_class))
         self._something_ended.set()
 
     def _revoke(self, permit_ids: Iterable[str]) -> None:
@@ -471,7 +473,7 @@
         known = {load.upstream_id for load in renewed.loads}
         good = [held.ask.attempt_id for held in group if held.ask.upstream_id in known]
         renew_at_ms = sent_ms + renewed.valid_ms / _RENEWALS_PER_VALIDITY
-        self._book.renewed(good, sent_ms + renewed.valid_ms, renew_at_ms)
+        self._book.record_renewal(good, sent_ms + renewed.valid_ms, renew_at_ms)
 
     async def _report_forever(self) -> None:
         while True:
@@ -480,7 +482,7 @@
             await self._tell_agent()
             await trio.sleep(self._settings.ended_batch_ms / 1000)
             by_owner: dict[Address, list[EndedPermit]] = defaultdict(list)
-            for ended in self._book.take_ended():
+            for ended in self._book.drain_ended():
                 owner = self._view.owner_of(ended.upstream_id)
                 if owner is not None:
                     by_owner[Address(owner.host, owner.agent_port)].append(ended)
--- a/src/fescuedock/agent/permit_service.py
+++ b/src/fescuedock/agent/permit_service.py
@@ -96,7 +96,7 @@
         waiter = _Waiter()
         self._waiters[ask.attempt_id].append(waiter)
         try:
-            self._perform(self._informed().ask(ask, now_ms()))
+            self._perform(self._informed().submit(ask, now_ms()))
             if ask.work_class is WorkClass.ONLINE and not waiter.settled:
                 # It may wait for less than the tick that is under way.
                 self._asked.set()
@@ -194,7 +194,7 @@
                 await self._asked.wait()
 
     def _tick_s(self) -> float:
-        if self._owner.waits(WorkClass.ONLINE):
+        if self._owner.has_waiting(WorkClass.ONLINE):
             return _ONLINE_TICK_S
         # Of 165 nodes before 50 upstreams two thirds own none, and ticked 10 times a second.
         return _IDLE_TICK_S if self._owner.owns_any else math.inf
@@ -214,7 +214,7 @@
                         nursery.start_soon(self._poll, upstream)
 
     async def _poll(self, upstream: UpstreamRecord) -> None:
-        if self._owner.take_trial(upstream.upstream_id, now_ms()):
+        if self._owner.start_trial(upstream.upstream_id, now_ms()):
             outcome = await self._checks.probe(upstream, self._view.configuration)
             self._perform(self._informed().observe(upstream.upstream_id, outcome, now_ms()))
         elif upstream.kind is UpstreamKind.ENGINE and self._checks.load is not None:
--- a/src/fescuedock/core/config/spread.py
+++ b/src/fescuedock/core/config/spread.py
@@ -15,7 +15,7 @@
 from fescuedock.schema.settings import CutOff
 from fescuedock.schema.view import VmRecord, VmState
 
-__all__ = ["Standing", "SpreadLimits", "is_serving", "pick_targets", "standing", "watchers_of"]
+__all__ = ["SpreadLimits", "Standing", "is_serving", "pick_targets", "standing", "watchers_of"]
 
 _WATCHER_KEY = "config"
 
--- a/src/fescuedock/core/health.py
+++ b/src/fescuedock/core/health.py
@@ -84,7 +84,7 @@
         record = self._records.get(upstream_id)
         return record is None or not record.out
 
-    def take_trial(self, upstream_id: str, now_ms: float) -> bool:
+    def start_trial(self, upstream_id: str, now_ms: float) -> bool:
         """Whether one attempt may go to an upstream that is out, as a trial.
 
         At most one is under way at a time, and the wait between them doubles up to a bound.
@@ -99,7 +99,7 @@
         return True
 
     def next_trial_ms(self, upstream_id: str) -> float:
-        """Return the time before which ``take_trial`` gives False; 0 when it is not out."""
+        """Return the time before which ``start_trial`` gives False; 0 when it is not out."""
         record = self._records.get(upstream_id)
         if record is None or not record.out:
             return 0.0
--- a/src/fescuedock/core/membership/probing.py
+++ b/src/fescuedock/core/membership/probing.py
@@ -9,7 +9,7 @@
 from fescuedock.core.membership.table import Member
 from fescuedock.schema.membership import MemberState
 
-__all__ = ["Probing", "ProbePurpose", "ProbeRotation", "PendingProbe", "choose_helpers"]
+__all__ = ["PendingProbe", "ProbePurpose", "ProbeRotation", "Probing", "choose_helpers"]
 
 HELPERS = 3
 _MAX_NONCE = 2**53 - 1
--- a/src/fescuedock/core/permits/estimates.py
+++ b/src/fescuedock/core/permits/estimates.py
@@ -5,7 +5,7 @@
 __all__ = ["DecayedLine", "DecayedMean", "DecayedPeak"]
 
 
-def _kept(elapsed_ms: float, half_life_ms: float) -> float:
+def _decay(elapsed_ms: float, half_life_ms: float) -> float:
     return 0.5 ** (max(elapsed_ms, 0.0) / half_life_ms)
 
 
@@ -18,9 +18,9 @@
     _at_ms: float = 0.0
 
     def add(self, value: float, now_ms: float, weight: float = 1.0) -> None:
-        kept = _kept(now_ms - self._at_ms, self.half_life_ms)
-        self._sum = self._sum * kept + value * weight
-        self.weight = self.weight * kept + weight
+        decay = _decay(now_ms - self._at_ms, self.half_life_ms)
+        self._sum = self._sum * decay + value * weight
+        self.weight = self.weight * decay + weight
         self._at_ms = now_ms
 
     def value(self, default: float) -> float:
@@ -40,7 +40,7 @@
         self._at_ms = now_ms
 
     def value(self, now_ms: float) -> float:
-        return self._peak * _kept(now_ms - self._at_ms, self.half_life_ms)
+        return self._peak * _decay(now_ms - self._at_ms, self.half_life_ms)
 
 
 class DecayedLine(msgspec.Struct):
@@ -55,12 +55,12 @@
     _at_ms: float = 0.0
 
     def add(self, x: float, y: float, now_ms: float) -> None:
-        kept = _kept(now_ms - self._at_ms, self.half_life_ms)
-        self._count = self._count * kept + 1.0
-        self._x = self._x * kept + x
-        self._y = self._y * kept + y
-        self._xx = self._xx * kept + x * x
-        self._xy = self._xy * kept + x * y
+        decay = _decay(now_ms - self._at_ms, self.half_life_ms)
+        self._count = self._count * decay + 1.0
+        self._x = self._x * decay + x
+        self._y = self._y * decay + y
+        self._xx = self._xx * decay + x * x
+        self._xy = self._xy * decay + x * y
         self._at_ms = now_ms
 
     @property
@@ -83,4 +83,4 @@
 
     def freshness(self, now_ms: float) -> float:
         """Return 1 right after a sample, halved with each half-life since."""
-        return _kept(now_ms - self._at_ms, self.half_life_ms)
+        return _decay(now_ms - self._at_ms, self.half_life_ms)
--- a/src/fescuedock/core/permits/evidence.py
+++ b/src/fescuedock/core/permits/evidence.py
@@ -1,8 +1,8 @@
 """What holders report of their attempts, turned into limits and predictions of one upstream."""
 
 from fescuedock.core.permits.estimates import DecayedMean
-from fescuedock.core.permits.held import Held, HeldPermits
 from fescuedock.core.permits.limits import AttemptSample, UpstreamLimits
+from fescuedock.core.permits.outstanding import OutstandingPermit, OutstandingPermits
 from fescuedock.core.permits.prediction import FirstTokenModel
 from fescuedock.core.permits.speed import UpstreamSpeed
 from fescuedock.schema.config import Objectives
@@ -19,7 +19,11 @@
     """Hands each report to what can learn from it; ``held`` says in what company it ran."""
 
     def __init__(
-        self, settings: PermitSettings, objectives: Objectives, held: HeldPermits, now_ms: float
+        self,
+        settings: PermitSettings,
+        objectives: Objectives,
+        held: OutstandingPermits,
+        now_ms: float,
     ) -> None:
         half_life_ms = settings.estimate_half_life_ms
         self.limits = UpstreamLimits(settings, objectives, now_ms)
@@ -32,10 +36,10 @@
         """Return how long an online attempt holds its permit."""
         return self._online_hold.value(default)
 
-    def observe_end(self, held: Held, ended: EndedPermit, now_ms: float) -> None:
+    def observe_end(self, held: OutstandingPermit, ended: EndedPermit, now_ms: float) -> None:
         """Take in the last report of an attempt, which is still counted as held."""
         if held.revoked_ms is not None:
-            self.limits.revocation_done(now_ms - held.revoked_ms, now_ms)
+            self.limits.observe_revocation(now_ms - held.revoked_ms, now_ms)
         recent_ms = ended.recent_token_ms if ended.recent_token_ms >= 0 else ended.inter_token_ms
         self.speed.observe_events(recent_ms, len(self._held), now_ms)
         if held.work_class is not WorkClass.ONLINE:
@@ -46,9 +50,9 @@
         if ended.first_token_ms >= 0:
             self._observe_first_token(held, ended.first_token_ms, now_ms)
         if ended.inter_token_ms >= 0 and not held.window_tokens:
-            self._observe(held, -1.0, ended.inter_token_ms, now_ms)
+            self._observe_latency(held, -1.0, ended.inter_token_ms, now_ms)
 
-    def observe_progress(self, held: Held, permit: HeldPermit, now_ms: float) -> None:
+    def observe_progress(self, held: OutstandingPermit, permit: HeldPermit, now_ms: float) -> None:
         """Take in a renewal: seconds before an attempt ends, it shows the rate of now."""
         if permit.first_token_ms >= 0:
             self._observe_first_token(held, permit.first_token_ms, now_ms)
@@ -58,24 +62,26 @@
         if tokens < _MIN_WINDOW_TOKENS:
             return
         if held.window_tokens:
-            event_ms = (now_ms - held.window_ms) / tokens
+            event_ms = (now_ms - held.window_start_ms) / tokens
             self.speed.observe_events(event_ms, len(self._held), now_ms)
             if held.work_class is WorkClass.ONLINE:
-                self._observe(held, -1.0, event_ms, now_ms)
+                self._observe_latency(held, -1.0, event_ms, now_ms)
         self._held.start_window(held, permit.generated_tokens, now_ms)
 
-    def _observe_first_token(self, held: Held, first_token_ms: float, now_ms: float) -> None:
+    def _observe_first_token(
+        self, held: OutstandingPermit, first_token_ms: float, now_ms: float
+    ) -> None:
         if held.start is None:
             return
         self.first_token.observe(held.start, first_token_ms, now_ms)
         self.speed.observe_start(held.start.prompt_tokens, first_token_ms, now_ms)
         held.start = None
         if held.work_class is WorkClass.ONLINE:
-            self._observe(held, first_token_ms, -1.0, now_ms)
+            self._observe_latency(held, first_token_ms, -1.0, now_ms)
 
-    def _observe(
-        self, held: Held, first_token_ms: float, inter_token_ms: float, now_ms: float
+    def _observe_latency(
+        self, held: OutstandingPermit, first_token_ms: float, inter_token_ms: float, now_ms: float
     ) -> None:
-        company = self._held.company_of(held, now_ms)
-        sample = AttemptSample(first_token_ms, inter_token_ms, held.window_ms, company)
+        concurrency = self._held.concurrency_of(held, now_ms)
+        sample = AttemptSample(first_token_ms, inter_token_ms, held.window_start_ms, concurrency)
         self.limits.observe_attempt(sample, now_ms)
--- a/src/fescuedock/core/permits/fair_order.py
+++ b/src/fescuedock/core/permits/fair_order.py
@@ -13,15 +13,15 @@
 
 from fescuedock.core.permits.fair_shares import FairShares
 from fescuedock.core.permits.priority import OVERDUE_MS, BoundedPreference, urgency_of
-from fescuedock.core.permits.queued import MemberShares, Waiting
-from fescuedock.core.permits.returns import RefusedWork
+from fescuedock.core.permits.queued import MemberShares, WaitingRequest
+from fescuedock.core.permits.refusals import RefusedWork
 
-__all__ = ["FairOrder", "over_use"]
+__all__ = ["FairOrder", "excess_use"]
 
 # One grant in so many goes to work that a more urgent priority has kept waiting.
-_OVERDUE_EVERY = 8
+_OVERDUE_GRANT_INTERVAL = 8
 # One grant in so many goes to work that returns after a refusal, before other work that is equal.
-_RETURNED_EVERY = 2
+_RETRIED_GRANT_INTERVAL = 2
 
 
 class FairOrder(msgspec.Struct):
@@ -29,25 +29,25 @@
 
     shares: FairShares = msgspec.field(default_factory=FairShares)
     overdue: BoundedPreference = msgspec.field(
-        default_factory=lambda: BoundedPreference(_OVERDUE_EVERY)
+        default_factory=lambda: BoundedPreference(_OVERDUE_GRANT_INTERVAL)
     )
-    returned: BoundedPreference = msgspec.field(
-        default_factory=lambda: BoundedPreference(_RETURNED_EVERY)
+    retried: BoundedPreference = msgspec.field(
+        default_factory=lambda: BoundedPreference(_RETRIED_GRANT_INTERVAL)
     )
     refused: RefusedWork = msgspec.field(default_factory=RefusedWork)
 
     def in_order(
         self,
-        asks: Iterable[Waiting],
+        asks: Iterable[WaitingRequest],
         weights: MemberShares,
         running: Callable[[str], int],
         now_ms: float,
-    ) -> list[Waiting]:
+    ) -> list[WaitingRequest]:
         """Return ``asks``, next first; ``running`` gives what a member runs now."""
-        asks = sorted(asks, key=lambda item: (item.ask.priority, *item.order(now_ms)))
-        over = over_use({item.ask.member for item in asks}, weights, running)
+        asks = sorted(asks, key=lambda item: (item.ask.priority, *item.sort_key(now_ms)))
+        over = excess_use({item.ask.member for item in asks}, weights, running)
         overdue = self._first_overdue(asks, now_ms)
-        returned = self._first_returned(asks)
+        returned = self._first_retried(asks)
         tags: dict[str, float] = {}
         ranked = []
         for position, item in enumerate(asks):
@@ -62,22 +62,24 @@
             )
             # Positions differ, so that asks themselves are never compared.
             share_rank = (tag, over[ask.member], item is not returned)
-            ranked.append((urgency, item.turn_rank, share_rank, position, item))
+            ranked.append((urgency, item.stage_group, share_rank, position, item))
         ranked.sort()
         return [rank[-1] for rank in ranked]
 
-    def granted(self, waiting: Waiting, weight: float, now_ms: float) -> float:
+    def record_grant(self, waiting: WaitingRequest, weight: float, now_ms: float) -> float:
         """Take in that an ask is granted while others wait; return the cost it is charged."""
         ask = waiting.ask
         is_overdue = ask.priority > 0 and waiting.waited_ms(now_ms) >= OVERDUE_MS
-        self.overdue.note(preferred=is_overdue)
-        self.returned.note(preferred=ask.work_id in self.refused)
-        self.refused.served(ask.work_id)
+        self.overdue.record_grant(preferred=is_overdue)
+        self.retried.record_grant(preferred=ask.work_id in self.refused)
+        self.refused.discard(ask.work_id)
         cost = self.shares.cost(ask.prompt_tokens, ask.max_tokens)
         self.shares.charge(ask.member, cost, weight, now_ms)
         return cost
 
-    def _first_overdue(self, asks: Sequence[Waiting], now_ms: float) -> Waiting | None:
+    def _first_overdue(
+        self, asks: Sequence[WaitingRequest], now_ms: float
+    ) -> WaitingRequest | None:
         """Return the ask whose turn it is after it has waited too long."""
         if not self.overdue.is_due:
             return None
@@ -90,14 +92,14 @@
         ]
         return max(waiting, key=lambda item: item.waited_ms(now_ms), default=None)
 
-    def _first_returned(self, asks: Iterable[Waiting]) -> Waiting | None:
+    def _first_retried(self, asks: Iterable[WaitingRequest]) -> WaitingRequest | None:
         """Return the ask whose turn it is as it came back after a refusal."""
-        if not self.returned.is_due or not len(self.refused):
+        if not self.retried.is_due or not len(self.refused):
             return None
         return next((item for item in asks if item.ask.work_id in self.refused), None)
 
 
-def over_use(
+def excess_use(
     members: Iterable[str], weights: MemberShares, running: Callable[[str], int]
 ) -> dict[str, float]:
     """Return by how much each member runs more than its share of what all of them run."""
--- a/src/fescuedock/core/permits/holder.py
+++ b/src/fescuedock/core/permits/holder.py
@@ -7,7 +7,7 @@
 from fescuedock.schema.permits import EndedPermit, HeldPermit, PermitAsk, WorkClass
 from fescuedock.schema.settings import AgentSettings
 
-__all__ = ["HeldGrant", "HolderBook", "LocalLimit", "lapsed_by_ms", "validity_ms"]
+__all__ = ["GrantRegistry", "HeldGrant", "LocalLimit", "lapsed_by_ms", "validity_ms"]
 
 
 class HeldGrant(msgspec.Struct):
@@ -82,7 +82,7 @@
     return min(arrived_ms, sent_ms + wait_ms) + valid_ms
 
 
-class HolderBook(msgspec.Struct):
+class GrantRegistry(msgspec.Struct):
     """All permits of one process."""
 
     _grants: dict[str, HeldGrant] = msgspec.field(default_factory=dict)
@@ -107,16 +107,16 @@
             self._ended.append(ended)
         return grant
 
-    def give_up(self, ended: EndedPermit) -> None:
+    def abandon(self, ended: EndedPermit) -> None:
         """Report the end of an ask whose answer did not come; its permit may exist."""
         self._ended.append(ended)
 
-    def take_ended(self) -> list[EndedPermit]:
+    def drain_ended(self) -> list[EndedPermit]:
         """Return the ends that were not reported yet and forget them."""
         ended, self._ended = self._ended, []
         return ended
 
-    def renewed(
+    def record_renewal(
         self, permit_ids: list[str], valid_until_ms: float, renew_at_ms: float = 0.0
     ) -> None:
         for permit_id in permit_ids:
@@ -140,14 +140,14 @@
     limit: int
     _running: dict[str, int] = msgspec.field(default_factory=dict)
 
-    def try_take(self, upstream_id: str) -> bool:
+    def try_acquire(self, upstream_id: str) -> bool:
         running = self._running.get(upstream_id, 0)
         if running >= self.limit:
             return False
         self._running[upstream_id] = running + 1
         return True
 
-    def give_back(self, upstream_id: str) -> None:
+    def release(self, upstream_id: str) -> None:
         running = self._running.get(upstream_id, 0) - 1
         if running > 0:
             self._running[upstream_id] = running
--- a/src/fescuedock/core/permits/limits.py
+++ b/src/fescuedock/core/permits/limits.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from fescuedock.core.permits.estimates import DecayedMean, DecayedPeak
-from fescuedock.core.permits.held import Company
+from fescuedock.core.permits.outstanding import Concurrency
 from fescuedock.schema.config import Objectives
 from fescuedock.schema.settings import PermitSettings
 
@@ -40,7 +40,7 @@
     first_token_ms: float
     inter_token_ms: float
     since_ms: float
-    company: Company
+    concurrency: Concurrency
 
 
 class _Limit:
@@ -51,7 +51,15 @@
     one cause.
     """
 
-    __slots__ = ("confirmed", "cut_ms", "half_life_ms", "misses", "raised_ms", "value", "was_cut")
+    __slots__ = (
+        "cut_ms",
+        "half_life_ms",
+        "misses",
+        "raise_confirmed",
+        "raised_ms",
+        "value",
+        "was_cut",
+    )
 
     def __init__(self, value: float, half_life_ms: float, now_ms: float) -> None:
         self.value = value
@@ -60,19 +68,19 @@
         self.raised_ms = now_ms
         self.was_cut = False
         # An attempt that started after the last raise has told of its times.
-        self.confirmed = False
+        self.raise_confirmed = False
         self.misses = DecayedMean(half_life_ms)
 
     def observe(self, missed: bool, weight: float, sample: AttemptSample, now_ms: float) -> None:
-        if not self.concerns(sample):
+        if not self.is_evidence(sample):
             return
         if weight > 0:
             self.misses.add(float(missed), now_ms, weight)
         if sample.since_ms >= self.raised_ms:
-            self.confirmed = True
+            self.raise_confirmed = True
 
-    def concerns(self, sample: AttemptSample) -> bool:
-        under = sample.company.in_flight <= self.value + 1.0
+    def is_evidence(self, sample: AttemptSample) -> bool:
+        under = sample.concurrency.in_flight <= self.value + 1.0
         return under and sample.since_ms >= self.cut_ms
 
     def cut(self, value: float, now_ms: float) -> None:
@@ -121,7 +129,7 @@
         """Time from a revocation to the end of its attempt."""
         return self._revocation.value(self._settings.revocation_ms)
 
-    def online_started(self, in_flight_online: int, now_ms: float) -> None:
+    def observe_online_start(self, in_flight_online: int, now_ms: float) -> None:
         """Take in that one more online attempt runs, ``in_flight_online`` in all."""
         self._peak.add(in_flight_online, now_ms)
         self._arrivals_ms.append(now_ms)
@@ -130,7 +138,7 @@
             self._arrivals_ms.popleft()
         self._burst.add(len(self._arrivals_ms), now_ms)
 
-    def revocation_done(self, took_ms: float, now_ms: float) -> None:
+    def observe_revocation(self, took_ms: float, now_ms: float) -> None:
         self._revocation.add(took_ms, now_ms)
 
     def observe_attempt(self, sample: AttemptSample, now_ms: float) -> None:
@@ -142,7 +150,7 @@
         """
         late = sample.first_token_ms > self.objectives.first_token_ms
         slow = sample.inter_token_ms > self.objectives.inter_token_ms
-        batch_share = sample.company.batch_share
+        batch_share = sample.concurrency.batch_share
         self._mixed.observe(late or slow, batch_share, sample, now_ms)
         if late or slow:
             self._cut_if_missed(self._mixed, _CUT_SHARE, sample, now_ms)
@@ -183,10 +191,10 @@
     ) -> None:
         """Cut when the misses pass ``share`` of those allowed; one alone may be chance."""
         misses = limit.misses.value(0.0)
-        if not limit.concerns(sample) or misses * limit.misses.weight < _MIN_MISSES:
+        if not limit.is_evidence(sample) or misses * limit.misses.weight < _MIN_MISSES:
             return
         if misses > share * self._allowed:
-            limit.cut(sample.company.in_flight * self._settings.limit_cut, now_ms)
+            limit.cut(sample.concurrency.in_flight * self._settings.limit_cut, now_ms)
 
     @property
     def _allowed(self) -> float:
@@ -200,7 +208,7 @@
     def _raise(self, limit: _Limit, used: float, ceiling: float, now_ms: float) -> None:
         """Raise by a step if the limit is in use and the last raise has been seen to do no harm."""
         in_use = used >= _IN_USE_SHARE * limit.value
-        if not in_use or not limit.confirmed or limit.value >= ceiling:
+        if not in_use or not limit.raise_confirmed or limit.value >= ceiling:
             return
         if now_ms - limit.raised_ms < self._settings.adjust_ms:
             return
@@ -211,4 +219,4 @@
             step = max(step, _SLOW_START_SHARE * limit.value)
         limit.value = min(limit.value + step, ceiling)
         limit.raised_ms = now_ms
-        limit.confirmed = False
+        limit.raise_confirmed = False
--- a/src/fescuedock/core/permits/held.py
+++ b/src/fescuedock/core/permits/outstanding.py
@@ -4,17 +4,17 @@
 
 import msgspec
 
-from fescuedock.core.permits.prediction import Start
+from fescuedock.core.permits.prediction import AttemptStart
 from fescuedock.core.permits.queued import batch_rank
 from fescuedock.schema.permits import BatchStage, HeldPermit, PermitAsk, WorkClass
 
-__all__ = ["Company", "Held", "HeldPermits"]
+__all__ = ["Concurrency", "OutstandingPermit", "OutstandingPermits"]
 
 # As many runs of an item in a row may be cut off before their first event like any other.
-_SHELTERED_FROM = 2
+_PROTECTED_MIN_BARREN_RUNS = 2
 
 
-class Held(msgspec.Struct):
+class OutstandingPermit(msgspec.Struct):
     """One permit that is out.  Its identity is that of the attempt."""
 
     permit_id: str
@@ -26,31 +26,33 @@
     expires_ms: float
     stage: BatchStage = BatchStage.FRESH
     # Overdue work that got its turn: late as it is, it gives way like other work that has begun.
-    in_turn: bool = False
+    granted_as_overdue: bool = False
     # Runs of its work in a row that were cut off before their first event.
     barren_runs: int = 0
     # When its run will be over, as far as its holder can tell; 0 when it says nothing.
-    done_ms: float = 0.0
+    expected_end_ms: float = 0.0
     prompt_tokens: int = 0
     generated_tokens: int = 0
     # From its grant; below 0 while there is none.
     first_token_ms: float = -1.0
     # Begin of the window whose token rate is to be seen next, and the tokens there were by then.
-    window_ms: float = 0.0
+    window_start_ms: float = 0.0
     window_tokens: int = 0
     # Attempt-milliseconds of the upstream, and those of batch, up to the window's begin.
-    area_before: float = 0.0
-    batch_area_before: float = 0.0
+    attempt_ms_at_window: float = 0.0
+    batch_attempt_ms_at_window: float = 0.0
     revoked_ms: float | None = None
     # Nothing else may begin at the upstream while it is out.
-    alone: bool = False
+    isolated: bool = False
     # What its customer was charged for it in the queue; 0 where nobody else waited.
     charged_tokens: float = 0.0
     # Set until the time to the first token has been taken into account.
-    start: Start | None = None
+    start: AttemptStart | None = None
 
     @classmethod
-    def granted(cls, ask: PermitAsk, start: Start, now_ms: float, valid_ms: int) -> "Held":
+    def granted(
+        cls, ask: PermitAsk, start: AttemptStart, now_ms: float, valid_ms: int
+    ) -> "OutstandingPermit":
         return cls(
             permit_id=ask.attempt_id,
             holder_id=ask.holder_id,
@@ -60,15 +62,17 @@
             granted_ms=now_ms,
             expires_ms=now_ms + valid_ms,
             stage=ask.stage,
-            done_ms=now_ms + ask.left_ms if ask.left_ms else 0.0,
+            expected_end_ms=now_ms + ask.left_ms if ask.left_ms else 0.0,
             prompt_tokens=ask.prompt_tokens,
-            alone=ask.alone,
+            isolated=ask.alone,
             barren_runs=ask.barren_runs,
             start=start,
         )
 
     @classmethod
-    def adopted(cls, holder_id: str, permit: HeldPermit, now_ms: float, valid_ms: int) -> "Held":
+    def adopted(
+        cls, holder_id: str, permit: HeldPermit, now_ms: float, valid_ms: int
+    ) -> "OutstandingPermit":
         """Take in a permit that another owner gave, from its holder's renewal.
 
         How it started is not known, so its first token is no evidence.
@@ -83,28 +87,28 @@
             expires_ms=now_ms + valid_ms,
             prompt_tokens=permit.prompt_tokens,
             generated_tokens=permit.generated_tokens,
-            alone=permit.alone,
+            isolated=permit.alone,
         )
-        held.note_standing(permit, now_ms)
+        held.update_work(permit, now_ms)
         return held
 
-    def note_standing(self, permit: HeldPermit, now_ms: float) -> None:
+    def update_work(self, permit: HeldPermit, now_ms: float) -> None:
         """Take in how the work stands that runs under the permit, which the holder chose late."""
         self.stage = permit.stage
         self.barren_runs = permit.barren_runs
-        self.done_ms = now_ms + permit.left_ms if permit.left_ms else 0.0
+        self.expected_end_ms = now_ms + permit.left_ms if permit.left_ms else 0.0
 
     def left_ms(self, now_ms: float) -> float:
         """Return how long the run will still take; 0 when nothing is known."""
-        return max(self.done_ms - now_ms, 1.0) if self.done_ms else 0.0
+        return max(self.expected_end_ms - now_ms, 1.0) if self.expected_end_ms else 0.0
 
-    def is_sheltered(self, now_ms: float) -> bool:
+    def is_protected(self, now_ms: float) -> bool:
         """Whether it gives way last: its work was cut off before its first event several times, or
         is overdue and has its turn.
 
         It is until it has given events for as long as the first one took.
         """
-        if self.barren_runs < _SHELTERED_FROM and not self.in_turn:
+        if self.barren_runs < _PROTECTED_MIN_BARREN_RUNS and not self.granted_as_overdue:
             return False
         return not self.generated_tokens or now_ms < self.granted_ms + 2 * self.first_token_ms
 
@@ -114,14 +118,14 @@
         return self.prompt_tokens + self.generated_tokens
 
 
-class Company(msgspec.Struct, frozen=True):
+class Concurrency(msgspec.Struct, frozen=True):
     """Mean number of attempts during one attempt, itself among them, and batch's share of it."""
 
     in_flight: float
     batch_share: float
 
 
-class HeldPermits(msgspec.Struct):
+class OutstandingPermits(msgspec.Struct):
     """All permits of one upstream by identity.
 
     A revoked permit stays until it ends or expires, since its attempt still runs.
@@ -131,17 +135,17 @@
     batch: int = 0
     revoking: int = 0
     # Beside which nothing may begin.
-    alone: int = 0
-    _area: float = 0.0
-    _batch_area: float = 0.0
+    isolated: int = 0
+    _attempt_ms: float = 0.0
+    _batch_attempt_ms: float = 0.0
     _at_ms: float = 0.0
-    _by_id: dict[str, Held] = msgspec.field(default_factory=dict)
+    _by_id: dict[str, OutstandingPermit] = msgspec.field(default_factory=dict)
     _by_member: dict[str, int] = msgspec.field(default_factory=dict)
 
     def __len__(self) -> int:
         return len(self._by_id)
 
-    def get(self, permit_id: str) -> Held | None:
+    def get(self, permit_id: str) -> OutstandingPermit | None:
         return self._by_id.get(permit_id)
 
     def by_member(self) -> Mapping[str, int]:
@@ -152,31 +156,31 @@
         return self._by_member.get(member, 0)
 
     @property
-    def staying(self) -> int:
+    def unrevoked(self) -> int:
         """Attempts that will still run once all revocations are done."""
         return len(self._by_id) - self.revoking
 
     @property
-    def staying_batch(self) -> int:
+    def unrevoked_batch(self) -> int:
         return self.batch - self.revoking
 
-    def add(self, held: Held, now_ms: float) -> None:
+    def add(self, held: OutstandingPermit, now_ms: float) -> None:
         self.start_window(held, 0, now_ms)
         self._by_id[held.permit_id] = held
-        self.alone += held.alone
+        self.isolated += held.isolated
         self._by_member[held.member] = self.count_of(held.member) + 1
         if held.work_class is WorkClass.ONLINE:
             self.online += 1
         else:
             self.batch += 1
 
-    def remove(self, permit_id: str, now_ms: float) -> Held | None:
+    def remove(self, permit_id: str, now_ms: float) -> OutstandingPermit | None:
         held = self._by_id.get(permit_id)
         if held is None:
             return None
         self._advance(now_ms)
         del self._by_id[permit_id]
-        self.alone -= held.alone
+        self.isolated -= held.isolated
         self._by_member[held.member] -= 1
         if not self._by_member[held.member]:
             del self._by_member[held.member]
@@ -187,11 +191,11 @@
             self.revoking -= held.revoked_ms is not None
         return held
 
-    def mark_revoked(self, held: Held, now_ms: float) -> None:
+    def mark_revoked(self, held: OutstandingPermit, now_ms: float) -> None:
         held.revoked_ms = now_ms
         self.revoking += 1
 
-    def staying_batch_permits(self) -> list[Held]:
+    def unrevoked_batch_permits(self) -> list[OutstandingPermit]:
         """Return the batch permits that have not been revoked."""
         return [
             held
@@ -199,7 +203,7 @@
             if held.work_class is WorkClass.BATCH and held.revoked_ms is None
         ]
 
-    def victims(self, count: int, now_ms: float, urgent_slack_ms: int) -> list[Held]:
+    def victims(self, count: int, now_ms: float, urgent_slack_ms: int) -> list[OutstandingPermit]:
         """Return the ``count`` batch permits whose loss costs least.
 
         What is late goes first and what cutting would make late goes last; in between, the longer
@@ -207,13 +211,15 @@
         turn as overdue counts as begun.  A run that is sheltered gives way last.  Where holders do
         not say that, those due soon go last and the fewest tokens to read again go first.
         """
-        candidates = self.staying_batch_permits()
+        candidates = self.unrevoked_batch_permits()
 
-        def loss(held: Held) -> tuple[bool, int, bool, float, int]:
-            stage, _ = batch_rank(BatchStage.BEGUN if held.in_turn else held.stage, 0.0, 0.0)
+        def loss(held: OutstandingPermit) -> tuple[bool, int, bool, float, int]:
+            stage, _ = batch_rank(
+                BatchStage.BEGUN if held.granted_as_overdue else held.stage, 0.0, 0.0
+            )
             is_due_soon = held.due_ms - now_ms < urgent_slack_ms
             return (
-                held.is_sheltered(now_ms),
+                held.is_protected(now_ms),
                 -stage,
                 is_due_soon,
                 -held.left_ms(now_ms),
@@ -223,11 +229,11 @@
         candidates.sort(key=loss)
         return candidates[:count]
 
-    def sheltered(self, now_ms: float) -> int:
+    def count_protected(self, now_ms: float) -> int:
         """Return how many batch permits give way last."""
-        return sum(held.is_sheltered(now_ms) for held in self.staying_batch_permits())
+        return sum(held.is_protected(now_ms) for held in self.unrevoked_batch_permits())
 
-    def batch_unstarted(self, now_ms: float) -> list[Held]:
+    def batch_unstarted(self, now_ms: float) -> list[OutstandingPermit]:
         """Return the batch permits that may stay and have shown no first token yet."""
         return [
             held
@@ -235,37 +241,37 @@
             if held.work_class is WorkClass.BATCH
             and held.revoked_ms is None
             and held.start is not None
-            and not held.is_sheltered(now_ms)
+            and not held.is_protected(now_ms)
             and not held.generated_tokens
         ]
 
-    def expired(self, now_ms: float) -> list[Held]:
+    def expired(self, now_ms: float) -> list[OutstandingPermit]:
         return [held for held in self._by_id.values() if held.expires_ms <= now_ms]
 
     def postpone_expiry(self, by_ms: float) -> None:
         for held in self._by_id.values():
             held.expires_ms += by_ms
 
-    def start_window(self, held: Held, tokens: int, now_ms: float) -> None:
+    def start_window(self, held: OutstandingPermit, tokens: int, now_ms: float) -> None:
         """Begin a new window in which ``held`` is watched, by now at ``tokens``."""
         self._advance(now_ms)
-        held.window_ms = now_ms
+        held.window_start_ms = now_ms
         held.window_tokens = tokens
-        held.area_before = self._area
-        held.batch_area_before = self._batch_area
+        held.attempt_ms_at_window = self._attempt_ms
+        held.batch_attempt_ms_at_window = self._batch_attempt_ms
 
-    def company_of(self, held: Held, now_ms: float) -> Company:
+    def concurrency_of(self, held: OutstandingPermit, now_ms: float) -> Concurrency:
         """Return what ran at the upstream in the window of ``held``, on the average."""
         self._advance(now_ms)
-        elapsed_ms = now_ms - held.window_ms
+        elapsed_ms = now_ms - held.window_start_ms
         if elapsed_ms <= 0:
-            return Company(len(self), self.batch / max(len(self), 1))
-        area = max(self._area - held.area_before, elapsed_ms)
-        batch_area = self._batch_area - held.batch_area_before
-        return Company(area / elapsed_ms, batch_area / area)
+            return Concurrency(len(self), self.batch / max(len(self), 1))
+        area = max(self._attempt_ms - held.attempt_ms_at_window, elapsed_ms)
+        batch_area = self._batch_attempt_ms - held.batch_attempt_ms_at_window
+        return Concurrency(area / elapsed_ms, batch_area / area)
 
     def _advance(self, now_ms: float) -> None:
         elapsed_ms = max(now_ms - self._at_ms, 0.0)
-        self._area += len(self._by_id) * elapsed_ms
-        self._batch_area += self.batch * elapsed_ms
+        self._attempt_ms += len(self._by_id) * elapsed_ms
+        self._batch_attempt_ms += self.batch * elapsed_ms
         self._at_ms = now_ms
--- a/src/fescuedock/core/permits/owner.py
+++ b/src/fescuedock/core/permits/owner.py
@@ -83,18 +83,18 @@
             self._tracker(service).set_upstreams(ours, count)
         return actions
 
-    def ask(self, ask: PermitAsk, now_ms: float) -> list[Action]:
+    def submit(self, ask: PermitAsk, now_ms: float) -> list[Action]:
         """Take in an ask; ``NOT_OWNER`` tells that this agent does not own the upstream."""
         queue = self._queues.get(ask.upstream_id)
         if queue is None:
             return [Refused(ask, ResultCode.NOT_OWNER, 0)]
-        return queue.ask(ask, now_ms)
+        return queue.submit(ask, now_ms)
 
-    def take_trial(self, upstream_id: str, now_ms: float) -> bool:
+    def start_trial(self, upstream_id: str, now_ms: float) -> bool:
         """Whether an upstream that is out may be probed now; bounded by its health policy."""
         if upstream_id not in self._queues:
             return False
-        return self._health_of(upstream_id).take_trial(upstream_id, now_ms)
+        return self._health_of(upstream_id).start_trial(upstream_id, now_ms)
 
     def renew(self, message: PermitRenew, now_ms: float) -> Renewal:
         """Extend what the holder has; permits of upstreams that are not ours stay untouched."""
@@ -147,9 +147,9 @@
             actions += queue.tick(now_ms)
         return actions
 
-    def waits(self, work_class: WorkClass) -> bool:
+    def has_waiting(self, work_class: WorkClass) -> bool:
         """Whether any ask of ``work_class`` is queued, so that ``tick`` is wanted soon."""
-        return any(queue.waits(work_class) for queue in self._queues.values())
+        return any(queue.has_waiting(work_class) for queue in self._queues.values())
 
     def load(self, upstream_id: str, now_ms: float) -> LoadSnapshot:
         """Return a fresh load; of an upstream that is not ours, one that takes no work."""
--- a/src/fescuedock/core/permits/prediction.py
+++ b/src/fescuedock/core/permits/prediction.py
@@ -9,10 +9,10 @@
 
 from fescuedock.core.permits.estimates import DecayedLine, DecayedPeak
 
-__all__ = ["FirstTokenModel", "Start"]
+__all__ = ["AttemptStart", "FirstTokenModel"]
 
 
-class Start(msgspec.Struct, frozen=True):
+class AttemptStart(msgspec.Struct, frozen=True):
     """The circumstances in which an attempt started."""
 
     prompt_tokens: int
@@ -23,13 +23,13 @@
 class FirstTokenModel:
     """The two learned costs of one upstream, and the prompts it has still to read."""
 
-    __slots__ = ("_longest", "_occupancy", "_prompt", "_read_by_ms")
+    __slots__ = ("_longest_first_token", "_occupancy", "_prefill_done_ms", "_prompt")
 
     def __init__(self, half_life_ms: float) -> None:
         self._prompt = DecayedLine(half_life_ms)
         self._occupancy = DecayedLine(half_life_ms)
-        self._longest = DecayedPeak(half_life_ms)
-        self._read_by_ms = 0.0
+        self._longest_first_token = DecayedPeak(half_life_ms)
+        self._prefill_done_ms = 0.0
 
     def prompt_ms(self, prompt_tokens: int) -> float:
         """Return the time that an engine takes to read so many tokens; 0 while nothing is known."""
@@ -40,23 +40,23 @@
 
         Errors of the prompt's cost add up, so it is bounded by what attempts really had to wait.
         """
-        ahead_ms = max(self._read_by_ms - now_ms, 0.0)
-        return min(ahead_ms, self._longest.value(now_ms))
+        ahead_ms = max(self._prefill_done_ms - now_ms, 0.0)
+        return min(ahead_ms, self._longest_first_token.value(now_ms))
 
-    def left_ms(self, start: Start, started_ms: float, now_ms: float) -> float:
+    def remaining_prefill_ms(self, start: AttemptStart, started_ms: float, now_ms: float) -> float:
         """Return how long the prompt of an attempt is probably still being read."""
         read_ms = start.prefill_ahead_ms + self.prompt_ms(start.prompt_tokens)
         return max(started_ms + read_ms - now_ms, 0.0)
 
-    def start(self, prompt_tokens: int, in_flight: int, now_ms: float) -> Start:
+    def record_start(self, prompt_tokens: int, in_flight: int, now_ms: float) -> AttemptStart:
         """Take in that an attempt starts beside ``in_flight`` others."""
         ahead_ms = self.prefill_ahead_ms(now_ms)
-        self._read_by_ms = now_ms + ahead_ms + self.prompt_ms(prompt_tokens)
-        return Start(prompt_tokens, ahead_ms, in_flight)
+        self._prefill_done_ms = now_ms + ahead_ms + self.prompt_ms(prompt_tokens)
+        return AttemptStart(prompt_tokens, ahead_ms, in_flight)
 
-    def observe(self, start: Start, first_token_ms: float, now_ms: float) -> None:
+    def observe(self, start: AttemptStart, first_token_ms: float, now_ms: float) -> None:
         """Take in the time to the first token of an attempt."""
-        self._longest.add(first_token_ms, now_ms)
+        self._longest_first_token.add(first_token_ms, now_ms)
         own_ms = max(first_token_ms - start.prefill_ahead_ms, 0.0)
         self._prompt.add(start.prompt_tokens, own_ms, now_ms)
         step_ms = max(own_ms - self.prompt_ms(start.prompt_tokens), 0.0)
--- a/src/fescuedock/core/permits/priority.py
+++ b/src/fescuedock/core/permits/priority.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-__all__ = ["BoundedPreference", "OVERDUE_MS", "URGENT", "urgency_of"]
+__all__ = ["OVERDUE_MS", "URGENT", "BoundedPreference", "urgency_of"]
 
 # How long work of a lower priority waits before it gets its turns: a third of the 2.4 s and more
 # that callers wait for a first event, so that it can still start for them.
@@ -17,17 +17,17 @@
 class BoundedPreference(msgspec.Struct):
     """A preference that decides one grant in ``every``, so that it cannot crowd out the rest."""
 
-    every: int
-    _others: int = 0
+    interval: int
+    _grants_since: int = 0
 
     @property
     def is_due(self) -> bool:
         """Whether the next grant may go by the preference."""
-        return self._others >= self.every - 1
+        return self._grants_since >= self.interval - 1
 
-    def note(self, *, preferred: bool) -> None:
+    def record_grant(self, *, preferred: bool) -> None:
         """Take in a grant, and whether it went to work that is preferred when its turn is due."""
-        self._others = 0 if preferred and self.is_due else self._others + 1
+        self._grants_since = 0 if preferred and self.is_due else self._grants_since + 1
 
 
 def urgency_of(priority: int, waited_ms: float, *, overdue_first: bool) -> int:
--- a/src/fescuedock/core/permits/queued.py
+++ b/src/fescuedock/core/permits/queued.py
@@ -10,23 +10,23 @@
 from fescuedock.schema.permits import BatchStage, PermitAsk, WorkClass
 
 __all__ = [
-    "OVERDUE_EVERY",
+    "OVERDUE_GRANT_INTERVAL",
     "MemberShares",
-    "Waiting",
+    "WaitingRequest",
     "batch_rank",
     "is_overdue",
-    "turn_rank",
+    "stage_group",
 ]
 
 # One batch grant in so many goes to overdue work, before all other batch.
-OVERDUE_EVERY = 8
+OVERDUE_GRANT_INTERVAL = 8
 # By so much has work missed its last chance to be on time when it counts as overdue.
-_OVERDUE_MS = 2000.0
+_OVERDUE_LATENESS_MS = 2000.0
 
 _STAGE_RANKS = {stage: number for number, stage in enumerate(BatchStage)}
 # Customers take turns among work that can wait equally well: what another wait would make late goes
 # before it, and what cannot be done in time behind it, whoever's it is.
-_TURN_RANKS = {
+_STAGE_GROUPS = {
     BatchStage.ENDANGERED: 0,
     BatchStage.BEGUN: 1,
     BatchStage.FRESH: 1,
@@ -44,7 +44,7 @@
         return self.weights.get(member, 1.0)
 
 
-class Waiting(msgspec.Struct, frozen=True):
+class WaitingRequest(msgspec.Struct, frozen=True):
     """One queued ask and the times by which it must be answered or becomes useless."""
 
     ask: PermitAsk
@@ -61,7 +61,7 @@
         target_ms = self.ask.target_ms
         return target_ms != 0 and now_ms > self.arrived_ms + target_ms
 
-    def order(self, now_ms: float) -> tuple[int, float]:
+    def sort_key(self, now_ms: float) -> tuple[int, float]:
         """Return what asks of one class and member are ordered by; the lower goes first."""
         if self.ask.work_class is WorkClass.BATCH:
             return batch_rank(self.ask.stage, self.ask.left_ms, self.due_ms)
@@ -74,16 +74,16 @@
         )
 
     @property
-    def turn_rank(self) -> int:
+    def stage_group(self) -> int:
         """Return what asks of one class and priority are ordered by before customers take turns."""
-        return turn_rank(self.ask.stage) if self.ask.work_class is WorkClass.BATCH else 0
+        return stage_group(self.ask.stage) if self.ask.work_class is WorkClass.BATCH else 0
 
     def waited_ms(self, now_ms: float) -> float:
         """Return how long the work has waited, at other owners too."""
         return self.ask.waited_ms + now_ms - self.arrived_ms
 
     @property
-    def is_shared(self) -> bool:
+    def needs_fair_order(self) -> bool:
         """Whether the ask names a customer or a priority, by which the order must go."""
         return bool(self.ask.member or self.ask.priority)
 
@@ -110,12 +110,12 @@
 
     What is late runs after all that can still be on time, which may never end.
     """
-    return stage is BatchStage.LATE and slack_ms <= -_OVERDUE_MS
+    return stage is BatchStage.LATE and slack_ms <= -_OVERDUE_LATENESS_MS
 
 
-def turn_rank(stage: BatchStage) -> int:
+def stage_group(stage: BatchStage) -> int:
     """Return by what batch work is ordered before customers take turns; the lower goes first."""
-    return _TURN_RANKS[stage]
+    return _STAGE_GROUPS[stage]
 
 
 def batch_rank(stage: BatchStage, left_ms: float, due_ms: float) -> tuple[int, float]:
--- a/src/fescuedock/core/permits/returns.py
+++ b/src/fescuedock/core/permits/refusals.py
@@ -7,33 +7,33 @@
 
 import msgspec
 
-__all__ = ["RefusedWork", "ReturnTimes"]
+__all__ = ["RefusedWork", "RetryTimes"]
 
 # Callers come back within seconds, or not at all.
-_REMEMBER_MS = 5000.0
-_MOST_REMEMBERED = 512
+_REFUSAL_MEMORY_MS = 5000.0
+_MAX_REMEMBERED_REFUSALS = 512
 # Callers that are told to wait for longer than they wait for an answer do not come back.
-_LONGEST_RETURN_MS = 2500.0
+_MAX_RETRY_DELAY_MS = 2500.0
 # The fractional part of the golden ratio spreads any number of phases nearly evenly.
 _PHASE_STEP = 0.618
 
 
-class ReturnTimes(msgspec.Struct):
+class RetryTimes(msgspec.Struct):
     """Gives each refused caller a time of its own, as fast as the queue serves."""
 
     _last_ms: float = -float("inf")
     _phase: float = 0.0
 
-    def promise(self, now_ms: float, wait_ms: float, step_ms: float) -> float:
+    def assign_delay_ms(self, now_ms: float, wait_ms: float, step_ms: float) -> float:
         """Return in how many ms there will be capacity for one more caller.
 
         ``wait_ms`` is when the queue of now is served, ``step_ms`` the time between two grants.
         """
         at_ms = max(now_ms + wait_ms, self._last_ms + step_ms)
-        if at_ms > now_ms + _LONGEST_RETURN_MS:
+        if at_ms > now_ms + _MAX_RETRY_DELAY_MS:
             # There is no capacity left to promise; another round falls between the times of others.
             self._phase = (self._phase + _PHASE_STEP) % 1.0
-            at_ms = now_ms + min(wait_ms, _LONGEST_RETURN_MS - step_ms) + self._phase * step_ms
+            at_ms = now_ms + min(wait_ms, _MAX_RETRY_DELAY_MS - step_ms) + self._phase * step_ms
         self._last_ms = at_ms
         return at_ms - now_ms
 
@@ -49,16 +49,16 @@
     def __contains__(self, work_id: str) -> bool:
         return work_id in self._until_ms
 
-    def note(self, work_id: str, now_ms: float) -> None:
+    def add(self, work_id: str, now_ms: float) -> None:
         """Take in that work was refused; the oldest is forgotten when there is too much."""
         if not work_id:
             return
         self._until_ms.pop(work_id, None)
-        self._until_ms[work_id] = now_ms + _REMEMBER_MS
-        if len(self._until_ms) > _MOST_REMEMBERED:
+        self._until_ms[work_id] = now_ms + _REFUSAL_MEMORY_MS
+        if len(self._until_ms) > _MAX_REMEMBERED_REFUSALS:
             self._until_ms.popitem(last=False)
 
-    def served(self, work_id: str) -> None:
+    def discard(self, work_id: str) -> None:
         """Forget work that starts."""
         self._until_ms.pop(work_id, None)
 
--- a/src/fescuedock/core/permits/speed.py
+++ b/src/fescuedock/core/permits/speed.py
@@ -22,7 +22,7 @@
 _MAX_SLOWNESS = 10.0
 # Samples above this many times the usual count as no more, so that slow periods hardly move the
 # lasting speed while a lasting change still does, step by step.
-_MAX_RISE = 1.5
+_MAX_SAMPLE_RATIO = 1.5
 
 
 class Speed(msgspec.Struct, frozen=True):
@@ -44,21 +44,28 @@
 class UpstreamSpeed:
     """The learned speed of one upstream; a new owner or upstream begins with nothing known."""
 
-    __slots__ = ("_event", "_events", "_seen_ms", "_slow_ms", "_slowness", "_start")
+    __slots__ = (
+        "_event",
+        "_event_count",
+        "_last_evidence_ms",
+        "_slowness",
+        "_slowness_updated_ms",
+        "_start",
+    )
 
     def __init__(self, half_life_ms: float) -> None:
         self._start = DecayedLine(half_life_ms)
         self._event = DecayedLine(half_life_ms)
-        self._events = DecayedMean(half_life_ms)
+        self._event_count = DecayedMean(half_life_ms)
         self._slowness = 1.0
-        self._slow_ms = 0.0
-        self._seen_ms = -float("inf")
+        self._slowness_updated_ms = 0.0
+        self._last_evidence_ms = -float("inf")
 
     def observe_start(self, prompt_tokens: int, first_event_ms: float, now_ms: float) -> None:
         """Take in the time from the grant to the first event of an attempt."""
         usual_ms = self._start.value(prompt_tokens, first_event_ms)
-        self._start.add(prompt_tokens, min(first_event_ms, _MAX_RISE * usual_ms), now_ms)
-        self._seen_ms = now_ms
+        self._start.add(prompt_tokens, min(first_event_ms, _MAX_SAMPLE_RATIO * usual_ms), now_ms)
+        self._last_evidence_ms = now_ms
 
     def observe_events(self, event_ms: float, in_flight: int, now_ms: float) -> None:
         """Take in a recent time between two events of an attempt beside ``in_flight`` in all."""
@@ -68,29 +75,29 @@
         ratio = min(event_ms / usual_ms, _MAX_SLOWNESS)
         before = self.slowness(now_ms)
         self._slowness = max(before + _SLOWNESS_GAIN * (ratio - before), 1.0)
-        self._slow_ms = now_ms
-        self._event.add(in_flight, min(event_ms, _MAX_RISE * usual_ms), now_ms)
-        self._seen_ms = now_ms
+        self._slowness_updated_ms = now_ms
+        self._event.add(in_flight, min(event_ms, _MAX_SAMPLE_RATIO * usual_ms), now_ms)
+        self._last_evidence_ms = now_ms
 
     def observe_length(self, events: int, now_ms: float) -> None:
         """Take in how many events a whole answer to a call had."""
-        self._events.add(events, now_ms)
+        self._event_count.add(events, now_ms)
 
     def slowness(self, now_ms: float) -> float:
         """Return how many times as long as usual things take now, 1 or more."""
-        fading = 0.5 ** (max(now_ms - self._slow_ms, 0.0) / SLOWNESS_HALF_LIFE_MS)
+        fading = 0.5 ** (max(now_ms - self._slowness_updated_ms, 0.0) / SLOWNESS_HALF_LIFE_MS)
         return 1.0 + (self._slowness - 1.0) * fading
 
     def speed(self, in_flight: int, now_ms: float) -> Speed:
         """Return the estimates for an attempt that would be one of ``in_flight``."""
-        if self._seen_ms == -float("inf"):
+        if self._last_evidence_ms == -float("inf"):
             return Speed()
         event_ms = self._event.value(in_flight, 0.0)
         return Speed(
             start_ms=self._start.value(0.0, 0.0),
             prompt_token_ms=self._start.slope,
             event_ms=event_ms,
-            run_ms=max(self._events.value(0.0) - 1.0, 0.0) * event_ms,
+            run_ms=max(self._event_count.value(0.0) - 1.0, 0.0) * event_ms,
             slowness=self.slowness(now_ms),
-            age_ms=now_ms - self._seen_ms,
+            age_ms=now_ms - self._last_evidence_ms,
         )
--- a/src/fescuedock/core/permits/waiting.py
+++ b/src/fescuedock/core/permits/waiting.py
@@ -5,17 +5,17 @@
 
 import msgspec
 
-from fescuedock.core.permits.held import Held
-from fescuedock.core.permits.queued import OVERDUE_EVERY, MemberShares, Waiting
+from fescuedock.core.permits.outstanding import OutstandingPermit
+from fescuedock.core.permits.queued import OVERDUE_GRANT_INTERVAL, MemberShares, WaitingRequest
 from fescuedock.schema.permits import WorkClass
 
 if TYPE_CHECKING:
     from fescuedock.core.permits.fair_order import FairOrder
 
-__all__ = ["MemberShares", "Waiting", "WaitingAsks"]
+__all__ = ["MemberShares", "WaitingRequest", "WaitingRequests"]
 
 
-class WaitingAsks(msgspec.Struct):
+class WaitingRequests(msgspec.Struct):
     """A queue of one upstream.  Online always goes before batch.
 
     Within a class, ``FairOrder`` decides between customers and priorities, so that one customer's
@@ -25,33 +25,33 @@
 
     shares: MemberShares
     # Of them, those that are to run with nothing beside them.
-    alone: int = 0
-    _by_attempt: dict[str, Waiting] = msgspec.field(default_factory=dict)
+    isolated: int = 0
+    _by_attempt: dict[str, WaitingRequest] = msgspec.field(default_factory=dict)
     _counts: dict[WorkClass, int] = msgspec.field(
         default_factory=lambda: dict.fromkeys(WorkClass, 0)
     )
     # Of them, those that name a customer or a priority; without any, nothing is kept of customers.
-    _shared: int = 0
+    _fair_order_count: int = 0
     _orders: dict[WorkClass, "FairOrder"] = msgspec.field(default_factory=dict)
     # Batch grants since overdue work had its last turn.
-    _since_overdue: int = 0
+    _grants_since_overdue: int = 0
 
     def __contains__(self, attempt_id: str) -> bool:
         return attempt_id in self._by_attempt
 
-    def __iter__(self) -> Iterator[Waiting]:
+    def __iter__(self) -> Iterator[WaitingRequest]:
         return iter(self._by_attempt.values())
 
     def count(self, work_class: WorkClass) -> int:
         return self._counts[work_class]
 
-    def alone_in_order(self) -> list[Waiting]:
+    def isolated_in_order(self) -> list[WaitingRequest]:
         """Return the asks to run alone, next first: online before batch, as they came."""
         asks = [item for item in self._by_attempt.values() if item.ask.alone]
         asks.sort(key=lambda item: (item.ask.work_class is WorkClass.BATCH, item.arrived_ms))
         return asks
 
-    def online_share(self) -> float:
+    def expected_online_starts(self) -> float:
         """Return how many of the online asks will start here, as some wait elsewhere too."""
         return sum(
             item.expected_starts
@@ -59,46 +59,46 @@
             if item.ask.work_class is WorkClass.ONLINE
         )
 
-    def add(self, waiting: Waiting) -> None:
+    def add(self, waiting: WaitingRequest) -> None:
         self._by_attempt[waiting.ask.attempt_id] = waiting
         self._counts[waiting.ask.work_class] += 1
-        self.alone += waiting.ask.alone
-        self._shared += waiting.is_shared
+        self.isolated += waiting.ask.alone
+        self._fair_order_count += waiting.needs_fair_order
 
-    def remove(self, attempt_id: str) -> Waiting | None:
+    def remove(self, attempt_id: str) -> WaitingRequest | None:
         waiting = self._by_attempt.pop(attempt_id, None)
         if waiting is not None:
             self._counts[waiting.ask.work_class] -= 1
-            self.alone -= waiting.ask.alone
-            self._shared -= waiting.is_shared
+            self.isolated -= waiting.ask.alone
+            self._fair_order_count -= waiting.needs_fair_order
         return waiting
 
     def in_order(
         self, work_class: WorkClass, running: Callable[[str], int], now_ms: float
-    ) -> list[Waiting]:
+    ) -> list[WaitingRequest]:
         """Return the asks of ``work_class``, next first.
 
         ``running`` gives the attempts of a member that run now.
         """
         asks = [item for item in self._by_attempt.values() if item.ask.work_class is work_class]
-        if not self._shared or len(asks) < 2:
-            asks.sort(key=lambda item: item.order(now_ms))
+        if not self._fair_order_count or len(asks) < 2:
+            asks.sort(key=lambda item: item.sort_key(now_ms))
         else:
             asks = self._order(work_class).in_order(asks, self.shares, running, now_ms)
-        if work_class is WorkClass.BATCH and self._is_overdue_turn:
+        if work_class is WorkClass.BATCH and self._is_overdue_grant_due:
             _put_longest_overdue_first(asks, now_ms)
         return asks
 
     @property
-    def _is_overdue_turn(self) -> bool:
-        return self._since_overdue >= OVERDUE_EVERY - 1
+    def _is_overdue_grant_due(self) -> bool:
+        return self._grants_since_overdue >= OVERDUE_GRANT_INTERVAL - 1
 
-    def note_grant(self, waiting: Waiting, now_ms: float) -> bool:
+    def record_grant(self, waiting: WaitingRequest, now_ms: float) -> bool:
         """Take in that an ask is granted; return whether it was the turn of overdue work."""
         if waiting.ask.work_class is not WorkClass.BATCH:
             return False
-        is_turn = self._is_overdue_turn and waiting.is_overdue(now_ms)
-        self._since_overdue = 0 if is_turn else self._since_overdue + 1
+        is_turn = self._is_overdue_grant_due and waiting.is_overdue(now_ms)
+        self._grants_since_overdue = 0 if is_turn else self._grants_since_overdue + 1
         return is_turn
 
     def _order(self, work_class: WorkClass) -> "FairOrder":
@@ -110,30 +110,30 @@
             order = self._orders[work_class] = FairOrder()
         return order
 
-    def charge(self, waiting: Waiting, now_ms: float) -> float:
+    def charge(self, waiting: WaitingRequest, now_ms: float) -> float:
         """Charge an ask that was removed to be granted to its customer; return the cost."""
         ask = waiting.ask
-        if not waiting.is_shared or not self._counts[ask.work_class]:
+        if not waiting.needs_fair_order or not self._counts[ask.work_class]:
             return 0.0
         order = self._order(ask.work_class)
-        return order.granted(waiting, self.shares.weight(ask.member), now_ms)
+        return order.record_grant(waiting, self.shares.weight(ask.member), now_ms)
 
-    def settle(self, held: Held, generated_tokens: int, now_ms: float) -> None:
+    def correct_charge(self, held: OutstandingPermit, generated_tokens: int, now_ms: float) -> None:
         """Take in what an attempt has really generated."""
         if not held.member:
             return
         shares = self._order(held.work_class).shares
         if generated_tokens:
-            shares.learn_tokens(generated_tokens)
+            shares.observe_tokens(generated_tokens)
         if held.charged_tokens:
             cost = shares.cost(held.prompt_tokens, 0) - shares.cost(0, 0) + generated_tokens
             weight = self.shares.weight(held.member)
             shares.correct(held.member, cost - held.charged_tokens, weight, now_ms)
 
-    def note_refusal(self, waiting: Waiting, now_ms: float) -> None:
+    def record_refusal(self, waiting: WaitingRequest, now_ms: float) -> None:
         """Take in that work is refused for good, so that it goes before others if it returns."""
-        if waiting.is_shared:
-            self._order(waiting.ask.work_class).refused.note(waiting.ask.work_id, now_ms)
+        if waiting.needs_fair_order:
+            self._order(waiting.ask.work_class).refused.add(waiting.ask.work_id, now_ms)
 
     def forget(self, running: Mapping[str, int], now_ms: float) -> None:
         """Drop what is kept of customers and no longer makes a difference."""
@@ -142,12 +142,12 @@
             order.shares.forget(now_ms, running, anyone_waits=waits)
             order.refused.forget(now_ms)
 
-    def customers_kept(self) -> int:
+    def retained_customers(self) -> int:
         """Return the number of customers and refused works of which anything is kept."""
         orders = self._orders.values()
         return sum(len(order.shares) + len(order.refused) for order in orders)
 
-    def over_share(self, member: str, running: Callable[[str], int]) -> bool:
+    def is_over_share(self, member: str, running: Callable[[str], int]) -> bool:
         """Whether ``member`` runs more than its share while another member waits."""
         members = {item.ask.member for item in self._by_attempt.values()} | {member}
         if len(members) < 2:
@@ -157,7 +157,7 @@
         return running(member) > total * self.shares.weight(member) / weight
 
 
-def _put_longest_overdue_first(asks: list[Waiting], now_ms: float) -> None:
+def _put_longest_overdue_first(asks: list[WaitingRequest], now_ms: float) -> None:
     overdue = (item for item in asks if item.is_overdue(now_ms))
     longest = min(overdue, key=lambda item: item.due_ms, default=None)
     if longest is not None:
--- a/src/fescuedock/core/stored_jobs/customer_turns.py
+++ b/src/fescuedock/core/stored_jobs/customer_turns.py
@@ -6,7 +6,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable, Sequence
 
-from fescuedock.core.permits.queued import turn_rank
+from fescuedock.core.permits.queued import stage_group
 from fescuedock.core.stored_jobs.job import StoredJob
 from fescuedock.core.stored_jobs.urgency import ItemChoice
 from fescuedock.schema.stored_jobs import StoredJobRecord
@@ -40,7 +40,7 @@
         record = choice.job.record
         customer = record.customer or ""
         avoided = upstream_id in choice.run.avoided
-        urgency = (priority(record), turn_rank(choice.stage))
+        urgency = (priority(record), stage_group(choice.stage))
         keyed.append((avoided, urgency, turns[customer], position))
         turns[customer] += 1
     return [ranked[key[-1]] for key in sorted(keyed)]
--- a/src/fescuedock/net/http_connection.py
+++ b/src/fescuedock/net/http_connection.py
@@ -17,8 +17,8 @@
     from fescuedock.net.unsent import UnsentBytes
 
 __all__ = [
-    "CutOff",
     "LINGER_S",
+    "CutOff",
     "DroppedConnectionError",
     "HttpConnection",
     "HttpLimits",
--- a/src/fescuedock/platform/job_calls.py
+++ b/src/fescuedock/platform/job_calls.py
@@ -10,8 +10,8 @@
 from fescuedock.schema.stored_jobs import StoredItem, StoredResult
 
 __all__ = [
-    "JobCall",
     "MAX_JOB_ITEMS",
+    "JobCall",
     "encode_results",
     "job_call",
     "read_submission",
--- a/src/fescuedock/platform/records.py
+++ b/src/fescuedock/platform/records.py
@@ -26,9 +26,9 @@
     "is_heartbeat",
     "read_route_table",
     "read_upstream",
+    "registered_id",
     "retired_node",
     "retirement_status_key",
-    "registered_id",
 ]
 
 OPERATOR_PREFIX = "op/"
--- a/tests/builders/jobs_calls.py
+++ b/tests/builders/jobs_calls.py
@@ -6,7 +6,7 @@
 from fescuedock.address import Address
 from tests.builders.node import Answer, NodeFleet
 
-__all__ = ["JOB", "item_entry", "job_body", "submission_of", "read_page", "submit", "wanted_text"]
+__all__ = ["JOB", "item_entry", "job_body", "read_page", "submission_of", "submit", "wanted_text"]
 
 JOB = "7c41e09b52d6a3f8"
 
--- a/tests/builders/permit_world.py
+++ b/tests/builders/permit_harness.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field
 
 from fescuedock.core.permits.actions import Action, Granted, Refused, Revoked
-from fescuedock.core.permits.holder import HeldGrant, HolderBook
+from fescuedock.core.permits.holder import GrantRegistry, HeldGrant
 from fescuedock.core.permits.owner import OwnedUpstream, PermitOwner
 from fescuedock.core.permits.terms import UpstreamTerms
 from fescuedock.schema.config import Objectives
@@ -18,7 +18,7 @@
 from fescuedock.schema.settings import PermitSettings
 from tests.builders.permits import SERVICE, VALID_MS, ask_for, end_of
 
-__all__ = ["HOLDERS", "LIMIT", "PermitWorld"]
+__all__ = ["HOLDERS", "LIMIT", "PermitHarness"]
 
 LIMIT = 4
 TICK_MS = 200.0
@@ -27,24 +27,24 @@
 
 
 @dataclass(slots=True)
-class PermitWorld:
+class PermitHarness:
     """``owner_of`` is each holder's opinion of who owns the upstream, which may differ."""
 
     now_ms: float = 0.0
     owners: list[PermitOwner] = field(default_factory=list)
     owner_of: dict[str, int] = field(default_factory=dict)
-    books: dict[str, HolderBook] = field(default_factory=dict)
+    books: dict[str, GrantRegistry] = field(default_factory=dict)
     # What really runs at the upstream, by attempt.
     running: dict[str, PermitAsk] = field(default_factory=dict)
     waiting: dict[str, PermitAsk] = field(default_factory=dict)
     # Told to stop, but the word has not reached the holder.
-    stopping: dict[str, str] = field(default_factory=dict)
+    revoking: dict[str, str] = field(default_factory=dict)
     paused: set[int] = field(default_factory=set)
     # Owners that are gone, or know that they are none any more.
-    gone: set[int] = field(default_factory=set)
+    retired: set[int] = field(default_factory=set)
 
     def __post_init__(self) -> None:
-        self.books = {holder_id: HolderBook() for holder_id in HOLDERS}
+        self.books = {holder_id: GrantRegistry() for holder_id in HOLDERS}
         self.owner_of = dict.fromkeys(HOLDERS, self.add_owner())
         self.advance(VALID_MS)
 
@@ -59,7 +59,7 @@
     def retire(self, number: int) -> None:
         """Let an owner learn that it is none any more."""
         self.perform(self.owners[number].set_upstreams({}, {SERVICE: 0}, self.now_ms))
-        self.gone.add(number)
+        self.retired.add(number)
 
     def load(self, number: int) -> LoadSnapshot:
         return self.owners[number].load(UPSTREAM, self.now_ms)
@@ -71,10 +71,10 @@
         number = self.owner_of[holder_id]
         if number in self.paused:
             return []
-        actions = self.owners[number].ask(ask, self.now_ms)
+        actions = self.owners[number].submit(ask, self.now_ms)
         if reply_lost:
             self.perform([item for item in actions if isinstance(item, Revoked)])
-            self.books[holder_id].give_up(end_of(ask, AttemptOutcome.CANCELLED))
+            self.books[holder_id].abandon(end_of(ask, AttemptOutcome.CANCELLED))
         else:
             self.waiting[ask.attempt_id] = ask
             self.perform(actions)
@@ -84,15 +84,15 @@
         for action in actions:
             match action:
                 case Revoked():
-                    self.stopping[action.permit_id] = action.holder_id
+                    self.revoking[action.permit_id] = action.holder_id
                 case Refused():
                     self.waiting.pop(action.ask.attempt_id, None)
                 case Granted():
                     self._start(action)
 
     def deliver_revocations(self) -> None:
-        for permit_id in tuple(self.stopping):
-            del self.stopping[permit_id]
+        for permit_id in tuple(self.revoking):
+            del self.revoking[permit_id]
             if permit_id in self.running:
                 self.end(permit_id, AttemptOutcome.REVOKED)
 
@@ -102,7 +102,7 @@
 
     def report(self, holder_id: str, lost: bool = False) -> None:
         """Send the ends of one holder; lost ones are never repeated."""
-        message = PermitsEnded(holder_id, self.books[holder_id].take_ended())
+        message = PermitsEnded(holder_id, self.books[holder_id].drain_ended())
         number = self.owner_of[holder_id]
         if not lost and number not in self.paused:
             self.perform(self.owners[number].end(message, self.now_ms))
@@ -117,7 +117,7 @@
         self.perform(renewal.actions)
         if renewal.reply.loads:
             valid_ms = self.now_ms + renewal.reply.valid_ms
-            book.renewed([item.permit_id for item in held], valid_ms)
+            book.record_renewal([item.permit_id for item in held], valid_ms)
         for permit_id in renewal.reply.revoked:
             if permit_id in self.running:
                 self.end(permit_id, AttemptOutcome.REVOKED)
@@ -131,7 +131,7 @@
 
     def _tick(self) -> None:
         for number, owner in enumerate(self.owners):
-            if number not in self.paused | self.gone:
+            if number not in self.paused | self.retired:
                 self.perform(owner.tick(self.now_ms))
         for book in self.books.values():
             for permit_id in book.lapsed(self.now_ms):
--- a/tests/builders/permits.py
+++ b/tests/builders/permits.py
@@ -28,8 +28,8 @@
 
 __all__ = [
     "SERVICE",
-    "ServedOwner",
     "VALID_MS",
+    "ServedOwner",
     "ask_for",
     "end_of",
     "new_queue",
--- a/tests/soak/world.py
+++ b/tests/soak/world.py
@@ -29,9 +29,9 @@
     "SoakProcess",
     "SoakUpstream",
     "World",
-    "version_route",
     "own_network",
     "serves",
+    "version_route",
 ]
 
 # What a node has to end in after SIGTERM; its setting below, and a second of our own.
--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -300,21 +300,21 @@
 
     def test_one_trial_at_a_time_and_two_successes_bring_it_back(self) -> None:
         tracker = self.out()
-        self.assertFalse(tracker.take_trial("u", 499.0))
-        self.assertTrue(tracker.take_trial("u", 500.0))
-        self.assertFalse(tracker.take_trial("u", 501.0))
+        self.assertFalse(tracker.start_trial("u", 499.0))
+        self.assertTrue(tracker.start_trial("u", 500.0))
+        self.assertFalse(tracker.start_trial("u", 501.0))
         tracker.observe("u", AttemptOutcome.COMPLETED, 600.0)
         self.assertFalse(tracker.accepting("u"))
-        self.assertTrue(tracker.take_trial("u", 600.0))
+        self.assertTrue(tracker.start_trial("u", 600.0))
         tracker.observe("u", AttemptOutcome.COMPLETED, 700.0)
         self.assertTrue(tracker.accepting("u"))
 
     def test_a_failed_trial_doubles_the_wait_and_starts_over(self) -> None:
         tracker = self.out()
-        tracker.take_trial("u", 500.0)
+        tracker.start_trial("u", 500.0)
         tracker.observe("u", AttemptOutcome.CONNECT_REFUSED, 500.0)
         self.assertEqual(tracker.next_trial_ms("u"), 1500.0)
-        self.assertFalse(tracker.take_trial("u", 1499.0))
+        self.assertFalse(tracker.start_trial("u", 1499.0))
 
     def test_old_attempts_are_no_trials(self) -> None:
         tracker = self.out()
--- a/tests/test_permits_alone.py
+++ b/tests/test_permits_alone.py
@@ -29,7 +29,7 @@
     def ask(self, name: str, *, alone: bool = False, batch: bool = False, now_ms: float = 0.0):
         work_class = WorkClass.BATCH if batch else WorkClass.ONLINE
         ask = PermitAsk("u", name, "h", "s", "", work_class, 5000, wait_ms=WAIT_MS, alone=alone)
-        return self.queue.ask(ask, now_ms)
+        return self.queue.submit(ask, now_ms)
 
     def end(self, name: str, now_ms: float = 0.0):
         ended = EndedPermit(name, "u", AttemptOutcome.COMPLETED, WorkClass.ONLINE)
@@ -83,7 +83,7 @@
             "u", PermitSettings(), UpstreamTerms(slots=SLOTS), VALID_MS, 500.0, 0.0
         )
         ask = PermitAsk("u", "lone", "h", "s", "", WorkClass.ONLINE, 5000, wait_ms=2000, alone=True)
-        self.assertEqual(queue.ask(ask, 0.0), [])
+        self.assertEqual(queue.submit(ask, 0.0), [])
         held = HeldPermit("call", "u", "call", "s", "", WorkClass.ONLINE)
         queue.renew("h2", held, 400.0)
         self.assertEqual(queue.tick(600.0), [])
--- a/tests/test_permits_overdue.py
+++ b/tests/test_permits_overdue.py
@@ -5,7 +5,7 @@
 from fescuedock.core.permits.actions import Granted, Revoked
 from fescuedock.core.permits.holder import HeldGrant
 from fescuedock.core.permits.queue import UpstreamQueue
-from fescuedock.core.permits.queued import OVERDUE_EVERY
+from fescuedock.core.permits.queued import OVERDUE_GRANT_INTERVAL
 from fescuedock.core.permits.terms import UpstreamTerms
 from fescuedock.schema.permits import AttemptOutcome, BatchStage, PermitAsk, WorkClass
 from fescuedock.schema.settings import PermitSettings
@@ -25,7 +25,7 @@
 
     def ask(self, **changes: object) -> PermitAsk:
         ask = ask_for(WorkClass.BATCH, **changes)
-        self.queue.ask(ask, self.now_ms)
+        self.queue.submit(ask, self.now_ms)
         return ask
 
     def granted(self, count: int, **other: object) -> list[PermitAsk]:
@@ -46,32 +46,32 @@
     def test_late_work_gets_its_turn_however_much_other_work_comes(self) -> None:
         """Guards against late items that waited for as long as younger ones kept coming."""
         late = self.ask(**LATE)
-        self.assertIn(late, self.granted(OVERDUE_EVERY))
+        self.assertIn(late, self.granted(OVERDUE_GRANT_INTERVAL))
 
     def test_all_late_work_is_served_the_longest_overdue_first(self) -> None:
         late = [self.ask(**LATE | {"slack_ms": -slack_ms}) for slack_ms in (7000, 9000, 8000)]
-        granted = [ask for ask in self.granted(3 * OVERDUE_EVERY) if ask in late]
+        granted = [ask for ask in self.granted(3 * OVERDUE_GRANT_INTERVAL) if ask in late]
         self.assertEqual(granted, [late[1], late[2], late[0]])
 
     def test_what_can_be_on_time_loses_no_more_than_its_share(self) -> None:
         for _ in range(30):
             self.ask(**LATE)
-        granted = self.granted(10 * OVERDUE_EVERY)
+        granted = self.granted(10 * OVERDUE_GRANT_INTERVAL)
         self.assertLessEqual(sum(ask.stage is BatchStage.LATE for ask in granted), 10)
 
     def test_it_holds_beside_customers_and_priorities(self) -> None:
         for priority in (0, 3):
             with self.subTest(priority=priority):
                 late = self.ask(**LATE, member="small", priority=priority)
-                granted = self.granted(OVERDUE_EVERY, **FRESH, member="big", priority=0)
+                granted = self.granted(OVERDUE_GRANT_INTERVAL, **FRESH, member="big", priority=0)
                 self.assertIn(late, granted)
 
     def test_what_has_just_become_late_waits_for_what_can_be_on_time(self) -> None:
         late = self.ask(**LATE | {"slack_ms": -100})
-        self.assertNotIn(late, self.granted(2 * OVERDUE_EVERY))
+        self.assertNotIn(late, self.granted(2 * OVERDUE_GRANT_INTERVAL))
 
     def test_a_turn_that_nobody_wanted_is_kept(self) -> None:
-        self.granted(2 * OVERDUE_EVERY)
+        self.granted(2 * OVERDUE_GRANT_INTERVAL)
         late = self.ask(**LATE)
         self.assertEqual(self.granted(1), [late])
 
@@ -80,17 +80,19 @@
     """A run that got its turn as overdue is not the first to give way."""
 
     def setUp(self) -> None:
-        self.queue = new_queue(PermitSettings(quiet_ms=0), UpstreamTerms(slots=OVERDUE_EVERY))
-        self.fresh = [ask_for(WorkClass.BATCH, **FRESH) for _ in range(OVERDUE_EVERY - 1)]
+        self.queue = new_queue(
+            PermitSettings(quiet_ms=0), UpstreamTerms(slots=OVERDUE_GRANT_INTERVAL)
+        )
+        self.fresh = [ask_for(WorkClass.BATCH, **FRESH) for _ in range(OVERDUE_GRANT_INTERVAL - 1)]
         self.late = ask_for(WorkClass.BATCH, **LATE)
         for ask in (*self.fresh, self.late):
-            self.queue.ask(ask, 0.0)
+            self.queue.submit(ask, 0.0)
 
     def test_a_run_in_its_turn_gives_way_like_one_that_has_begun(self) -> None:
         # Its first event came at once, so that it is not sheltered any more.
         held = HeldGrant(self.late, 0.0, 1000.0, first_token_ms=10.0, generated_tokens=5)
         self.queue.renew("h1", held.as_held(100.0), 100.0)
-        revoked = [item.permit_id for item in self.queue.ask(ask_for(), 100.0)[1:]]
+        revoked = [item.permit_id for item in self.queue.submit(ask_for(), 100.0)[1:]]
         self.assertEqual(len(revoked), 1)
         self.assertNotEqual(revoked, [self.late.attempt_id])
 
@@ -98,8 +100,8 @@
         """Guards against turns of overdue work that were cut off by the next call."""
         revoked = [
             item.permit_id
-            for _ in range(OVERDUE_EVERY)
-            for item in self.queue.ask(ask_for(), 1.0)
+            for _ in range(OVERDUE_GRANT_INTERVAL)
+            for item in self.queue.submit(ask_for(), 1.0)
             if isinstance(item, Revoked)
         ]
         self.assertEqual(set(revoked), {ask.attempt_id for ask in self.fresh})
--- a/tests/test_permits_queue.py
+++ b/tests/test_permits_queue.py
@@ -3,8 +3,8 @@
 import unittest
 
 from fescuedock.core.permits.actions import Granted, Refused, Revoked
-from fescuedock.core.permits.held import Company
 from fescuedock.core.permits.limits import AttemptSample, UpstreamLimits
+from fescuedock.core.permits.outstanding import Concurrency
 from fescuedock.core.permits.prediction import FirstTokenModel
 from fescuedock.core.permits.queue import UpstreamQueue
 from fescuedock.core.permits.terms import UpstreamTerms
@@ -44,8 +44,8 @@
         queue = full_queue()
         asks = [ask_for(WorkClass.BATCH, prompt_tokens=tokens) for tokens in (300, 100, 200, 400)]
         for ask in asks:
-            self.assertIsInstance(queue.ask(ask, 0.0)[0], Granted)
-        actions = queue.ask(ask_for(), 1.0)
+            self.assertIsInstance(queue.submit(ask, 0.0)[0], Granted)
+        actions = queue.submit(ask_for(), 1.0)
         revoked = [item.permit_id for item in actions if isinstance(item, Revoked)]
         self.assertEqual(revoked, [asks[1].attempt_id])
 
@@ -62,17 +62,17 @@
 
     def first_revoked(self, queue: UpstreamQueue, asks: list[PermitAsk]) -> str:
         for ask in asks:
-            self.assertIsInstance(queue.ask(ask, 0.0)[0], Granted)
-        actions = queue.ask(ask_for(), 1.0)
+            self.assertIsInstance(queue.submit(ask, 0.0)[0], Granted)
+        actions = queue.submit(ask_for(), 1.0)
         return next(item.permit_id for item in actions if isinstance(item, Revoked))
 
     def test_an_ask_that_waits_in_several_queues_counts_for_its_share(self) -> None:
         def predicted_ms(queues: int) -> float:
             queue = full_queue()
             for _ in range(LIMIT):
-                queue.ask(ask_for(), 0.0)
+                queue.submit(ask_for(), 0.0)
             for _ in range(3):
-                queue.ask(ask_for(wait_ms=60_000, target_ms=60_000, queues=queues), 1.0)
+                queue.submit(ask_for(wait_ms=60_000, target_ms=60_000, queues=queues), 1.0)
             return queue.load(2.0).first_token_ms
 
         self.assertGreater(predicted_ms(1), 1.5 * predicted_ms(3))
@@ -82,11 +82,11 @@
         urgent = ask_for(WorkClass.BATCH, prompt_tokens=1, slack_ms=1000)
         others = [ask_for(WorkClass.BATCH, prompt_tokens=500) for _ in range(LIMIT - 1)]
         for ask in (urgent, *others):
-            queue.ask(ask, 0.0)
+            queue.submit(ask, 0.0)
         revoked = [
             action.permit_id
             for _ in range(LIMIT - 1)
-            for action in queue.ask(ask_for(), 1.0)
+            for action in queue.submit(ask_for(), 1.0)
             if isinstance(action, Revoked)
         ]
         self.assertNotIn(urgent.attempt_id, revoked)
@@ -96,10 +96,10 @@
         queue = full_queue(shares=MemberShares({"m1": 1.0, "m2": 1.0}))
         running = [ask_for(member="m1") for _ in range(LIMIT)]
         for ask in running:
-            queue.ask(ask, 0.0)
-        queue.ask(ask_for(member="m1", wait_ms=60_000, slack_ms=60_000), 1.0)
+            queue.submit(ask, 0.0)
+        queue.submit(ask_for(member="m1", wait_ms=60_000, slack_ms=60_000), 1.0)
         late = ask_for(member="m2", wait_ms=60_000, slack_ms=60_000)
-        queue.ask(late, 2.0)
+        queue.submit(late, 2.0)
         actions = queue.end(end_of(running[0], AttemptOutcome.COMPLETED), 3.0)
         self.assertEqual([item.ask.attempt_id for item in actions], [late.attempt_id])
 
@@ -107,18 +107,18 @@
         queue = full_queue()
         running = [ask_for() for _ in range(2 * LIMIT)]
         for ask in running[:LIMIT]:
-            queue.ask(ask, 0.0)
+            queue.submit(ask, 0.0)
         for ended, started in zip(running[:LIMIT], running[LIMIT:], strict=True):
             queue.end(end_of(ended, AttemptOutcome.COMPLETED), 400.0)
-            queue.ask(started, 400.0)
-        (refused,) = queue.ask(ask_for(wait_ms=50), 400.0)
+            queue.submit(started, 400.0)
+        (refused,) = queue.submit(ask_for(wait_ms=50), 400.0)
         self.assertIsInstance(refused, Refused)
         self.assertEqual(refused.retry_after_ms, 400 // LIMIT)
 
     def test_an_ask_repeated_gets_the_same_permit_and_counts_once(self) -> None:
         queue = full_queue()
         ask = ask_for()
-        first, again = queue.ask(ask, 0.0) + queue.ask(ask, 1.0)
+        first, again = queue.submit(ask, 0.0) + queue.submit(ask, 1.0)
         self.assertEqual(first.permit_id, again.permit_id)
         self.assertEqual(queue.load(1.0).in_flight_online, 1)
 
@@ -126,14 +126,14 @@
         queue = full_queue()
         ask = ask_for()
         queue.end(end_of(ask, AttemptOutcome.CANCELLED), 0.0)
-        (refused,) = queue.ask(ask, 1.0)
+        (refused,) = queue.submit(ask, 1.0)
         self.assertEqual(refused.code, ResultCode.REVOKED)
         self.assertEqual(queue.load(1.0).in_flight_online, 0)
 
     def test_a_new_owner_admits_online_at_once_and_batch_after_a_renewal_period(self) -> None:
         queue = new_queue(rebuild_ms=VALID_MS)
-        self.assertIsInstance(queue.ask(ask_for(), 1.0)[0], Granted)
-        self.assertEqual(queue.ask(ask_for(WorkClass.BATCH), 1.0), [])
+        self.assertIsInstance(queue.submit(ask_for(), 1.0)[0], Granted)
+        self.assertEqual(queue.submit(ask_for(WorkClass.BATCH), 1.0), [])
         self.assertEqual(queue.tick(VALID_MS - 1.0), [])
         self.assertIsInstance(queue.tick(VALID_MS + 1.0)[0], Granted)
 
@@ -148,7 +148,7 @@
 
     def test_an_owner_that_was_paused_does_not_blame_the_holders(self) -> None:
         queue = full_queue()
-        queue.ask(ask_for(), 0.0)
+        queue.submit(ask_for(), 0.0)
         queue.tick(10 * VALID_MS)
         self.assertEqual(queue.load(10 * VALID_MS).in_flight_online, 1)
         queue.tick(10 * VALID_MS + VALID_MS * 0.4)
@@ -159,9 +159,9 @@
     def test_a_leaving_upstream_lets_its_work_finish(self) -> None:
         queue = full_queue()
         held = ask_for(WorkClass.BATCH)
-        queue.ask(held, 0.0)
+        queue.submit(held, 0.0)
         queue.set_terms(UpstreamTerms(admitting=False), 1.0)
-        self.assertIsInstance(queue.ask(ask_for(), 2.0)[0], Refused)
+        self.assertIsInstance(queue.submit(ask_for(), 2.0)[0], Refused)
         self.assertTrue(queue.renew("h1", held_permit(held), 3.0))
 
     def test_with_a_weight_of_one_online_clears_batch_prompts_out_of_its_way(self) -> None:
@@ -169,13 +169,13 @@
         queue = new_queue(PermitSettings(start_limit=64, quiet_ms=0, revocation_ms=1), terms)
         for number in range(20):
             ask = ask_for(prompt_tokens=100 + 100 * number)
-            queue.ask(ask, number * 1000.0)
+            queue.submit(ask, number * 1000.0)
             first_ms = 10.0 + 0.05 * ask.prompt_tokens
             ended = end_of(ask, AttemptOutcome.COMPLETED, first_token_ms=first_ms)
             queue.end(ended, number * 1000.0 + 500)
         batch = ask_for(WorkClass.BATCH, prompt_tokens=2000)
-        self.assertIsInstance(queue.ask(batch, 30_000.0)[0], Granted)
-        revoked = [item for item in queue.ask(ask_for(), 30_001.0) if isinstance(item, Revoked)]
+        self.assertIsInstance(queue.submit(batch, 30_000.0)[0], Granted)
+        revoked = [item for item in queue.submit(ask_for(), 30_001.0) if isinstance(item, Revoked)]
         self.assertEqual([item.permit_id for item in revoked], [batch.attempt_id])
 
 
@@ -189,8 +189,8 @@
     def run_attempts(self, limits: UpstreamLimits, gap_ms: float, count: int = 40) -> None:
         for number in range(count):
             now_ms = 1000.0 * (number + 1)
-            company = Company(in_flight=limits.mixed(now_ms), batch_share=0.9)
-            limits.observe_attempt(AttemptSample(-1.0, gap_ms, now_ms - 500, company), now_ms)
+            concurrency = Concurrency(in_flight=limits.mixed(now_ms), batch_share=0.9)
+            limits.observe_attempt(AttemptSample(-1.0, gap_ms, now_ms - 500, concurrency), now_ms)
             limits.adjust(1, limits.mixed(now_ms), now_ms)
 
     def test_the_mixed_limit_rises_while_online_keeps_its_objectives(self) -> None:
@@ -214,7 +214,7 @@
 
     def test_online_weight_draws_the_limit_to_the_peak_of_online_alone(self) -> None:
         limits = self.new_limits(online_weight=1.0, inter_token_ms=31)
-        limits.online_started(3, 0.0)
+        limits.observe_online_start(3, 0.0)
         self.run_attempts(limits, gap_ms=20)
         self.assertLessEqual(limits.mixed(40_000.0), 4)
 
@@ -225,10 +225,10 @@
     def test_prefill_that_never_was_does_not_pile_up(self) -> None:
         model = FirstTokenModel(30_000.0)
         for number in range(20):
-            start = model.start(100 * (number + 1), 1, number * 100.0)
+            start = model.record_start(100 * (number + 1), 1, number * 100.0)
             model.observe(start, 10.0 + 5.0 * number, number * 100.0 + 90)
         for _ in range(1000):
-            model.start(1000, 1, 2000.0)
+            model.record_start(1000, 1, 2000.0)
         self.assertLess(model.prefill_ahead_ms(2000.0), 200)
 
 
--- a/tests/test_permits_shares.py
+++ b/tests/test_permits_shares.py
@@ -5,11 +5,11 @@
 from fescuedock.core.customers import Customer, index_of
 from fescuedock.core.forwarding.route_table import Route, RouteKind, RouteTable
 from fescuedock.core.permits.actions import Granted, Refused
-from fescuedock.core.permits.fair_shares import FORGET_MS, FairShares
+from fescuedock.core.permits.fair_shares import USE_RETENTION_MS, FairShares
 from fescuedock.core.permits.holder import HeldGrant
 from fescuedock.core.permits.priority import OVERDUE_MS, BoundedPreference
 from fescuedock.core.permits.queue import UpstreamQueue
-from fescuedock.core.permits.returns import RefusedWork, ReturnTimes
+from fescuedock.core.permits.refusals import RefusedWork, RetryTimes
 from fescuedock.core.permits.terms import UpstreamTerms
 from fescuedock.platform.records import read_route_table
 from fescuedock.schema.config import Objectives
@@ -29,13 +29,13 @@
         self.now_ms = 1.0
         self.running = [ask_for(work_class, member=member) for _ in range(SLOTS)]
         for ask in self.running:
-            self.queue.ask(ask, 0.0)
+            self.queue.submit(ask, 0.0)
 
     def wait(self, work_class: WorkClass = WorkClass.ONLINE, **changes: object) -> PermitAsk:
         """Queue an ask that may wait for long and was not on time to begin with."""
         fields = {"wait_ms": 60_000, "slack_ms": 60_000, "target_ms": 50_000, **changes}
         ask = ask_for(work_class, **fields)
-        self.queue.ask(ask, self.now_ms)
+        self.queue.submit(ask, self.now_ms)
         self.now_ms += 1.0
         return ask
 
@@ -98,8 +98,8 @@
     def test_a_preference_that_is_not_used_does_not_pile_up(self) -> None:
         preference = BoundedPreference(4)
         for _ in range(20):
-            preference.note(preferred=False)
-        preference.note(preferred=True)
+            preference.record_grant(preferred=False)
+        preference.record_grant(preferred=True)
         self.assertFalse(preference.is_due)
 
     def test_renewals_carry_the_priority(self) -> None:
@@ -177,7 +177,7 @@
         for _ in range(30):
             full.running.append(ask_for(member="big"))
             full.queue.end(end_of(full.running.pop(0), AttemptOutcome.COMPLETED), full.now_ms)
-            full.queue.ask(full.running[-1], full.now_ms)
+            full.queue.submit(full.running[-1], full.now_ms)
         full.wait(member="small")
         big = full.wait(member="big")
         full.wait(member="small")
@@ -189,9 +189,9 @@
         for _ in range(100):
             shares.charge("big", 100.0, 1.0, 0.0)
         shares.charge("other", 1.0, 1.0, 0.0)
-        shares.forget(FORGET_MS - 1, {}, anyone_waits=True)
+        shares.forget(USE_RETENTION_MS - 1, {}, anyone_waits=True)
         self.assertEqual(len(shares), 2)
-        shares.forget(FORGET_MS, {}, anyone_waits=True)
+        shares.forget(USE_RETENTION_MS, {}, anyone_waits=True)
         self.assertEqual(len(shares), 0)
 
     def test_nothing_is_kept_once_nobody_waits(self) -> None:
@@ -215,7 +215,7 @@
         refused: list[Refused] = []
         for _ in range(40):
             ask = ask_for(member="big", wait_ms=150, slack_ms=2000, target_ms=250)
-            refused += full.queue.ask(ask, full.now_ms)
+            refused += full.queue.submit(ask, full.now_ms)
         self.assertGreater(len(refused), 10)
         times = [item.retry_after_ms for item in refused]
         self.assertGreater(len(set(times)), 0.8 * len(times))
@@ -224,9 +224,9 @@
     def test_a_customer_below_its_share_is_not_refused_for_anothers_backlog(self) -> None:
         full = FullUpstream("big")
         for _ in range(40):
-            full.queue.ask(ask_for(member="big", wait_ms=150, slack_ms=2000, target_ms=250), 1.0)
+            full.queue.submit(ask_for(member="big", wait_ms=150, slack_ms=2000, target_ms=250), 1.0)
         ask = ask_for(member="small", wait_ms=150, slack_ms=2000, target_ms=250)
-        refused = [item.ask.member for item in full.queue.ask(ask, 1.0)]
+        refused = [item.ask.member for item in full.queue.submit(ask, 1.0)]
         self.assertNotIn("small", refused)
 
     def test_work_that_returns_goes_before_first_timers_every_other_time(self) -> None:
@@ -234,7 +234,7 @@
         hopeless = {"wait_ms": 60_000, "slack_ms": 1, "target_ms": -1}
         for number in range(2):
             ask = ask_for(member="a", work_id=f"w{number}", **hopeless)
-            (refused,) = full.queue.ask(ask, full.now_ms)
+            (refused,) = full.queue.submit(ask, full.now_ms)
             self.assertIsInstance(refused, Refused)
         full.wait(member="z")
         for number in range(4):
@@ -244,15 +244,15 @@
         self.assertEqual([granted.index(ask) for ask in returned], [1, 3])
 
     def test_return_times_begin_anew_before_callers_lose_patience(self) -> None:
-        times = ReturnTimes()
-        promised = [times.promise(0.0, 100.0, 90.0) for _ in range(100)]
+        times = RetryTimes()
+        promised = [times.assign_delay_ms(0.0, 100.0, 90.0) for _ in range(100)]
         self.assertGreaterEqual(min(promised), 100.0)
         self.assertLessEqual(max(promised), 2500.0)
 
     def test_refused_work_is_forgotten(self) -> None:
         refused = RefusedWork()
         for number in range(2000):
-            refused.note(f"w{number}", 0.0)
+            refused.add(f"w{number}", 0.0)
         self.assertLess(len(refused), 1000)
         refused.forget(10_000.0)
         self.assertEqual(len(refused), 0)
--- a/tests/test_permits_shares_stateful.py
+++ b/tests/test_permits_shares_stateful.py
@@ -57,7 +57,7 @@
         fields = {"wait_ms": PATIENT_MS, "slack_ms": PATIENT_MS, **changes}
         ask = ask_for(**fields)
         self.waiting[ask.attempt_id] = ask
-        self.perform(self.queue.ask(ask, self.now_ms))
+        self.perform(self.queue.submit(ask, self.now_ms))
         return ask
 
     @rule(
@@ -129,7 +129,7 @@
         for ask in [*self.waiting.values(), *self.running.values()]:
             self.queue.end(end_of(ask, AttemptOutcome.CANCELLED), self.now_ms)
         self.queue.tick(self.now_ms + PATIENT_MS)
-        assert not self.queue.customers_kept()
+        assert not self.queue.retained_customers()
 
 
 def _renewal(ask: PermitAsk) -> HeldPermit:
--- a/tests/test_send_gate.py
+++ b/tests/test_send_gate.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from fescuedock.core.permits.holder import HeldGrant, HolderBook, lapsed_by_ms
+from fescuedock.core.permits.holder import GrantRegistry, HeldGrant, lapsed_by_ms
 from fescuedock.core.quarantine import Standing, Verdict
 from fescuedock.core.send_gate import PermitStanding, SendRefusal, refusal_of
 from fescuedock.schema.permits import WorkClass
@@ -84,9 +84,9 @@
 
     def test_a_renewal_counts(self) -> None:
         held = self.held(1900.0)
-        book = HolderBook()
+        book = GrantRegistry()
         book.add(held)
-        book.renewed([held.ask.attempt_id], 2600.0)
+        book.record_renewal([held.ask.attempt_id], 2600.0)
         self.assertEqual(held.sendable_until_ms, 2600.0)
 
 
