--- a/src/fescuedock/core/permits/fair_shares.py
+++ b/src/fescuedock/core/permits/fair_shares.py
@@ -67,11 +67,11 @@
         """Take in how much a piece of work generated."""
         self._mean_tokens += _MEAN_TOKENS_GAIN * (generated_tokens - self._mean_tokens)
 
-    def forget(self, now_ms: float, running: Mapping[str, int], *, anyone_waits: bool) -> None:
+    def forget(self, now_ms: float, running: Mapping[str, int], *, has_waiting: bool) -> None:
         """Drop what no longer makes a difference; all of it while there is room for everybody."""
         if not self._uses:
             return
-        if not anyone_waits:
+        if not has_waiting:
             self._uses.clear()
             return
         ended = [
--- a/src/fescuedock/core/permits/outstanding.py
+++ b/src/fescuedock/core/permits/outstanding.py
@@ -266,9 +266,9 @@
         elapsed_ms = now_ms - held.window_start_ms
         if elapsed_ms <= 0:
             return Concurrency(len(self), self.batch / max(len(self), 1))
-        area = max(self._attempt_ms - held.attempt_ms_at_window, elapsed_ms)
-        batch_area = self._batch_attempt_ms - held.batch_attempt_ms_at_window
-        return Concurrency(area / elapsed_ms, batch_area / area)
+        attempt_ms = max(self._attempt_ms - held.attempt_ms_at_window, elapsed_ms)
+        batch_attempt_ms = self._batch_attempt_ms - held.batch_attempt_ms_at_window
+        return Concurrency(attempt_ms / elapsed_ms, batch_attempt_ms / attempt_ms)
 
     def _advance(self, now_ms: float) -> None:
         elapsed_ms = max(now_ms - self._at_ms, 0.0)
--- a/src/fescuedock/core/permits/queue.py
+++ b/src/fescuedock/core/permits/queue.py
@@ -145,10 +145,10 @@
 
     def tick(self, now_ms: float) -> list[Action]:
         """Let time pass: expire, adjust limits, grant what has become possible."""
-        silence_ms = now_ms - self._last_tick_ms
+        gap_ms = now_ms - self._last_tick_ms
         self._last_tick_ms = now_ms
-        if silence_ms > _PAUSE_VALIDITY_SHARE * self.valid_ms:
-            self._held.postpone_expiry(silence_ms)
+        if gap_ms > _PAUSE_VALIDITY_SHARE * self.valid_ms:
+            self._held.postpone_expiry(gap_ms)
         for held in self._held.expired(now_ms):
             self._held.remove(held.permit_id, now_ms)
         while self._ended and next(iter(self._ended.values())) <= now_ms:
@@ -227,8 +227,8 @@
             if not len(self._held) and now_ms >= self._rebuild_until_ms:
                 self._waiting.remove(waiting.ask.attempt_id)
                 actions.append(self._grant(waiting, now_ms))
-        overdue = [item for item in self._waiting if now_ms >= item.answer_by_ms]
-        for waiting in overdue:
+        timed_out = [item for item in self._waiting if now_ms >= item.answer_by_ms]
+        for waiting in timed_out:
             self._waiting.remove(waiting.ask.attempt_id)
             retry_ms = self._retry_after_ms(waiting.ask, now_ms)
             actions.append(Refused(waiting.ask, ResultCode.NO_CAPACITY, retry_ms))
@@ -262,8 +262,8 @@
 
     def _protected_batch(self, now_ms: float) -> int:
         """Return how many batch runs do not give way to calls that can go elsewhere."""
-        most = max(int(self._hard_limit() * _MAX_PROTECTED_SHARE), 1)
-        return min(self._held.count_protected(now_ms), most)
+        max_protected = max(int(self._hard_limit() * _MAX_PROTECTED_SHARE), 1)
+        return min(self._held.count_protected(now_ms), max_protected)
 
     def _should_refuse(self, waiting: WaitingRequest, ahead: float, now_ms: float) -> bool:
         """Whether an ask will not be granted while it may wait.
--- a/src/fescuedock/core/permits/waiting.py
+++ b/src/fescuedock/core/permits/waiting.py
@@ -97,9 +97,9 @@
         """Take in that an ask is granted; return whether it was the turn of overdue work."""
         if waiting.ask.work_class is not WorkClass.BATCH:
             return False
-        is_turn = self._is_overdue_grant_due and waiting.is_overdue(now_ms)
-        self._grants_since_overdue = 0 if is_turn else self._grants_since_overdue + 1
-        return is_turn
+        is_reserved_grant = self._is_overdue_grant_due and waiting.is_overdue(now_ms)
+        self._grants_since_overdue = 0 if is_reserved_grant else self._grants_since_overdue + 1
+        return is_reserved_grant
 
     def _order(self, work_class: WorkClass) -> "FairOrder":
         order = self._orders.get(work_class)
@@ -138,8 +138,8 @@
     def forget(self, running: Mapping[str, int], now_ms: float) -> None:
         """Drop what is kept of customers and no longer makes a difference."""
         for work_class, order in self._orders.items():
-            waits = bool(self._counts[work_class])
-            order.shares.forget(now_ms, running, anyone_waits=waits)
+            has_waiting = bool(self._counts[work_class])
+            order.shares.forget(now_ms, running, has_waiting=has_waiting)
             order.refused.forget(now_ms)
 
     def retained_customers(self) -> int:
--- a/tests/test_permit_moves.py
+++ b/tests/test_permit_moves.py
@@ -36,7 +36,7 @@
     other_answers: Callable[[PermitAsk], Awaitable[Result[PermitAsk, Fault]]]
     slowness: float = 8.0
     holder_id: str = "holder"
-    given_back: list[str] = field(default_factory=list)
+    returned: list[str] = field(default_factory=list)
     loads: dict[str, TimedLoad] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
@@ -52,7 +52,7 @@
         return Ok(ask)
 
     def give_back(self, grant: PermitAsk) -> None:
-        self.given_back.append(grant.upstream_id)
+        self.returned.append(grant.upstream_id)
 
 
 async def _grant(ask: PermitAsk) -> Result[PermitAsk, Fault]:
@@ -95,12 +95,12 @@
                 found.append(granted.ok_value.upstream_id)
 
         run_async(run)
-        return (found or [""])[0], kept[0].given_back
+        return (found or [""])[0], kept[0].returned
 
-    def test_the_call_goes_where_it_starts_sooner(self) -> None:
+    def test_the_call_moves_to_the_upstream_where_it_starts_sooner(self) -> None:
         self.assertEqual(self.find(lambda: SpeedPermits(_grant)), ("other", ["quick"]))
 
-    def test_a_permit_of_a_quick_upstream_is_kept(self) -> None:
+    def test_a_permit_of_a_fast_upstream_is_used(self) -> None:
         self.assertEqual(self.find(lambda: SpeedPermits(_grant, slowness=1.0)), ("quick", []))
 
     def test_the_first_permit_is_used_when_the_other_owner_refuses(self) -> None:
--- a/tests/test_permit_search.py
+++ b/tests/test_permit_search.py
@@ -27,9 +27,9 @@
 
 @dataclass
 class StubPermits:
-    """Grants whatever is asked for; its last news say that the upstream has a long queue."""
+    """Grants whatever is requested for; its last news say that the upstream has a long queue."""
 
-    asked: list[PermitAsk] = field(default_factory=list)
+    requested: list[PermitAsk] = field(default_factory=list)
     holder_id: str = "holder"
 
     @property
@@ -38,11 +38,11 @@
         return {UPSTREAM: TimedLoad(load, now_ms())}
 
     async def ask(self, ask: PermitAsk, _timeout_ms: float, _parts: object = ()) -> Ok:
-        self.asked.append(ask)
+        self.requested.append(ask)
         return Ok(ask)
 
     def ask_local(self, ask: PermitAsk, _parts: object = ()) -> Ok:
-        self.asked.append(ask)
+        self.requested.append(ask)
         return Ok(ask)
 
 
@@ -119,14 +119,14 @@
         self._refusals = refusals
 
     async def ask(self, ask: PermitAsk, timeout_ms: float, _parts: object = ()) -> Ok | Err:
-        if len(self.asked) < self._refusals:
-            self.asked.append(ask)
+        if len(self.requested) < self._refusals:
+            self.requested.append(ask)
             return Err(Fault(self._code, "refused"))
         return await super().ask(ask, timeout_ms)
 
 
 class MovedUpstreamTest(unittest.TestCase):
-    """The node that is asked does not own the upstream any more, or not yet."""
+    """The node that is requested does not own the upstream any more, or not yet."""
 
     def search(self, code: ResultCode) -> tuple[StubSearch, object]:
         found = []
@@ -151,7 +151,7 @@
         run_async(run)
         return found[0]
 
-    def test_the_call_asks_again_and_the_node_does_not_count_as_silent(self) -> None:
+    def test_the_call_repeats_its_request_and_the_node_does_not_count_as_silent(self) -> None:
         _, result, silent = self.search(ResultCode.NOT_OWNER)
         self.assertTrue(result.is_ok())
         self.assertFalse(silent)
@@ -184,18 +184,18 @@
         """The first such refusal ended the search, which left free slots unused."""
         state, result = self.search(refusals=9, member="big")
         self.assertTrue(result.is_ok())
-        self.assertIn(state.permits.asked[-1].upstream_id, state.view.upstreams)
+        self.assertIn(state.permits.requested[-1].upstream_id, state.view.upstreams)
 
     def test_it_is_refused_with_that_code_when_all_of_them_refuse(self) -> None:
         state, result = self.search(refusals=100, member="big")
         self.assertIs(result.err_value.code, ResultCode.MEMBER_OVER_SHARE)
-        asked = {ask.upstream_id for ask in state.permits.asked}
+        requested = {ask.upstream_id for ask in state.permits.requested}
         # The first is known to be full.
-        self.assertEqual(asked | {UPSTREAM}, set(state.view.upstreams))
+        self.assertEqual(requested | {UPSTREAM}, set(state.view.upstreams))
 
-    def test_without_customers_no_more_are_asked_than_planned(self) -> None:
+    def test_without_customers_no_more_owners_are_queried_than_planned(self) -> None:
         state, _ = self.search(refusals=100, member="")
-        self.assertLessEqual(len(state.permits.asked), 5)
+        self.assertLessEqual(len(state.permits.requested), 5)
 
 
 class LongQueueTest(unittest.TestCase):
@@ -210,13 +210,13 @@
         run_async(run)
         return results[0]
 
-    def test_a_call_that_can_still_be_on_time_asks(self) -> None:
+    def test_a_call_that_can_still_be_on_time_requests_a_permit(self) -> None:
         self.assertTrue(self.search(200).is_ok())
 
     def test_a_call_whose_target_has_passed_is_refused(self) -> None:
         self.assertIs(self.search(-1).err_value.code, ResultCode.DEADLINE_CANNOT_BE_MET)
 
-    def test_a_customers_late_call_asks_as_the_queue_may_be_anothers(self) -> None:
+    def test_a_customers_late_call_requests_a_permit_as_the_queue_may_be_anothers(self) -> None:
         self.assertTrue(self.search(-1, member="small").is_ok())
         fault = self.search(-1, member="small", deadline_left_ms=-1.0).err_value
         self.assertIs(fault.code, ResultCode.DEADLINE_CANNOT_BE_MET)
@@ -224,13 +224,13 @@
     def test_a_call_without_a_target_is_refused(self) -> None:
         self.assertIs(self.search(0).err_value.code, ResultCode.DEADLINE_CANNOT_BE_MET)
 
-    def test_a_late_call_whose_caller_leaves_before_its_start_is_refused(self) -> None:
+    def test_a_late_call_whose_caller_disconnects_before_its_start_is_refused(self) -> None:
         fault = self.search(-1, deadline_left_ms=5000.0, patience_left_ms=1800.0).err_value
         self.assertIs(fault.code, ResultCode.DEADLINE_CANNOT_BE_MET)
         # The queue that was to come: by then a call that comes back may start at once.
         self.assertEqual(fault.retry_after_ms, int(QUEUE_MS))
 
-    def test_a_late_call_whose_caller_waits_longer_than_the_queue_asks(self) -> None:
+    def test_a_late_call_whose_caller_waits_longer_than_the_queue_requests_a_permit(self) -> None:
         self.assertTrue(self.search(-1, deadline_left_ms=5000.0, patience_left_ms=2500.0).is_ok())
 
 
--- a/tests/test_permits_alone.py
+++ b/tests/test_permits_alone.py
@@ -20,7 +20,7 @@
 WAIT_MS = 1000
 
 
-class AloneTest(unittest.TestCase):
+class IsolatedRunTest(unittest.TestCase):
     def setUp(self) -> None:
         self.queue = UpstreamQueue(
             "u", PermitSettings(), UpstreamTerms(slots=SLOTS), VALID_MS, 0.0, 0.0
@@ -38,7 +38,7 @@
     def granted(self, actions) -> list[str]:
         return [item.ask.attempt_id for item in actions if isinstance(item, Granted)]
 
-    def test_an_empty_upstream_is_given_at_once_and_to_nobody_else(self) -> None:
+    def test_an_empty_upstream_is_granted_at_once_and_excludes_others(self) -> None:
         self.assertEqual(self.granted(self.ask("lone", alone=True)), ["lone"])
         self.assertEqual(self.ask("other"), [])
         self.assertEqual(self.ask("item", batch=True), [])
@@ -46,7 +46,7 @@
         self.assertEqual(self.granted(self.end("lone")), ["other", "item"])
         self.assertEqual(self.queue.load(0.0).limit, SLOTS)
 
-    def test_it_waits_until_online_work_has_ended_and_takes_batch_work_back(self) -> None:
+    def test_it_waits_for_online_work_to_end_and_revokes_batch_work(self) -> None:
         self.assertEqual(self.granted(self.ask("call")), ["call"])
         self.assertEqual(self.granted(self.ask("item", batch=True)), ["item"])
         actions = self.ask("lone", alone=True)
@@ -56,12 +56,12 @@
         self.assertEqual(self.end("item"), [])
         self.assertEqual(self.granted(self.end("call")), ["lone"])
 
-    def test_two_of_them_take_turns(self) -> None:
+    def test_two_isolated_runs_are_granted_one_after_the_other(self) -> None:
         self.assertEqual(self.granted(self.ask("one", alone=True)), ["one"])
         self.assertEqual(self.ask("two", alone=True), [])
         self.assertEqual(self.granted(self.end("one")), ["two"])
 
-    def test_one_that_waits_in_vain_is_refused_and_the_upstream_goes_on(self) -> None:
+    def test_one_that_waits_too_long_is_refused_and_other_work_continues(self) -> None:
         self.ask("call")
         self.ask("lone", alone=True)
         self.ask("other", now_ms=100.0)
@@ -72,13 +72,13 @@
         actions += self.queue.tick(WAIT_MS + 1)
         self.assertEqual(self.granted(actions), ["other"])
 
-    def test_what_else_waits_is_refused_when_its_own_time_is_up(self) -> None:
+    def test_other_waiting_requests_are_refused_at_their_own_timeout(self) -> None:
         self.ask("lone", alone=True)
         self.ask("other")
         [refused] = self.queue.tick(WAIT_MS)
         self.assertEqual((refused.ask.attempt_id, refused.code), ("other", ResultCode.NO_CAPACITY))
 
-    def test_a_new_owner_waits_until_it_knows_what_runs(self) -> None:
+    def test_a_new_owner_waits_until_running_attempts_are_reported(self) -> None:
         queue = UpstreamQueue(
             "u", PermitSettings(), UpstreamTerms(slots=SLOTS), VALID_MS, 500.0, 0.0
         )
@@ -88,7 +88,7 @@
         queue.renew("h2", held, 400.0)
         self.assertEqual(queue.tick(600.0), [])
 
-    def test_a_new_owner_keeps_what_runs_alone_apart(self) -> None:
+    def test_a_new_owner_adopts_an_isolated_run_from_its_renewal(self) -> None:
         held = HeldPermit("lone", "u", "lone", "s", "", WorkClass.ONLINE, alone=True)
         self.queue.renew("h2", held, 0.0)
         self.assertEqual(self.ask("other"), [])
--- a/tests/test_permits_overdue.py
+++ b/tests/test_permits_overdue.py
@@ -43,7 +43,7 @@
             granted.append(grant.ask)
         return granted
 
-    def test_late_work_gets_its_turn_however_much_other_work_comes(self) -> None:
+    def test_late_work_is_granted_however_much_other_work_arrives(self) -> None:
         """Guards against late items that waited for as long as younger ones kept coming."""
         late = self.ask(**LATE)
         self.assertIn(late, self.granted(OVERDUE_GRANT_INTERVAL))
@@ -53,30 +53,30 @@
         granted = [ask for ask in self.granted(3 * OVERDUE_GRANT_INTERVAL) if ask in late]
         self.assertEqual(granted, [late[1], late[2], late[0]])
 
-    def test_what_can_be_on_time_loses_no_more_than_its_share(self) -> None:
+    def test_overdue_work_gets_no_more_than_its_share_of_the_grants(self) -> None:
         for _ in range(30):
             self.ask(**LATE)
         granted = self.granted(10 * OVERDUE_GRANT_INTERVAL)
         self.assertLessEqual(sum(ask.stage is BatchStage.LATE for ask in granted), 10)
 
-    def test_it_holds_beside_customers_and_priorities(self) -> None:
+    def test_it_holds_with_customers_and_priorities(self) -> None:
         for priority in (0, 3):
             with self.subTest(priority=priority):
                 late = self.ask(**LATE, member="small", priority=priority)
                 granted = self.granted(OVERDUE_GRANT_INTERVAL, **FRESH, member="big", priority=0)
                 self.assertIn(late, granted)
 
-    def test_what_has_just_become_late_waits_for_what_can_be_on_time(self) -> None:
+    def test_work_that_has_just_become_late_waits_for_work_that_can_be_on_time(self) -> None:
         late = self.ask(**LATE | {"slack_ms": -100})
         self.assertNotIn(late, self.granted(2 * OVERDUE_GRANT_INTERVAL))
 
-    def test_a_turn_that_nobody_wanted_is_kept(self) -> None:
+    def test_an_unused_overdue_grant_remains_due(self) -> None:
         self.granted(2 * OVERDUE_GRANT_INTERVAL)
         late = self.ask(**LATE)
         self.assertEqual(self.granted(1), [late])
 
 
-class InTurnTest(unittest.TestCase):
+class OverdueGrantTest(unittest.TestCase):
     """A run that got its turn as overdue is not the first to give way."""
 
     def setUp(self) -> None:
@@ -88,7 +88,7 @@
         for ask in (*self.fresh, self.late):
             self.queue.submit(ask, 0.0)
 
-    def test_a_run_in_its_turn_gives_way_like_one_that_has_begun(self) -> None:
+    def test_a_run_granted_as_overdue_is_revoked_like_one_that_has_begun(self) -> None:
         # Its first event came at once, so that it is not sheltered any more.
         held = HeldGrant(self.late, 0.0, 1000.0, first_token_ms=10.0, generated_tokens=5)
         self.queue.renew("h1", held.as_held(100.0), 100.0)
@@ -96,7 +96,7 @@
         self.assertEqual(len(revoked), 1)
         self.assertNotEqual(revoked, [self.late.attempt_id])
 
-    def test_calls_that_can_go_elsewhere_leave_it_alone_until_it_has_given_something(self) -> None:
+    def test_calls_with_other_upstreams_do_not_cut_it_off_before_its_first_event(self) -> None:
         """Guards against turns of overdue work that were cut off by the next call."""
         revoked = [
             item.permit_id
--- a/tests/test_permits_queue.py
+++ b/tests/test_permits_queue.py
@@ -40,7 +40,7 @@
 class QueueTest(unittest.TestCase):
     """Who starts, who waits, who gives way."""
 
-    def test_online_takes_the_place_of_the_batch_that_loses_least(self) -> None:
+    def test_online_revokes_the_batch_run_with_the_least_lost_work(self) -> None:
         queue = full_queue()
         asks = [ask_for(WorkClass.BATCH, prompt_tokens=tokens) for tokens in (300, 100, 200, 400)]
         for ask in asks:
@@ -49,12 +49,12 @@
         revoked = [item.permit_id for item in actions if isinstance(item, Revoked)]
         self.assertEqual(revoked, [asks[1].attempt_id])
 
-    def test_the_batch_with_most_left_to_run_gives_way_first(self) -> None:
+    def test_the_batch_run_with_the_longest_remaining_time_is_revoked_first(self) -> None:
         queue = full_queue()
         asks = [ask_for(WorkClass.BATCH, left_ms=left_ms) for left_ms in (500, 4000, 900, 2000)]
         self.assertEqual(self.first_revoked(queue, asks), asks[1].attempt_id)
 
-    def test_late_batch_gives_way_before_what_can_be_in_time(self) -> None:
+    def test_late_batch_is_revoked_before_work_that_can_be_on_time(self) -> None:
         queue = full_queue()
         stages = (BatchStage.ENDANGERED, BatchStage.BEGUN, BatchStage.LATE, BatchStage.FRESH)
         asks = [ask_for(WorkClass.BATCH, left_ms=1000, stage=stage) for stage in stages]
@@ -66,7 +66,7 @@
         actions = queue.submit(ask_for(), 1.0)
         return next(item.permit_id for item in actions if isinstance(item, Revoked))
 
-    def test_an_ask_that_waits_in_several_queues_counts_for_its_share(self) -> None:
+    def test_a_request_that_waits_in_several_queues_counts_for_its_share(self) -> None:
         def predicted_ms(queues: int) -> float:
             queue = full_queue()
             for _ in range(LIMIT):
@@ -103,7 +103,7 @@
         actions = queue.end(end_of(running[0], AttemptOutcome.COMPLETED), 3.0)
         self.assertEqual([item.ask.attempt_id for item in actions], [late.attempt_id])
 
-    def test_a_refusal_is_immediate_and_says_when_to_come_back(self) -> None:
+    def test_a_refusal_is_immediate_and_gives_a_retry_time(self) -> None:
         queue = full_queue()
         running = [ask_for() for _ in range(2 * LIMIT)]
         for ask in running[:LIMIT]:
@@ -115,14 +115,14 @@
         self.assertIsInstance(refused, Refused)
         self.assertEqual(refused.retry_after_ms, 400 // LIMIT)
 
-    def test_an_ask_repeated_gets_the_same_permit_and_counts_once(self) -> None:
+    def test_a_repeated_request_gets_the_same_permit_and_counts_once(self) -> None:
         queue = full_queue()
         ask = ask_for()
         first, again = queue.submit(ask, 0.0) + queue.submit(ask, 1.0)
         self.assertEqual(first.permit_id, again.permit_id)
         self.assertEqual(queue.load(1.0).in_flight_online, 1)
 
-    def test_an_ask_overtaken_by_its_end_gets_nothing(self) -> None:
+    def test_a_request_overtaken_by_its_end_is_refused(self) -> None:
         queue = full_queue()
         ask = ask_for()
         queue.end(end_of(ask, AttemptOutcome.CANCELLED), 0.0)
@@ -137,7 +137,7 @@
         self.assertEqual(queue.tick(VALID_MS - 1.0), [])
         self.assertIsInstance(queue.tick(VALID_MS + 1.0)[0], Granted)
 
-    def test_a_new_owner_takes_in_what_runs_and_trims_it(self) -> None:
+    def test_a_new_owner_adopts_running_attempts_and_revokes_those_beyond_the_limit(self) -> None:
         queue = full_queue()
         asks = [ask_for(WorkClass.BATCH) for _ in range(LIMIT + 2)]
         for ask in asks:
@@ -146,7 +146,7 @@
         self.assertEqual(len(revoked), 2)
         self.assertFalse(queue.renew("h1", held_permit(asks[0]), 2.0))
 
-    def test_an_owner_that_was_paused_does_not_blame_the_holders(self) -> None:
+    def test_an_owner_that_was_paused_does_not_expire_permits(self) -> None:
         queue = full_queue()
         queue.submit(ask_for(), 0.0)
         queue.tick(10 * VALID_MS)
@@ -156,7 +156,7 @@
         queue.tick(10 * VALID_MS + VALID_MS * 1.2)
         self.assertEqual(queue.load(11.2 * VALID_MS).in_flight_online, 0)
 
-    def test_a_leaving_upstream_lets_its_work_finish(self) -> None:
+    def test_a_leaving_upstream_lets_running_work_finish(self) -> None:
         queue = full_queue()
         held = ask_for(WorkClass.BATCH)
         queue.submit(held, 0.0)
@@ -164,7 +164,7 @@
         self.assertIsInstance(queue.submit(ask_for(), 2.0)[0], Refused)
         self.assertTrue(queue.renew("h1", held_permit(held), 3.0))
 
-    def test_with_a_weight_of_one_online_clears_batch_prompts_out_of_its_way(self) -> None:
+    def test_with_a_weight_of_one_online_revokes_batch_with_unprocessed_prompts(self) -> None:
         terms = UpstreamTerms(Objectives(online_weight=1.0), max_in_flight=64)
         queue = new_queue(PermitSettings(start_limit=64, quiet_ms=0, revocation_ms=1), terms)
         for number in range(20):
@@ -198,21 +198,21 @@
         self.run_attempts(limits, gap_ms=20)
         self.assertGreater(limits.mixed(40_000.0), 40)
 
-    def test_misses_beside_batch_cut_the_mixed_limit_and_spare_the_hard_one(self) -> None:
+    def test_misses_with_concurrent_batch_cut_the_mixed_limit_and_not_the_hard_one(self) -> None:
         limits = self.new_limits(inter_token_ms=31)
         hard = limits.hard
         self.run_attempts(limits, gap_ms=40)
         self.assertLess(limits.mixed(40_000.0), 4)
         self.assertEqual(limits.hard, hard)
 
-    def test_an_engine_that_queues_has_shown_its_limit_but_not_again_within_the_lag(self) -> None:
+    def test_a_queueing_engine_sets_the_hard_limit_but_not_again_within_the_lag(self) -> None:
         limits = self.new_limits()
         limits.observe_load(64, 10, 2000.0)
         self.assertEqual(limits.hard, 64)
         limits.observe_load(32, 10, 2500.0)
         self.assertEqual(limits.hard, 64)
 
-    def test_online_weight_draws_the_limit_to_the_peak_of_online_alone(self) -> None:
+    def test_online_weight_moves_the_limit_to_the_peak_of_online_by_itself(self) -> None:
         limits = self.new_limits(online_weight=1.0, inter_token_ms=31)
         limits.observe_online_start(3, 0.0)
         self.run_attempts(limits, gap_ms=20)
@@ -222,7 +222,7 @@
 class FirstTokenModelTest(unittest.TestCase):
     """The prediction that entries choose by."""
 
-    def test_prefill_that_never_was_does_not_pile_up(self) -> None:
+    def test_overestimated_prefill_does_not_accumulate(self) -> None:
         model = FirstTokenModel(30_000.0)
         for number in range(20):
             start = model.record_start(100 * (number + 1), 1, number * 100.0)
--- a/tests/test_permits_revoked.py
+++ b/tests/test_permits_revoked.py
@@ -38,14 +38,14 @@
         actions = queue.submit(ask_for(), 30.0)
         self.assertEqual([item for item in actions if isinstance(item, Revoked)], [])
 
-    def test_a_peak_still_keeps_batch_from_beginning(self) -> None:
+    def test_a_peak_still_keeps_batch_from_starting(self) -> None:
         queue = slots_queue()
         calls = [ask_online(queue, 0.0) for _ in range(SLOTS)]
         queue.end(end_of(calls[0], AttemptOutcome.COMPLETED), 10.0)
         self.assertEqual(queue.submit(ask_for(WorkClass.BATCH), 20.0), [])
 
 
-class ShelterTest(unittest.TestCase):
+class ProtectedRunTest(unittest.TestCase):
     """A run whose work was cut off before its first event again and again."""
 
     def setUp(self) -> None:
@@ -67,14 +67,14 @@
         [refused] = self.queue.submit(ask_for(), 2.0)
         self.assertIsInstance(refused, Refused)
 
-    def test_a_call_that_found_no_room_elsewhere_does(self) -> None:
+    def test_a_call_that_found_no_room_elsewhere_cuts_it_off(self) -> None:
         self.fill()
         self.assertEqual(self.queue.submit(ask_for(wait_ms=150), 2.0), [])
         actions = self.queue.tick(13.0)
         self.assertIsInstance(actions[0], Granted)
         self.assertEqual(self.revoked(actions), [self.run_of_item.attempt_id])
 
-    def test_other_batch_gives_way_before_it(self) -> None:
+    def test_other_batch_is_revoked_before_it(self) -> None:
         other = ask_for(WorkClass.BATCH, left_ms=10)
         self.queue.submit(other, 0.0)
         ask_online(self.queue, 1.0)
@@ -89,13 +89,13 @@
         granted = [isinstance(self.queue.submit(call, 2.0)[0], Granted) for call in calls]
         self.assertEqual(granted, [True] * (SLOTS - 1) + [False])
 
-    def test_it_lasts_until_events_came_for_as_long_as_the_first_one_took(self) -> None:
+    def test_it_lasts_until_events_arrived_for_as_long_as_the_first_one_took(self) -> None:
         self.queue.renew("h1", self.renewal(first_token_ms=600.0, generated_tokens=1), 620.0)
         self.fill()
         self.assertIsInstance(self.queue.submit(ask_for(), 1100.0)[0], Refused)
         self.assertIsInstance(self.queue.submit(ask_for(), 1300.0)[0], Granted)
 
-    def test_work_that_was_cut_off_once_is_like_any_other(self) -> None:
+    def test_work_that_was_cut_off_once_is_not_protected(self) -> None:
         queue = slots_queue()
         run = ask_for(WorkClass.BATCH, barren_runs=PROTECTED_BARREN_RUNS - 1)
         queue.submit(run, 0.0)
--- a/tests/test_permits_service.py
+++ b/tests/test_permits_service.py
@@ -33,10 +33,10 @@
 TIMEOUT_MS = 5000
 
 
-class OwnOwnerTest(unittest.TestCase):
+class SameProcessOwnerTest(unittest.TestCase):
     """Guards against a busy node that took itself for a silent owner, and ran calls beside it."""
 
-    def test_a_busy_owner_in_the_same_process_is_not_silent(self) -> None:
+    def test_a_busy_owner_in_the_same_process_does_not_count_as_silent(self) -> None:
         async def busy(rng: random.Random) -> None:
             while True:
                 time.sleep(rng.uniform(0.0, 0.08))  # noqa: ASYNC251
@@ -94,7 +94,7 @@
 
         _run(run)
 
-    def test_an_ask_repeated_gets_the_same_permit(self) -> None:
+    def test_a_repeated_request_gets_the_same_permit(self) -> None:
         async def run() -> None:
             async with served_owner() as owner:
                 ask = ask_for()
@@ -105,12 +105,12 @@
 
         _run(run)
 
-    def test_the_validity_grows_with_the_fleet_and_renewals_thin_out(self) -> None:
+    def test_the_validity_grows_with_the_fleet(self) -> None:
         settings = AgentSettings(0, permit_valid_ms=2000, permit_valid_per_vm_ms=40)
         self.assertEqual(validity_ms(settings, 9), 2000)
         self.assertEqual(validity_ms(settings, 370), 14_800)
 
-    def test_a_permit_is_renewed_by_the_time_its_owner_gave(self) -> None:
+    def test_a_permit_is_renewed_by_the_time_that_its_owner_set(self) -> None:
         """One third of the validity after the ask, or after the last renewal, was sent."""
 
         async def run() -> None:
@@ -141,7 +141,7 @@
 
         _run(run)
 
-    def test_an_online_ask_is_answered_when_its_wait_is_over(self) -> None:
+    def test_an_online_request_is_answered_when_its_wait_is_over(self) -> None:
         async def run() -> None:
             async with served_owner(upstream_record(slots=1)) as owner:
                 (await owner.client.ask(ask_for(), TIMEOUT_MS)).unwrap()
@@ -155,7 +155,7 @@
         with mock.patch("fescuedock.agent.permit_service._IDLE_TICK_S", 2.0):
             _run(run)
 
-    def test_batch_asks_that_wait_cost_few_ticks(self) -> None:
+    def test_waiting_batch_requests_cause_few_ticks(self) -> None:
         ticks: list[float] = []
         tick = PermitOwner.tick
 
@@ -174,7 +174,7 @@
         with mock.patch.object(PermitOwner, "tick", counted):
             _run(run)
 
-    def test_a_leaving_upstream_gives_no_new_permit_and_answers_who_waits(self) -> None:
+    def test_a_leaving_upstream_grants_no_permit_and_refuses_waiting_requests(self) -> None:
         async def run() -> None:
             async with served_owner() as owner:
                 (await owner.client.ask(ask_for(), TIMEOUT_MS)).unwrap()
@@ -185,17 +185,17 @@
 
         _run(run)
 
-    def test_a_permit_that_comes_when_its_holder_knows_better_is_not_used(self) -> None:
+    def test_a_permit_overtaken_by_an_update_at_its_holder_is_not_used(self) -> None:
         """An ask waits in the queue of an owner that has not heard what its holder has."""
-        news = {
+        updates = {
             "leaving": upstream_record(slots=1, leaving=True),
             "gone": upstream_record(upstream_id="u1-started-again", slots=1),
         }
-        for name, upstream in news.items():
+        for name, upstream in updates.items():
             with self.subTest(name):
-                _run(partial(self._use_overtaken_permit, upstream))
+                _run(partial(self._receive_overtaken_permit, upstream))
 
-    async def _use_overtaken_permit(self, newer: UpstreamRecord) -> None:
+    async def _receive_overtaken_permit(self, newer: UpstreamRecord) -> None:
         async with served_owner(upstream_record(slots=1)) as owner:
             running = ask_for()
             (await owner.client.ask(running, TIMEOUT_MS)).unwrap()
@@ -208,19 +208,19 @@
                 nursery.start_soon(ask)
                 await _until(lambda: owner.service.load("u1").queued_online)
                 owner.show_holder(newer)
-                await self._tell_end(owner, running)
+                await self._send_end(owner, running)
             self.assertIs(_code(answers[0]), ResultCode.NOT_OWNER)
             # Given back, so that the owner does not count what never runs.
             owner.show_holder(upstream_record(slots=1))
             with trio.fail_after(VALID_MS / 1000 / 2):
                 await _until(lambda: not owner.service.load("u1").in_flight_online)
 
-    async def _tell_end(self, owner: ServedOwner, ask: PermitAsk) -> None:
+    async def _send_end(self, owner: ServedOwner, ask: PermitAsk) -> None:
         """Have the owner take the end of an attempt, without waiting for anything else."""
         ended = PermitsEnded("h1", [end_of(ask, AttemptOutcome.COMPLETED)])
         await owner.service.handlers()[PermitsEnded](ended, None)
 
-    def test_nothing_is_granted_without_an_owner_at_an_upstream_that_leaves(self) -> None:
+    def test_no_local_permit_is_granted_at_a_leaving_upstream(self) -> None:
         async def run() -> None:
             async with served_owner() as owner:
                 owner.show_holder(upstream_record(leaving=True))
@@ -232,7 +232,7 @@
 
         _run(run)
 
-    def test_an_end_that_frees_a_slot_of_a_leaving_upstream_lets_nobody_in(self) -> None:
+    def test_an_end_that_frees_a_slot_of_a_leaving_upstream_grants_nothing(self) -> None:
         async def run() -> None:
             async with served_owner(upstream_record(slots=1)) as owner:
                 first = ask_for()
@@ -247,12 +247,12 @@
                     await _until(lambda: owner.service.load("u1").queued_online)
                     # The end is taken before the loop that follows the view has run.
                     owner.show(upstream_record(slots=1, leaving=True))
-                    await self._tell_end(owner, first)
+                    await self._send_end(owner, first)
                 self.assertIs(_code(answers[0]), ResultCode.NO_CAPACITY)
 
         _run(run)
 
-    def test_a_silent_owner_leaves_online_the_local_limit_and_batch_nothing(self) -> None:
+    def test_with_a_silent_owner_online_gets_the_local_limit_and_batch_nothing(self) -> None:
         async def run() -> None:
             async with served_owner() as owner:
                 owner.show(upstream_record(), Address("127.0.0.1", 9))
@@ -265,7 +265,7 @@
 
         _run(run)
 
-    def test_a_batch_permit_that_no_owner_renews_is_revoked_by_its_holder(self) -> None:
+    def test_a_batch_permit_that_is_not_renewed_is_revoked_by_its_holder(self) -> None:
         async def run() -> None:
             async with served_owner() as owner:
                 grant = (await owner.client.ask(ask_for(WorkClass.BATCH), 2 * TIMEOUT_MS)).unwrap()
@@ -274,7 +274,7 @@
 
         _run(run)
 
-    def test_a_permit_kept_after_a_run_alone_is_renewed_where_its_holder_has_no_other(self) -> None:
+    def test_a_permit_retained_after_an_isolated_run_is_renewed(self) -> None:
         """It lapsed, and the next run alone began beside a crash that the first may have caused."""
 
         async def run() -> None:
@@ -295,13 +295,13 @@
 
         _run(run)
 
-    def test_a_permit_kept_after_a_run_alone_is_returned_and_told_of_once_the_run_is_cleared(
+    def test_a_permit_retained_after_an_isolated_run_is_returned_once_it_is_cleared(
         self,
     ) -> None:
-        told: list[BrokenRun] = []
+        reports: list[BrokenRun] = []
 
         async def note(message: BrokenRun, _peer: object) -> None:
-            told.append(message)
+            reports.append(message)
 
         async def run() -> None:
             async with served_owner(same_process=True) as owner:
@@ -317,17 +317,17 @@
                 grant.end(end_of(first, AttemptOutcome.COMPLETED))
                 ended_s = trio.current_time()
                 await trio.sleep(0.1)
-                self.assertEqual([item.given_up for item in told], [False])
+                self.assertEqual([item.given_up for item in reports], [False])
                 quarantine.note_cleared(WorkCleared("cleared", "work", ["report"], 0))
                 owner.view.note_quarantine()
                 (await owner.client.ask(second, TIMEOUT_MS)).unwrap()
                 self.assertLess(trio.current_time() - ended_s, 1.0)
-                self.assertEqual([item.given_up for item in told], [False, True])
-                self.assertTrue(all(item.looks_whole for item in told))
+                self.assertEqual([item.given_up for item in reports], [False, True])
+                self.assertTrue(all(item.looks_whole for item in reports))
 
         _run(run)
 
-    def test_an_ask_for_an_upstream_that_has_gone_is_no_silence_of_its_owner(self) -> None:
+    def test_a_request_for_an_upstream_that_is_gone_does_not_count_as_silence(self) -> None:
         async def run() -> None:
             async with served_owner() as owner:
                 gone = msgspec.structs.replace(ask_for(), upstream_id="gone")
@@ -337,7 +337,7 @@
 
         _run(run)
 
-    def test_an_engine_that_refuses_connections_is_taken_out(self) -> None:
+    def test_an_engine_that_refuses_connections_is_taken_out_of_service(self) -> None:
         async def run() -> None:
             async with served_owner() as owner:
                 # Nothing listens on the discard port.
--- a/tests/test_permits_shares.py
+++ b/tests/test_permits_shares.py
@@ -60,7 +60,7 @@
                 urgent = full.wait(work_class, priority=1)
                 self.assertEqual(full.next_granted(), urgent)
 
-    def test_the_more_urgent_goes_first_whoever_used_more(self) -> None:
+    def test_the_more_urgent_goes_first_whichever_customer_used_more(self) -> None:
         """Within one customer the order of its own asks would hide a missing priority."""
         for work_class in WorkClass:
             with self.subTest(work_class=work_class):
@@ -75,7 +75,7 @@
         call = full.wait(priority=5)
         self.assertEqual(full.next_granted(), call)
 
-    def test_what_has_waited_too_long_gets_one_grant_in_eight(self) -> None:
+    def test_work_that_has_waited_too_long_gets_one_grant_in_eight(self) -> None:
         """Without the bound a less urgent ask waited as long as more urgent ones came."""
         full = FullUpstream()
         low = full.wait(priority=3, waited_ms=int(OVERDUE_MS))
@@ -95,7 +95,7 @@
             full.wait(WorkClass.BATCH, priority=2, stage=BatchStage.FRESH)
         self.assertNotIn(late, [full.next_granted() for _ in range(16)])
 
-    def test_a_preference_that_is_not_used_does_not_pile_up(self) -> None:
+    def test_an_unused_preference_does_not_accumulate(self) -> None:
         preference = BoundedPreference(4)
         for _ in range(20):
             preference.record_grant(preferred=False)
@@ -116,7 +116,7 @@
         b' "apiKeys": ["k1"], "priority": 0}, {"name": "bo", "apiKeys": ["k2"]}]}'
     )
 
-    def test_the_customers_own_goes_before_the_routes(self) -> None:
+    def test_a_customers_priority_overrides_the_routes(self) -> None:
         table = read_route_table(self.CONFIG).unwrap()
         (route,) = table.routes
         self.assertEqual(table.priority_of(route, "anna"), 0)
@@ -130,7 +130,7 @@
         customers = index_of([(Customer("bo", priority=4), ["digest"])])
         self.assertEqual(RouteTable(3, (old,), customers=customers).priority_of(old, "bo"), 4)
 
-    def test_one_below_0_is_refused(self) -> None:
+    def test_a_negative_priority_is_refused(self) -> None:
         self.assertTrue(read_route_table(self.CONFIG.replace(b": 2}]", b": -1}]")).is_err())
         self.assertTrue(read_route_table(self.CONFIG.replace(b": 0}", b": -1}")).is_err())
 
@@ -145,7 +145,7 @@
         small = full.wait(member="small")
         self.assertEqual(full.next_granted(), small)
 
-    def test_waiting_customers_are_served_in_turn(self) -> None:
+    def test_waiting_customers_are_served_round_robin(self) -> None:
         full = FullUpstream()
         for name in "aaaaaabbb":
             full.wait(member=name)
@@ -153,7 +153,7 @@
         self.assertEqual(sorted(names[:6]), list("aaabbb"))
         self.assertEqual(names[6:], "aaa")
 
-    def test_what_another_wait_makes_late_goes_first_and_what_is_late_last(self) -> None:
+    def test_endangered_work_goes_first_and_late_work_last(self) -> None:
         """Guards against turns that made another customer's items late."""
         full = FullUpstream(work_class=WorkClass.BATCH)
         stages = {"a": (BatchStage.ENDANGERED,) * 2, "b": (BatchStage.LATE, BatchStage.FRESH)}
@@ -164,7 +164,7 @@
         expected = [BatchStage.ENDANGERED] * 2 + [BatchStage.FRESH, BatchStage.LATE]
         self.assertEqual(granted, expected)
 
-    def test_work_that_costs_twice_as_much_gets_half_as_many_turns(self) -> None:
+    def test_work_that_costs_twice_as_much_gets_half_as_many_grants(self) -> None:
         full = FullUpstream()
         for _ in range(12):
             full.wait(member="long", prompt_tokens=32 * 256)
@@ -172,7 +172,7 @@
         names = [full.next_granted().member for _ in range(9)]
         self.assertIn(names.count("short"), (6, 7))
 
-    def test_use_of_spare_capacity_is_not_held_against_a_customer(self) -> None:
+    def test_use_of_spare_capacity_is_not_charged(self) -> None:
         full = FullUpstream("big")
         for _ in range(30):
             full.running.append(ask_for(member="big"))
@@ -189,18 +189,18 @@
         for _ in range(100):
             shares.charge("big", 100.0, 1.0, 0.0)
         shares.charge("other", 1.0, 1.0, 0.0)
-        shares.forget(USE_RETENTION_MS - 1, {}, anyone_waits=True)
+        shares.forget(USE_RETENTION_MS - 1, {}, has_waiting=True)
         self.assertEqual(len(shares), 2)
-        shares.forget(USE_RETENTION_MS, {}, anyone_waits=True)
+        shares.forget(USE_RETENTION_MS, {}, has_waiting=True)
         self.assertEqual(len(shares), 0)
 
-    def test_nothing_is_kept_once_nobody_waits(self) -> None:
+    def test_no_state_is_retained_once_no_request_waits(self) -> None:
         shares = FairShares()
         shares.charge("big", 100.0, 1.0, 0.0)
-        shares.forget(0.0, {"big": 1}, anyone_waits=False)
+        shares.forget(0.0, {"big": 1}, has_waiting=False)
         self.assertEqual(len(shares), 0)
 
-    def test_a_customer_is_charged_what_its_work_cost_in_the_end(self) -> None:
+    def test_a_customer_is_charged_the_actual_cost_of_its_work(self) -> None:
         shares = FairShares()
         shares.charge("a", 32.0, 1.0, 0.0)
         shares.correct("a", -30.0, 1.0, 1.0)
@@ -210,7 +210,7 @@
 class RefusalTest(unittest.TestCase):
     """What cannot be served in time is refused at once, with a time of its own to come back."""
 
-    def test_hopeless_calls_are_refused_at_once_and_spread(self) -> None:
+    def test_calls_that_cannot_be_on_time_are_refused_at_once_with_spread_retry_times(self) -> None:
         full = FullUpstream("big")
         refused: list[Refused] = []
         for _ in range(40):
@@ -229,7 +229,7 @@
         refused = [item.ask.member for item in full.queue.submit(ask, 1.0)]
         self.assertNotIn("small", refused)
 
-    def test_work_that_returns_goes_before_first_timers_every_other_time(self) -> None:
+    def test_retried_work_goes_before_new_work_every_other_time(self) -> None:
         full = FullUpstream()
         hopeless = {"wait_ms": 60_000, "slack_ms": 1, "target_ms": -1}
         for number in range(2):
@@ -243,7 +243,7 @@
         granted = [full.next_granted() for _ in range(4)]
         self.assertEqual([granted.index(ask) for ask in returned], [1, 3])
 
-    def test_return_times_begin_anew_before_callers_lose_patience(self) -> None:
+    def test_retry_times_start_another_round_before_callers_stop_waiting(self) -> None:
         times = RetryTimes()
         promised = [times.assign_delay_ms(0.0, 100.0, 90.0) for _ in range(100)]
         self.assertGreaterEqual(min(promised), 100.0)
--- a/tests/test_permits_shares_stateful.py
+++ b/tests/test_permits_shares_stateful.py
@@ -13,10 +13,10 @@
 
 SLOTS = 3
 MEMBERS = ("", "anna", "bo", "cleo")
-PATIENT_MS = 10_000_000
+LONG_WAIT_MS = 10_000_000
 # Grants after which work of a lower priority is overdue, at 10 ms each, and its turn of one in 8.
 OVERDUE_GRANTS = 81
-TURN = 8
+OVERDUE_INTERVAL = 8
 
 
 class SharesMachine(RuleBasedStateMachine):
@@ -46,7 +46,7 @@
         """Fail when a customer's equal work that came earlier is passed over."""
         for ask in self.waiting.values():
             same = (ask.member, ask.priority) == (granted.member, granted.priority)
-            if same and ask.slack_ms == granted.slack_ms == PATIENT_MS:
+            if same and ask.slack_ms == granted.slack_ms == LONG_WAIT_MS:
                 number, granted_number = (
                     int(item.attempt_id.rpartition("-")[2]) for item in (ask, granted)
                 )
@@ -54,7 +54,7 @@
 
     def ask(self, **changes: object) -> PermitAsk:
         self.now_ms += 1.0
-        fields = {"wait_ms": PATIENT_MS, "slack_ms": PATIENT_MS, **changes}
+        fields = {"wait_ms": LONG_WAIT_MS, "slack_ms": LONG_WAIT_MS, **changes}
         ask = ask_for(**fields)
         self.waiting[ask.attempt_id] = ask
         self.perform(self.queue.submit(ask, self.now_ms))
@@ -65,11 +65,11 @@
         priority=st.integers(0, 2),
         prompt_tokens=st.sampled_from([0, 10_000]),
     )
-    def ask_patiently(self, member: str, priority: int, prompt_tokens: int) -> None:
+    def ask_with_long_wait(self, member: str, priority: int, prompt_tokens: int) -> None:
         self.ask(member=member, priority=priority, prompt_tokens=prompt_tokens)
 
     @rule(member=st.sampled_from(MEMBERS), target_ms=st.sampled_from([-1, 0, 40]))
-    def ask_briefly(self, member: str, target_ms: int) -> None:
+    def ask_with_short_wait(self, member: str, target_ms: int) -> None:
         had_room = len(self.running) < SLOTS
         work_id = f"work-{member}"
         ask = self.ask(member=member, wait_ms=50, slack_ms=60, target_ms=target_ms, work_id=work_id)
@@ -85,7 +85,7 @@
 
     @rule(data=st.data())
     @precondition(lambda self: self.waiting)
-    def give_up(self, data: st.DataObject) -> None:
+    def abandon(self, data: st.DataObject) -> None:
         ask = self.waiting[data.draw(st.sampled_from(sorted(self.waiting)))]
         self.perform(self.queue.end(end_of(ask, AttemptOutcome.CANCELLED), self.now_ms))
 
@@ -99,23 +99,23 @@
             self.perform(self.queue.tick(self.now_ms))
 
     @invariant()
-    def no_slot_idles_while_anyone_waits(self) -> None:
+    def no_slot_is_idle_while_a_request_waits(self) -> None:
         load = self.queue.load(self.now_ms)
         assert load.in_flight_online == len(self.running) <= SLOTS
         assert load.queued_online == len(self.waiting)
         assert not self.waiting or len(self.running) == SLOTS
 
     def teardown(self) -> None:
-        self.nobody_starves()
-        self.nothing_is_kept()
+        self.no_request_starves()
+        self.no_state_is_retained()
 
-    def nobody_starves(self) -> None:
+    def no_request_starves(self) -> None:
         """Whatever waits is served while another customer's urgent work floods the queue."""
         self.advance(60)
         left = dict(self.waiting)
         for _ in range(3):
             self.ask(member="flood")
-        for _ in range(OVERDUE_GRANTS + TURN * (len(left) + SLOTS)):
+        for _ in range(OVERDUE_GRANTS + OVERDUE_INTERVAL * (len(left) + SLOTS)):
             if not left.keys() & self.waiting.keys():
                 return
             self.ask(member="flood")
@@ -124,11 +124,11 @@
             self.perform(self.queue.end(end_of(ask, AttemptOutcome.COMPLETED), self.now_ms))
         assert not left.keys() & self.waiting.keys(), (left, self.running)
 
-    def nothing_is_kept(self) -> None:
+    def no_state_is_retained(self) -> None:
         """Nothing is known any more of customers and work that are gone."""
         for ask in [*self.waiting.values(), *self.running.values()]:
             self.queue.end(end_of(ask, AttemptOutcome.CANCELLED), self.now_ms)
-        self.queue.tick(self.now_ms + PATIENT_MS)
+        self.queue.tick(self.now_ms + LONG_WAIT_MS)
         assert not self.queue.retained_customers()
 
 
--- a/tests/test_permits_stateful.py
+++ b/tests/test_permits_stateful.py
@@ -70,7 +70,7 @@
         self.harness.paused.add(self.harness.owner_of[HOLDERS[0]])
 
     @rule()
-    def wake_owners(self) -> None:
+    def resume_owners(self) -> None:
         self.harness.paused.clear()
         self.harness.advance(1)
 
