--- a/src/fescuedock/core/permits/actions.py
+++ b/src/fescuedock/core/permits/actions.py
@@ -1,4 +1,4 @@
-"""What the owner of an upstream decides; its daemon carries these out."""
+"""Decisions of an upstream's owner, which its daemon carries out."""
 
 import msgspec
 
@@ -9,7 +9,7 @@
 
 
 class Granted(msgspec.Struct, frozen=True):
-    """The ask may start now; its permit must be renewed before ``valid_ms`` has passed."""
+    """The attempt may start now; its permit must be renewed within ``valid_ms``."""
 
     ask: PermitAsk
     permit_id: str
@@ -17,7 +17,7 @@
 
 
 class Refused(msgspec.Struct, frozen=True):
-    """The ask will not start; ``retry_after_ms`` is when asking again has a chance."""
+    """The attempt must not start; a request after ``retry_after_ms`` may succeed."""
 
     ask: PermitAsk
     code: ResultCode
--- a/src/fescuedock/core/permits/estimates.py
+++ b/src/fescuedock/core/permits/estimates.py
@@ -1,4 +1,4 @@
-"""Small estimators that forget: means, peaks and a straight line, each by its own half-life."""
+"""Exponentially decaying estimators: mean, peak and straight line, each with its own half-life."""
 
 import msgspec
 
@@ -10,7 +10,7 @@
 
 
 class DecayedMean(msgspec.Struct):
-    """Mean of samples whose weight halves each ``half_life_ms``."""
+    """Mean of samples whose weight halves every ``half_life_ms``."""
 
     half_life_ms: float
     weight: float = 0.0
@@ -29,7 +29,7 @@
 
 
 class DecayedPeak(msgspec.Struct):
-    """Highest value seen, sinking toward later ones by half each ``half_life_ms``."""
+    """Highest recent value, which decays by half every ``half_life_ms``."""
 
     half_life_ms: float
     _peak: float = 0.0
@@ -44,7 +44,7 @@
 
 
 class DecayedLine(msgspec.Struct):
-    """Least-squares line through samples whose weight halves each ``half_life_ms``."""
+    """Least-squares line through samples whose weight halves every ``half_life_ms``."""
 
     half_life_ms: float
     _count: float = 0.0
@@ -65,9 +65,10 @@
 
     @property
     def slope(self) -> float:
-        """Growth of y with x; 0 while the samples cannot tell.
+        """Slope of y over x; 0 while the samples do not determine it.
 
-        Never below 0, nor so steep that y would be below 0 at x = 0: these are times that add up.
+        The samples are durations that add up, so the slope is never negative and never so steep
+        that y would be negative at x = 0.
         """
         spread = self._count * self._xx - self._x * self._x
         if spread <= 1e-9 * max(self._count * self._xx, 1.0):
@@ -82,5 +83,5 @@
         return max(self._y / self._count + self.slope * (x - self._x / self._count), 0.0)
 
     def freshness(self, now_ms: float) -> float:
-        """Return 1 right after a sample, halved with each half-life since."""
+        """Return 1 right after a sample, halved with every half-life since then."""
         return _decay(now_ms - self._at_ms, self.half_life_ms)
--- a/src/fescuedock/core/permits/evidence.py
+++ b/src/fescuedock/core/permits/evidence.py
@@ -1,4 +1,4 @@
-"""What holders report of their attempts, turned into limits and predictions of one upstream."""
+"""Turns the holders' reports on attempts into limits and predictions of one upstream."""
 
 from fescuedock.core.permits.estimates import DecayedMean
 from fescuedock.core.permits.limits import AttemptSample, UpstreamLimits
@@ -11,12 +11,12 @@
 
 __all__ = ["UpstreamEvidence"]
 
-# Fewer tokens between two renewals tell little of the rate.
+# Fewer tokens between two renewals do not give a usable rate.
 _MIN_WINDOW_TOKENS = 8
 
 
 class UpstreamEvidence:
-    """Hands each report to what can learn from it; ``held`` says in what company it ran."""
+    """Passes each report to the estimators; ``held`` supplies the concurrency it ran under."""
 
     def __init__(
         self,
@@ -33,11 +33,11 @@
         self._online_hold = DecayedMean(half_life_ms)
 
     def online_hold_ms(self, default: float) -> float:
-        """Return how long an online attempt holds its permit."""
+        """Return the mean time for which an online attempt holds its permit."""
         return self._online_hold.value(default)
 
     def observe_end(self, held: OutstandingPermit, ended: EndedPermit, now_ms: float) -> None:
-        """Take in the last report of an attempt, which is still counted as held."""
+        """Record the final report of an attempt that still counts as outstanding."""
         if held.revoked_ms is not None:
             self.limits.observe_revocation(now_ms - held.revoked_ms, now_ms)
         recent_ms = ended.recent_token_ms if ended.recent_token_ms >= 0 else ended.inter_token_ms
@@ -53,7 +53,7 @@
             self._observe_latency(held, -1.0, ended.inter_token_ms, now_ms)
 
     def observe_progress(self, held: OutstandingPermit, permit: HeldPermit, now_ms: float) -> None:
-        """Take in a renewal: seconds before an attempt ends, it shows the rate of now."""
+        """Record a renewal, which shows the current rate seconds before the attempt ends."""
         if permit.first_token_ms >= 0:
             self._observe_first_token(held, permit.first_token_ms, now_ms)
         held.generated_tokens = permit.generated_tokens
--- a/src/fescuedock/core/permits/fair_order.py
+++ b/src/fescuedock/core/permits/fair_order.py
@@ -1,8 +1,8 @@
-"""The order of asks of one class that come from several customers or have priorities.
+"""The order of requests of one class that name customers or priorities.
 
-What is most urgent by priority goes first; among those, batch work that can wait less; then
-customers take turns by virtual time; where these are equal, a customer that runs less goes first,
-and then what must start soonest.
+Requests are ordered by priority; for batch work, then by how well its deadline allows it to wait;
+then by the virtual time of fair queueing between customers.  Ties go to the customer that exceeds
+its share least, and then to the request that must start soonest.
 
 Pure: the caller passes the time.
 """
@@ -18,14 +18,14 @@
 
 __all__ = ["FairOrder", "excess_use"]
 
-# One grant in so many goes to work that a more urgent priority has kept waiting.
+# One in this many grants goes to work that has been kept waiting by a more urgent priority.
 _OVERDUE_GRANT_INTERVAL = 8
-# One grant in so many goes to work that returns after a refusal, before other work that is equal.
+# One in this many grants goes to work that is retried after a refusal, before otherwise equal work.
 _RETRIED_GRANT_INTERVAL = 2
 
 
 class FairOrder(msgspec.Struct):
-    """What is kept of the customers of one class of work at one upstream."""
+    """Fair-queueing state of the customers of one work class at one upstream."""
 
     shares: FairShares = msgspec.field(default_factory=FairShares)
     overdue: BoundedPreference = msgspec.field(
@@ -43,7 +43,7 @@
         running: Callable[[str], int],
         now_ms: float,
     ) -> list[WaitingRequest]:
-        """Return ``asks``, next first; ``running`` gives what a member runs now."""
+        """Return ``asks``, next first; ``running`` gives a member's number of running attempts."""
         asks = sorted(asks, key=lambda item: (item.ask.priority, *item.sort_key(now_ms)))
         over = excess_use({item.ask.member for item in asks}, weights, running)
         overdue = self._first_overdue(asks, now_ms)
@@ -60,14 +60,14 @@
             urgency = urgency_of(
                 ask.priority, item.waited_ms(now_ms), overdue_first=item is overdue
             )
-            # Positions differ, so that asks themselves are never compared.
+            # Positions are unique, so the requests themselves are never compared.
             share_rank = (tag, over[ask.member], item is not returned)
             ranked.append((urgency, item.stage_group, share_rank, position, item))
         ranked.sort()
         return [rank[-1] for rank in ranked]
 
     def record_grant(self, waiting: WaitingRequest, weight: float, now_ms: float) -> float:
-        """Take in that an ask is granted while others wait; return the cost it is charged."""
+        """Record the grant of a request while others wait; return the cost charged for it."""
         ask = waiting.ask
         is_overdue = ask.priority > 0 and waiting.waited_ms(now_ms) >= OVERDUE_MS
         self.overdue.record_grant(preferred=is_overdue)
@@ -80,10 +80,11 @@
     def _first_overdue(
         self, asks: Sequence[WaitingRequest], now_ms: float
     ) -> WaitingRequest | None:
-        """Return the ask whose turn it is after it has waited too long."""
+        """Return the overdue request to grant next, or None while none is due a grant."""
         if not self.overdue.is_due:
             return None
-        # Asks are in the order of priorities.  Among equals nobody is kept waiting by another.
+        # Requests are sorted by priority.  Work of the most urgent waiting priority is not held up
+        # by a more urgent one.
         most_urgent = asks[0].ask.priority
         waiting = [
             item
@@ -93,7 +94,7 @@
         return max(waiting, key=lambda item: item.waited_ms(now_ms), default=None)
 
     def _first_retried(self, asks: Iterable[WaitingRequest]) -> WaitingRequest | None:
-        """Return the ask whose turn it is as it came back after a refusal."""
+        """Return the request to prefer because it was refused before, or None."""
         if not self.retried.is_due or not len(self.refused):
             return None
         return next((item for item in asks if item.ask.work_id in self.refused), None)
@@ -102,7 +103,7 @@
 def excess_use(
     members: Iterable[str], weights: MemberShares, running: Callable[[str], int]
 ) -> dict[str, float]:
-    """Return by how much each member runs more than its share of what all of them run."""
+    """Return by how much each member exceeds its share of all running attempts."""
     used = {member: running(member) for member in members}
     total_used = sum(used.values())
     total_weight = sum(weights.weight(member) for member in used)
--- a/src/fescuedock/core/permits/fair_shares.py
+++ b/src/fescuedock/core/permits/fair_shares.py
@@ -1,8 +1,9 @@
-"""Fair queueing of customers by virtual time, with the cost of their work in tokens.
+"""Fair queueing of customers by virtual time, with costs in tokens.
 
-Work gets the tag at which its customer's use, divided by its weight, would begin: that of the work
-served last for a customer that used no more than others, and later for one that did.  Use of
-capacity that nobody waited for is not counted, and use is forgotten after ``USE_RETENTION_MS``.
+A request is tagged with the virtual time at which its customer's use, divided by its weight,
+begins.  That is the tag served last for a customer that used no more than others, and a later one
+for a customer that used more.  Capacity used while no request was waiting is not counted, and use
+is forgotten after ``USE_RETENTION_MS``.
 
 Pure: the caller passes the time.
 """
@@ -15,60 +16,60 @@
 
 # A customer's use counts for the length of a few calls after it ended.
 USE_RETENTION_MS = 3000.0
-# Engines read a prompt's token in 1/380 to 1/260 of the time of a generated one.
+# Engines process a prompt token in 1/380 to 1/260 of the time of a generated token.
 _PROMPT_TOKEN_COST = 1 / 256
-# Of work that does not say how much it generates, until some has ended.
+# Assumed output of work without a token limit, until observed outputs replace it.
 _INITIAL_MEAN_TOKENS = 32.0
 _MEAN_TOKENS_GAIN = 0.1
 
 
 class _Use(msgspec.Struct):
-    """Up to which virtual time a customer has been served, and when it was last charged."""
+    """The virtual time up to which a customer was served, and when it was last charged."""
 
     served_until: float
     charged_ms: float
 
 
 class FairShares(msgspec.Struct):
-    """The virtual time of one queue and each customer's place in it."""
+    """The virtual time of one queue and each customer's position in it."""
 
     virtual_time: float = 0.0
     _mean_tokens: float = _INITIAL_MEAN_TOKENS
     _uses: dict[str, _Use] = msgspec.field(default_factory=dict)
 
     def __len__(self) -> int:
-        """Return the number of customers of whom anything is kept."""
+        """Return the number of customers with recorded use."""
         return len(self._uses)
 
     def cost(self, prompt_tokens: int, max_tokens: int) -> float:
-        """Return what work is expected to cost, in generated tokens."""
+        """Return the expected cost of work, in generated tokens."""
         generated = min(max_tokens, self._mean_tokens) if max_tokens else self._mean_tokens
         return generated + prompt_tokens * _PROMPT_TOKEN_COST
 
     def start(self, member: str) -> float:
-        """Return the tag of a customer's next work."""
+        """Return the virtual start tag of a customer's next request."""
         use = self._uses.get(member)
         return self.virtual_time if use is None else max(use.served_until, self.virtual_time)
 
     def charge(self, member: str, cost: float, weight: float, now_ms: float) -> None:
-        """Take in that work of a customer starts while other work waits."""
+        """Charge a customer for work that starts while other work waits."""
         start = self.start(member)
         self.virtual_time = max(self.virtual_time, start)
         self._uses[member] = _Use(start + cost / weight, now_ms)
 
     def correct(self, member: str, cost: float, weight: float, now_ms: float) -> None:
-        """Add what work has cost beyond what it was charged; below 0 when it was less."""
+        """Add ``cost``, the difference between actual and charged cost, which may be negative."""
         use = self._uses.get(member)
         if use is not None:
             use.served_until += cost / weight
             use.charged_ms = now_ms
 
     def observe_tokens(self, generated_tokens: int) -> None:
-        """Take in how much a piece of work generated."""
+        """Record the number of tokens that one unit of work generated."""
         self._mean_tokens += _MEAN_TOKENS_GAIN * (generated_tokens - self._mean_tokens)
 
     def forget(self, now_ms: float, running: Mapping[str, int], *, has_waiting: bool) -> None:
-        """Drop what no longer makes a difference; all of it while there is room for everybody."""
+        """Drop entries that no longer affect the order, or all of them while no request waits."""
         if not self._uses:
             return
         if not has_waiting:
--- a/src/fescuedock/core/permits/holder.py
+++ b/src/fescuedock/core/permits/holder.py
@@ -1,4 +1,4 @@
-"""The holder's side: what an entry or batch runner holds, must renew and has to report."""
+"""The holder's side: permits that an entry or batch runner holds, renews and reports on."""
 
 from collections.abc import Iterator
 
@@ -11,33 +11,34 @@
 
 
 class HeldGrant(msgspec.Struct):
-    """One permit in this process, with what is known of its attempt."""
+    """One permit of this process and the known state of its attempt."""
 
     ask: PermitAsk
     granted_ms: float
-    # Counted from before the ask or renewal was sent, so that the owner's own count ends later.
+    # Counted from before the request or renewal was sent, so it ends before the owner's own count.
     valid_until_ms: float
-    # When to ask for more time; an owner says how long its permits are good, and they differ.
+    # When to renew; validity differs between owners, which state it with each permit.
     renew_at_ms: float = 0.0
     local: bool = False
-    # A request under it was written.
+    # A request was sent to the upstream under this permit.
     sent: bool = False
     first_token_ms: float = -1.0
     generated_tokens: int = 0
-    # When it had lapsed at its owner for certain, were it never renewed.
+    # When the permit has certainly expired at its owner if it is never renewed.
     lapsed_by_ms: float = 0.0
-    # Identities of the parts that the work's prompt may share with others.
+    # Identities of the prompt parts that this work may share with others.
     parts: tuple[str, ...] = ()
-    # The answer has neither a length nor chunks, so that its end looks like that of its upstream.
+    # The response has neither a length nor chunks, so its end cannot be told from the end of the
+    # upstream.
     unframed: bool = False
 
     @property
     def sendable_until_ms(self) -> float:
-        """When no attempt may begin under it any more."""
+        """When the latest attempt may start under this permit."""
         return max(self.valid_until_ms, self.lapsed_by_ms)
 
     def as_held(self, now_ms: float) -> HeldPermit:
-        """Return what a renewal says of this permit."""
+        """Return the entry of this permit in a renewal message."""
         return HeldPermit(
             permit_id=self.ask.attempt_id,
             upstream_id=self.ask.upstream_id,
@@ -63,21 +64,23 @@
 
 
 def validity_ms(settings: AgentSettings, vms: int) -> int:
-    """Return the validity in a fleet of ``vms`` VMs.
+    """Return the permit validity in a fleet of ``vms`` VMs.
 
-    A holder renews with each owner by itself, and in a large fleet nearly every permit has another
-    owner.  Were the validity fixed, renewals would grow with the permits that a VM holds until they
-    took most of its control budget; they only free the permits of a holder that died.
+    A holder renews with each owner separately, and in a large fleet nearly every permit has a
+    different owner.  With a fixed validity, renewals would grow with the number of permits a VM
+    holds until they took most of its control budget, although they only serve to free the permits
+    of a holder that died.
     """
     return max(settings.permit_valid_ms, settings.permit_valid_per_vm_ms * vms)
 
 
 def lapsed_by_ms(sent_ms: float, arrived_ms: float, wait_ms: float, valid_ms: float) -> float:
-    """Return when a permit has lapsed for certain whose ask was sent and answered at these times.
+    """Return when a permit has certainly expired, given when its request was sent and answered.
 
-    Its owner counts from the grant, which was before the answer came, and no later than the ask may
-    wait.  Counted from the sending, a permit that was queued for as long as it is good would never
-    be used; counted from the answer alone, one whose answer lay unread for long would be.
+    Its owner counts from the grant, which happened before the answer arrived and no later than the
+    request may wait.  Counting from the sending would expire a permit that was queued for its whole
+    validity before its first use; counting from the answer alone would keep one whose answer was
+    left unread for long.
     """
     return min(arrived_ms, sent_ms + wait_ms) + valid_ms
 
@@ -101,18 +104,18 @@
         self._grants[grant.ask.attempt_id] = grant
 
     def end(self, ended: EndedPermit) -> HeldGrant | None:
-        """Forget a permit and keep its end for the next report; None when it was not held."""
+        """Remove a permit and store its end for the next report; None when it was not held."""
         grant = self._grants.pop(ended.permit_id, None)
         if grant is not None and not grant.local:
             self._ended.append(ended)
         return grant
 
     def abandon(self, ended: EndedPermit) -> None:
-        """Report the end of an ask whose answer did not come; its permit may exist."""
+        """Report the end of an unanswered request, as its permit may have been granted."""
         self._ended.append(ended)
 
     def drain_ended(self) -> list[EndedPermit]:
-        """Return the ends that were not reported yet and forget them."""
+        """Return the unreported ends and forget them."""
         ended, self._ended = self._ended, []
         return ended
 
@@ -126,7 +129,7 @@
                 grant.renew_at_ms = renew_at_ms
 
     def lapsed(self, now_ms: float) -> list[str]:
-        """Return the batch permits that no owner has renewed in time; online ones run on."""
+        """Return the batch permits that were not renewed in time; online attempts continue."""
         return [
             permit_id
             for permit_id, grant in self._grants.items()
@@ -135,7 +138,7 @@
 
 
 class LocalLimit(msgspec.Struct):
-    """Counts the attempts of one holder at each upstream whose owner is silent."""
+    """Counts this holder's attempts at each upstream whose owner does not respond."""
 
     limit: int
     _running: dict[str, int] = msgspec.field(default_factory=dict)
--- a/src/fescuedock/core/permits/limits.py
+++ b/src/fescuedock/core/permits/limits.py
@@ -1,11 +1,11 @@
-"""How many attempts an upstream may run at once, learned from online latency and engine load.
-
-Two limits.  The *hard* limit bounds everything; it starts high and comes down when the engine
-reports that it queues, or when online misses its objectives with no batch beside it.  The *mixed*
-limit bounds everything as long as batch is part of it; it starts low, rises by a step while online
-keeps its objectives, and is cut by a factor when not.  ``online_weight`` draws the mixed limit from
-what the objectives bear (0) to the number that online alone has reached by itself (1), so that
-batch only fills the space below online's own peaks.
+"""Concurrency limits of an upstream, learned from online latency and engine load.
+
+The *hard* limit bounds all attempts.  It starts high and is lowered when the engine reports a
+queue, or when online misses its objectives without batch running concurrently.  The *mixed* limit
+bounds all attempts while batch is among them.  It starts low, rises in steps while online meets its
+objectives, and is multiplied by a factor below 1 otherwise.  ``online_weight`` moves the mixed
+limit from the number at which the objectives hold (0) to the peak of online by itself (1), so that
+batch only fills the room below the peaks of online.
 """
 
 from collections import deque
@@ -19,22 +19,22 @@
 
 __all__ = ["AttemptSample", "UpstreamLimits"]
 
-# A limit counts as in use from this share of it on; below, more would change nothing.
+# A limit is in use from this share of it on; raising it makes no difference below that.
 _IN_USE_SHARE = 0.9
-# Until its first cut a limit rises by this share at a time, so as to find the order of magnitude.
+# Until its first cut a limit grows by this share per raise, to find the order of magnitude.
 _SLOW_START_SHARE = 0.25
-# Shares of the misses that the objectives allow, from which on a limit is not raised, and is cut.
-# The limit swings between the two, and all of it must stay within what is allowed.
+# Shares of the misses permitted by the objectives above which a limit is not raised, and is cut.
+# The limit oscillates between the two, and all of that range must stay within the objectives.
 _RAISE_SHARE = 0.25
 _CUT_SHARE = 0.5
-# Weight of misses below which their share means nothing.
+# Total weight of misses below which their share is not significant.
 _MIN_MISSES = 2.0
 
 
 class AttemptSample(msgspec.Struct, frozen=True):
-    """A time of one online attempt, and in what company it ran since ``since_ms``.
+    """Latency of one online attempt and the concurrency it ran under since ``since_ms``.
 
-    A time below 0 is not known.
+    A negative time is unknown.
     """
 
     first_token_ms: float
@@ -46,9 +46,9 @@
 class _Limit:
     """One additive-increase, multiplicative-decrease limit.
 
-    Only attempts that started after the last cut and ran under the limit count as evidence: others
-    tell of the limit before it, or of a queue that it left behind, and would have it cut twice for
-    one cause.
+    Only attempts that started after the last cut and ran under the limit count as evidence.  Others
+    reflect the limit before the cut, or a queue that it left behind, and would cause a second cut
+    for the same reason.
     """
 
     __slots__ = (
@@ -67,7 +67,7 @@
         self.cut_ms = now_ms
         self.raised_ms = now_ms
         self.was_cut = False
-        # An attempt that started after the last raise has told of its times.
+        # Whether an attempt that started after the last raise has been observed.
         self.raise_confirmed = False
         self.misses = DecayedMean(half_life_ms)
 
@@ -109,11 +109,11 @@
 
     @property
     def hard(self) -> int:
-        """Attempts that may run at once."""
+        """Number of attempts that may run at once."""
         return max(int(self._hard.value), 1)
 
     def mixed(self, now_ms: float) -> int:
-        """Attempts that may run at once as long as batch is among them and online runs."""
+        """Number of attempts that may run at once while both batch and online run."""
         weight = self.objectives.online_weight
         bearable = min(self._mixed.value, self._hard.value)
         own_peak = self._peak.value(now_ms) * (1.0 + self._settings.tail_rise)
@@ -121,7 +121,7 @@
         return max(int(weight * peak + (1.0 - weight) * bearable), 1)
 
     def headroom(self, now_ms: float) -> float:
-        """Return how much to keep free for the online burst of one revocation time."""
+        """Return the room to keep free for an online burst within one revocation time."""
         return self._burst.value(now_ms)
 
     @property
@@ -130,7 +130,7 @@
         return self._revocation.value(self._settings.revocation_ms)
 
     def observe_online_start(self, in_flight_online: int, now_ms: float) -> None:
-        """Take in that one more online attempt runs, ``in_flight_online`` in all."""
+        """Record the start of an online attempt, with ``in_flight_online`` now running."""
         self._peak.add(in_flight_online, now_ms)
         self._arrivals_ms.append(now_ms)
         window_ms = max(self._settings.burst_window_ms, self.revocation_ms)
@@ -142,11 +142,11 @@
         self._revocation.add(took_ms, now_ms)
 
     def observe_attempt(self, sample: AttemptSample, now_ms: float) -> None:
-        """Take in an online attempt's time; misses beyond the objectives' share cut a limit.
+        """Record the latency of an online attempt; misses beyond the permitted share cut a limit.
 
-        A miss counts against batch by batch's share of the company, and against online's own
-        number by the rest.  The latter only when the first token is late, which tells of a queue:
-        slow tokens are better than a refusal.
+        A miss counts against batch by batch's share of the concurrency, and against the number of
+        online attempts by the rest.  The latter only applies when the first token is late, which
+        indicates a queue: slow tokens are preferable to a refusal.
         """
         late = sample.first_token_ms > self.objectives.first_token_ms
         slow = sample.inter_token_ms > self.objectives.inter_token_ms
@@ -160,10 +160,10 @@
                 self._cut_if_missed(self._hard, 1.0, sample, now_ms)
 
     def observe_load(self, running: int, waiting: int, now_ms: float) -> None:
-        """Take in an engine's own report, which is up to ``load_lag_ms`` old.
+        """Record an engine's own load report, which is up to ``load_lag_ms`` old.
 
-        An engine that queues has shown how many it can run.  Reports that follow a cut within the
-        lag tell of the time before it.
+        An engine that queues shows how many attempts it can run.  Reports that arrive within the
+        lag after a cut describe the state before the cut and are ignored.
         """
         if not waiting or running < 1:
             return
@@ -175,11 +175,11 @@
         self._capped_ms = now_ms
 
     def online_cost(self) -> float:
-        """Return how much of the mixed limit one online attempt takes up."""
+        """Return how much of the mixed limit one online attempt uses."""
         return 1.0 + self._settings.online_reserve * self.objectives.online_weight
 
     def adjust(self, online: int, batch: int, now_ms: float) -> None:
-        """Raise what is in use and has kept the objectives; to be called every now and then."""
+        """Raise limits that are in use and met the objectives; must be called periodically."""
         headroom = self.headroom(now_ms)
         self._raise(self._hard, online + batch, self._ceiling(now_ms), now_ms)
         if batch:
@@ -189,7 +189,7 @@
     def _cut_if_missed(
         self, limit: _Limit, share: float, sample: AttemptSample, now_ms: float
     ) -> None:
-        """Cut when the misses pass ``share`` of those allowed; one alone may be chance."""
+        """Cut when the misses exceed ``share`` of those permitted; a single miss may be chance."""
         misses = limit.misses.value(0.0)
         if not limit.is_evidence(sample) or misses * limit.misses.weight < _MIN_MISSES:
             return
@@ -201,12 +201,15 @@
         return 1.0 - self.objectives.online_share
 
     def _ceiling(self, now_ms: float) -> float:
-        """Return how far the hard limit may rise: past what the engine has shown only later on."""
+        """Return the maximum of the hard limit.
+
+        It is the capacity that the engine has shown, and rises beyond that only after a while.
+        """
         age = (now_ms - self._capped_ms) / self._settings.peak_half_life_ms
         return min(self._engine_cap * max(age, 1.0), self._settings.max_limit)
 
     def _raise(self, limit: _Limit, used: float, ceiling: float, now_ms: float) -> None:
-        """Raise by a step if the limit is in use and the last raise has been seen to do no harm."""
+        """Raise by a step if the limit is in use and the last raise has proved harmless."""
         in_use = used >= _IN_USE_SHARE * limit.value
         if not in_use or not limit.raise_confirmed or limit.value >= ceiling:
             return
--- a/src/fescuedock/core/permits/owner.py
+++ b/src/fescuedock/core/permits/owner.py
@@ -1,4 +1,4 @@
-"""All the upstreams that one agent owns: their queues, and its verdict on their health."""
+"""All upstreams that one agent owns: their queues and their health."""
 
 from collections.abc import Iterator, Mapping
 
@@ -24,21 +24,24 @@
 
 
 class OwnedUpstream(msgspec.Struct, frozen=True):
-    """One upstream that this agent owns, as the fleet view and the configuration have it."""
+    """One owned upstream according to the fleet view and the configuration."""
 
     service: str
     terms: UpstreamTerms
 
 
 class Renewal(msgspec.Struct, frozen=True):
-    """The answer to a renewal, and what else it brought about."""
+    """The reply to a renewal and the actions that it causes."""
 
     reply: PermitRenewReply
     actions: list[Action]
 
 
 class PermitOwner:
-    """Soft state only: a new owner starts empty and learns from the holders' renewals."""
+    """Queues of all owned upstreams.
+
+    All state is soft: a new owner starts without any and rebuilds it from the holders' renewals.
+    """
 
     def __init__(self, settings: PermitSettings, valid_ms: int) -> None:
         self._settings = settings
@@ -49,7 +52,7 @@
 
     @property
     def owns_any(self) -> bool:
-        """Whether any upstream is ours, so that ``tick`` has something to do."""
+        """Whether this agent owns any upstream, so that ``tick`` must run."""
         return bool(self._queues)
 
     def owned(self) -> Iterator[str]:
@@ -67,7 +70,7 @@
         fleet_counts: Mapping[str, int],
         now_ms: float,
     ) -> list[Action]:
-        """Take in which upstreams are ours now; ``fleet_counts`` is by service, of all owners."""
+        """Set the owned upstreams; ``fleet_counts`` is the number per service over all owners."""
         actions: list[Action] = []
         for upstream_id in set(self._queues) - set(owned):
             actions += self._queues.pop(upstream_id).refuse_all(ResultCode.NOT_OWNER)
@@ -84,20 +87,20 @@
         return actions
 
     def submit(self, ask: PermitAsk, now_ms: float) -> list[Action]:
-        """Take in an ask; ``NOT_OWNER`` tells that this agent does not own the upstream."""
+        """Handle a permit request; ``NOT_OWNER`` refuses one for an upstream not owned here."""
         queue = self._queues.get(ask.upstream_id)
         if queue is None:
             return [Refused(ask, ResultCode.NOT_OWNER, 0)]
         return queue.submit(ask, now_ms)
 
     def start_trial(self, upstream_id: str, now_ms: float) -> bool:
-        """Whether an upstream that is out may be probed now; bounded by its health policy."""
+        """Whether an upstream that is out may be probed now, within its health policy."""
         if upstream_id not in self._queues:
             return False
         return self._health_of(upstream_id).start_trial(upstream_id, now_ms)
 
     def renew(self, message: PermitRenew, now_ms: float) -> Renewal:
-        """Extend what the holder has; permits of upstreams that are not ours stay untouched."""
+        """Extend the holder's permits; those of upstreams not owned here are left unchanged."""
         revoked: list[str] = []
         touched: dict[str, UpstreamQueue] = {}
         for permit in message.permits:
@@ -114,7 +117,7 @@
         return Renewal(PermitRenewReply(self._valid_ms, revoked, loads), actions)
 
     def end(self, message: PermitsEnded, now_ms: float) -> list[Action]:
-        """Take in ended attempts and what they say about their upstreams."""
+        """Record ended attempts and their outcomes as evidence on upstream health."""
         actions: list[Action] = []
         for ended in message.ended:
             queue = self._queues.get(ended.upstream_id)
@@ -125,7 +128,7 @@
         return actions
 
     def observe(self, upstream_id: str, outcome: AttemptOutcome, now_ms: float) -> list[Action]:
-        """Take in evidence about an upstream's health."""
+        """Record an attempt's outcome as evidence on an upstream's health."""
         queue = self._queues.get(upstream_id)
         if queue is None:
             return []
@@ -135,24 +138,24 @@
         return [] if healthy == queue.healthy else queue.set_healthy(healthy, now_ms)
 
     def observe_load(self, upstream_id: str, running: int, waiting: int, now_ms: float) -> None:
-        """Take in an engine's own report."""
+        """Record an engine's own load report."""
         queue = self._queues.get(upstream_id)
         if queue is not None:
             queue.observe_load(running, waiting, now_ms)
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Let time pass."""
+        """Run the periodic work of all queues."""
         actions: list[Action] = []
         for queue in self._queues.values():
             actions += queue.tick(now_ms)
         return actions
 
     def has_waiting(self, work_class: WorkClass) -> bool:
-        """Whether any ask of ``work_class`` is queued, so that ``tick`` is wanted soon."""
+        """Whether any request of ``work_class`` is queued, so that ``tick`` must run soon."""
         return any(queue.has_waiting(work_class) for queue in self._queues.values())
 
     def load(self, upstream_id: str, now_ms: float) -> LoadSnapshot:
-        """Return a fresh load; of an upstream that is not ours, one that takes no work."""
+        """Return the current load; for an upstream not owned here, one that accepts no work."""
         queue = self._queues.get(upstream_id)
         if queue is None:
             return LoadSnapshot(upstream_id, 0, 0, 0, 0, 0.0, False)
--- a/src/fescuedock/core/permits/queue.py
+++ b/src/fescuedock/core/permits/queue.py
@@ -1,10 +1,10 @@
-"""The queue of one upstream: who may start now, who waits, who must give way.
+"""The queue of one upstream: decides which attempts start, wait or are revoked.
 
-An online ask is granted at once as long as online alone is under the hard limit, and leaves a few
-batch runs alone that were cut off again and again while it can go elsewhere; if that leaves more
-than the mixed limit in flight, batch permits are revoked in the same step.  So for the time
-that a revocation takes, the upstream runs more than its limit by the permits being revoked, and
-never by more.  Batch is granted only into room that is free beyond the headroom for bursts.
+An online request is granted at once while the number of online attempts is below the hard limit.
+If more than the mixed limit is in flight then, batch permits are revoked in the same step.  During
+a revocation the upstream therefore exceeds its limit by at most the permits being revoked.  A few
+batch runs that were cut off repeatedly are protected from online requests that can use other
+upstreams.  Batch is granted only into room beyond the headroom for online bursts.
 """
 
 from collections import OrderedDict
@@ -21,24 +21,26 @@
 
 __all__ = ["UpstreamQueue"]
 
-# An owner that was not run for this share of the validity cannot blame holders for the silence.
+# If an owner did not run for this share of the validity, missing renewals are its own fault.
 _PAUSE_VALIDITY_SHARE = 0.5
-# How long a peak of online keeps batch out: the usual pause between two online calls at an upstream
-# whose slots online fills (8 slots of 0.75 s each: 94 ms), and half as much again.
+# How long a peak of online attempts keeps batch from starting: the usual pause between two online
+# calls at an upstream whose slots are full of them (8 slots of 0.75 s each: 94 ms), plus one half.
 _PEAK_HOLD_MS = 150.0
-# A late ask waits longer than the asks before it make it, since those that come on time go first.
+# A late request waits longer than the requests ahead of it imply, because requests that can still
+# be on time go first.
 _LATE_WAIT_FACTOR = 2.0
-# Of the slots, the largest share that sheltered batch runs take from online.
+# Maximum share of the slots that protected batch runs may keep from online.
 _MAX_PROTECTED_SHARE = 0.25
-# In which an online call that waits at several owners is granted by another one, if any has room.
+# Time within which an online request queued at several owners is granted by another one if that one
+# has room.
 _OTHER_OWNERS_MS = 10.0
 
 
 class UpstreamQueue:
-    """Soft state of one upstream, kept by the agent that owns it.
+    """Soft state of one upstream, held by the agent that owns it.
 
-    ``rebuild_ms`` is how long batch waits after a change of owner, for the holders' renewals to
-    tell what runs already.
+    ``rebuild_ms`` is how long batch waits after a change of owner, until the holders' renewals have
+    reported the running attempts.
     """
 
     def __init__(
@@ -74,22 +76,23 @@
         return self._terms.admitting and self.healthy
 
     def set_terms(self, terms: UpstreamTerms, now_ms: float) -> list[Action]:
-        """Take in changed terms; asks that can no longer be granted are refused."""
+        """Apply changed terms; requests that can no longer be granted are refused."""
         self._terms = terms
         self._waiting.shares = terms.shares
         self._limits.objectives = terms.objectives
         return self._serve(now_ms)
 
     def set_healthy(self, healthy: bool, now_ms: float) -> list[Action]:
-        """Take in the owner's verdict; what runs may finish."""
+        """Set the upstream's health; running attempts may finish."""
         self.healthy = healthy
         return self._serve(now_ms)
 
     def submit(self, ask: PermitAsk, now_ms: float) -> list[Action]:
-        """Take in an ask; it is granted, refused or queued.
+        """Grant, refuse or queue a request.
 
-        An attempt that holds a permit gets the same again.  One that has ended gets none, so that
-        an ask that was overtaken by its own end cannot leave a permit behind.
+        A repeated request of an attempt that holds a permit returns the same permit.  An attempt
+        that has ended gets none, so that a request overtaken by its own end cannot leave a permit
+        behind.
         """
         held = self._held.get(ask.attempt_id)
         if held is not None:
@@ -107,9 +110,9 @@
         return self._serve(now_ms)
 
     def renew(self, holder_id: str, permit: HeldPermit, now_ms: float) -> bool:
-        """Extend a permit; False when it is no longer good and its attempt must be cancelled.
+        """Extend a permit; False when it is no longer valid and its attempt must be cancelled.
 
-        A permit that is not known here was granted by a former owner, and is taken in.
+        A permit that is unknown here was granted by a former owner and is adopted.
         """
         if permit.permit_id in self._ended:
             return False
@@ -123,11 +126,11 @@
         return held.revoked_ms is None
 
     def trim(self, now_ms: float) -> list[Action]:
-        """Decide again after renewals, which may have brought more than the limits allow."""
+        """Enforce the limits after renewals, which may have added permits beyond them."""
         return self._serve(now_ms)
 
     def end(self, ended: EndedPermit, now_ms: float) -> list[Action]:
-        """Take in that an attempt is over, or that its ask was given up."""
+        """Record the end of an attempt or the withdrawal of its request."""
         self._record_end(ended.permit_id, now_ms)
         waiting = self._waiting.remove(ended.permit_id)
         held = self._held.get(ended.permit_id)
@@ -140,11 +143,11 @@
         return [*refused, *self._serve(now_ms)]
 
     def observe_load(self, running: int, waiting: int, now_ms: float) -> None:
-        """Take in the engine's own report of its load."""
+        """Record the engine's own load report."""
         self._limits.observe_load(running, waiting, now_ms)
 
     def tick(self, now_ms: float) -> list[Action]:
-        """Let time pass: expire, adjust limits, grant what has become possible."""
+        """Expire permits, adjust limits, and grant requests that have become possible."""
         gap_ms = now_ms - self._last_tick_ms
         self._last_tick_ms = now_ms
         if gap_ms > _PAUSE_VALIDITY_SHARE * self.valid_ms:
@@ -159,12 +162,12 @@
         return self._serve(now_ms)
 
     def has_waiting(self, work_class: WorkClass) -> bool:
-        """Whether any ask of ``work_class`` is queued, which makes time matter."""
+        """Whether any request of ``work_class`` is queued, so that ``tick`` must run soon."""
         return bool(self._waiting.count(work_class))
 
     def load(self, now_ms: float) -> LoadSnapshot:
         queued = self._waiting.expected_online_starts()
-        # They take slots from calls as online does.
+        # Protected batch runs keep slots from online requests just as online attempts do.
         protected = self._protected_batch(now_ms)
         predicted_ms = self._first_token.predict_ms(self._held.unrevoked, now_ms)
         wait_ms = self._online_wait_ms(queued)
@@ -187,11 +190,11 @@
         )
 
     def retained_customers(self) -> int:
-        """Return the number of customers and refused works of which anything is kept."""
+        """Return the number of customers and refused units of work with stored state."""
         return self._waiting.retained_customers() + len(self._held.by_member())
 
     def refuse_all(self, code: ResultCode) -> list[Action]:
-        """Answer every waiting ask with ``code``: nothing can be granted here any more."""
+        """Refuse every waiting request with ``code``."""
         asks = [waiting.ask for waiting in self._waiting]
         for ask in asks:
             self._waiting.remove(ask.attempt_id)
@@ -211,19 +214,19 @@
 
     @property
     def _is_reserved(self) -> bool:
-        """Whether something runs alone here, or waits to."""
+        """Whether an isolated run holds a permit here or waits for one."""
         return self._held.isolated > 0 or self._waiting.isolated > 0
 
     def _serve_isolated(self, now_ms: float) -> list[Action]:
-        """Let the upstream run empty for the next ask to run alone; nothing else begins.
+        """Grant nothing until the upstream is empty, then grant the next isolated run.
 
-        What else waits is not refused before its time, as the run that it waits for is short.
+        Other waiting requests are not refused early, as the isolated run is short.
         """
         actions: list[Action] = []
         if not self._held.isolated:
             actions += [self._revoke(held, now_ms) for held in self._held.unrevoked_batch_permits()]
         for waiting in self._waiting.isolated_in_order():
-            # An owner that is new does not know yet what runs.
+            # A new owner does not know yet which attempts are running.
             if not len(self._held) and now_ms >= self._rebuild_until_ms:
                 self._waiting.remove(waiting.ask.attempt_id)
                 actions.append(self._grant(waiting, now_ms))
@@ -252,26 +255,26 @@
         return actions
 
     def _online_limit(self, waiting: WaitingRequest, now_ms: float) -> int:
-        """Return below which number of online attempts an ask is granted.
+        """Return the number of online attempts below which a request is granted.
 
-        Sheltered batch runs give way only to a call that found no room at other upstreams.
+        Protected batch runs are revoked only for a request that found no room at other upstreams.
         """
         if waiting.ask.wait_ms > 0 and now_ms >= waiting.arrived_ms + _OTHER_OWNERS_MS:
             return self._hard_limit()
         return self._hard_limit() - self._protected_batch(now_ms)
 
     def _protected_batch(self, now_ms: float) -> int:
-        """Return how many batch runs do not give way to calls that can go elsewhere."""
+        """Return how many batch runs are protected from requests that can use other upstreams."""
         max_protected = max(int(self._hard_limit() * _MAX_PROTECTED_SHARE), 1)
         return min(self._held.count_protected(now_ms), max_protected)
 
     def _should_refuse(self, waiting: WaitingRequest, ahead: float, now_ms: float) -> bool:
-        """Whether an ask will not be granted while it may wait.
+        """Whether a request cannot be granted within the time it may wait.
 
-        One that can be on time is kept to the end of its wait, as its holder chooses anew by then.
-        A late one is kept while it can start before its caller leaves: a late answer is worth
-        something, one that nobody waits for is not.  So is one of a customer, whose place in the
-        queue says by its share how long it will wait, on time or not.
+        A request that can still be on time is queued until its wait ends, as its holder then
+        chooses again.  A late one is queued while it can start before its caller leaves: a late
+        answer is of use, one after the caller has left is not.  The same applies to a customer's
+        request, on time or not, as its wait depends on the customer's share.
         """
         target_ms = waiting.ask.target_ms
         if target_ms < 0 or (target_ms and waiting.needs_fair_order):
@@ -288,7 +291,7 @@
         if self._waiting.is_over_share(waiting.ask.member, self._held.count_of):
             code = ResultCode.MEMBER_OVER_SHARE
         if waiting.needs_fair_order and now_ms < waiting.answer_by_ms:
-            # Not because its holder is to choose anew, so it is refused for good.
+            # The refusal is final: it was not made so that the holder chooses again.
             self._waiting.record_refusal(waiting, now_ms)
             hold_ms = self._evidence.online_hold_ms(self._terms.objectives.first_token_ms)
             wait_ms = self._retry_times.assign_delay_ms(
@@ -299,7 +302,8 @@
     def _revoke_excess_batch(self, now_ms: float) -> list[Action]:
         limit = self._batch_limit(now_ms)
         if self._terms.slots:
-            # A recent peak keeps batch from beginning; what runs stays while there are slots.
+            # A recent online peak prevents new batch attempts; running ones continue while slots
+            # are free.
             limit = max(self._hard_limit() - self._held.online, 0)
         excess = self._held.unrevoked_batch - limit
         if excess <= 0 or not self._held.unrevoked_batch:
@@ -308,7 +312,7 @@
         return [self._revoke(held, now_ms) for held in victims]
 
     def _revoke_blocking_prefill(self, now_ms: float) -> list[Action]:
-        """Take back batch whose prompts would be read before those of the online just granted.
+        """Revoke batch whose prompts would be processed before those of the online just granted.
 
         It has generated nothing yet, so little is lost.
         """
@@ -321,7 +325,7 @@
         ]
 
     def _is_worth_revoking(self, prefill_ms: float) -> bool:
-        """Whether so much prefill is worth a revocation; the more batch weighs, the less it is."""
+        """Whether this much prefill justifies a revocation, weighted by ``online_weight``."""
         return self._terms.objectives.online_weight * prefill_ms > self._limits.revocation_ms
 
     def _revoke(self, held: OutstandingPermit, now_ms: float) -> Revoked:
@@ -357,7 +361,7 @@
             return False
         limit = self._batch_limit(now_ms)
         headroom = min(self._limits.headroom(now_ms), limit / 2)
-        # Permits being revoked still run, so they take room until they end.
+        # Attempts under revoked permits are still running, so they occupy room until they end.
         return self._held.batch + headroom < limit
 
     def _pace_batch(self, ask: PermitAsk, now_ms: float) -> None:
@@ -396,7 +400,7 @@
         return self._terms.max_in_flight or self._terms.slots or self._limits.hard
 
     def _batch_limit(self, now_ms: float) -> int:
-        """Return how many batch attempts may run beside the online ones that do."""
+        """Return how many batch attempts may run together with the current online attempts."""
         hard = self._hard_limit()
         if self._terms.slots:
             return max(hard - self._reserved_for_online(now_ms), 0)
@@ -406,11 +410,11 @@
         return max(int(limit - self._held.online * self._limits.online_cost()), 0)
 
     def _reserved_for_online(self, now_ms: float) -> int:
-        """Return the declared slots that are online's now.
+        """Return the number of declared slots reserved for online now.
 
-        While online has half of them or more, its recent peak counts: a slot that it leaves is
-        wanted again within about this time, and batch would be revoked before it got anywhere.
-        Without this an item ran in six pieces on the average, each over a new connection.
+        While online uses at least half of the slots, its recent peak counts: a slot that it frees
+        is needed again within about this time, and batch would be revoked before making progress.
+        Without this rule an item was split into six runs on average, each over a new connection.
         """
         online = self._held.online
         if 2 * online < self._terms.slots or now_ms - self._peak_ms > _PEAK_HOLD_MS:
--- a/src/fescuedock/core/permits/refusals.py
+++ b/src/fescuedock/core/permits/refusals.py
@@ -1,4 +1,4 @@
-"""Refused work: when it is told to come back, and that it is known again when it does.
+"""Refused work: when its caller should retry, and recognizing it on that retry.
 
 Pure: the caller passes the time.
 """
@@ -9,29 +9,31 @@
 
 __all__ = ["RefusedWork", "RetryTimes"]
 
-# Callers come back within seconds, or not at all.
+# Callers retry within seconds, or not at all.
 _REFUSAL_MEMORY_MS = 5000.0
 _MAX_REMEMBERED_REFUSALS = 512
-# Callers that are told to wait for longer than they wait for an answer do not come back.
+# Callers told to wait for longer than they wait for an answer do not retry.
 _MAX_RETRY_DELAY_MS = 2500.0
 # The fractional part of the golden ratio spreads any number of phases nearly evenly.
 _PHASE_STEP = 0.618
 
 
 class RetryTimes(msgspec.Struct):
-    """Gives each refused caller a time of its own, as fast as the queue serves."""
+    """Assigns each refused caller its own retry time, at the rate at which the queue is served."""
 
     _last_ms: float = -float("inf")
     _phase: float = 0.0
 
     def assign_delay_ms(self, now_ms: float, wait_ms: float, step_ms: float) -> float:
-        """Return in how many ms there will be capacity for one more caller.
+        """Return the delay in ms after which there is capacity for one more caller.
 
-        ``wait_ms`` is when the queue of now is served, ``step_ms`` the time between two grants.
+        ``wait_ms`` is the time until the current queue is served, ``step_ms`` the time between two
+        grants.
         """
         at_ms = max(now_ms + wait_ms, self._last_ms + step_ms)
         if at_ms > now_ms + _MAX_RETRY_DELAY_MS:
-            # There is no capacity left to promise; another round falls between the times of others.
+            # No capacity is left to assign; start another round at times between those already
+            # assigned.
             self._phase = (self._phase + _PHASE_STEP) % 1.0
             at_ms = now_ms + min(wait_ms, _MAX_RETRY_DELAY_MS - step_ms) + self._phase * step_ms
         self._last_ms = at_ms
@@ -39,7 +41,7 @@
 
 
 class RefusedWork(msgspec.Struct):
-    """The work that was refused in the last seconds, by its identity."""
+    """The units of work refused in the last seconds, by identity."""
 
     _until_ms: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
 
@@ -50,7 +52,7 @@
         return work_id in self._until_ms
 
     def add(self, work_id: str, now_ms: float) -> None:
-        """Take in that work was refused; the oldest is forgotten when there is too much."""
+        """Record that work was refused; beyond the bound the oldest entry is dropped."""
         if not work_id:
             return
         self._until_ms.pop(work_id, None)
@@ -63,6 +65,6 @@
         self._until_ms.pop(work_id, None)
 
     def forget(self, now_ms: float) -> None:
-        """Drop what did not come back in time."""
+        """Drop work that was not retried in time."""
         while self._until_ms and next(iter(self._until_ms.values())) <= now_ms:
             self._until_ms.popitem(last=False)
--- a/src/fescuedock/core/permits/speed.py
+++ b/src/fescuedock/core/permits/speed.py
@@ -1,9 +1,9 @@
-"""How fast one upstream is: its lasting speed, and a factor for the slow period that it may be in.
+"""Speed of one upstream: its long-term speed, and a slowdown factor for slow periods.
 
-Both come from what holders report of attempts that run or have ended.  The lasting speed is learned
-over tens of seconds and per concurrent attempt, so that an upstream that is full is not taken for a
-slow one: a full one is told by its queue.  The factor follows the latest pauses between events and
-is forgotten within a second without evidence.
+Both are derived from the holders' reports on running and ended attempts.  The long-term speed is
+learned over tens of seconds and per number of concurrent attempts, so that a full upstream is not
+taken for a slow one; a full one is recognized by its queue.  The factor follows the latest pauses
+between events and decays within a second without evidence.
 
 Pure: the caller passes the time.
 """
@@ -14,23 +14,23 @@
 
 __all__ = ["SLOWNESS_HALF_LIFE_MS", "Speed", "UpstreamSpeed"]
 
-# Slow periods of upstreams last about 600 ms: after a second without evidence 1/16 is left.
+# Slow periods of upstreams last about 600 ms: after a second without evidence 1/16 remains.
 SLOWNESS_HALF_LIFE_MS = 250.0
-# What one report moves the factor by.  Reports come every 80 ms from 8 slots of 0.6 s: two make
-# most of a factor of 2.5 visible, one alone may be a pause of the network.
+# Weight of one report in the factor.  Reports arrive every 80 ms from 8 slots of 0.6 s: two make
+# most of a factor of 2.5 visible, while a single one may be a pause of the network.
 _SLOWNESS_GAIN = 0.5
 _MAX_SLOWNESS = 10.0
-# Samples above this many times the usual count as no more, so that slow periods hardly move the
-# lasting speed while a lasting change still does, step by step.
+# Larger samples are capped at this multiple of the usual value, so that slow periods hardly change
+# the long-term speed while a lasting change still does, step by step.
 _MAX_SAMPLE_RATIO = 1.5
 
 
 class Speed(msgspec.Struct, frozen=True):
-    """Estimates of one upstream; times are 0 and ``age_ms`` is below 0 while nothing is known.
+    """Estimates of one upstream; times are 0 and ``age_ms`` is negative while nothing is known.
 
-    ``start_ms`` is the time to a first event less that of the prompt, ``event_ms`` the time between
-    two events beside what runs there, ``run_ms`` the time from the first to the last event of a
-    usual call.  None of them has the factor ``slowness`` in it, nor any wait for a slot.
+    ``start_ms`` is the time to the first event without that of the prompt, ``event_ms`` the time
+    between two events at the given concurrency, and ``run_ms`` the time from the first to the last
+    event of a typical call.  None of them includes the factor ``slowness`` or any wait for a slot.
     """
 
     start_ms: float = 0.0
@@ -42,7 +42,7 @@
 
 
 class UpstreamSpeed:
-    """The learned speed of one upstream; a new owner or upstream begins with nothing known."""
+    """The learned speed of one upstream; a new owner or upstream starts without knowledge."""
 
     __slots__ = (
         "_event",
@@ -62,13 +62,13 @@
         self._last_evidence_ms = -float("inf")
 
     def observe_start(self, prompt_tokens: int, first_event_ms: float, now_ms: float) -> None:
-        """Take in the time from the grant to the first event of an attempt."""
+        """Record the time from the grant to the first event of an attempt."""
         usual_ms = self._start.value(prompt_tokens, first_event_ms)
         self._start.add(prompt_tokens, min(first_event_ms, _MAX_SAMPLE_RATIO * usual_ms), now_ms)
         self._last_evidence_ms = now_ms
 
     def observe_events(self, event_ms: float, in_flight: int, now_ms: float) -> None:
-        """Take in a recent time between two events of an attempt beside ``in_flight`` in all."""
+        """Record a recent time between two events of one of ``in_flight`` running attempts."""
         if event_ms <= 0:
             return
         usual_ms = self._event.value(in_flight, event_ms) or event_ms
@@ -80,11 +80,11 @@
         self._last_evidence_ms = now_ms
 
     def observe_length(self, events: int, now_ms: float) -> None:
-        """Take in how many events a whole answer to a call had."""
+        """Record the number of events of a complete answer to a call."""
         self._event_count.add(events, now_ms)
 
     def slowness(self, now_ms: float) -> float:
-        """Return how many times as long as usual things take now, 1 or more."""
+        """Return the current slowdown factor relative to the usual speed, at least 1."""
         fading = 0.5 ** (max(now_ms - self._slowness_updated_ms, 0.0) / SLOWNESS_HALF_LIFE_MS)
         return 1.0 + (self._slowness - 1.0) * fading
 
--- a/src/fescuedock/core/permits/terms.py
+++ b/src/fescuedock/core/permits/terms.py
@@ -1,4 +1,4 @@
-"""What the operators and the membership say of an upstream, as its queue needs it."""
+"""The terms of an upstream, given by operators and the membership, that its queue applies."""
 
 import msgspec
 
@@ -9,15 +9,16 @@
 
 
 class UpstreamTerms(msgspec.Struct, frozen=True):
-    """What the configuration and the membership say of one upstream."""
+    """Limits, weights and state of one upstream from the configuration and the membership."""
 
     objectives: Objectives = msgspec.field(default_factory=Objectives)
     shares: MemberShares = msgspec.field(default_factory=MemberShares)
-    # 0 lets the policy find the limit.
+    # 0 lets the learned limit apply.
     max_in_flight: int = 0
-    # Requests that the upstream declares to run at once, or 0.  Being exact, nothing is learned
-    # and no room kept back: batch fills what online leaves, and gives way in the same step.
-    # Room kept back and learned limits left 13 of 48 slots idle between bursts while batch waited.
+    # Number of requests that the upstream declares it runs at once, or 0.  The number is exact, so
+    # no limit is learned and no headroom kept: batch fills the slots that online leaves and is
+    # revoked in the same step.  Headroom and learned limits left 13 of 48 slots idle between bursts
+    # while batch waited.
     slots: int = 0
-    # False once it leaves or drains: nothing new, what runs may finish.
+    # False once the upstream leaves or drains: nothing new starts, running attempts may finish.
     admitting: bool = True
--- a/src/fescuedock/core/permits/waiting.py
+++ b/src/fescuedock/core/permits/waiting.py
@@ -1,4 +1,4 @@
-"""The asks that wait for one upstream, ordered by class, priority, customer's share and slack."""
+"""Requests waiting for one upstream, ordered by class, priority, customer share and slack."""
 
 from collections.abc import Callable, Iterator, Mapping
 from typing import TYPE_CHECKING
@@ -16,24 +16,26 @@
 
 
 class WaitingRequests(msgspec.Struct):
-    """A queue of one upstream.  Online always goes before batch.
+    """The queued requests of one upstream.  Online always goes before batch.
 
     Within a class, ``FairOrder`` decides between customers and priorities, so that one customer's
-    backlog cannot hold up another's; among a customer's, what must start soonest goes first.  Batch
-    work that is overdue has a share of the grants to itself, whoever's it is.
+    backlog cannot hold up another's.  Among one customer's requests, the one that must start
+    soonest goes first.  A share of the batch grants is reserved for overdue work, whichever
+    customer it belongs to.
     """
 
     shares: MemberShares
-    # Of them, those that are to run with nothing beside them.
+    # Number of queued requests for an isolated run.
     isolated: int = 0
     _by_attempt: dict[str, WaitingRequest] = msgspec.field(default_factory=dict)
     _counts: dict[WorkClass, int] = msgspec.field(
         default_factory=lambda: dict.fromkeys(WorkClass, 0)
     )
-    # Of them, those that name a customer or a priority; without any, nothing is kept of customers.
+    # Number of queued requests that name a customer or a priority; without any, no state of
+    # customers is stored.
     _fair_order_count: int = 0
     _orders: dict[WorkClass, "FairOrder"] = msgspec.field(default_factory=dict)
-    # Batch grants since overdue work had its last turn.
+    # Batch grants since the last one reserved for overdue work.
     _grants_since_overdue: int = 0
 
     def __contains__(self, attempt_id: str) -> bool:
@@ -46,13 +48,13 @@
         return self._counts[work_class]
 
     def isolated_in_order(self) -> list[WaitingRequest]:
-        """Return the asks to run alone, next first: online before batch, as they came."""
+        """Return the requests for isolated runs, next first: online before batch, by arrival."""
         asks = [item for item in self._by_attempt.values() if item.ask.alone]
         asks.sort(key=lambda item: (item.ask.work_class is WorkClass.BATCH, item.arrived_ms))
         return asks
 
     def expected_online_starts(self) -> float:
-        """Return how many of the online asks will start here, as some wait elsewhere too."""
+        """Return how many online requests will probably start here, as some wait elsewhere too."""
         return sum(
             item.expected_starts
             for item in self._by_attempt.values()
@@ -76,9 +78,9 @@
     def in_order(
         self, work_class: WorkClass, running: Callable[[str], int], now_ms: float
     ) -> list[WaitingRequest]:
-        """Return the asks of ``work_class``, next first.
+        """Return the requests of ``work_class``, next first.
 
-        ``running`` gives the attempts of a member that run now.
+        ``running`` gives the number of running attempts of a member.
         """
         asks = [item for item in self._by_attempt.values() if item.ask.work_class is work_class]
         if not self._fair_order_count or len(asks) < 2:
@@ -94,7 +96,7 @@
         return self._grants_since_overdue >= OVERDUE_GRANT_INTERVAL - 1
 
     def record_grant(self, waiting: WaitingRequest, now_ms: float) -> bool:
-        """Take in that an ask is granted; return whether it was the turn of overdue work."""
+        """Record a grant; return whether it was the one reserved for overdue work."""
         if waiting.ask.work_class is not WorkClass.BATCH:
             return False
         is_reserved_grant = self._is_overdue_grant_due and waiting.is_overdue(now_ms)
@@ -104,14 +106,14 @@
     def _order(self, work_class: WorkClass) -> "FairOrder":
         order = self._orders.get(work_class)
         if order is None:
-            # Imported with the first customer: a start without any loads three modules less.
+            # Imported with the first customer: a start without customers loads three modules less.
             from fescuedock.core.permits.fair_order import FairOrder
 
             order = self._orders[work_class] = FairOrder()
         return order
 
     def charge(self, waiting: WaitingRequest, now_ms: float) -> float:
-        """Charge an ask that was removed to be granted to its customer; return the cost."""
+        """Charge the customer of a request that was removed for its grant; return the cost."""
         ask = waiting.ask
         if not waiting.needs_fair_order or not self._counts[ask.work_class]:
             return 0.0
@@ -119,7 +121,7 @@
         return order.record_grant(waiting, self.shares.weight(ask.member), now_ms)
 
     def correct_charge(self, held: OutstandingPermit, generated_tokens: int, now_ms: float) -> None:
-        """Take in what an attempt has really generated."""
+        """Correct a customer's charge by the tokens that an attempt has generated."""
         if not held.member:
             return
         shares = self._order(held.work_class).shares
@@ -131,19 +133,19 @@
             shares.correct(held.member, cost - held.charged_tokens, weight, now_ms)
 
     def record_refusal(self, waiting: WaitingRequest, now_ms: float) -> None:
-        """Take in that work is refused for good, so that it goes before others if it returns."""
+        """Record that work is finally refused, so that its retry goes before other work."""
         if waiting.needs_fair_order:
             self._order(waiting.ask.work_class).refused.add(waiting.ask.work_id, now_ms)
 
     def forget(self, running: Mapping[str, int], now_ms: float) -> None:
-        """Drop what is kept of customers and no longer makes a difference."""
+        """Drop state of customers that no longer affects the order."""
         for work_class, order in self._orders.items():
             has_waiting = bool(self._counts[work_class])
             order.shares.forget(now_ms, running, has_waiting=has_waiting)
             order.refused.forget(now_ms)
 
     def retained_customers(self) -> int:
-        """Return the number of customers and refused works of which anything is kept."""
+        """Return the number of customers and refused units of work with stored state."""
         orders = self._orders.values()
         return sum(len(order.shares) + len(order.refused) for order in orders)
 
--- a/tests/builders/permit_harness.py
+++ b/tests/builders/permit_harness.py
@@ -1,4 +1,4 @@
-"""One upstream, its owners and two holders in virtual time, with messages that may be lost."""
+"""Simulation of one upstream, its owners and two holders in virtual time, with message loss."""
 
 from dataclasses import dataclass, field
 
@@ -28,19 +28,19 @@
 
 @dataclass(slots=True)
 class PermitHarness:
-    """``owner_of`` is each holder's opinion of who owns the upstream, which may differ."""
+    """``owner_of`` is each holder's belief about who owns the upstream; the two may differ."""
 
     now_ms: float = 0.0
     owners: list[PermitOwner] = field(default_factory=list)
     owner_of: dict[str, int] = field(default_factory=dict)
     books: dict[str, GrantRegistry] = field(default_factory=dict)
-    # What really runs at the upstream, by attempt.
+    # The attempts actually running at the upstream, by identity.
     running: dict[str, PermitAsk] = field(default_factory=dict)
     waiting: dict[str, PermitAsk] = field(default_factory=dict)
-    # Told to stop, but the word has not reached the holder.
+    # Revoked attempts whose revocation has not reached the holder yet.
     revoking: dict[str, str] = field(default_factory=dict)
     paused: set[int] = field(default_factory=set)
-    # Owners that are gone, or know that they are none any more.
+    # Owners that died, or that know they no longer own the upstream.
     retired: set[int] = field(default_factory=set)
 
     def __post_init__(self) -> None:
@@ -49,7 +49,7 @@
         self.advance(VALID_MS)
 
     def add_owner(self) -> int:
-        """Start an owner that knows nothing; return its number."""
+        """Start an owner without any state; return its number."""
         owner = PermitOwner(PermitSettings(start_limit=LIMIT, quiet_ms=0), VALID_MS)
         terms = UpstreamTerms(Objectives(online_weight=0.0), max_in_flight=LIMIT)
         owner.set_upstreams({UPSTREAM: OwnedUpstream(SERVICE, terms)}, {SERVICE: 1}, self.now_ms)
@@ -57,7 +57,7 @@
         return len(self.owners) - 1
 
     def retire(self, number: int) -> None:
-        """Let an owner learn that it is none any more."""
+        """Tell an owner that it no longer owns the upstream."""
         self.perform(self.owners[number].set_upstreams({}, {SERVICE: 0}, self.now_ms))
         self.retired.add(number)
 
@@ -65,7 +65,10 @@
         return self.owners[number].load(UPSTREAM, self.now_ms)
 
     def ask(self, holder_id: str, work_class: WorkClass, reply_lost: bool = False) -> list[Action]:
-        """Ask the owner that the holder knows; a lost reply is given up at once."""
+        """Request a permit from the owner that the holder knows.
+
+        The holder abandons a request whose reply is lost at once.
+        """
         wait_ms = VALID_MS if work_class is WorkClass.BATCH else 0
         ask = ask_for(work_class, holder_id=holder_id, upstream_id=UPSTREAM, wait_ms=wait_ms)
         number = self.owner_of[holder_id]
@@ -101,7 +104,7 @@
         self.books[ask.holder_id].end(end_of(ask, outcome))
 
     def report(self, holder_id: str, lost: bool = False) -> None:
-        """Send the ends of one holder; lost ones are never repeated."""
+        """Send the unreported ends of one holder; lost ones are not repeated."""
         message = PermitsEnded(holder_id, self.books[holder_id].drain_ended())
         number = self.owner_of[holder_id]
         if not lost and number not in self.paused:
@@ -123,7 +126,7 @@
                 self.end(permit_id, AttemptOutcome.REVOKED)
 
     def advance(self, by_ms: float) -> None:
-        """Let time pass for everybody but paused owners; holders drop what has lapsed."""
+        """Advance the time of all but paused owners; holders end attempts with expired permits."""
         end_ms = self.now_ms + by_ms
         while self.now_ms < end_ms:
             self.now_ms = min(self.now_ms + TICK_MS, end_ms)
--- a/tests/builders/permits.py
+++ b/tests/builders/permits.py
@@ -1,4 +1,4 @@
-"""Builders for tests of permits: asks, ends, queues, and an owner served on a real socket."""
+"""Builders for tests of permits: requests, ends, queues, and an owner served on a real socket."""
 
 import itertools
 import random
@@ -44,7 +44,7 @@
 
 
 def ask_for(work_class: WorkClass = WorkClass.ONLINE, **changes: object) -> PermitAsk:
-    """Return an ask of its own attempt; by default online, of one holder, not to be queued."""
+    """Return a request for a new attempt; by default online, of one holder, not to be queued."""
     fields: dict = {
         "upstream_id": "u1",
         "attempt_id": f"attempt-{next(_numbers)}",
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True)
 class ServedOwner:
-    """An agent that owns "u1", one holder's client, and the view that each of them follows."""
+    """An agent that owns "u1", one holder's client, and the fleet view that each follows."""
 
     service: PermitService
     owner_view: FleetView
@@ -113,13 +113,13 @@
     _version: int = 1
 
     def show(self, upstream: UpstreamRecord, address: Address | None = None) -> None:
-        """Let both see ``upstream`` and the owner at ``address`` (by default the real one)."""
+        """Publish ``upstream``, and the owner at ``address`` (the real one by default), to both."""
         self._version += 1
         self._show(self.owner_view, upstream, address)
         self._show(self.view, upstream, address)
 
     def show_holder(self, upstream: UpstreamRecord) -> None:
-        """Let the holder see ``upstream`` of which the owner has not heard yet."""
+        """Publish ``upstream`` to the holder only, so that the owner does not know of it yet."""
         self._version += 1
         self._show(self.view, upstream, None)
 
--- a/tests/test_permit_moves.py
+++ b/tests/test_permit_moves.py
@@ -1,4 +1,4 @@
-"""A call gets a permit whose reply tells that the upstream is in a slow period."""
+"""A call gets a permit whose reply shows that the upstream is in a slow period."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -28,9 +28,9 @@
 
 @dataclass
 class SpeedPermits:
-    """Two upstreams with room, of which the quicker turns out to be slow when it is asked.
+    """Two upstreams with room, of which the faster one turns out to be slow on request.
 
-    ``other_answers`` gives the answer of the other one's owner.
+    ``other_answers`` gives the answer of the other upstream's owner.
     """
 
     other_answers: Callable[[PermitAsk], Awaitable[Result[PermitAsk, Fault]]]
@@ -79,23 +79,23 @@
 
 
 class PermitMoveTest(unittest.TestCase):
-    """Which permit the call keeps, and which is given back."""
+    """Which permit the call uses, and which one it returns."""
 
     def find(self, permits: Callable[[], SpeedPermits]) -> tuple[str, list[str]]:
-        """Return the upstream of the permit, "" without one, and those given back."""
+        """Return the upstream of the permit, "" without one, and those of returned permits."""
         found: list[str] = []
-        kept: list[SpeedPermits] = []
+        used: list[SpeedPermits] = []
 
         async def run() -> None:
             state = _search()
             state.permits = permits()
-            kept.append(state.permits)
+            used.append(state.permits)
             with trio.move_on_after(0.3):
                 granted = await find_permit(state, StubCall(target_ms=500))
                 found.append(granted.ok_value.upstream_id)
 
         run_async(run)
-        return (found or [""])[0], kept[0].returned
+        return (found or [""])[0], used[0].returned
 
     def test_the_call_moves_to_the_upstream_where_it_starts_sooner(self) -> None:
         self.assertEqual(self.find(lambda: SpeedPermits(_grant)), ("other", ["quick"]))
@@ -107,7 +107,7 @@
         self.assertEqual(self.find(lambda: SpeedPermits(_refuse)), ("quick", []))
 
     def test_a_cancelled_call_leaves_no_permit_behind(self) -> None:
-        """A permit that nobody uses would hold its slot until it expires."""
+        """Guards against an unused permit that holds its slot until it expires."""
         self.assertEqual(self.find(lambda: SpeedPermits(_hang)), ("", ["quick"]))
 
 
--- a/tests/test_permit_search.py
+++ b/tests/test_permit_search.py
@@ -1,4 +1,4 @@
-"""The search for a permit: which calls are refused by prediction, and which ask all the same."""
+"""The search for a permit: which calls are refused by prediction, and which request one anyway."""
 
 import random
 import unittest
@@ -27,7 +27,7 @@
 
 @dataclass
 class StubPermits:
-    """Grants whatever is requested for; its last news say that the upstream has a long queue."""
+    """Grants every request; its latest load reports a long queue at the upstream."""
 
     requested: list[PermitAsk] = field(default_factory=list)
     holder_id: str = "holder"
@@ -47,7 +47,7 @@
 
 
 class StubSearch:
-    """What a search keeps, over a fleet of one upstream."""
+    """The state of a search in a fleet with one upstream."""
 
     def __init__(self) -> None:
         self.view = FleetView("node-1")
@@ -81,7 +81,7 @@
 
 @dataclass
 class StubCall:
-    """A call with a second left, of which a start in ``target_ms`` would still be on time."""
+    """A call with a second left whose answer is on time if it starts within ``target_ms``."""
 
     target_ms: int
     request_id: str = "r-1"
@@ -93,7 +93,7 @@
     max_tokens: int = 1
     software_versions: Collection[str] | None = None
     repeatable: bool = True
-    # The time until the deadline, and that after which its caller leaves.
+    # The time until the deadline, and the time after which the caller disconnects.
     deadline_left_ms: float = 993.0
     patience_left_ms: float = 993.0
 
@@ -111,7 +111,7 @@
 
 
 class MovedPermits(StubPermits):
-    """Refuses the first asks with ``code``; grants from then on."""
+    """Refuses the first requests with ``code`` and grants the others."""
 
     def __init__(self, code: ResultCode, refusals: int) -> None:
         super().__init__()
@@ -126,7 +126,7 @@
 
 
 class MovedUpstreamTest(unittest.TestCase):
-    """The node that is requested does not own the upstream any more, or not yet."""
+    """The queried node no longer owns the upstream, or does not own it yet."""
 
     def search(self, code: ResultCode) -> tuple[StubSearch, object]:
         found = []
@@ -162,7 +162,7 @@
 
 
 class OverShareTest(unittest.TestCase):
-    """Full owners refuse a customer above its share; another upstream may have free slots."""
+    """Full owners refuse a customer above its share, while other upstreams may have free slots."""
 
     def search(self, refusals: int, member: str) -> tuple[StubSearch, object]:
         found = []
@@ -181,7 +181,7 @@
         return found[0]
 
     def test_it_is_not_refused_while_an_upstream_may_have_room(self) -> None:
-        """The first such refusal ended the search, which left free slots unused."""
+        """Guards against a search that ended with the first refusal and left slots unused."""
         state, result = self.search(refusals=9, member="big")
         self.assertTrue(result.is_ok())
         self.assertIn(state.permits.requested[-1].upstream_id, state.view.upstreams)
@@ -190,7 +190,7 @@
         state, result = self.search(refusals=100, member="big")
         self.assertIs(result.err_value.code, ResultCode.MEMBER_OVER_SHARE)
         requested = {ask.upstream_id for ask in state.permits.requested}
-        # The first is known to be full.
+        # The first upstream is known to be full.
         self.assertEqual(requested | {UPSTREAM}, set(state.view.upstreams))
 
     def test_without_customers_no_more_owners_are_queried_than_planned(self) -> None:
@@ -199,7 +199,7 @@
 
 
 class LongQueueTest(unittest.TestCase):
-    """The queue of the only upstream is longer than the time that the call has left."""
+    """The queue of the only upstream is longer than the time left of the call."""
 
     def search(self, target_ms: int, **times: object):
         results = []
@@ -227,7 +227,7 @@
     def test_a_late_call_whose_caller_disconnects_before_its_start_is_refused(self) -> None:
         fault = self.search(-1, deadline_left_ms=5000.0, patience_left_ms=1800.0).err_value
         self.assertIs(fault.code, ResultCode.DEADLINE_CANNOT_BE_MET)
-        # The queue that was to come: by then a call that comes back may start at once.
+        # The predicted queueing time: a call that retries after it may start at once.
         self.assertEqual(fault.retry_after_ms, int(QUEUE_MS))
 
     def test_a_late_call_whose_caller_waits_longer_than_the_queue_requests_a_permit(self) -> None:
--- a/tests/test_permits_alone.py
+++ b/tests/test_permits_alone.py
@@ -1,4 +1,4 @@
-"""Permits to run alone: the upstream is emptied first, and nothing else begins meanwhile."""
+"""Permits for isolated runs: the upstream is emptied first, and nothing else starts meanwhile."""
 
 import unittest
 
@@ -39,22 +39,22 @@
         return [item.ask.attempt_id for item in actions if isinstance(item, Granted)]
 
     def test_an_empty_upstream_is_granted_at_once_and_excludes_others(self) -> None:
-        self.assertEqual(self.granted(self.ask("lone", alone=True)), ["lone"])
+        self.assertEqual(self.granted(self.ask("isolated", alone=True)), ["isolated"])
         self.assertEqual(self.ask("other"), [])
         self.assertEqual(self.ask("item", batch=True), [])
         self.assertEqual(self.queue.load(0.0).limit, 0)
-        self.assertEqual(self.granted(self.end("lone")), ["other", "item"])
+        self.assertEqual(self.granted(self.end("isolated")), ["other", "item"])
         self.assertEqual(self.queue.load(0.0).limit, SLOTS)
 
     def test_it_waits_for_online_work_to_end_and_revokes_batch_work(self) -> None:
         self.assertEqual(self.granted(self.ask("call")), ["call"])
         self.assertEqual(self.granted(self.ask("item", batch=True)), ["item"])
-        actions = self.ask("lone", alone=True)
+        actions = self.ask("isolated", alone=True)
         self.assertEqual([item.permit_id for item in actions], ["item"])
         self.assertIsInstance(actions[0], Revoked)
         self.assertEqual(self.ask("late call"), [])
         self.assertEqual(self.end("item"), [])
-        self.assertEqual(self.granted(self.end("call")), ["lone"])
+        self.assertEqual(self.granted(self.end("call")), ["isolated"])
 
     def test_two_isolated_runs_are_granted_one_after_the_other(self) -> None:
         self.assertEqual(self.granted(self.ask("one", alone=True)), ["one"])
@@ -63,7 +63,7 @@
 
     def test_one_that_waits_too_long_is_refused_and_other_work_continues(self) -> None:
         self.ask("call")
-        self.ask("lone", alone=True)
+        self.ask("isolated", alone=True)
         self.ask("other", now_ms=100.0)
         actions = self.queue.tick(WAIT_MS)
         self.assertIn(
@@ -73,7 +73,7 @@
         self.assertEqual(self.granted(actions), ["other"])
 
     def test_other_waiting_requests_are_refused_at_their_own_timeout(self) -> None:
-        self.ask("lone", alone=True)
+        self.ask("isolated", alone=True)
         self.ask("other")
         [refused] = self.queue.tick(WAIT_MS)
         self.assertEqual((refused.ask.attempt_id, refused.code), ("other", ResultCode.NO_CAPACITY))
@@ -82,14 +82,16 @@
         queue = UpstreamQueue(
             "u", PermitSettings(), UpstreamTerms(slots=SLOTS), VALID_MS, 500.0, 0.0
         )
-        ask = PermitAsk("u", "lone", "h", "s", "", WorkClass.ONLINE, 5000, wait_ms=2000, alone=True)
+        ask = PermitAsk(
+            "u", "isolated", "h", "s", "", WorkClass.ONLINE, 5000, wait_ms=2000, alone=True
+        )
         self.assertEqual(queue.submit(ask, 0.0), [])
         held = HeldPermit("call", "u", "call", "s", "", WorkClass.ONLINE)
         queue.renew("h2", held, 400.0)
         self.assertEqual(queue.tick(600.0), [])
 
     def test_a_new_owner_adopts_an_isolated_run_from_its_renewal(self) -> None:
-        held = HeldPermit("lone", "u", "lone", "s", "", WorkClass.ONLINE, alone=True)
+        held = HeldPermit("isolated", "u", "isolated", "s", "", WorkClass.ONLINE, alone=True)
         self.queue.renew("h2", held, 0.0)
         self.assertEqual(self.ask("other"), [])
 
--- a/tests/test_permits_overdue.py
+++ b/tests/test_permits_overdue.py
@@ -1,4 +1,4 @@
-"""Batch work that is late is not passed over for ever in the queue of an upstream."""
+"""Late batch work is not passed over indefinitely in the queue of an upstream."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 
 
 class OverdueTest(unittest.TestCase):
-    """One slot, for which there is always more work than it takes."""
+    """One slot, and always more waiting work than it can run."""
 
     def setUp(self) -> None:
         self.queue: UpstreamQueue = new_queue(PermitSettings(quiet_ms=0), UpstreamTerms(slots=1))
@@ -29,7 +29,7 @@
         return ask
 
     def granted(self, count: int, **other: object) -> list[PermitAsk]:
-        """End run after run while work like ``other`` keeps coming; return what was granted."""
+        """End one run after another while work like ``other`` is added; return the grants."""
         granted = []
         for _ in range(count):
             self.ask(**(other or FRESH))
@@ -44,7 +44,7 @@
         return granted
 
     def test_late_work_is_granted_however_much_other_work_arrives(self) -> None:
-        """Guards against late items that waited for as long as younger ones kept coming."""
+        """Guards against late items that waited as long as more recent ones kept arriving."""
         late = self.ask(**LATE)
         self.assertIn(late, self.granted(OVERDUE_GRANT_INTERVAL))
 
@@ -77,7 +77,7 @@
 
 
 class OverdueGrantTest(unittest.TestCase):
-    """A run that got its turn as overdue is not the first to give way."""
+    """A run granted from the share of overdue work is not the first to be revoked."""
 
     def setUp(self) -> None:
         self.queue = new_queue(
@@ -89,7 +89,7 @@
             self.queue.submit(ask, 0.0)
 
     def test_a_run_granted_as_overdue_is_revoked_like_one_that_has_begun(self) -> None:
-        # Its first event came at once, so that it is not sheltered any more.
+        # Its first event came at once, so the run is no longer protected.
         held = HeldGrant(self.late, 0.0, 1000.0, first_token_ms=10.0, generated_tokens=5)
         self.queue.renew("h1", held.as_held(100.0), 100.0)
         revoked = [item.permit_id for item in self.queue.submit(ask_for(), 100.0)[1:]]
@@ -97,7 +97,7 @@
         self.assertNotEqual(revoked, [self.late.attempt_id])
 
     def test_calls_with_other_upstreams_do_not_cut_it_off_before_its_first_event(self) -> None:
-        """Guards against turns of overdue work that were cut off by the next call."""
+        """Guards against runs of overdue work that the next call cut off."""
         revoked = [
             item.permit_id
             for _ in range(OVERDUE_GRANT_INTERVAL)
--- a/tests/test_permits_queue.py
+++ b/tests/test_permits_queue.py
@@ -1,4 +1,4 @@
-"""The rules of one upstream's queue, one by one."""
+"""The rules of one upstream's queue."""
 
 import unittest
 
@@ -19,7 +19,7 @@
 
 
 def full_queue(**terms: object) -> UpstreamQueue:
-    """Return a queue that lets ``LIMIT`` run at once, by the operators' word."""
+    """Return a queue with a configured limit of ``LIMIT`` concurrent attempts."""
     settings = PermitSettings(start_limit=LIMIT, quiet_ms=0)
     fields = {"objectives": Objectives(online_weight=0.0), "max_in_flight": LIMIT, **terms}
     return new_queue(settings, UpstreamTerms(**fields))
@@ -38,7 +38,7 @@
 
 
 class QueueTest(unittest.TestCase):
-    """Who starts, who waits, who gives way."""
+    """Which requests are granted, which wait, and which runs are revoked."""
 
     def test_online_revokes_the_batch_run_with_the_least_lost_work(self) -> None:
         queue = full_queue()
@@ -180,7 +180,7 @@
 
 
 class LimitsTest(unittest.TestCase):
-    """How the limits follow what is measured."""
+    """How the limits follow the measured latency."""
 
     def new_limits(self, **objectives: object) -> UpstreamLimits:
         fields = {"online_weight": 0.0, "online_share": 0.95, **objectives}
@@ -220,7 +220,7 @@
 
 
 class FirstTokenModelTest(unittest.TestCase):
-    """The prediction that entries choose by."""
+    """The prediction by which entries choose upstreams."""
 
     def test_overestimated_prefill_does_not_accumulate(self) -> None:
         model = FirstTokenModel(30_000.0)
--- a/tests/test_permits_revoked.py
+++ b/tests/test_permits_revoked.py
@@ -1,4 +1,4 @@
-"""Batch runs are cut off only for a call that needs their slot, and not for ever."""
+"""Batch runs are cut off only for a call that needs their slot, and not indefinitely."""
 
 import unittest
 
@@ -24,15 +24,15 @@
 
 
 class PeakTest(unittest.TestCase):
-    """After a peak of online its slots are kept from batch for a moment."""
+    """After a peak of online calls their slots are kept from batch for a moment."""
 
     def test_a_peak_that_is_over_cuts_off_no_run_while_slots_are_free(self) -> None:
-        """Guards against runs that were cut off though their slots were wanted by nobody."""
+        """Guards against runs that were cut off although no call needed their slots."""
         queue = slots_queue()
         calls = [ask_online(queue, 0.0) for _ in range(SLOTS)]
         for call in calls[1:]:
             queue.end(end_of(call, AttemptOutcome.COMPLETED), 10.0)
-        # With one call left the peak does not count, and batch begins.
+        # With one call left the peak does not count, so batch starts.
         run = ask_for(WorkClass.BATCH)
         self.assertIsInstance(queue.submit(run, 20.0)[0], Granted)
         actions = queue.submit(ask_for(), 30.0)
@@ -46,7 +46,7 @@
 
 
 class ProtectedRunTest(unittest.TestCase):
-    """A run whose work was cut off before its first event again and again."""
+    """A run whose work was repeatedly cut off before its first event."""
 
     def setUp(self) -> None:
         self.queue = slots_queue()
@@ -54,7 +54,7 @@
         self.queue.submit(self.run_of_item, 0.0)
 
     def fill(self) -> None:
-        """Let online take all slots but the one of the run."""
+        """Occupy all slots but the one of the run with online calls."""
         for _ in range(SLOTS - 1):
             ask_online(self.queue, 1.0)
 
--- a/tests/test_permits_service.py
+++ b/tests/test_permits_service.py
@@ -34,7 +34,7 @@
 
 
 class SameProcessOwnerTest(unittest.TestCase):
-    """Guards against a busy node that took itself for a silent owner, and ran calls beside it."""
+    """Guards against a busy node that took itself for a silent owner and exceeded its own limit."""
 
     def test_a_busy_owner_in_the_same_process_does_not_count_as_silent(self) -> None:
         async def busy(rng: random.Random) -> None:
@@ -64,7 +64,7 @@
                 ask = ask_for()
                 grant = (await owner.client.ask(ask, TIMEOUT_MS)).unwrap()
                 self.assertEqual(owner.client.loads["u1"].load.in_flight_online, 1)
-                # Longer than a permit that is not renewed is valid.
+                # Longer than the validity of a permit that is not renewed.
                 await trio.sleep(1.5 * VALID_MS / 1000)
                 self.assertFalse(grant.revoked.is_set())
                 grant.end(end_of(ask, AttemptOutcome.COMPLETED))
@@ -75,7 +75,7 @@
 
 
 class ServedOwnerTest(unittest.TestCase):
-    """The path from a client's ask to the owner's decision and back."""
+    """The path from a client's request to the owner's decision and back."""
 
     def test_online_is_granted_and_its_end_frees_the_count(self) -> None:
         async def run() -> None:
@@ -111,7 +111,7 @@
         self.assertEqual(validity_ms(settings, 370), 14_800)
 
     def test_a_permit_is_renewed_by_the_time_that_its_owner_set(self) -> None:
-        """One third of the validity after the ask, or after the last renewal, was sent."""
+        """One third of the validity after the request, or after the last renewal, was sent."""
 
         async def run() -> None:
             async with served_owner() as owner:
@@ -130,7 +130,7 @@
         async def run() -> None:
             async with served_owner() as owner:
                 batch = ask_for(WorkClass.BATCH)
-                # Batch waits out the rebuild of the new owner first.
+                # Batch first waits until the new owner has rebuilt its state.
                 grant = (await owner.client.ask(batch, 2 * TIMEOUT_MS)).unwrap()
                 while not grant.revoked.is_set():
                     match await owner.client.ask(ask_for(), TIMEOUT_MS):
@@ -148,10 +148,11 @@
                 began_s = trio.current_time()
                 refusal = await owner.client.ask(ask_for(wait_ms=20, target_ms=1000), 3000)
                 self.assertEqual(_code(refusal), ResultCode.NO_CAPACITY)
-                # Before the renewal of the other permit, 200 ms after its grant, serves the queue.
+                # The answer must arrive before the renewal of the other permit, 200 ms after its
+                # grant, serves the queue.
                 self.assertLess(trio.current_time() - began_s, 0.15)
 
-        # An owner without asks looks far less often than this one may wait.
+        # An owner without requests polls far less often than this one may wait.
         with mock.patch("fescuedock.agent.permit_service._IDLE_TICK_S", 2.0):
             _run(run)
 
@@ -186,7 +187,7 @@
         _run(run)
 
     def test_a_permit_overtaken_by_an_update_at_its_holder_is_not_used(self) -> None:
-        """An ask waits in the queue of an owner that has not heard what its holder has."""
+        """A request waits in the queue of an owner that lacks an update its holder has received."""
         updates = {
             "leaving": upstream_record(slots=1, leaving=True),
             "gone": upstream_record(upstream_id="u1-started-again", slots=1),
@@ -210,13 +211,13 @@
                 owner.show_holder(newer)
                 await self._send_end(owner, running)
             self.assertIs(_code(answers[0]), ResultCode.NOT_OWNER)
-            # Given back, so that the owner does not count what never runs.
+            # Returned, so that the owner does not count an attempt that never runs.
             owner.show_holder(upstream_record(slots=1))
             with trio.fail_after(VALID_MS / 1000 / 2):
                 await _until(lambda: not owner.service.load("u1").in_flight_online)
 
     async def _send_end(self, owner: ServedOwner, ask: PermitAsk) -> None:
-        """Have the owner take the end of an attempt, without waiting for anything else."""
+        """Deliver the end of an attempt to the owner, without waiting for anything else."""
         ended = PermitsEnded("h1", [end_of(ask, AttemptOutcome.COMPLETED)])
         await owner.service.handlers()[PermitsEnded](ended, None)
 
@@ -245,7 +246,7 @@
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(ask)
                     await _until(lambda: owner.service.load("u1").queued_online)
-                    # The end is taken before the loop that follows the view has run.
+                    # The end is handled before the loop that follows the view has run.
                     owner.show(upstream_record(slots=1, leaving=True))
                     await self._send_end(owner, first)
                 self.assertIs(_code(answers[0]), ResultCode.NO_CAPACITY)
@@ -275,7 +276,10 @@
         _run(run)
 
     def test_a_permit_retained_after_an_isolated_run_is_renewed(self) -> None:
-        """It lapsed, and the next run alone began beside a crash that the first may have caused."""
+        """Guards against a second isolated run during a crash that the first may have caused.
+
+        The permit of the first run expired, and the next isolated run started.
+        """
 
         async def run() -> None:
             async with served_owner() as owner:
@@ -343,7 +347,7 @@
                 # Nothing listens on the discard port.
                 owner.show(upstream_record(port=9, kind=UpstreamKind.ENGINE))
                 while (granted := await owner.client.ask(ask_for(), TIMEOUT_MS)).is_ok():
-                    # Kept, they would use up the limit first, which is refused as well.
+                    # Held permits would exhaust the limit first, which is refused as well.
                     owner.client.give_back(granted.ok_value)
                     await trio.sleep(0.005)
                 self.assertFalse(owner.client.loads["u1"].load.accepting)
--- a/tests/test_permits_shares.py
+++ b/tests/test_permits_shares.py
@@ -1,4 +1,4 @@
-"""Priorities and fair shares of customers in one upstream's queue, rule by rule."""
+"""Priorities and fair shares of customers in one upstream's queue."""
 
 import unittest
 
@@ -20,7 +20,7 @@
 
 
 class FullUpstream:
-    """An upstream of ``SLOTS`` whose slots come free one at a time."""
+    """An upstream with ``SLOTS`` slots that become free one at a time."""
 
     def __init__(self, member: str = "first", work_class: WorkClass = WorkClass.ONLINE) -> None:
         self.queue: UpstreamQueue = new_queue(
@@ -32,7 +32,7 @@
             self.queue.submit(ask, 0.0)
 
     def wait(self, work_class: WorkClass = WorkClass.ONLINE, **changes: object) -> PermitAsk:
-        """Queue an ask that may wait for long and was not on time to begin with."""
+        """Queue a request that may wait for long and could not start on time at first."""
         fields = {"wait_ms": 60_000, "slack_ms": 60_000, "target_ms": 50_000, **changes}
         ask = ask_for(work_class, **fields)
         self.queue.submit(ask, self.now_ms)
@@ -40,7 +40,7 @@
         return ask
 
     def next_granted(self) -> PermitAsk | None:
-        """End the oldest run and return what begins in its place."""
+        """End the oldest run and return the request granted in its place."""
         self.now_ms += 1.0
         ended = end_of(self.running.pop(0), AttemptOutcome.COMPLETED)
         actions = self.queue.end(ended, self.now_ms)
@@ -50,7 +50,7 @@
 
 
 class PriorityTest(unittest.TestCase):
-    """The more urgent goes first, and the less urgent is not kept waiting for good."""
+    """More urgent work goes first, but less urgent work does not wait indefinitely."""
 
     def test_the_more_urgent_goes_first_within_each_class(self) -> None:
         for work_class in WorkClass:
@@ -61,7 +61,7 @@
                 self.assertEqual(full.next_granted(), urgent)
 
     def test_the_more_urgent_goes_first_whichever_customer_used_more(self) -> None:
-        """Within one customer the order of its own asks would hide a missing priority."""
+        """Uses two customers, as the order within one customer would hide a missing priority."""
         for work_class in WorkClass:
             with self.subTest(work_class=work_class):
                 full = FullUpstream("big", work_class)
@@ -76,7 +76,7 @@
         self.assertEqual(full.next_granted(), call)
 
     def test_work_that_has_waited_too_long_gets_one_grant_in_eight(self) -> None:
-        """Without the bound a less urgent ask waited as long as more urgent ones came."""
+        """Without the bound, less urgent work waited as long as more urgent work arrived."""
         full = FullUpstream()
         low = full.wait(priority=3, waited_ms=int(OVERDUE_MS))
         for _ in range(20):
@@ -86,7 +86,7 @@
         self.assertGreater(granted.index(low), 5)
 
     def test_work_of_one_priority_keeps_its_order_however_long_it_waits(self) -> None:
-        """Items of a route with a lower priority were taken by their wait, one grant in eight."""
+        """Guards against items of a low-priority route that were granted by wait, one in eight."""
         full = FullUpstream(work_class=WorkClass.BATCH)
         late = full.wait(
             WorkClass.BATCH, priority=2, waited_ms=int(OVERDUE_MS), stage=BatchStage.LATE
@@ -108,7 +108,7 @@
 
 
 class ConfiguredPriorityTest(unittest.TestCase):
-    """Where a priority comes from."""
+    """The sources of a priority."""
 
     CONFIG = (
         b'{"version": 2, "routes": [{"name": "desk", "host": "desk.example", "prefix": "/",'
@@ -136,7 +136,7 @@
 
 
 class FairSharesTest(unittest.TestCase):
-    """Customers take turns, by what their work costs."""
+    """Fair queueing of customers by the cost of their work."""
 
     def test_a_backlog_does_not_hold_up_another_customer(self) -> None:
         full = FullUpstream("big")
@@ -154,7 +154,7 @@
         self.assertEqual(names[6:], "aaa")
 
     def test_endangered_work_goes_first_and_late_work_last(self) -> None:
-        """Guards against turns that made another customer's items late."""
+        """Guards against fair queueing that made another customer's items late."""
         full = FullUpstream(work_class=WorkClass.BATCH)
         stages = {"a": (BatchStage.ENDANGERED,) * 2, "b": (BatchStage.LATE, BatchStage.FRESH)}
         for member, waiting in stages.items():
@@ -208,7 +208,7 @@
 
 
 class RefusalTest(unittest.TestCase):
-    """What cannot be served in time is refused at once, with a time of its own to come back."""
+    """Work that cannot be served in time is refused at once, with its own retry time."""
 
     def test_calls_that_cannot_be_on_time_are_refused_at_once_with_spread_retry_times(self) -> None:
         full = FullUpstream("big")
--- a/tests/test_permits_shares_stateful.py
+++ b/tests/test_permits_shares_stateful.py
@@ -1,4 +1,4 @@
-"""Customers and priorities in one queue, under any order of asks, ends and pauses."""
+"""Customers and priorities in one queue, under any order of requests, ends and pauses."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -14,13 +14,14 @@
 SLOTS = 3
 MEMBERS = ("", "anna", "bo", "cleo")
 LONG_WAIT_MS = 10_000_000
-# Grants after which work of a lower priority is overdue, at 10 ms each, and its turn of one in 8.
+# Number of grants, at 10 ms each, after which work of a lower priority is overdue, and the interval
+# at which overdue work is granted.
 OVERDUE_GRANTS = 81
 OVERDUE_INTERVAL = 8
 
 
 class SharesMachine(RuleBasedStateMachine):
-    """One upstream whose owner never fails; all that holders do is told to it."""
+    """One upstream whose owner never fails and receives every message of the holders."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -43,7 +44,7 @@
         return granted
 
     def check_order(self, granted: PermitAsk) -> None:
-        """Fail when a customer's equal work that came earlier is passed over."""
+        """Fail if equal work of the same customer that arrived earlier is passed over."""
         for ask in self.waiting.values():
             same = (ask.member, ask.priority) == (granted.member, granted.priority)
             if same and ask.slack_ms == granted.slack_ms == LONG_WAIT_MS:
@@ -110,7 +111,7 @@
         self.no_state_is_retained()
 
     def no_request_starves(self) -> None:
-        """Whatever waits is served while another customer's urgent work floods the queue."""
+        """All waiting work is served while another customer's urgent work floods the queue."""
         self.advance(60)
         left = dict(self.waiting)
         for _ in range(3):
@@ -125,7 +126,7 @@
         assert not left.keys() & self.waiting.keys(), (left, self.running)
 
     def no_state_is_retained(self) -> None:
-        """Nothing is known any more of customers and work that are gone."""
+        """No state is retained of customers and work that are gone."""
         for ask in [*self.waiting.values(), *self.running.values()]:
             self.queue.end(end_of(ask, AttemptOutcome.CANCELLED), self.now_ms)
         self.queue.tick(self.now_ms + LONG_WAIT_MS)
--- a/tests/test_permits_stateful.py
+++ b/tests/test_permits_stateful.py
@@ -1,4 +1,4 @@
-"""Permits under everything that may happen to owners, holders and their messages."""
+"""Permits under failures and pauses of owners and holders, and loss of their messages."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -15,8 +15,8 @@
 class PermitMachine(RuleBasedStateMachine):
     """Two holders, and owners that pause, die and overlap.
 
-    ``handovers`` counts changes of owner whose old permits may still be out: each may add a limit's
-    worth of attempts for one validity, and nothing else may.
+    ``handovers`` holds the times of changes of owner whose old permits may still be in use.  Each
+    may add attempts up to the limit for one validity period, and nothing else may.
     """
 
     def __init__(self) -> None:
@@ -32,7 +32,7 @@
         if number in self.harness.paused or not before.accepting:
             return
         granted = any(isinstance(action, Granted) for action in actions)
-        # Batch never keeps online out; only online itself does.
+        # Batch never keeps online from starting; only other online attempts do.
         assert granted == (before.in_flight_online < LIMIT), (before, actions)
 
     @rule(holder_id=holders, reply_lost=st.booleans())
@@ -76,7 +76,7 @@
 
     @rule()
     def lose_owner(self) -> None:
-        """The owner dies; a new one knows nothing."""
+        """The owner dies; its successor has no state."""
         old = set(self.harness.owner_of.values())
         self.harness.owner_of = dict.fromkeys(HOLDERS, self.harness.add_owner())
         self.harness.retired |= old
@@ -90,7 +90,7 @@
 
     @rule()
     def agree(self) -> None:
-        """Everybody learns who the owner is."""
+        """All participants learn who the owner is."""
         newest = len(self.harness.owners) - 1
         for number in set(range(newest)) - self.harness.retired:
             self.harness.retire(number)
@@ -101,8 +101,8 @@
         revoking = sum(permit_id in self.harness.running for permit_id in self.harness.revoking)
         split = len(set(self.harness.owner_of.values())) > 1
         recent = sum(at_ms > self.harness.now_ms - 2 * VALID_MS for at_ms in self.handovers)
-        # An owner that lost touch with an online attempt no longer counts it; nothing else may
-        # pass the limit but a change of owner and what is being revoked.
+        # An owner that lost contact with an online attempt no longer counts it.  Otherwise the
+        # limit may be exceeded only after a change of owner and by permits being revoked.
         uncounted = self._uncounted_online()
         allowed = LIMIT * (1 + recent + split) + revoking + uncounted
         assert len(self.harness.running) <= allowed, (self.harness.running, allowed)
@@ -113,7 +113,7 @@
             assert not book.lapsed(self.harness.now_ms)
 
     def teardown(self) -> None:
-        """With no renewal any more, every permit ends."""
+        """Without further renewals every permit ends."""
         self.harness.paused.clear()
         for _ in range(4):
             self.harness.advance(VALID_MS)
