--- a/tests/test_slow_peers_core.py
+++ b/tests/test_slow_peers_core.py
@@ -13,13 +13,13 @@
 
 
 class HeldBytesMachine(RuleBasedStateMachine):
-    """Any clients hold, read, send and leave at any time, beside a plain account of the bytes."""
+    """Any clients hold, read, send and leave at any time, beside a plain expected of the bytes."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now_ms = 0.0
         self.held = HeldBytes(HeldBounds(100, BOUND_BYTES))
-        self.account: dict[int, int] = {}
+        self.expected: dict[int, int] = {}
 
     @rule(passed_ms=st.sampled_from([0.0, 1.0, 100.0, 249.0, 999.0, 5000.0]))
     def wait(self, passed_ms: float) -> None:
@@ -31,43 +31,43 @@
 
     @rule(name=_NAMES, size_bytes=st.integers(1, 300))
     def receive(self, name: int, size_bytes: int) -> None:
-        self._add(name, size_bytes, self.held.note_received)
+        self._add(name, size_bytes, self.held.record_received)
 
     def _add(self, name: int, size_bytes: int, add) -> None:
-        account = self.account | {name: self.account.get(name, 0) + size_bytes}
+        expected = self.expected | {name: self.expected.get(name, 0) + size_bytes}
         rates = {key: peer.rate(self.now_ms) for key, peer in self.held.peers.items()}
         rates.setdefault(name, SlowPeer(self.now_ms).rate(self.now_ms))
         cut_off = add(name, size_bytes, self.now_ms)
-        self.assert_needed_and_slowest(account, cut_off, rates, name)
-        self.account = {key: size for key, size in account.items() if key not in cut_off}
+        self.assert_cuts_are_needed_and_slowest(expected, cut_off, rates, name)
+        self.expected = {key: size for key, size in expected.items() if key not in cut_off}
 
-    def assert_needed_and_slowest(self, account, cut_off, rates, name) -> None:
-        left_bytes = sum(account.values())
-        kept = account.keys() - set(cut_off)
+    def assert_cuts_are_needed_and_slowest(self, expected, cut_off, rates, name) -> None:
+        left_bytes = sum(expected.values())
+        remaining = expected.keys() - set(cut_off)
         for key in cut_off:
             assert left_bytes > BOUND_BYTES, "cut off though all would fit"
-            left_bytes -= account[key]
-            alone = key == name and account[name] > BOUND_BYTES
-            assert alone or all(rates[key] <= rates[other] for other in kept)
+            left_bytes -= expected[key]
+            is_oversized = key == name and expected[name] > BOUND_BYTES
+            assert is_oversized or all(rates[key] <= rates[other] for other in remaining)
 
     @rule(name=_NAMES, size_bytes=st.integers(1, 300))
     def take(self, name: int, size_bytes: int) -> None:
-        self.held.note_taken(name, size_bytes, self.now_ms)
-        if name in self.account:
-            self.account[name] -= min(size_bytes, self.account[name])
-            if not self.account[name]:
-                del self.account[name]
+        self.held.record_released(name, size_bytes, self.now_ms)
+        if name in self.expected:
+            self.expected[name] -= min(size_bytes, self.expected[name])
+            if not self.expected[name]:
+                del self.expected[name]
 
     @rule(name=_NAMES)
     def leave(self, name: int) -> None:
         self.held.forget(name)
-        self.account.pop(name, None)
+        self.expected.pop(name, None)
 
     @invariant()
-    def bytes_are_bounded_and_nothing_is_kept_of_others(self) -> None:
-        assert self.held.total_bytes == sum(self.account.values()) <= BOUND_BYTES
+    def bytes_are_bounded_and_other_clients_are_forgotten(self) -> None:
+        assert self.held.total_bytes == sum(self.expected.values()) <= BOUND_BYTES
         known = {key: peer.held_bytes for key, peer in self.held.peers.items()}
-        assert known == self.account
+        assert known == self.expected
 
 
 HeldBytesMachine.TestCase.settings = settings(max_examples=150, stateful_step_count=40)
@@ -78,29 +78,29 @@
 
 
 class HeldBytesTest(unittest.TestCase):
-    def test_a_client_that_stalls_goes_before_one_that_reads_on(self) -> None:
+    def test_a_stalled_client_is_cut_off_before_one_that_continues_to_read(self) -> None:
         """Guards against judging by the whole time: the stalled client was the faster one once."""
         held = HeldBytes(HeldBounds(100, BOUND_BYTES))
         held.hold("stalled", 500, 0.0)
         held.hold("steady", 400, 0.0)
-        held.note_taken("stalled", 100, 1.0)
+        held.record_released("stalled", 100, 1.0)
         for at_ms in range(0, 3000, 100):
-            held.note_taken("steady", 1, float(at_ms))
+            held.record_released("steady", 1, float(at_ms))
         self.assertEqual(held.hold("steady", 300, 3000.0), ["stalled"])
 
-    def test_a_new_client_is_not_judged_before_bytes_can_have_moved(self) -> None:
+    def test_a_new_client_is_not_rated_before_bytes_can_have_moved(self) -> None:
         held = HeldBytes(HeldBounds(100, BOUND_BYTES))
         held.hold("slow", 100, 0.0)
-        held.note_taken("slow", 1, 1000.0)
+        held.record_released("slow", 1, 1000.0)
         self.assertEqual(held.hold("new", 950, 1000.0), ["slow"])
 
-    def test_what_fits_nowhere_cuts_off_nobody_else(self) -> None:
+    def test_a_client_beyond_the_bound_cuts_off_no_other_client(self) -> None:
         held = HeldBytes(HeldBounds(100, BOUND_BYTES))
         held.hold("slow", 100, 0.0)
         self.assertEqual(held.hold("large", BOUND_BYTES + 1, 1000.0), ["large"])
 
     @given(st.integers(0, BOUND_BYTES), st.integers(1, 1_000_000))
-    def test_a_page_is_never_empty_nor_over_what_was_asked_for(
+    def test_a_page_is_never_empty_and_never_larger_than_requested(
         self, held_bytes: int, wanted_bytes: int
     ) -> None:
         held = HeldBytes(HeldBounds(100, BOUND_BYTES))
--- a/tests/test_unanswered_asks.py
+++ b/tests/test_unanswered_asks.py
@@ -6,7 +6,7 @@
 import trio
 
 from fescuedock.agent.permit_client import PermitClient
-from fescuedock.core.route_learning import UnansweredAsks
+from fescuedock.core.route_learning import UnansweredRequests
 from tests.builders.jobs_calls import read_page, submit
 from tests.builders.node import running_fleet
 from tests.builders.standins import run_async
@@ -14,24 +14,24 @@
 
 class UnansweredAsksTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.asks = UnansweredAsks()
+        self.asks = UnansweredRequests()
 
     def test_a_few_silent_asks_or_a_short_silence_say_nothing(self) -> None:
         for number in range(7):
-            self.asks.note_silence(number * 1000.0)
-        self.assertFalse(self.asks.is_long(7000.0))
+            self.asks.record_silence(number * 1000.0)
+        self.assertFalse(self.asks.is_persistent(7000.0))
         self.setUp()
         for number in range(20):
-            self.asks.note_silence(number * 100.0)
-        self.assertFalse(self.asks.is_long(2000.0))
+            self.asks.record_silence(number * 100.0)
+        self.assertFalse(self.asks.is_persistent(2000.0))
 
     def test_a_long_silence_counts_until_an_answer_or_until_it_is_tried_again(self) -> None:
         for number in range(12):
-            self.asks.note_silence(number * 500.0)
-        self.assertTrue(self.asks.is_long(6000.0))
-        self.assertFalse(self.asks.is_long(16_000.0))
-        self.asks.note_answer()
-        self.assertFalse(self.asks.is_long(6000.0))
+            self.asks.record_silence(number * 500.0)
+        self.assertTrue(self.asks.is_persistent(6000.0))
+        self.assertFalse(self.asks.is_persistent(16_000.0))
+        self.asks.record_answer()
+        self.assertFalse(self.asks.is_persistent(6000.0))
 
 
 class UnansweredNodeTest(unittest.TestCase):
--- a/tests/test_uneven_load.py
+++ b/tests/test_uneven_load.py
@@ -14,7 +14,7 @@
 
 from fescuedock.node.online import ONLINE_ROUTING
 from tests.builders.load_player import CallOutcome, CallTimes, PlayedFleet, play_calls
-from tests.builders.placement_ways import WAYS, oracle
+from tests.builders.placement_ways import POLICIES, oracle
 from tests.builders.played_speeds import PlayedSpeeds
 
 SEEDS = (1, 2, 4)
@@ -42,7 +42,7 @@
                 nodes=23,
                 upstreams=15,
                 slots=SLOTS,
-                routing=replace(ONLINE_ROUTING, rank=WAYS.get(way)),
+                routing=replace(ONLINE_ROUTING, rank=POLICIES.get(way)),
                 seed=seed,
                 hop_ms=0.9,
                 domains=3,
--- a/tests/test_upstream_speed.py
+++ b/tests/test_upstream_speed.py
@@ -9,13 +9,13 @@
 from msgspec.structs import replace
 
 from fescuedock.core.permits.speed import UpstreamSpeed
-from fescuedock.core.placement import Typical, choose_by_prediction, is_worth_moving, predict
+from fescuedock.core.placement import TypicalSpeed, choose_by_prediction, predict, should_move
 from fescuedock.core.routing import Candidate, Choice, Demand, PlacementPolicy, RoutingPolicy
 from fescuedock.schema.permits import LoadSnapshot
 
 POLICY = RoutingPolicy(rank=choose_by_prediction)
-PLACING = PlacementPolicy()
-TYPICAL = Typical(80.0, 28.0, 500.0)
+PLACEMENT = PlacementPolicy()
+TYPICAL = TypicalSpeed(80.0, 28.0, 500.0)
 DEMAND = Demand(450, 0, "", target_ms=230.0, left_ms=5000.0, pause_ms=400.0)
 HALF_LIFE_MS = 30_000.0
 REPORTS = st.lists(
@@ -37,9 +37,11 @@
     )
 
 
-def candidate(load: LoadSnapshot, age_ms: float = 0.0, near: bool = True) -> Candidate:
+def candidate(load: LoadSnapshot, age_ms: float = 0.0, same_domain: bool = True) -> Candidate:
     fresh = load if age_ms <= POLICY.stale_ms else None
-    return Candidate(load.upstream_id, 0.5, fresh, speed=load, speed_age_ms=age_ms, near=near)
+    return Candidate(
+        load.upstream_id, 0.5, fresh, speed=load, speed_age_ms=age_ms, same_domain=same_domain
+    )
 
 
 def first_of(candidates: list[Candidate], seeds: int = 200) -> Counter[str]:
@@ -66,7 +68,7 @@
             speed.observe_events(70.0, 4, at_ms)
         self.assertGreater(speed.slowness(8080.0), 1.7)
 
-    def test_a_slow_period_hardly_moves_the_lasting_speed(self) -> None:
+    def test_a_slow_period_hardly_changes_the_long_term_speed(self) -> None:
         speed = self.learned()
         for number in range(8):
             speed.observe_events(70.0, 4, 8000.0 + 80.0 * number)
@@ -78,7 +80,7 @@
             speed.observe_events(70.0, 4, 8000.0 + 80.0 * number)
         self.assertAlmostEqual(speed.speed(4, 128_000.0).event_ms, 70.0, delta=7.0)
 
-    def test_an_upstream_that_is_full_is_not_taken_for_a_slow_one(self) -> None:
+    def test_a_full_upstream_is_not_taken_for_a_slow_one(self) -> None:
         """Events of 24 ms alone and 31 ms in full company are one speed."""
         speed = UpstreamSpeed(HALF_LIFE_MS)
         for number in range(200):
@@ -88,7 +90,7 @@
         self.assertAlmostEqual(speed.slowness(16_000.0), 1.0, delta=0.05)
         self.assertAlmostEqual(speed.speed(1, 16_000.0).event_ms, 24.0, delta=1.0)
 
-    def test_without_evidence_nothing_is_claimed(self) -> None:
+    def test_without_evidence_the_speed_is_unknown(self) -> None:
         self.assertLess(UpstreamSpeed(HALF_LIFE_MS).speed(1, 5.0).age_ms, 0.0)
 
     @given(REPORTS)
@@ -114,14 +116,14 @@
     ) -> None:
         """The distance from the typical values is halved with each half-life, or more."""
         load = report(factor=factor, slowness=slowness)
-        _, event_ms, _ = predict(candidate(load, age_ms), TYPICAL, 0, PLACING)
-        kept = 0.5 ** (age_ms / PLACING.speed_half_life_ms)
-        lasting_ms = 28.0 + kept * (load.event_ms - 28.0)
+        _, event_ms, _ = predict(candidate(load, age_ms), TYPICAL, 0, PLACEMENT)
+        remaining = 0.5 ** (age_ms / PLACEMENT.speed_half_life_ms)
+        lasting_ms = 28.0 + remaining * (load.event_ms - 28.0)
         slowed = 1.0 + (slowness - 1.0) * 0.5 ** (age_ms / 250.0)
         self.assertAlmostEqual(event_ms, lasting_ms * slowed, places=6)
 
-    def test_a_slow_period_counts_for_its_rest_only(self) -> None:
-        _, _, run_ms = predict(candidate(report(slowness=2.5)), TYPICAL, 0, PLACING)
+    def test_a_slow_period_counts_for_its_remaining_time_only(self) -> None:
+        _, _, run_ms = predict(candidate(report(slowness=2.5)), TYPICAL, 0, PLACEMENT)
         self.assertLess(run_ms, 1.6 * 500.0)
         self.assertGreater(run_ms, 1.2 * 500.0)
 
@@ -129,12 +131,12 @@
 class PlacementTest(unittest.TestCase):
     """Which upstream a call goes to."""
 
-    def test_one_that_would_be_late_comes_after_those_that_would_not(self) -> None:
+    def test_an_upstream_where_the_call_would_be_late_comes_last(self) -> None:
         slow = candidate(report("slow", factor=1.7, slowness=2.5))
         others = [candidate(report(name)) for name in ("b", "c")]
         self.assertNotIn("slow", first_of([slow, *others]))
 
-    def test_nodes_that_know_the_same_do_not_all_choose_the_same(self) -> None:
+    def test_nodes_with_the_same_knowledge_make_different_choices(self) -> None:
         """Of 15 upstreams, 5 of them fast, none gets a third of the calls."""
         candidates = [
             candidate(report(f"i-{number}", factor=(1.67, 1.0, 0.63)[number % 3]))
@@ -151,25 +153,27 @@
         known = [candidate(report(name)) for name in ("b", "c")]
         self.assertGreater(first_of([forgotten, *known], 60)["slow"], 0)
 
-    def test_equals_in_the_callers_domain_go_first(self) -> None:
-        far = [candidate(report(f"far-{number}"), near=False) for number in range(4)]
-        near = [candidate(report(f"near-{number}")) for number in range(2)]
-        chosen = first_of([*far, *near])
-        self.assertGreater(chosen["near-0"] + chosen["near-1"], 150)
+    def test_equal_upstreams_in_the_callers_domain_go_first(self) -> None:
+        other_domain = [
+            candidate(report(f"other_domain-{number}"), same_domain=False) for number in range(4)
+        ]
+        same_domain = [candidate(report(f"same_domain-{number}")) for number in range(2)]
+        chosen = first_of([*other_domain, *same_domain])
+        self.assertGreater(chosen["same_domain-0"] + chosen["same_domain-1"], 150)
 
-    def test_without_reports_of_speed_the_choice_is_that_by_load(self) -> None:
+    def test_without_speed_reports_the_choice_follows_the_load(self) -> None:
         bare = [
             Candidate("a", 0.5, LoadSnapshot("a", 2, 0, 0, 8, 200.0, True)),
             Candidate("b", 0.5, LoadSnapshot("b", 2, 0, 0, 8, 50.0, True)),
         ]
         self.assertEqual(first_of(bare), Counter({"b": 200}))
 
-    def test_a_permit_of_an_upstream_that_turned_slow_is_worth_changing(self) -> None:
+    def test_a_permit_of_an_upstream_that_became_slow_is_worth_moving(self) -> None:
         other = Choice("b", 90.0, has_room=True, start_ms=80.0)
-        self.assertTrue(is_worth_moving(report(slowness=2.4), other, 0, PLACING))
-        self.assertFalse(is_worth_moving(report(), other, 0, PLACING))
+        self.assertTrue(should_move(report(slowness=2.4), other, 0, PLACEMENT))
+        self.assertFalse(should_move(report(), other, 0, PLACEMENT))
         full = replace(other, has_room=False)
-        self.assertFalse(is_worth_moving(report(slowness=2.4), full, 0, PLACING))
+        self.assertFalse(should_move(report(slowness=2.4), full, 0, PLACEMENT))
 
 
 if __name__ == "__main__":
--- a/tests/test_work_identity.py
+++ b/tests/test_work_identity.py
@@ -15,7 +15,7 @@
         self.assertEqual(work_identity("a", b"b"), work_identity(b"a", "b"))
 
     @given(_PARTS, _PARTS)
-    def test_it_is_the_same_for_the_same_parts_only(
+    def test_the_identity_is_equal_for_equal_parts_only(
         self, one: list[bytes], other: list[bytes]
     ) -> None:
         self.assertEqual(work_identity(*one) == work_identity(*other), one == other)
