--- a/src/fescuedock/core/admission.py
+++ b/src/fescuedock/core/admission.py
@@ -1,7 +1,8 @@
-"""Decides at the entry whether an online request can still make it, before anything is asked.
+"""Decides at the entry whether an online request can meet its deadline.
 
-What cannot be answered within its deadline is refused at once, with a time at which it is worth
-asking again.  The prediction leans towards admitting: owners, who know the queues, refuse too.
+This happens before any owner is queried.  A request that cannot be answered by its deadline is
+refused at once, with a time after which a retry may succeed.  The prediction favours admission:
+owners, which know the queues, refuse too.
 
 Pure: the caller passes the time.
 """
@@ -18,7 +19,10 @@
 
 
 class AdmissionPolicy(msgspec.Struct, frozen=True):
-    """``max_in_flight`` bounds one entry's memory and CPU; engines have limits of their own."""
+    """Bounds of one entry.
+
+    ``max_in_flight`` bounds its memory and CPU; engines have limits of their own.
+    """
 
     max_in_flight: int = 1024
     min_retry_ms: int = 250
@@ -26,11 +30,11 @@
 
 
 class RunTimes(msgspec.Struct):
-    """Moving means of one service's answers: tokens per answer and time between tokens.
+    """Moving averages of one service's answers: tokens per answer and time between tokens.
 
-    A prediction that refuses requests keeps itself from being corrected, so it must not outlive
-    its evidence: it halves with each ``half_life_ms`` without an answer, and one slow answer counts
-    as no more than ``max_sample_ratio`` times what is usual.
+    A prediction that refuses requests prevents its own correction, so it must not outlive its
+    evidence: it halves with each ``half_life_ms`` without an answer, and one slow answer counts as
+    at most ``max_sample_ratio`` times the average.
     """
 
     gain: float = 0.05
@@ -41,7 +45,7 @@
     _last_answer_ms: float = 0.0
 
     def observe(self, tokens: int, inter_token_ms: float, now_ms: float) -> None:
-        """Take in one whole answer; a negative ``inter_token_ms`` says that it is not known."""
+        """Record a complete answer; a negative ``inter_token_ms`` is unknown."""
         if tokens <= 0 or inter_token_ms < 0:
             return
         self._last_answer_ms = now_ms
@@ -60,7 +64,7 @@
 
 
 class Admission(msgspec.Struct):
-    """Requests in flight at this entry by member, and what their services' answers take."""
+    """Requests in flight at this entry by member, and the run times of each service."""
 
     policy: AdmissionPolicy = msgspec.field(default_factory=AdmissionPolicy)
     _in_flight: dict[str, int] = msgspec.field(default_factory=dict)
@@ -72,7 +76,7 @@
     def admit(self, member: str, shares: Mapping[str, float]) -> Result[None, Fault]:
         """Count a request in, to be counted out by ``release``; ``Err`` when the entry is full.
 
-        A full entry still takes requests of members below their share, up to twice its bound.
+        A full entry still admits requests of members below their share, up to twice its bound.
         """
         total = sum(self._in_flight.values())
         if total >= self.policy.max_in_flight:
@@ -92,10 +96,10 @@
     def check_deadline(
         self, left_ms: float, first_token_ms: float, run_ms: float, soonest_ms: float = 0.0
     ) -> Result[None, Fault]:
-        """Refuse what would not be whole in ``left_ms``.
+        """Refuse a request that would not be complete within ``left_ms``.
 
-        ``first_token_ms`` and ``run_ms`` are predictions; ``soonest_ms`` is a hint by an owner
-        when there will be room.
+        ``first_token_ms`` and ``run_ms`` are predictions; ``soonest_ms`` is an owner's hint when
+        there will be room.
         """
         needed_ms = first_token_ms + run_ms
         if needed_ms <= left_ms:
@@ -105,7 +109,7 @@
         return Err(Fault(ResultCode.DEADLINE_CANNOT_BE_MET, message, retry_ms))
 
     def retry_after_ms(self, wanted_ms: float) -> int:
-        """Return ``wanted_ms`` within the policy's bounds."""
+        """Return ``wanted_ms`` limited to the policy's bounds."""
         return int(min(self.policy.max_retry_ms, max(self.policy.min_retry_ms, wanted_ms)))
 
     def _refusal_when_full(
--- a/src/fescuedock/core/broken_runs.py
+++ b/src/fescuedock/core/broken_runs.py
@@ -1,4 +1,4 @@
-"""Runs that one upstream broke off, while it is being found out whether it has ended.
+"""Runs at one upstream that broke off, until it is known whether the upstream has crashed.
 
 Pure: the caller passes the time.
 """
@@ -9,19 +9,20 @@
 
 __all__ = ["BrokenRuns"]
 
-# An upstream that neither refuses nor takes connections has ended if it goes from the list within
-# this time: engines that stop writing to it are gone from it after some seconds.
+# An upstream that neither refuses nor accepts connections has crashed if it disappears from the
+# list within this time: the entries of engines that stop renewing them disappear after some
+# seconds.
 _DELISTED_WITHIN_MS = 5000.0
-# An answer that ends with its connection is whole if its upstream is there this much later.
+# A response that ends with its connection is complete if its upstream is up this much later.
 _COMPLETE_AFTER_MS = 1000.0
 _PROBE_INTERVAL_MS = 250.0
 
 
 class BrokenRuns(msgspec.Struct):
-    """The runs, with when each was told of."""
+    """The broken runs, with the times of their reports."""
 
     _runs: list[tuple[float, BrokenRun]] = msgspec.field(default_factory=list)
-    # When the last look began that found the upstream up.
+    # Start of the last probe that found the upstream up.
     _last_up_ms: float = float("-inf")
 
     def __len__(self) -> int:
@@ -29,22 +30,22 @@
 
     @property
     def has_isolated(self) -> bool:
-        """Whether any of them was to run alone."""
+        """Whether any of the runs was permitted as isolated."""
         return any(run.alone for _, run in self._runs)
 
     def add(self, run: BrokenRun, now_ms: float) -> None:
-        """Add a run that was broken off, or whose answer looks whole, just now."""
+        """Add a run that just broke off, or whose response looks complete."""
         self._runs.append((now_ms, run))
 
     def record_returned(self, work_id: str) -> None:
-        """Note that the permit of a run alone that looks whole was returned."""
+        """Record the return of the permit of an isolated run that looks complete."""
         self._runs = [
             (at_ms, _as_given_up(run) if run.work_id == work_id and run.looks_whole else run)
             for at_ms, run in self._runs
         ]
 
     def needs_probe(self, now_ms: float) -> bool:
-        """Whether the upstream should be asked for a connection."""
+        """Whether to probe the upstream with a connection."""
         if any(at_ms > self._last_up_ms for at_ms, _ in self._runs):
             return True
         since_ms = now_ms - self._last_up_ms
@@ -54,27 +55,27 @@
         )
 
     def pause_ms(self, now_ms: float) -> float:
-        """Return how long to wait before the next look."""
+        """Return how long to wait before the next probe."""
         return min(
             [due_ms - now_ms for due_ms in self._complete_from_ms() if due_ms > now_ms]
             + [_PROBE_INTERVAL_MS]
         )
 
     def record_up(self, began_ms: float) -> None:
-        """Note that the upstream took connections from ``began_ms`` on."""
+        """Record that the upstream accepted connections from ``began_ms`` on."""
         self._last_up_ms = began_ms
 
     def drain_complete(self, now_ms: float) -> list[BrokenRun]:
-        """Forget the runs that say nothing against anybody by now; return those that are whole."""
+        """Drop runs that are no longer evidence of a crash; return those that are complete."""
         whole = [run for item in self._runs if self._is_complete(item) for run in item[1:]]
         self._runs = [item for item in self._runs if not self._is_settled(item, now_ms)]
         return whole
 
     def drain_ended(self, *, refused: bool) -> list[BrokenRun]:
-        """Remove and return the runs that were under way when the upstream ended.
+        """Remove and return the runs that were in progress when the upstream crashed.
 
-        With ``refused`` it ended after the last look: what it had broken off before is not by that.
-        Those whose permits had been returned by then are returned as given up.
+        With ``refused`` it crashed after the last probe, which excludes runs that broke off before.
+        Runs whose permits had been returned by then are returned as given up.
         """
         items, self._runs = self._runs, []
         if refused:
@@ -82,7 +83,7 @@
         return [_as_given_up(run) if _is_permit_returned(run) else run for _, run in items]
 
     def _complete_from_ms(self) -> list[float]:
-        """Return from when on an upstream that is up shows that an answer was whole."""
+        """Return the times from which on an upstream that is up proves a response complete."""
         return [at_ms + _COMPLETE_AFTER_MS for at_ms, run in self._runs if run.looks_whole]
 
     def _is_settled(self, item: tuple[float, BrokenRun], now_ms: float) -> bool:
@@ -94,7 +95,7 @@
 
 
 def _is_permit_returned(run: BrokenRun) -> bool:
-    """Whether others may have begun in a run's place; one alone keeps it for a while."""
+    """Whether other runs may have started in a run's place; an isolated run holds its permit on."""
     return run.looks_whole and not run.alone
 
 
--- a/src/fescuedock/core/crash_log.py
+++ b/src/fescuedock/core/crash_log.py
@@ -1,4 +1,4 @@
-"""What an agent has learned of upstreams that ended, and whom it tells.
+"""An agent's facts about crashed upstreams, and the VMs it sends them to.
 
 Pure.
 """
@@ -16,11 +16,12 @@
 
 CrashFact = CrashReport | WorkCleared
 
-# Kept for programs that start or were away: about 500 bytes each.
+# Stored for programs that start or were disconnected: about 500 bytes each.
 _MAX_FACTS = 4096
-# VMs that one tells by itself.  A channel to each of several hundred would take tens of megabytes.
+# Maximum number of VMs that a VM notifies directly.  A channel to each of several hundred would use
+# tens of megabytes.
 _MAX_DIRECT_RECEIVERS = 64
-# Of each other failure domain, as one may have gone.
+# Relays in each other failure domain; more than one, as one may have failed.
 _RELAYS_PER_DOMAIN = 2
 
 
@@ -35,21 +36,22 @@
 
 
 def facts_of(news: CrashNews) -> list[CrashFact]:
-    """Return the facts that a message tells."""
+    """Return the facts in a message."""
     return [*news.crashes, *news.cleared]
 
 
 class Receivers(msgspec.Struct, frozen=True):
-    """VMs to be told, and those of them that tell others of their failure domain."""
+    """VMs to notify directly, and relays that notify the others of their failure domain."""
 
     direct: Sequence[VmRecord]
     relays: Sequence[VmRecord] = ()
 
 
 def receivers_of(own_id: str, key: str, vms: Iterable[VmRecord]) -> Receivers:
-    """Return whom a VM tells: all in a small fleet, else its failure domain and relays of others.
+    """Return the VMs that a VM notifies.
 
-    ``key`` spreads the work of relaying.
+    They are all VMs in a small fleet, else those of its failure domain and relays in the others.
+    ``key`` distributes the work of relaying.
     """
     known = {vm.vm_id: vm for vm in vms if vm.agent_port}
     own = known.pop(own_id, None)
@@ -66,7 +68,7 @@
 
 
 class CrashLog(msgspec.Struct):
-    """The facts of one agent's incarnation, each once; they are what ``quarantine`` knows."""
+    """The facts of one incarnation of an agent, each once; ``quarantine`` has the same facts."""
 
     quarantine: Quarantine
     boot: int
@@ -75,11 +77,11 @@
 
     @property
     def length(self) -> int:
-        """How many facts there have been."""
+        """Total number of facts recorded."""
         return self._dropped + len(self._facts)
 
     def record(self, fact: CrashFact) -> bool:
-        """Take a fact; False for one that is known already."""
+        """Record a fact; return False if it is already known."""
         is_new = self.quarantine.record(fact)
         if is_new:
             self._facts.append(fact)
@@ -89,10 +91,10 @@
         return is_new
 
     def known_count(self, boot: int, seen: int) -> int:
-        """Return how much a program has of this log that had ``seen`` of the one of ``boot``."""
+        """Return how many facts a program has that received ``seen`` of the log of ``boot``."""
         return min(max(seen, 0), self.length) if boot == self.boot else 0
 
     def reply_after(self, seen: int) -> CrashesReply:
-        """Return what comes after the first ``seen`` facts."""
+        """Return the facts after the first ``seen``."""
         facts = self._facts[max(seen - self._dropped, 0) :]
         return CrashesReply(agent_boot=self.boot, seen=self.length, news=message_of(facts))
--- a/src/fescuedock/core/customers.py
+++ b/src/fescuedock/core/customers.py
@@ -1,10 +1,10 @@
-"""Who a caller is, by the keys of one version of the configuration.
+"""Identifies callers by the keys of one version of the configuration.
 
-Keys are compared and kept as digests only: neither a log nor a dump of this state gives one away.
-Each version has an index of its own, which never changes, so a call that began under one version
-is judged again under the next by asking the newer index.
+Keys are compared and stored as digests only, so neither a log nor a dump of this state reveals one.
+Each version has its own immutable index, so a call that began under one version is checked again
+under the next by querying the newer index.
 
-Pure: no I/O, and nothing depends on the time.
+Pure: no I/O, and no dependence on time.
 """
 
 import enum
@@ -29,18 +29,18 @@
 ]
 
 _SCHEME = "bearer "
-# Between a customer's name and the identity that it gave a job; encoded names do not contain it.
+# Separates a customer's name from the identity that it gave a job; encoded names do not contain it.
 _SCOPE = ":"
 
 
 class Customer(msgspec.Struct, frozen=True):
-    """What a version says of a customer; ``rate_per_s`` 0 sets no limit."""
+    """One customer in a version of the configuration; ``rate_per_s`` 0 sets no limit."""
 
     name: str
     rate_per_s: float = 0.0
-    # Calls that may come at once on top of the rate.
+    # Calls that may arrive at once in addition to the rate.
     burst: float = 0.0
-    # Takes precedence over that of a route; None leaves it to the route.
+    # Overrides the priority of a route; None leaves it to the route.
     priority: int | None = None
 
 
@@ -52,7 +52,7 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether no customers are configured, so that nobody has to bring a key."""
+        """Whether no customers are configured, so that no caller needs a key."""
         return not self.by_name
 
     def name_of(self, digest: str) -> str | None:
@@ -60,29 +60,29 @@
         return self.names_by_digest.get(digest)
 
     def is_current(self, caller: "Caller") -> bool:
-        """Whether ``caller`` would still be who it was taken for."""
+        """Whether the key of ``caller`` still belongs to the same customer."""
         if not caller.digest:
             return True
         return self.names_by_digest.get(caller.digest) == caller.name
 
 
 class Caller(msgspec.Struct, frozen=True):
-    """Whom a call comes from.
+    """The origin of a call.
 
-    ``name`` is None where no customers are configured, and empty for a caller of a public route who
-    brought no key.  ``digest`` is that of the key which the call depends on, if it depends on one.
+    ``name`` is None where no customers are configured, and empty for a caller of a public route
+    without a key.  ``digest`` is that of the key that the call depends on, if any.
     """
 
     name: str | None = None
     digest: str = ""
 
 
-# Callers of a configuration without customers.
+# The caller where no customers are configured.
 ANONYMOUS = Caller()
 
 
 class CallerRefusal(enum.Enum):
-    """Why nobody is known behind a call."""
+    """Why a call cannot be attributed to a customer."""
 
     NO_KEY = "an API key is required"
     UNKNOWN_KEY = "the API key belongs to no customer"
@@ -90,17 +90,20 @@
 
 
 def key_digest(key: str) -> str:
-    """Return the digest by which a key is known."""
+    """Return the digest under which a key is stored."""
     return sha256(key.encode("utf-8", "surrogateescape")).hexdigest()
 
 
 def index_of(customers: Iterable[tuple[Customer, Iterable[str]]]) -> CustomerIndex:
-    """Index customers with the digests of their keys; ``ValueError`` for two that share one."""
+    """Index customers by the digests of their keys.
+
+    Raise ``ValueError`` for a duplicate name or a key of two customers.
+    """
     by_name: dict[str, Customer] = {}
     names: dict[str, str] = {}
     for customer, digests in customers:
         if customer.name in by_name:
-            raise ValueError(f"customer {customer.name!r} is there twice")
+            raise ValueError(f"customer {customer.name!r} is defined twice")
         by_name[customer.name] = customer
         for digest in digests:
             if names.setdefault(digest, customer.name) != customer.name:
@@ -109,7 +112,7 @@
 
 
 def bearer_keys(values: Iterable[str]) -> list[str]:
-    """Return the key of each ``Authorization`` value, an empty string for one of another kind."""
+    """Return the key of each ``Authorization`` value, an empty string for one of another scheme."""
     return [
         value[len(_SCHEME) :].strip() if value.lower().startswith(_SCHEME) else ""
         for value in values
@@ -119,10 +122,10 @@
 def identify(
     index: CustomerIndex, keys: Sequence[str], *, public: bool
 ) -> Result[Caller, CallerRefusal]:
-    """Return whom a call with ``keys`` comes from; a ``public`` route asks nobody for a key.
+    """Return the caller of a call with ``keys``; a ``public`` route requires none.
 
-    Several lines with the same key count as one; with different ones it would be open to whoever
-    reads them which is meant.
+    Several headers with the same key count as one.  With different keys, each component that reads
+    them could choose another one.
     """
     if index.is_empty:
         return Ok(ANONYMOUS)
@@ -141,7 +144,7 @@
 def scoped_job_id(caller: Caller, job_id: str) -> str:
     """Return the identity of a job among those of all customers.
 
-    Each customer names its own jobs, so that a key of another one finds none of them, not even that
-    they exist.
+    Each customer has its own namespace of jobs, so that the key of another one finds none of them
+    and does not even reveal that they exist.
     """
     return job_id if caller.name is None else f"{quote(caller.name, safe='')}{_SCOPE}{job_id}"
--- a/src/fescuedock/core/health.py
+++ b/src/fescuedock/core/health.py
@@ -1,11 +1,11 @@
-"""Judges upstreams by how their attempts ended, without asking them anything.
+"""Judges the health of upstreams by the outcomes of their attempts, without probing them.
 
-The owner of an upstream feeds every outcome into its ``HealthTracker``.  Faults add to a score by
-how much they say, successes take from it, and time halves it.  Past a threshold the upstream is
-taken out; it comes back only after several trials in a row went well, so a flapping upstream does
-not flap in and out.  A cap bounds how many may be out at once.
+The owner of an upstream reports every outcome to its ``HealthTracker``.  Faults add to a score by
+their weight, successes subtract from it, and it halves with time.  Beyond a threshold the upstream
+is taken out of service.  It returns only after several successful trials in a row, so that a
+flapping upstream does not alternate.  A cap bounds the number of upstreams out of service.
 
-A pure state machine: the caller passes the time.
+Pure: the caller passes the time.
 """
 
 from collections.abc import Collection
@@ -16,9 +16,9 @@
 
 __all__ = ["FAULT_WEIGHTS", "HealthPolicy", "HealthTracker"]
 
-# How strongly an outcome speaks against the upstream.  A refused connection is a dead process; a
-# server error may be the request's own doing.  Outcomes that are not here say nothing: a client
-# error is the caller's, a cancellation or revocation ours.
+# Weight of an outcome as evidence against the upstream.  A refused connection means a dead process;
+# a server error may be caused by the request.  Other outcomes are neutral: a client error is the
+# caller's fault, a cancellation or revocation our own doing.
 FAULT_WEIGHTS = {
     AttemptOutcome.CONNECT_REFUSED: 3.0,
     AttemptOutcome.CONNECT_TIMEOUT: 3.0,
@@ -52,7 +52,7 @@
 
 
 class HealthTracker(msgspec.Struct):
-    """The health of the upstreams of one service, as far as one owner sees them."""
+    """The health of the upstreams of one service that one owner is responsible for."""
 
     policy: HealthPolicy = msgspec.field(default_factory=HealthPolicy)
     fleet_count: int = 1
@@ -66,7 +66,7 @@
                 del self._records[upstream_id]
 
     def observe(self, upstream_id: str, outcome: AttemptOutcome, now_ms: float) -> None:
-        """Take in how one attempt on ``upstream_id`` ended."""
+        """Record the outcome of one attempt on ``upstream_id``."""
         record = self._records.setdefault(upstream_id, _Record(scored_at_ms=now_ms))
         if record.out:
             self._observe_trial(record, outcome, now_ms)
@@ -85,9 +85,9 @@
         return record is None or not record.out
 
     def start_trial(self, upstream_id: str, now_ms: float) -> bool:
-        """Whether one attempt may go to an upstream that is out, as a trial.
+        """Whether one attempt may go to an upstream that is out of service, as a trial.
 
-        At most one is under way at a time, and the wait between them doubles up to a bound.
+        At most one trial runs at a time, and the wait between trials doubles up to a bound.
         """
         record = self._records.get(upstream_id)
         if record is None or not record.out:
@@ -99,7 +99,7 @@
         return True
 
     def next_trial_ms(self, upstream_id: str) -> float:
-        """Return the time before which ``start_trial`` gives False; 0 when it is not out."""
+        """Return the time before which ``start_trial`` returns False; 0 when it is in service."""
         record = self._records.get(upstream_id)
         if record is None or not record.out:
             return 0.0
@@ -110,8 +110,8 @@
         return sum(record.out for record in self._records.values())
 
     def _may_take_out(self) -> bool:
-        # One may always go: an owner often has a single upstream of a small fleet, and entries
-        # have a way of their own when too many owners refuse.
+        # At least one may always be taken out: an owner often has a single upstream of a small
+        # fleet, and entries have their own rule for too many refusing owners.
         return self.out_count + 1 <= max(1.0, self.policy.max_out_share * self.fleet_count)
 
     def _decay(self, record: _Record, now_ms: float) -> None:
@@ -128,7 +128,7 @@
 
     def _observe_trial(self, record: _Record, outcome: AttemptOutcome, now_ms: float) -> None:
         if record.trial_ends_ms is None:
-            # An attempt from before it was taken out: old news.
+            # The attempt started before the upstream was taken out, so it is not a trial.
             return
         record.trial_ends_ms = None
         if outcome is AttemptOutcome.COMPLETED:
--- a/src/fescuedock/core/placement.py
+++ b/src/fescuedock/core/placement.py
@@ -1,8 +1,7 @@
 """Chooses upstreams for an online request by the predicted first event, pauses and end.
 
-The prediction is made of what owners report of their upstreams' speed and queues.  Each part counts
-as far as its age lets it: a report is mostly a second old or older, as a node asks each owner
-rarely.
+The prediction uses the owners' reports on the speed and queues of their upstreams, each part
+weighted by its age: a report is usually at least a second old, as a node rarely queries each owner.
 
 Pure: the caller passes the time and the randomness.
 """
@@ -34,10 +33,10 @@
 
 
 class TypicalSpeed(msgspec.Struct, frozen=True):
-    """Means over the upstreams of a service whose speed is known.
+    """Means over the upstreams of a service with known speed.
 
-    Of ``wait_ms`` and ``fill``, the share of the slots that run online calls, it has the least that
-    is known: an upstream that nobody heard of lately is worth asking.
+    ``wait_ms`` and ``fill``, the share of slots that run online calls, are the known minimum
+    instead, so that an upstream without a recent report is queried.
     """
 
     start_ms: float = 0.0
@@ -48,7 +47,7 @@
 
 
 def typical_speed(candidates: Sequence[Candidate], policy: PlacementPolicy) -> TypicalSpeed | None:
-    """Return typical values, to which old reports add little; None without any report of speed."""
+    """Return typical values, weighted toward recent reports; None without any report of speed."""
     weights = start_ms = event_ms = run_ms = 0.0
     least_wait_ms = least_fill = float("inf")
     for item in candidates:
@@ -80,10 +79,11 @@
 def predict(
     item: Candidate, typical: TypicalSpeed, prompt_tokens: int, policy: PlacementPolicy
 ) -> tuple[float, float, float]:
-    """Return the times that an attempt which began now at an upstream would take.
+    """Return the predicted times of an attempt that began now at an upstream.
 
-    They are those to the first event, between two events, and from the first event to the last, in
-    milliseconds.  A plain tuple, as a call predicts for each upstream of its service.
+    They are the times to the first event, between two events, and from the first event to the last,
+    in milliseconds.  A plain tuple, as each call needs a prediction for every upstream of its
+    service.
     """
     load = item.load
     wait_ms = (typical.wait_ms if load is None else load.wait_ms) + 2 * item.latency_ms
@@ -102,7 +102,7 @@
     if speed.slowness <= 1.0:
         return wait_ms + start_ms, event_ms, run_ms
     slowness = 1.0 + (speed.slowness - 1.0) * 0.5 ** (age_ms / SLOWNESS_HALF_LIFE_MS)
-    # The run outlasts the slow period.
+    # The run continues after the slow period ends.
     slowed_ms = min(policy.slow_period_rest_ms, run_ms * slowness) * (1.0 - 1.0 / slowness)
     return wait_ms + start_ms * slowness, event_ms * slowness, run_ms + slowed_ms
 
@@ -116,15 +116,16 @@
 ) -> list[Choice]:
     """Return the candidates from the best to the worst, as ``choose_upstreams`` does.
 
-    First come upstreams with room at which the request would be on time; among them the order is
-    by the predicted first event and, less, the end.  The order of near equals is random, with those
-    of the caller's failure domain ahead.  Without any report of speed it is ``choose_upstreams``.
+    Upstreams with room at which the request would be on time come first, ordered by the predicted
+    first event and, with less weight, the end.  Near equals are in random order, with those of the
+    caller's failure domain ahead.  Without any report of speed the result is that of
+    ``choose_upstreams``.
     """
     placement = policy.placement
     typical = typical_speed(candidates, placement)
     if typical is None:
         return choose_upstreams(candidates, demand, token_ms, policy, rng)
-    # ``target_ms`` leaves out the time that a first event usually takes.
+    # ``target_ms`` excludes the usual time to a first event.
     target_ms = float("inf")
     if demand.target_ms > 0:
         target_ms = demand.target_ms * placement.on_time_share + typical.start_ms
@@ -170,9 +171,10 @@
 def should_move(
     load: LoadSnapshot, other: Choice, prompt_tokens: int, policy: PlacementPolicy
 ) -> bool:
-    """Whether a call is better off at ``other`` than where it just got a permit.
+    """Whether a call should move to ``other`` from the upstream that just granted it a permit.
 
-    ``load`` came with the permit, so that it tells of a slow period which was not known before.
+    ``load`` was received with the permit, so that it may show a slow period that was not known
+    before.
     """
     if load.speed_age_ms < 0 or not other.start_ms or not other.has_room:
         return False
--- a/src/fescuedock/core/quarantine.py
+++ b/src/fescuedock/core/quarantine.py
@@ -1,13 +1,13 @@
-"""Whether a piece of work may run, by the upstreams that ended while they ran it or its like.
+"""Decides whether a unit of work may run, from the upstream crashes during its runs.
 
-What ends an upstream may be one piece of work, or a part of the prompt that works share which are
-no two alike.  Both are traits of a run.  When an upstream ends, each trait of what ran there may be
-the cause, and most are not.  What comes again and is there again becomes a suspect, and works that
-have it run alone; what then ends an upstream is the cause and is refused.  A trait of a run that
-became whole is not.
+An upstream may crash because of one unit of work, or because of a prompt part that otherwise
+different work shares.  Both are traits of a run.  When an upstream crashes, each trait of the runs
+there may be the cause, and most are not.  A trait that was present in several crashes is a suspect,
+and work with it runs in isolation.  If an upstream crashes then, the trait is the cause and is
+refused.  A trait of a run that completed is not the cause.
 
-Evidence is a set of facts about incarnations of upstreams, so it may be heard of in any order, more
-than once and from anywhere: all who know the same facts decide the same.
+The evidence is a set of facts about incarnations of upstreams.  Facts may arrive in any order,
+repeatedly and from any VM: all VMs that know the same facts reach the same decision.
 
 Pure: the caller passes the time, which is Unix time, as reports outlive processes.
 """
@@ -26,35 +26,36 @@
 
 
 class Restriction(enum.Enum):
-    """How a piece of work may run."""
+    """How a unit of work may run."""
 
-    FREE = "beside others"
-    ALONE = "alone"
-    # It would be refused, but for what others may still report of the same end.
-    UNSETTLED = "not yet"
-    REFUSED = "not at all"
+    FREE = "unrestricted"
+    ALONE = "isolated"
+    # To be refused, unless other VMs report further runs of the same crash in time.
+    UNSETTLED = "undecided"
+    REFUSED = "refused"
 
 
 class QuarantinePolicy(msgspec.Struct, frozen=True):
     """Bounds of the decision.
 
-    A crash weighs 1 against a work whose run had given nothing yet, and ``begun_weight`` against
-    one that was well under way: what ends an upstream mostly does so at its start.  From
-    ``isolation_weight`` on a work runs alone, so that it ends nobody else's runs and its innocence
-    shows. One that has been there in ``min_crashes`` crashes, and was alone in one, is refused.  A
-    part of prompts weighs 1 whatever had come, as it is known to be sound from other runs where it
-    is, and needs crashes of ``part_min_units_of_work`` works alone, as one work says nothing of its
-    parts.
-
-    A refused work gets another chance, alone, when the next of ``retry_pauses_ms`` has passed since
-    its last crash, as that may have been chance; after these it is refused until it is forgotten.
-    What has a refused part gets it after ``part_retry_pauses_ms``, as sound callers may be among
-    those. Evidence is forgotten after ``retention_ms``, and the oldest first beyond
-    ``max_reports``.
-
-    Reports of one upstream within ``same_crash_ms`` are about the same end: an upstream may keep
-    its identity over restarts, and takes longer to come back.  As long a work that seems to have
-    been alone is neither run nor refused: others that ran there may be reported in the meantime.
+    A crash counts with weight 1 against work whose run had produced no output yet, and with
+    ``begun_weight`` against work that was well under way, as most crashes happen at the start of
+    the run that causes them.  From a weight of ``isolation_weight`` on, work runs in isolation, so
+    that it can crash no other runs and can be shown to be harmless.  Work that was present in
+    ``min_crashes`` crashes, in one of them isolated, is refused.  A part of prompts always counts
+    with weight 1, as a harmless part is known from other runs that completed with it.  It is
+    refused after isolated crashes of ``part_min_units_of_work`` different units of work, as a
+    single one does not show which trait is the cause.
+
+    Refused work gets another isolated run when the next of ``retry_pauses_ms`` has passed since its
+    last crash, as that may have been a coincidence.  After the last pause it is refused until its
+    evidence expires.  Work with a refused part uses ``part_retry_pauses_ms`` instead, as harmless
+    work may share the part.  Evidence expires after ``retention_ms``; beyond ``max_reports`` the
+    oldest is dropped first.
+
+    Reports of one upstream within ``same_crash_ms`` are about the same crash: an upstream may keep
+    its identity over restarts, which take longer than that.  For as long, work that appears to have
+    been isolated is neither run nor refused, as other VMs may still report runs that were there.
     """
 
     begun_weight: float = 0.5
@@ -69,10 +70,11 @@
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """How a work may run.
+    """How a unit of work may run.
 
-    ``retry_after_ms`` is the time until a refused one may come again, or until it is settled.
-    ``trait`` is what speaks against it: its own identity, or that of a part of its prompt.
+    ``retry_after_ms`` is the time until refused work may be retried, or until the verdict is
+    settled.  ``trait`` is the trait that causes the restriction: the identity of the work or of a
+    part of its prompt.
     """
 
     restriction: Restriction
@@ -86,12 +88,12 @@
 
 
 def traits_of(run: CrashedRun) -> tuple[str, ...]:
-    """Return the traits that a run may have ended its upstream by."""
+    """Return the traits of a run that may have crashed its upstream."""
     return (run.work_id, *run.parts)
 
 
 class Quarantine:
-    """What is known of the traits of runs that were under way when upstreams ended."""
+    """Known facts about the traits of runs that were in progress when upstreams crashed."""
 
     __slots__ = (
         "_by_trait",
@@ -107,31 +109,32 @@
     def __init__(self, policy: QuarantinePolicy | None = None) -> None:
         self._policy = policy or QuarantinePolicy()
         self._reports: dict[str, CrashReport] = {}
-        # Identities of reports, by upstream; and by trait, those that speak against it.
+        # Identities of reports by upstream, and by each trait that they count against.
         self._by_upstream: defaultdict[str, set[str]] = defaultdict(set)
         self._by_trait: defaultdict[str, set[str]] = defaultdict(set)
-        # Those of runs alone.
+        # Identities of reports with isolated runs.
         self._isolated_run_reports: set[str] = set()
-        # Traits known as causes; None when they have to be found anew.
+        # Traits known as causes; None when they must be determined again.
         self._causes: set[str] | None = set()
-        # Traits and reports that say nothing against them, with when that was found out.
+        # Pairs of a trait and a report that does not count against it, with the time of the
+        # clearance.
         self._cleared: dict[tuple[str, str], float] = {}
-        # Whatever was taken, with its time.
+        # All recorded facts, with their times.
         self._known_facts: dict[str, float] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is known against any work."""
+        """Whether there is no evidence against any work."""
         return not self._by_trait
 
     def record(self, fact: CrashReport | WorkCleared) -> bool:
-        """Take a fact; False for one that is known."""
+        """Record a fact; return False if it is already known."""
         return (
             self.record_crash(fact) if isinstance(fact, CrashReport) else self.record_cleared(fact)
         )
 
     def record_crash(self, report: CrashReport) -> bool:
-        """Take a report of an upstream's end; False for one that is known."""
+        """Record a report of a crash; return False if it is already known."""
         if report.report_id in self._known_facts:
             return False
         self._known_facts[report.report_id] = report.at_ms
@@ -149,7 +152,7 @@
         return True
 
     def record_cleared(self, cleared: WorkCleared) -> bool:
-        """Take word that a trait was not the cause of some ends; False when that is known."""
+        """Record that a trait did not cause some crashes; return False if that is already known."""
         if cleared.report_id in self._known_facts:
             return False
         self._known_facts[cleared.report_id] = cleared.at_ms
@@ -160,33 +163,33 @@
         return True
 
     def knows(self, report_id: str) -> bool:
-        """Whether a report was taken and has not been forgotten."""
+        """Whether a fact was recorded and has not expired."""
         return report_id in self._known_facts
 
     def has_crashed_since(self, upstream_id: str, since_ms: float) -> bool:
-        """Whether an upstream is known to have ended after ``since_ms``."""
+        """Whether an upstream is known to have crashed after ``since_ms``."""
         names = self._by_upstream.get(upstream_id, ())
         return any(self._reports[name].at_ms >= since_ms for name in names)
 
     def is_suspected(self, trait: str) -> bool:
-        """Whether anything is known against a trait."""
+        """Whether there is evidence against a trait."""
         return trait in self._by_trait
 
     def suspected_among(self, traits: Collection[str]) -> set[str]:
-        """Return those of ``traits``, keys of a mapping, against which anything is known."""
+        """Return those of ``traits``, keys of a mapping, against which there is evidence."""
         return self._by_trait.keys() & traits
 
     def counts(self) -> tuple[int, int, int]:
-        """Return how many traits are under suspicion, known as causes, and have been cleared."""
+        """Return the numbers of suspected traits, of known causes and of cleared traits."""
         cleared = len({trait for trait, _ in self._cleared})
         return len(self._by_trait), len(self._known_causes()), cleared
 
     def reports_against(self, trait: str) -> list[str]:
-        """Return the identities of the reports that speak against a trait."""
+        """Return the identities of the reports that count against a trait."""
         return sorted(self._by_trait.get(trait, ()))
 
     def verdict(self, work_id: str, now_ms: float, parts: Collection[str] = ()) -> Verdict:
-        """Return how a work may run now that has ``parts`` in its prompt; the strictest counts."""
+        """Return how work with ``parts`` in its prompt may run; the strictest trait decides."""
         by_trait = self._by_trait
         if not by_trait:
             return FREE
@@ -195,11 +198,11 @@
         return max(found, key=lambda item: _SEVERITY.index(item.restriction), default=FREE)
 
     def is_expired(self, at_ms: float, now_ms: float) -> bool:
-        """Whether what was found out at ``at_ms`` is too old to count."""
+        """Whether a fact of ``at_ms`` is too old to count."""
         return at_ms < now_ms - self._policy.retention_ms
 
     def forget(self, now_ms: float) -> None:
-        """Drop what is too old to count."""
+        """Drop expired facts."""
         reports = list(self._reports.items())
         for name in [name for name, report in reports if self.is_expired(report.at_ms, now_ms)]:
             self._drop(name)
@@ -213,7 +216,8 @@
         if trait in self._known_causes():
             verdict = self._verdict_on_cause(trait, reports, crashes, now_ms)
             if verdict.restriction is Restriction.REFUSED and not self._is_proven(trait, traits):
-                # Something else that was there may be the cause; alone, this one shows it.
+                # Another trait of those runs may be the cause; an isolated run shows whether this
+                # one is.
                 return Verdict(Restriction.ALONE, crashes, trait=trait)
             return verdict
         weight = sum(
@@ -249,12 +253,13 @@
         return self._causes
 
     def _find_causes(self) -> set[str]:
-        """Find the traits that have ended upstreams often enough, certainly by themselves.
+        """Find the traits that crashed upstreams often enough, and certainly by themselves.
 
-        A part that most prompts have is there whenever a rarer one is that ends upstreams.  So the
-        parts of the fewest runs are looked at first, and ends that they explain speak against no
-        other.  Were the common part the cause, there would be ends without the rarer one.  Works
-        come last: one that has a harmful part is there again and again as well.
+        A part that most prompts have is also present when a rare harmful part crashes an upstream.
+        Parts with the fewest runs are therefore examined first, and the crashes that they explain
+        count against no other trait.  If the common part were the cause, there would be crashes
+        without the rare one.  Units of work come last, as work with a harmful part is repeatedly
+        present as well.
         """
         min_crashes = self._policy.min_crashes
         suspects = {
@@ -281,7 +286,7 @@
         return causes
 
     def _is_cause(self, trait: str, explained: Collection[str]) -> bool:
-        """Whether a trait has ended upstreams by itself, beside the ends that others explain."""
+        """Whether a trait crashed upstreams by itself, apart from crashes explained by others."""
         reports = [item for item in self._reports_against(trait) if item.report_id not in explained]
         if self._count_crashes(reports) < self._policy.min_crashes:
             return False
@@ -297,9 +302,10 @@
         )
 
     def _has_varying_concurrent_runs(self, trait: str, reports: list[CrashReport]) -> bool:
-        """Whether runs that were to be alone ended upstreams beside others that had none in common.
+        """Whether runs meant to be isolated crashed upstreams with different runs each time.
 
-        Where owners are silent, calls run without their permits beside a run alone.
+        No trait of the other runs may recur in these crashes.  Where owners do not respond, calls
+        run without their permits, concurrently with isolated runs.
         """
         seen_concurrent: set[str] = set()
         work_ids: set[str] = set()
@@ -318,10 +324,10 @@
         return self._policy.part_min_units_of_work if is_part(trait) else 1
 
     def _is_proven(self, trait: str, traits: Collection[str]) -> bool:
-        """Whether works that ended upstreams alone show that a trait is harmful in ``traits``.
+        """Whether isolated crashes show that a trait is harmful in work with ``traits``.
 
-        Of a part they show little where another suspected one was there that ``traits`` lack, and
-        more if it was another one each time.
+        For a part, a crash is weak evidence if another suspected part was present that ``traits``
+        lack; it is stronger if that was a different part each time.
         """
         if not is_part(trait):
             return True
@@ -350,13 +356,13 @@
         return self._has_varying_concurrent_runs(trait, reports)
 
     def _suspected_parts_with(self, trait: str, report: CrashReport) -> set[str]:
-        """Return the suspected parts that runs with ``trait`` had in a report."""
+        """Return the other suspected parts of runs with ``trait`` in a report."""
         runs = (run for run in report.runs if trait in traits_of(run))
         parts = {part for run in runs for part in run.parts if part != trait}
         return {part for part in parts if self._is_suspect(part, report.report_id)}
 
     def _is_suspect(self, trait: str, report_id: str) -> bool:
-        """Whether a report speaks against a trait, and not it alone."""
+        """Whether a report counts against a trait, and is not the only one."""
         reports = self._by_trait.get(trait, ())
         return report_id in reports and len(reports) > 1
 
@@ -370,7 +376,7 @@
         ]
 
     def _is_explained(self, report: CrashReport) -> bool:
-        """Whether a trait took part in an end that is known to be a cause."""
+        """Whether a known cause was present in a crash."""
         causes = self._known_causes()
         if not causes:
             return False
@@ -380,21 +386,21 @@
         return any(trait in causes for run in runs for trait in traits_of(run))
 
     def _was_isolated(self, trait: str, report: CrashReport) -> bool:
-        """Whether only runs with a trait were at the upstream, by all that is known of its end.
+        """Whether only runs with a trait were at the upstream, by all reports of its crash.
 
-        What others had given up does not count: an upstream is emptied for a run alone, so there
-        always is some, and with it no cause would ever be known for certain.
+        Runs that others had given up do not count: an upstream is emptied for an isolated run, so
+        there are always some, and no cause would ever be certain.
         """
         return self._was_meant_to_be_isolated(trait, report) and not self._concurrent_traits(
             trait, report
         )
 
     def _was_meant_to_be_isolated(self, trait: str, report: CrashReport) -> bool:
-        """Whether all runs with a trait were to be alone at the upstream."""
+        """Whether all runs with a trait were permitted as isolated runs."""
         return all(run.alone for run in self._runs_at(report) if trait in traits_of(run))
 
     def _concurrent_traits(self, trait: str, report: CrashReport) -> set[str]:
-        """Return the traits of runs without ``trait`` that were at the upstream as it ended."""
+        """Return the traits of runs without ``trait`` that were at the upstream when it crashed."""
         others = (run for run in self._runs_at(report) if trait not in traits_of(run))
         return {name for run in others if not run.given_up for name in traits_of(run)}
 
@@ -409,13 +415,13 @@
         return [self._reports[name] for name in self._by_trait.get(trait, ())]
 
     def _reports_of_same_crash(self, report: CrashReport) -> list[CrashReport]:
-        """Return the reports of the end that ``report`` is about, itself among them."""
+        """Return the reports about the crash that ``report`` is about, including itself."""
         others = (self._reports[name] for name in self._by_upstream[report.upstream_id])
         window_ms = self._policy.same_crash_ms
         return [item for item in others if abs(item.at_ms - report.at_ms) <= window_ms]
 
     def _count_crashes(self, reports: list[CrashReport]) -> int:
-        """Count the ends of upstreams that the reports are about."""
+        """Return the number of different crashes that the reports are about."""
         count = 0
         last: CrashReport | None = None
         for report in sorted(reports, key=lambda item: (item.upstream_id, item.at_ms)):
@@ -436,7 +442,7 @@
 
 
 def _discard(sets: dict[str, set[str]], key: str, value: str) -> None:
-    """Take a value out of a set, and out of ``sets`` a set that is empty by it."""
+    """Remove a value from a set in ``sets``, and the set itself once it is empty."""
     found = sets.get(key)
     if found is None:
         return
--- a/src/fescuedock/core/quotas.py
+++ b/src/fescuedock/core/quotas.py
@@ -1,19 +1,20 @@
-"""One limit of a customer over all nodes, in shares that add up to it.
+"""One limit of a customer over all nodes, divided into shares that add up to it.
 
-A limit is divided into a few shares.  Each is a token bucket at one node, its owner, which
-rendezvous hashing names among all registered nodes, whether or not they are reached or believed to
-live.  Nobody grants in place of a owner: one that is cut off goes on granting, and nobody can know
-how much.  So what runs in any window is at most the sum of the shares, whoever reaches whom and
-however often that changes, and a owner that is lost takes only its own share along.
+Each share is a token bucket at one node, its owner.  Rendezvous hashing chooses the owner among all
+registered nodes, whether or not they are reachable or considered alive.  No other node grants in
+place of an owner: an owner that is cut off continues to grant, and no other node can know how much.
+The calls in any window are therefore at most the sum of the shares, regardless of which nodes reach
+each other and how often that changes, and a lost owner takes only its own share with it.
 
-A call takes a token of any share that its node reaches.
+A call acquires a token of any share that its node can reach.
 
-State is soft.  A owner that starts again has an empty bucket, but for a few calls if it has not
-started just before as well; a node that becomes the owner of a share begins with nothing.  What is
-beyond a limit's rate and burst has room for that, for calls that are sent a moment after they were
-granted, and for two owners of one share until the former one has heard that a node was added.
+All state is soft.  An owner that restarts has an empty bucket, except for a few calls if its
+previous start is long enough ago; a node that takes over a share starts with an empty bucket.  The
+allowance beyond a limit's rate and burst covers these calls, calls that are sent a moment after
+their grant, and the time in which a share has two owners because the former one does not know yet
+that a node was added.
 
-Pure: the caller passes the time, by a clock that counts suspensions.
+Pure: the caller passes the time, by a clock that includes suspensions.
 """
 
 from collections.abc import Collection, Sequence
@@ -39,17 +40,18 @@
 
 
 def quota_key(customer: str) -> str:
-    """Return the key by which nodes rank for a customer."""
+    """Return the rendezvous key of a customer."""
     return _QUOTA_KEY + customer
 
 
 class QuotaPolicy(msgspec.Struct, frozen=True):
-    """``slack_calls`` and ``over_share`` of a limit may run beyond it in each ``window_ms``.
+    """How far a limit may be exceeded, and how it is divided.
 
-    ``start_calls``, and what comes in ``start_period_s``, is what a share may begin with after a
-    start of its owner: clients that were refused meanwhile come back together.  A call is sent
-    within ``max_unsent_ms`` of its grant, or asks again; ``max_membership_lag_ms`` is how long a
-    node may not know that another one was added.
+    In each ``window_ms``, ``slack_calls`` and the fraction ``over_share`` of a limit may run beyond
+    it.  After a start of its owner a share begins with ``start_calls`` and the tokens of
+    ``start_period_s``, as clients that were refused meanwhile retry together.  A call is sent
+    within ``max_unsent_ms`` of its grant, or requests another one.  ``max_membership_lag_ms`` is
+    how long a node may not know that another node was added.
     """
 
     slack_calls: float = 20.0
@@ -63,14 +65,14 @@
     max_wait_ms: float = 2000.0
 
     def share_count(self, customer: Customer) -> int:
-        """Return into how many shares a limit is divided; each has room for a whole call."""
+        """Return the number of shares of a limit; each has room for at least one call."""
         count = self.max_shares
         while count > 1 and self._size(customer, count) < count:
             count -= 1
         return count
 
     def share_terms(self, customer: Customer) -> BucketTerms:
-        """Return what the owner of each share grants."""
+        """Return the bucket terms of each share."""
         count = self.share_count(customer)
         size = max(self._size(customer, count) / count, 1.0)
         start = min(self._start_tokens(customer, count), size)
@@ -80,7 +82,7 @@
         return self.start_calls + self.start_period_s * customer.rate_per_s / count
 
     def _size(self, customer: Customer, count: int) -> float:
-        """Return the size of all buckets of a customer together."""
+        """Return the total size of all buckets of a customer."""
         in_bound = customer.rate_per_s * self.window_ms / 1000 + customer.burst
         spare = self.slack_calls + self.over_share * in_bound
         late_s = (self.max_unsent_ms + self.max_membership_lag_ms / self.max_shares) / 1000
@@ -88,19 +90,19 @@
         return customer.burst + max(spare, 0.0)
 
     def has_start_credit(self, since_previous_ms: float | None) -> bool:
-        """Whether a owner may begin with more than nothing.
+        """Whether an owner may begin with tokens in its buckets.
 
-        ``since_previous_ms`` lies between its start and the one before; None while not known.
+        ``since_previous_ms`` is the time between its start and the one before; None while unknown.
         """
         return since_previous_ms is not None and since_previous_ms >= self.window_ms
 
 
 class Roster(msgspec.Struct):
-    """All nodes that were registered of late, and this node's rank among them.
+    """All recently registered nodes, and this node's rank among them.
 
-    A node that is cut off drops out of the key-value service while it goes on serving from its
-    part, so its name counts on for ``retention_ms``.  ``changed_ms`` is when the names last
-    changed, and ``joined_ms`` when this node's own was first among them.
+    A node that is cut off loses its registration in the key-value service while it continues to
+    serve within its partition, so its name still counts for ``retention_ms``.  ``changed_ms`` is
+    when the names last changed, and ``joined_ms`` when this node's own name was first among them.
     """
 
     vm_id: str
@@ -111,7 +113,7 @@
     _ranks: dict[str, int] = msgspec.field(default_factory=dict)
 
     def update(self, names: Collection[str], now_ms: float) -> bool:
-        """Take the nodes that are registered or seen now; return whether that is news."""
+        """Apply the nodes that are registered or seen now; return whether the names changed."""
         before = len(self._last_seen_ms)
         self._last_seen_ms.update(dict.fromkeys(names, now_ms))
         gone = [name for name, ms in self._last_seen_ms.items() if ms < now_ms - self.retention_ms]
@@ -144,9 +146,9 @@
 
 
 class OwnedShare(msgspec.Struct, frozen=True):
-    """One share that this node keeps, since ``since_ms``.
+    """One share that this node owns, since ``since_ms``.
 
-    ``since_start`` says that no other node has kept it since this node's process started.
+    ``since_start`` says that no other node has owned it since this node's process started.
     """
 
     customer: str
@@ -156,7 +158,7 @@
 
 
 class ShareDirectory(msgspec.Struct):
-    """The owners of all shares, as the nodes that were registered of late have it.
+    """The owners of all shares, according to the recently registered nodes.
 
     ``started_ms`` is when this node's process started.
     """
@@ -168,20 +170,20 @@
     _owned: dict[tuple[str, int], OwnedShare] = msgspec.field(default_factory=dict)
 
     def update(self, names: Collection[str], now_ms: float) -> None:
-        """Take the nodes that are registered now; must be told of each change."""
+        """Apply the nodes that are registered now; must be called on each change."""
         if self.roster.update(names, now_ms):
             self._owners.clear()
-            # One that was lost in between begins anew when it comes back.
+            # A share that was lost and regained starts again with an empty bucket.
             own = self.roster.vm_id
             self._owned = {
                 key: share for key, share in self._owned.items() if self.owner_of(*key) == own
             }
 
     def owner_of(self, customer: str, number: int) -> str | None:
-        """Return the node that keeps a share; None while no node is known.
+        """Return the node that owns a share; None while no node is known.
 
-        No node keeps two shares of a customer while there are others, so that it takes no more
-        than one along.
+        No node owns two shares of a customer while there are other nodes, so that the loss of a
+        node takes only one share with it.
         """
         owners = self._owners.setdefault(customer, [])
         while len(owners) <= number:
@@ -191,14 +193,14 @@
         return owners[number]
 
     def owned(self, customer: str, number: int) -> OwnedShare | None:
-        """Return a share if this node keeps it, else None."""
+        """Return a share if this node owns it, else None."""
         if self.owner_of(customer, number) != self.roster.vm_id:
             return None
         key = (customer, number)
         if key not in self._owned:
             changed_ms = self.roster.changed_ms
             since_start = changed_ms == self.roster.joined_ms
-            # What owners before this one granted was before this process as well.
+            # Grants of former owners were made before this process started as well.
             since_ms = self.started_ms if since_start else changed_ms
             self._owned[key] = OwnedShare(customer, number, since_ms, since_start)
         return self._owned[key]
@@ -213,10 +215,10 @@
 def query_order(
     owners: Sequence[str | None], own: str, rng: Random, last: int | None = None
 ) -> list[int]:
-    """Return the numbers of shares in the order in which to ask for a call.
+    """Return the numbers of shares in the order in which to query their owners for a call.
 
-    That of its ``last`` grant first, then those of this node, which take no message, then any, so
-    that all shares are used alike.
+    The share of its ``last`` grant comes first, then those of this node, which need no message,
+    then the others at random, so that all shares are used equally.
     """
     order = list(range(len(owners)))
     rng.shuffle(order)
@@ -227,12 +229,12 @@
 class _Share(msgspec.Struct):
     since_ms: float
     bucket: SendBucket
-    # Whether the bucket has been given what it may begin with.
+    # Whether the bucket has received its start credit.
     start_credit_used: bool = False
 
 
 class QuotaOwner(msgspec.Struct):
-    """The buckets of the shares that this node keeps."""
+    """The buckets of the shares that this node owns."""
 
     policy: QuotaPolicy = msgspec.field(default_factory=QuotaPolicy)
     _shares: dict[tuple[str, int], _Share] = msgspec.field(default_factory=dict)
@@ -246,15 +248,15 @@
         start_credit: bool = False,
         waited_ms: float = 0.0,
     ) -> float | None:
-        """Grant one call: None, or the time after which to come back.
+        """Grant one call and return None, or return the time after which to retry.
 
-        ``waited_ms`` says that the call had a grant of this share that long ago and is only sent
+        ``waited_ms`` says that the call had a grant of this share that long ago and is sent only
         now.
         """
         terms = self.policy.share_terms(customer)
         share = self._share(owned)
         if start_credit and owned.since_start and not share.start_credit_used:
-            # Whether it may is known some time after the process started.
+            # Whether there is a credit becomes known only some time after the process started.
             share.start_credit_used = True
             share.bucket.add(terms, terms.start_tokens, now_ms)
         if waited_ms:
--- a/src/fescuedock/core/recent_runs.py
+++ b/src/fescuedock/core/recent_runs.py
@@ -1,8 +1,8 @@
-"""What recent runs say of ends of upstreams: those given up, and what others became whole with.
+"""Recent runs as evidence on upstream crashes: abandoned runs and prompt parts of completed runs.
 
-What was sent to an upstream and given up may still crash it.  A part of a prompt that runs became
-whole with is not what ends upstreams; whoever sees runs end keeps it, so that it costs no message
-and is known when an upstream ends.
+A run that was sent to an upstream and then abandoned may still crash it.  A prompt part of
+completed runs is not the cause of crashes.  Each process remembers the parts of the runs that it
+sees complete, so that they need no message and are known when an upstream crashes.
 
 Pure: the caller passes the time.
 """
@@ -16,34 +16,35 @@
 
 __all__ = ["AbandonedRuns", "SoundParts"]
 
-# How long after it was given up a run is taken for what may have ended its upstream: an engine goes
-# on until it notices that its caller has left, and the end shows with the next connection.
+# How long after it was given up a run is suspected of a crash: an engine continues until it notices
+# that its caller has disconnected, and the crash is detected with the next connection.
 _SUSPECT_MS = 1000.0
-# A runner gives up some tens of items a second when calls need their places.
+# A runner gives up some tens of items per second when calls need their slots.
 _MAX_RUNS = 256
-# An upstream of another software version may end by what the last one bore.
+# Limited, as an upstream of another software version may crash with parts that were harmless
+# before.
 _SOUND_VALIDITY_MS = 60_000.0
 # About 150 bytes each.
 _MAX_PARTS = 4096
 
 
 class AbandonedRuns(msgspec.Struct):
-    """The newest runs that were given up, with when that was."""
+    """The latest runs that were given up, with the times when they were."""
 
     _runs: deque[tuple[float, BrokenRun]] = msgspec.field(
         default_factory=lambda: deque(maxlen=_MAX_RUNS)
     )
 
     def record(self, run: BrokenRun, now_ms: float) -> None:
-        """Note that a run was given up, though its upstream may go on with it for a while."""
+        """Record that a run was given up, though its upstream may continue it for a while."""
         self._runs.append((now_ms, run))
 
     def upstream_ids(self, now_ms: float) -> set[str]:
-        """Return the upstreams at which runs were given up lately."""
+        """Return the upstreams at which runs were given up recently."""
         return {run.upstream_id for at_ms, run in self._runs if now_ms - at_ms <= _SUSPECT_MS}
 
     def pop_suspects(self, upstream_id: str, now_ms: float) -> list[BrokenRun]:
-        """Return the runs that may have ended an upstream which has just ended, and forget them."""
+        """Remove and return the runs that may have crashed an upstream just now."""
         young = [(at_ms, run) for at_ms, run in self._runs if now_ms - at_ms <= _SUSPECT_MS]
         self._runs = deque(
             (item for item in young if item[1].upstream_id != upstream_id), _MAX_RUNS
@@ -52,12 +53,12 @@
 
 
 class SoundParts(msgspec.Struct):
-    """Parts of prompts that runs became whole with lately, each with when that was."""
+    """Prompt parts of recently completed runs, with the time of the last completion."""
 
     _last_completed_ms: OrderedDict[str, float] = msgspec.field(default_factory=OrderedDict)
 
     def record(self, parts: Iterable[str], now_ms: float) -> None:
-        """Note that a run with these parts became whole."""
+        """Record that a run with these parts completed."""
         for part in parts:
             self._last_completed_ms[part] = now_ms
             self._last_completed_ms.move_to_end(part)
@@ -74,7 +75,7 @@
 
     @property
     def parts(self) -> Collection[str]:
-        """All that are kept, those included that were seen too long ago."""
+        """All stored parts, including expired ones."""
         return self._last_completed_ms.keys()
 
     def _is_sound(self, part: str, now_ms: float) -> bool:
--- a/src/fescuedock/core/retry.py
+++ b/src/fescuedock/core/retry.py
@@ -1,8 +1,8 @@
-"""Decides whether an attempt that failed may be followed by another, and when.
+"""Decides whether and when to retry a failed attempt.
 
-Retries come out of a budget that successes fill: in an outage nothing succeeds, the budget runs
-dry, and the load of retries ends by itself.  Waits are jittered, and nothing is retried that could
-not be whole by its deadline.
+Retries use a budget that successes fill: during an outage nothing succeeds, the budget runs out,
+and the load of retries ends by itself.  Waits are jittered, and nothing is retried that could not
+complete by its deadline.
 
 Pure: the caller passes the time and the randomness.
 """
@@ -17,11 +17,11 @@
 class RetryPolicy(msgspec.Struct, frozen=True):
     """Bounds of retrying.
 
-    ``share`` of recent successes may be retries; ``reserve`` retries are allowed besides while
-    there is little traffic, refilled at ``reserve_per_s``.  A request may fail ``max_attempts``
-    times without getting on, and be continued ``max_resumes`` times where it did get on.  One
-    during which upstreams were lost ``max_losses`` times without giving anything may be what kills
-    them, and is not tried on.
+    Retries may number the fraction ``share`` of recent successes.  ``reserve`` further retries,
+    refilled at ``reserve_per_s``, are permitted while there is little traffic.  A request may fail
+    ``max_attempts`` times without progress, and be resumed ``max_resumes`` times after progress.  A
+    request that lost its upstream ``max_losses`` times before any output may be the cause of the
+    losses and is not retried.
     """
 
     share: float = 0.2
@@ -36,7 +36,7 @@
 
 
 class RetryBudget(msgspec.Struct):
-    """How many retries one process may still send."""
+    """The retries that one process may still send."""
 
     policy: RetryPolicy = msgspec.field(default_factory=RetryPolicy)
     _credit: float = 0.0
@@ -44,11 +44,11 @@
     _refilled_at_ms: float = 0.0
 
     def record_success(self) -> None:
-        """Note that a request was answered well."""
+        """Record that a request succeeded."""
         self._credit = min(self.policy.max_credit, self._credit + self.policy.share)
 
     def try_consume(self, now_ms: float) -> bool:
-        """Use up one retry; False when the budget is dry."""
+        """Use one retry; return False when the budget is empty."""
         self._refill(now_ms)
         if self._credit >= 1.0:
             self._credit -= 1.0
@@ -76,10 +76,10 @@
     losses: int = 0
 
     def record_failure(self, *, upstream_lost: bool, progress: bool) -> None:
-        """Note a failed attempt.
+        """Record a failed attempt.
 
-        ``upstream_lost`` says that the upstream went away while it ran the request, ``progress``
-        that the request got on by it.
+        ``upstream_lost`` says that the upstream disappeared while it ran the request, ``progress``
+        that the attempt produced some of the answer.
         """
         if progress:
             self.resumed += 1
@@ -90,10 +90,10 @@
     def next_wait_ms(
         self, budget: RetryBudget, slack_ms: float, now_ms: float, rng: random.Random
     ) -> float | None:
-        """Return how long to wait before another attempt; None when there should be none.
+        """Return how long to wait before the next attempt; None when there must be none.
 
         ``slack_ms`` is the time left until the deadline less the predicted run time.  The first
-        retry hardly waits, as it goes to another upstream; later ones back off, with full jitter.
+        retry waits little, as it goes to another upstream; later ones back off, with full jitter.
         The retry is taken from the ``budget``.
         """
         if self._is_exhausted:
--- a/src/fescuedock/core/route_learning.py
+++ b/src/fescuedock/core/route_learning.py
@@ -1,4 +1,4 @@
-"""What an entry learns from its own requests, for ``routing`` to choose by.
+"""What an entry learns from its own requests, as input of ``routing``.
 
 Pure: the caller passes the time.
 """
@@ -22,8 +22,8 @@
 class RequestTimeout(msgspec.Struct):
     """How long to wait for an owner that should answer at once.
 
-    A process that is busy itself reads answers late, so each ask under way adds ``per_request_ms``:
-    what handling one request takes, so that a burst here does not look like silence there.
+    A busy process reads answers late, so each request in flight adds ``per_request_ms``, the time
+    to handle one request.  A local burst then does not look like a silent owner.
     """
 
     base_ms: float = 25.0
@@ -35,15 +35,16 @@
         return self.base_ms + self.per_request_ms * self.in_flight
 
 
-# Owners die and nodes are cut off for shorter; others take the upstreams over within this time.
+# Owners die and nodes are cut off for shorter periods; others take over the upstreams within this
+# time.
 _UNANSWERED_MS = 5000.0
 _MIN_UNANSWERED = 8
-# After the last one it is tried again.
+# Requests are tried again this long after the last unanswered one.
 _UNANSWERED_RETENTION_MS = 10_000.0
 
 
 class SilentOwners(msgspec.Struct):
-    """Owners that did not answer of late, so that only the first request waits for each."""
+    """Owners that recently did not answer, so that only the first request waits for each."""
 
     policy: RoutingPolicy = msgspec.field(default_factory=RoutingPolicy)
     _until_ms: dict[str, float] = msgspec.field(default_factory=dict)
@@ -59,9 +60,9 @@
 
 
 class UnansweredRequests(msgspec.Struct):
-    """The asks since the last one that any owner answered; a part of this program may be at fault.
+    """Requests since the last one answered by any owner; this program itself may be at fault.
 
-    A node in that state can serve calls under its own limit, but no batch item would ever run.
+    A node in that state can serve calls under its own limit, but would never run a batch item.
     """
 
     _count: int = 0
@@ -69,11 +70,11 @@
     _last_ms: float = float("-inf")
 
     def record_answer(self) -> None:
-        """Note that an owner granted or refused an ask."""
+        """Record that an owner granted or refused a request."""
         self._count = 0
 
     def record_silence(self, now_ms: float) -> None:
-        """Note that an ask could not be sent, or got no answer in time."""
+        """Record that a request could not be sent, or got no answer in time."""
         if now_ms - self._last_ms > _UNANSWERED_RETENTION_MS:
             self._count = 0
         if not self._count:
@@ -82,17 +83,17 @@
         self._last_ms = now_ms
 
     def is_persistent(self, now_ms: float) -> bool:
-        """Whether none has been answered for so long that others should do the batch work."""
+        """Whether requests were unanswered for so long that others should do the batch work."""
         if self._count < _MIN_UNANSWERED or now_ms - self._last_ms > _UNANSWERED_RETENTION_MS:
             return False
         return now_ms - self._first_ms >= _UNANSWERED_MS
 
 
 class DomainLatency(msgspec.Struct):
-    """One-way latency to each failure domain, from the round trips seen.
+    """One-way latency to each failure domain, from observed round trips.
 
-    The least of late counts, because a handler's delays only ever add; it creeps up by
-    ``rise`` of itself with each observation, so that a longer way is learned too.
+    The recent minimum counts, because delays in a handler only ever add.  It rises by the fraction
+    ``rise`` with each observation, so that an increased latency is learned too.
     """
 
     rise: float = 0.01
@@ -103,18 +104,18 @@
         self._min_ms[failure_domain] = min(least_ms, round_trip_ms)
 
     def one_way_ms(self, failure_domain: str) -> float:
-        """Return 0 for a domain that nothing is known of, so that it gets tried."""
+        """Return the latency; 0 for an unknown domain, so that it is tried."""
         return self._min_ms.get(failure_domain, 0.0) / 2
 
 
 class PrefixMemory(msgspec.Struct):
-    """Which upstreams this process gave which prefixes of late, the latest ``size`` of each."""
+    """Prefixes that this process recently sent to each upstream, the latest ``size`` of each."""
 
     size: int = 1024
     _prefixes: dict[str, OrderedDict[str, None]] = msgspec.field(default_factory=dict)
 
     def record(self, upstream_id: str, prefix_hash: str) -> bool:
-        """Note that a prefix went to an upstream; return whether it is the first time."""
+        """Record that a prefix went to an upstream; return whether it is new there."""
         held = self._prefixes.setdefault(upstream_id, OrderedDict())
         is_new = prefix_hash not in held
         held[prefix_hash] = None
@@ -125,10 +126,11 @@
 
 
 class PrefillModel(msgspec.Struct):
-    """Time of prefill for a prompt token, from first tokens of prompts that no cache can have.
+    """Prefill time per prompt token, from first tokens of prompts that no cache can have.
 
-    Queues only ever add to it, so the least of late counts; it creeps up by ``rise`` of itself
-    with each observation.  Prompts shorter than ``min_tokens`` tell more of the queue than of it.
+    Queueing only ever adds to it, so the recent minimum counts.  It rises by the fraction ``rise``
+    with each observation.  Prompts shorter than ``min_tokens`` reflect the queue more than the
+    prefill.
     """
 
     min_tokens: int = 256
@@ -143,5 +145,5 @@
 
     @property
     def token_ms(self) -> float:
-        """Milliseconds for each prompt token; 0 until something is known."""
+        """Milliseconds per prompt token; 0 while unknown."""
         return self._min_ms if self._min_ms < float("inf") else 0.0
--- a/src/fescuedock/core/routing.py
+++ b/src/fescuedock/core/routing.py
@@ -1,9 +1,9 @@
 """Chooses upstreams for an online request by the predicted time to its first token.
 
-The prediction adds up what the upstream's owner says of its queue, the prefill of the part of the
-prompt that its prefix cache lacks, and the way there.  Requests with the same leading part of the
-prompt go to the same upstream by rendezvous hashing, so that every entry agrees without a word,
-unless that one is busier than its fellows by more than a bound.
+The prediction adds the queueing time reported by the upstream's owner, the prefill time of the
+prompt part that is missing from its prefix cache, and the network latency.  Requests with the same
+leading prompt part go to the same upstream by rendezvous hashing, so that all entries agree without
+communication, unless that upstream is busier than the others by more than a bound.
 
 Pure: the caller passes the time and the randomness.
 """
@@ -36,19 +36,20 @@
 class PlacementPolicy(msgspec.Struct, frozen=True):
     """Constants of the prediction, and of the order among upstreams where a call is on time.
 
-    A lasting speed counts half after ``speed_half_life_ms`` without evidence, and then turns into
-    the typical one, so that an upstream that is believed slow is tried again.  One whose owner
-    knows no speed yet counts as ``unmeasured_factor`` times slower than typical ones, so that it
-    gets little work at first; one that the node has not heard of as ``unknown_factor``, so that it
-    is asked soon, as the reply tells its speed.  With 1.3 there 0.988 of a step's calls were on
-    time, with 0.7 0.996.  A call goes on to its next choice where that is predicted to be
-    ``move_factor`` times faster than a reply shows the first one to be.
-
-    A start within ``on_time_share`` of the time to the target counts as on time.  ``run_weight`` of
-    the run counts beside the first event, ``fill_weight`` of the share of the slots that run makes
-    one costlier, and ``random_spread`` of the cost is chance, so that nodes which know the same
-    choose differently.  Bytes from another failure domain count as ``cross_domain_penalty_ms``.
-    ``slow_period_rest_ms`` is about what is left of a slow period when it shows.
+    The weight of a long-term speed halves after ``speed_half_life_ms`` without evidence and gives
+    way to the typical speed, so that an upstream that is considered slow is tried again.  An
+    upstream whose owner has not measured its speed counts as ``unmeasured_factor`` times slower
+    than typical ones, so that it gets little work at first.  One without any report counts as
+    ``unknown_factor``, so that it is queried soon and the reply reports its speed: with 1.3 there
+    0.988 of a step's calls were on time, with 0.7 0.996.  A call moves to its next choice if that
+    one is predicted to be ``move_factor`` times faster than a reply shows the first one to be.
+
+    A start within the fraction ``on_time_share`` of the time to the target counts as on time.  The
+    cost of an upstream is the time to the first event plus ``run_weight`` times that of the run; it
+    grows by ``fill_weight`` times the share of slots that run online calls, and by a random part of
+    up to ``random_spread``, so that nodes with the same knowledge choose differently.  Another
+    failure domain adds ``cross_domain_penalty_ms``.  ``slow_period_rest_ms`` is the approximate
+    remaining time of a slow period when it is detected.
     """
 
     speed_half_life_ms: float = 20_000.0
@@ -66,20 +67,20 @@
 class RoutingPolicy(msgspec.Struct, frozen=True):
     """Constants of the choice.
 
-    A snapshot older than ``stale_ms`` says nothing.  An upstream keeps its prefixes while its work
-    in flight is within ``load_bound`` times the mean.  An owner that did not answer is passed over
-    for ``silent_ms``.
+    A load snapshot older than ``stale_ms`` is ignored.  An upstream is preferred for its prefixes
+    while its work in flight is within ``load_bound`` times the mean.  An owner that did not answer
+    is skipped for ``silent_ms``.
 
-    Where nothing is free a request waits in the queues of ``max_queues`` owners at once and starts
-    where a slot comes free first; each keeps it for at most ``queue_ms`` before the choice is made
-    anew with what is known by then.  With a single queue a request waited behind late ones while
-    slots came free elsewhere: of calls that for 2.4 s just exceed 40 slots 91 to 93 in 100 were in
-    time, with three queues 98 to 99 (``tests/test_heavy_load.py``, three seeds).
+    Where no slot is free a request waits in the queues of ``max_queues`` owners at once and starts
+    at the first one with a free slot; each owner queues it for at most ``queue_ms`` before the
+    choice is repeated with the latest load.  With a single queue a request waited behind late ones
+    while slots became free elsewhere: of calls that for 2.4 s just exceed 40 slots 91 to 93 in 100
+    were in time, with three queues 98 to 99 (``tests/test_heavy_load.py``, three seeds).
 
-    Where online would take the slot of a batch attempt, it counts as ``eviction_penalty_ms`` later:
-    what that attempt pauses at the least before it runs again elsewhere
+    Where online would evict a batch attempt, the upstream counts as ``eviction_penalty_ms`` slower:
+    the minimum pause of that attempt before it runs again elsewhere
     (``RetryPauses.interrupted_ms``).  An upstream without an idle connection counts as
-    ``connect_penalty_ms`` later: a round trip of 1 to 3 ms, and 1 ms that an engine takes for it.
+    ``connect_penalty_ms`` slower: a round trip of 1 to 3 ms, and 1 ms in the engine.
     """
 
     stale_ms: float = 1000.0
@@ -92,16 +93,16 @@
     max_unqueued_requests: int = 2
     eviction_penalty_ms: float = 25.0
     connect_penalty_ms: float = 4.0
-    # How upstreams are ranked; None is ``choose_upstreams``.
+    # Ranking function of upstreams; None is ``choose_upstreams``.
     rank: "Ranking | None" = None
     placement: PlacementPolicy = PlacementPolicy()
 
 
 class Candidate(msgspec.Struct, frozen=True):
-    """An upstream that may be asked.
+    """An upstream that may be queried.
 
-    ``load`` is None when nothing fresh is known; ``avoided`` says that it has failed this request,
-    ``connected`` that an idle connection to it is kept.
+    ``load`` is None when no fresh snapshot is known; ``avoided`` says that the upstream has failed
+    this request, ``connected`` that there is an idle connection to it.
     """
 
     upstream_id: str
@@ -110,18 +111,19 @@
     owner_silent: bool = False
     avoided: bool = False
     connected: bool = True
-    # The latest report of its speed, older than ``load`` may be, and the age of the evidence.
+    # The latest report of its speed, which may be older than ``load``, and the age of its evidence.
     speed: LoadSnapshot | None = None
     speed_age_ms: float = 0.0
-    # It is in the caller's failure domain.
+    # Whether it is in the caller's failure domain.
     same_domain: bool = True
 
 
 class Demand(msgspec.Struct, frozen=True):
-    """What matters of the request: its prompt's length and leading part, and what it may take.
+    """Properties of a request that matter for routing.
 
-    ``target_ms`` is left for a start whose first event is in time, ``left_ms`` for the whole
-    answer; ``pause_ms`` is good between two events.  0 says nothing, and a target below 0 has
+    They are the length and leading part of its prompt and its time limits: ``target_ms`` is the
+    time left for a start whose first event is in time, ``left_ms`` that for the whole answer, and
+    ``pause_ms`` the permitted time between two events. 0 means unknown; a negative target has
     passed.
     """
 
@@ -136,11 +138,11 @@
 class Choice(msgspec.Struct, frozen=True):
     """An upstream with its predicted time to the first token.
 
-    ``queue_ms`` leaves prefill out, which is a guess good enough to choose by and no more;
-    ``first_token_ms`` also has what batch work loses by it, and a new connection.
-    ``has_room`` is False when its owner is known to be full;
-    ``accepting`` is False for one that its owner keeps work from.  ``start_ms`` is the predicted
-    time to the first event without any preference; 0 where nothing is known of speeds.
+    ``queue_ms`` excludes the prefill time, which is an estimate that suffices for ranking only.
+    ``first_token_ms`` includes the penalties for a batch eviction and a new connection.
+    ``has_room`` is False when its owner is known to be full; ``accepting`` is False when the owner
+    does not admit work.  ``start_ms`` is the predicted time to the first event without penalties; 0
+    where no speed is known.
     """
 
     upstream_id: str
@@ -152,14 +154,14 @@
     start_ms: float = 0.0
 
 
-# Candidates, demand, time for a prompt token, constants and randomness; returns the best first.
+# Takes candidates, demand, time per prompt token, constants and randomness; returns the best first.
 Ranking = Callable[[Sequence[Candidate], Demand, float, RoutingPolicy, random.Random], list[Choice]]
 
 
 class PlannedRequest(msgspec.Struct, frozen=True):
-    """Ask the owner of an upstream, which may queue the request for ``wait_ms``.
+    """A permit request to an upstream's owner, which may queue it for ``wait_ms``.
 
-    ``local`` asks nobody and takes from the process's own small limit.
+    ``local`` sends no request and uses the process's own small limit instead.
     """
 
     upstream_id: str
@@ -180,9 +182,9 @@
 ) -> list[Choice]:
     """Return the candidates from the best to the worst.
 
-    ``token_ms`` is the time that prefill takes for a prompt token.  Last come upstreams that have
-    failed the request, whose owner is silent, or that are not accepting.  The order among near
-    equals is random, so that entries which know the same do not all choose the same.
+    ``token_ms`` is the prefill time per prompt token.  Upstreams that have failed the request,
+    whose owner does not respond, or that are not accepting come last.  Near equals are ordered at
+    random, so that entries with the same knowledge do not all make the same choice.
     """
     if not candidates:
         return []
@@ -213,12 +215,12 @@
 def plan_requests(
     choices: Sequence[Choice], slack_ms: float, policy: RoutingPolicy
 ) -> list[PlannedRequest]:
-    """Return whom to ask, in order, until one grants.
+    """Return the permit requests to make, in order, until one is granted.
 
-    The best few with room are asked for a permit at once; then upstreams whose owners are silent
-    are used directly, within the local limit; then the best few queue the request, even silent
-    ones, which may be no more than slow.  When more upstreams than ``max_out_share`` are kept out,
-    the evidence is doubted and they are used too.
+    The best few upstreams with room are requested first, without queueing.  Then upstreams whose
+    owners do not respond are used directly, within the local limit.  Then the best few owners queue
+    the request, including silent ones, which may just be slow.  When more than ``max_out_share`` of
+    the upstreams are not accepting, the evidence against them is doubted and they are used too.
     """
     accepting = [item for item in choices if item.accepting]
     doubted = len(accepting) < (1.0 - policy.max_out_share) * len(choices)
@@ -247,41 +249,41 @@
 
 
 def avoidance_rank(item: Candidate) -> int:
-    """Return 0 for an upstream like others, more the less it should be used."""
+    """Return 0 for an ordinary upstream, and more the less it should be used."""
     if not _is_accepting(item):
         return 3
     if item.avoided:
         return 2
-    # A silent owner says less against its upstream than a failure of the upstream itself: on a busy
-    # machine a stream that had stalled was sent to the same upstream again.
+    # A silent owner is weaker evidence against its upstream than a failure of the upstream itself:
+    # on a busy machine a stalled stream was sent to the same upstream again.
     return 1 if item.owner_silent else 0
 
 
 def _has_room(item: Candidate) -> bool:
-    """Whether online work would be let in now, batch work giving way if need be."""
+    """Whether online work would be admitted now, if necessary by evicting batch work."""
     load = item.load
     return load is None or (not load.queued_online and load.in_flight_online < load.limit)
 
 
 def free_slots(load: LoadSnapshot) -> int:
-    """Return how many attempts could start without another one giving way; 0 or less for none."""
+    """Return how many attempts could start without an eviction; 0 or less for none."""
     return load.limit - load.in_flight_online - load.in_flight_batch
 
 
 def needs_batch_eviction(item: Candidate) -> bool:
-    """Whether all slots are taken, some of them by batch work that would have to give way."""
+    """Whether all slots are taken and some of them by batch work, which would be evicted."""
     load = item.load
     return load is not None and load.in_flight_batch > 0 and free_slots(load) <= 0
 
 
 def _min_known_first_token_ms(candidates: Iterable[Candidate]) -> float:
-    """Return the least that is known: an upstream nobody heard of lately is worth asking."""
+    """Return the smallest known time, so that upstreams without a report are queried."""
     known = [item.load.first_token_ms for item in candidates if item.load is not None]
     return min(known, default=0.0)
 
 
 def prefix_upstream(candidates: Sequence[Candidate], demand: Demand, policy: RoutingPolicy) -> str:
-    """Return the upstream that should have the prefix, or "" without one."""
+    """Return the upstream preferred for the prefix, or "" if there is none."""
     if not demand.prefix_hash:
         return ""
     usable = {item.upstream_id: item for item in candidates if not avoidance_rank(item)}
--- a/src/fescuedock/core/sender_clocks.py
+++ b/src/fescuedock/core/sender_clocks.py
@@ -1,8 +1,8 @@
-"""When messages that nobody asked for were sent, by this process's clock.
+"""Determines by this process's clock when unsolicited messages were sent.
 
-A message may wait in a sender that stands still, behind a cut, or in a receiver that stands still;
-what it says is as old as that.  Its sender's own time tells how old, once a question and its answer
-have shown how far that clock is off: the answer was sent no earlier than the question.
+A message may be delayed in a suspended sender, by a network cut, or in a suspended receiver, and
+its content is that old.  The sender's timestamp gives the age once a request and its reply have
+bounded the offset of the sender's clock: the reply was sent no earlier than the request.
 
 Pure: the caller passes the times.
 """
@@ -11,16 +11,16 @@
 
 __all__ = ["SenderClocks"]
 
-# Two clocks run apart by less than 0.1 ms a second; ten times that for the bound to hold.
+# Two clocks drift apart by less than 0.1 ms per second; the bound allows ten times that.
 _DRIFT_MS_PER_S = 1.0
-# A bound that is older is shown anew; by then it has lost 60 ms to the drift that is allowed for.
+# An older bound must be renewed; by then the permitted drift has cost it 60 ms.
 _BOUND_VALIDITY_MS = 60_000.0
-# Senders remembered, about 150 bytes each: ten groups of nodes that tell each other.
+# Number of senders remembered, about 150 bytes each: ten groups of nodes that exchange messages.
 _MAX_SENDERS = 256
 
 
 class _Bound(msgspec.Struct):
-    """This process's clock is ahead of the sender's by ``ahead_ms`` at least, as of ``at_ms``."""
+    """This process's clock is at least ``ahead_ms`` ahead of the sender's, as of ``at_ms``."""
 
     ahead_ms: float
     at_ms: float
@@ -30,12 +30,12 @@
 
 
 class SenderClocks(msgspec.Struct):
-    """How far the clocks of senders are off; a restarted sender must have another name."""
+    """Bounds on the clock offsets of senders; a restarted sender must use another name."""
 
     _bounds: dict[str, _Bound] = msgspec.field(default_factory=dict)
 
     def record_reply(self, sender: str, asked_ms: float, sent_ms: float) -> None:
-        """Take an answer that was sent at ``sent_ms`` by its sender's clock."""
+        """Record a reply sent at ``sent_ms`` by its sender's clock to a request of ``asked_ms``."""
         ahead_ms = asked_ms - sent_ms
         known = self._bounds.get(sender)
         if known is not None:
@@ -45,14 +45,14 @@
         self._bounds[sender] = _Bound(ahead_ms, asked_ms)
 
     def is_known(self, sender: str, now_ms: float) -> bool:
-        """Whether the sender's clock was compared lately."""
+        """Whether the sender's clock was compared recently."""
         known = self._bounds.get(sender)
         return known is not None and now_ms - known.at_ms < _BOUND_VALIDITY_MS
 
     def earliest_sent_ms(self, sender: str, sent_ms: float, now_ms: float) -> float:
-        """Return a time of this process's clock at which a message was not sent yet, or just then.
+        """Return a time by this process's clock not later than the sending of a message.
 
-        ``sent_ms`` is by its sender's clock; infinitely long ago for an unknown sender.
+        ``sent_ms`` is by the sender's clock; the result is minus infinity for an unknown sender.
         """
         known = self._bounds.get(sender)
         return float("-inf") if known is None else sent_ms + known.at(now_ms)
--- a/src/fescuedock/core/slow_peers.py
+++ b/src/fescuedock/core/slow_peers.py
@@ -1,9 +1,9 @@
-"""Which slow clients a process may hold bytes for, and which of them are cut off.
+"""Decides for which slow clients a process holds bytes, and which of them are cut off.
 
-A process holds bytes for a client that reads its response slowly, and of a request that comes
-slowly.  All count toward one bound; beyond it the slowest clients are cut off first.
+A process holds bytes for clients that read their response slowly or send their request slowly.  All
+of them count toward one bound; beyond it the slowest clients are cut off first.
 
-Pure: the caller passes the time, and does what is returned.
+Pure: the caller passes the time and acts on the results.
 """
 
 from collections.abc import Hashable
@@ -12,24 +12,26 @@
 
 __all__ = ["HeldBounds", "HeldBytes", "SlowPeer"]
 
-# Of a new client nothing is known: a round trip and some packets pass before its first bytes move.
+# Time in which a new client's rate is unknown: a round trip and some packets pass before its first
+# bytes move.
 _NEW_CLIENT_MS = 250.0
-# New clients go after those that are slower than this, in bytes a second, and before the others, so
-# that many new ones that stall do not displace those that read well.  With 120 such at once 8 of
-# 1,609 fast readers were cut off, 39 when new clients went last and 177 when they went first.
+# Assumed rate of new clients in bytes per second.  Slower clients are cut off before them and
+# faster ones after them, so that many new clients that stall do not displace those that read well.
+# With 120 such at once 8 of 1,609 fast readers were cut off, against 39 when new clients were cut
+# off last and 177 when first.
 _NEW_CLIENT_RATE = 128_000.0
-# A rate is that of the current window and the one before, so that a stall shows within 2 s.
+# A rate covers the current window and the one before, so that a stall is detected within 2 s.
 _WINDOW_MS = 1000.0
-# One page of results takes this share of what is free, so that several fit.
+# One page of results may use this share of the free bytes, so that several fit.
 _PAGE_SHARE = 1 / 8
 _MIN_PAGE_BYTES = 16384
 
 
 class HeldBounds(msgspec.Struct, frozen=True):
-    """Bytes that may be held.
+    """Bounds on the bytes held.
 
     ``call_bytes`` bounds one streamed response, whose producer waits beyond it; with 0 every
-    producer waits until its client has taken all.
+    producer waits until its client has read all bytes.
     """
 
     call_bytes: int = 0
@@ -37,7 +39,7 @@
 
 
 class SlowPeer(msgspec.Struct):
-    """A client for which bytes are held, and how fast its bytes have moved of late."""
+    """A client for which bytes are held, and how fast its bytes moved recently."""
 
     since_ms: float
     held_bytes: int = 0
@@ -46,16 +48,16 @@
     previous_moved_bytes: int = 0
 
     def record_moved(self, size_bytes: int, now_ms: float) -> None:
-        """Count bytes that the client has taken or sent."""
+        """Count bytes that the client has read or sent."""
         self._advance_window(now_ms)
         self.moved_bytes += size_bytes
 
     def is_new(self, now_ms: float) -> bool:
-        """Whether too little time has passed to judge the client by."""
+        """Whether the client's rate cannot be measured yet."""
         return now_ms - self.since_ms < _NEW_CLIENT_MS
 
     def rate(self, now_ms: float) -> float:
-        """Return the bytes a second of the last one to two seconds; a set value for a new one."""
+        """Return the bytes per second of the last one to two seconds; fixed for a new client."""
         if self.is_new(now_ms):
             return _NEW_CLIENT_RATE
         age_ms = now_ms - self.since_ms
@@ -75,7 +77,7 @@
 class HeldBytes:
     """The slow clients of one process.
 
-    Nothing is kept of a client for which nothing is held.
+    Clients without held bytes are not stored.
     """
 
     __slots__ = ("bounds", "peers", "total_bytes")
@@ -86,9 +88,9 @@
         self.total_bytes = 0
 
     def hold(self, key: Hashable, size_bytes: int, now_ms: float) -> list[Hashable]:
-        """Count ``size_bytes`` more for a client; return those to cut off, ``key`` among them.
+        """Count ``size_bytes`` more for a client; return the clients to cut off.
 
-        They count as cut off from then on.
+        ``key`` may be among them.  They no longer count from then on.
         """
         peer = self.peers.get(key)
         if peer is None:
@@ -97,7 +99,7 @@
         self.total_bytes += size_bytes
         cut_off: list[Hashable] = []
         if peer.held_bytes > self.bounds.process_bytes:
-            # Room for it cannot be made, whoever else is cut off.
+            # Cutting off other clients cannot make enough room.
             cut_off.append(key)
             self.forget(key)
         while self.total_bytes > self.bounds.process_bytes:
@@ -107,14 +109,14 @@
         return cut_off
 
     def record_received(self, key: Hashable, size_bytes: int, now_ms: float) -> list[Hashable]:
-        """Count bytes of a request: they are held, and show how fast its client sends."""
+        """Count received bytes of a request: they are held, and show how fast the client sends."""
         cut_off = self.hold(key, size_bytes, now_ms)
         if key in self.peers:
             self.peers[key].record_moved(size_bytes, now_ms)
         return cut_off
 
     def record_released(self, key: Hashable, size_bytes: int, now_ms: float) -> None:
-        """Count bytes that a client has taken; it is forgotten when nothing is left."""
+        """Count bytes that are no longer held; the client is forgotten when none are left."""
         peer = self.peers.get(key)
         if peer is None:
             return
@@ -126,21 +128,21 @@
             del self.peers[key]
 
     def forget(self, key: Hashable) -> None:
-        """Free all that is held for a client."""
+        """Release all bytes that are held for a client."""
         peer = self.peers.pop(key, None)
         if peer is not None:
             self.total_bytes -= peer.held_bytes
 
     def page_bytes(self, wanted_bytes: int) -> int:
-        """Return how large a page of results may be, at most ``wanted_bytes``.
+        """Return the size of a page of results, at most ``wanted_bytes``.
 
-        With little room readers get smaller pages, before any of them has to be cut off.
+        When little is free, readers get smaller pages before any of them has to be cut off.
         """
         free_bytes = self.bounds.process_bytes - self.total_bytes
         return min(wanted_bytes, max(int(free_bytes * _PAGE_SHARE), _MIN_PAGE_BYTES))
 
     def slowest(self, now_ms: float) -> Hashable:
-        """Return who is cut off first; of equals the one for which most is held."""
+        """Return the client to cut off first; among equals the one with the most held bytes."""
 
         def order(key: Hashable) -> tuple[float, int]:
             peer = self.peers[key]
--- a/src/fescuedock/core/token_bucket.py
+++ b/src/fescuedock/core/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket: what it grants in any span is at most its size and the rate over that span."""
+"""A token bucket: grants in any interval are at most its size plus the rate over the interval."""
 
 from collections import deque
 
@@ -6,14 +6,17 @@
 
 __all__ = ["Bucket", "BucketTerms", "SendBucket", "remove_grant"]
 
-# Shortest time that a refused caller is told to wait.
+# Minimum wait that is reported to a refused caller.
 _MIN_WAIT_MS = 50.0
-# For how long a grant may wait to be sent and still be known; calls are given up sooner.
+# How long a grant is remembered until its call is sent; calls are abandoned sooner.
 _MAX_UNSENT_MS = 10_000.0
 
 
 class BucketTerms(msgspec.Struct, frozen=True):
-    """``size`` tokens at the most, ``rate_per_s`` more each second, ``start`` of them at first."""
+    """Parameters of a bucket: at most ``size`` tokens, refilled by ``rate_per_s``.
+
+    A share starts with ``start_tokens``.
+    """
 
     rate_per_s: float
     size: float
@@ -21,20 +24,20 @@
 
 
 class Bucket(msgspec.Struct):
-    """``assigned_until_ms`` is up to when refused callers have been told to come back."""
+    """Tokens as of ``refilled_ms``; retry times up to ``assigned_until_ms`` have been assigned."""
 
     tokens: float
     refilled_ms: float
     assigned_until_ms: float = float("-inf")
 
     def refill(self, terms: BucketTerms, now_ms: float) -> None:
-        """Add the tokens that came up to ``now_ms``."""
+        """Add the tokens accumulated up to ``now_ms``."""
         passed_s = max(now_ms - self.refilled_ms, 0.0) / 1000
         self.tokens = min(self.tokens + passed_s * terms.rate_per_s, terms.size)
         self.refilled_ms = max(self.refilled_ms, now_ms)
 
     def try_acquire(self, terms: BucketTerms, now_ms: float) -> bool:
-        """Take one token; False when there is none."""
+        """Acquire one token; return False when there is none."""
         self.refill(terms, now_ms)
         if self.tokens < 1.0:
             return False
@@ -42,9 +45,10 @@
         return True
 
     def wait_ms(self, terms: BucketTerms, now_ms: float, longest_ms: float) -> float:
-        """Return when a refused caller may come back, each one a token later than the one before.
+        """Return when a refused caller should retry, one token later than the previous caller.
 
-        Told the same time, they would come back together, and all but one be refused again.
+        If all were given the same time, they would retry together, and all but one be refused
+        again.
         """
         if terms.rate_per_s <= 0:
             return longest_ms
@@ -52,18 +56,18 @@
         first_ms = now_ms + (1.0 - self.tokens) * token_ms
         due_ms = max(first_ms, self.assigned_until_ms + token_ms)
         if due_ms - now_ms > longest_ms:
-            # Who is told so much may as well come at any time before it.
+            # A caller that must wait this long may as well retry at any time before.
             return longest_ms
         self.assigned_until_ms = due_ms
         return max(due_ms - now_ms, _MIN_WAIT_MS)
 
 
 class SendBucket(msgspec.Struct):
-    """A token bucket for calls that may wait between their grant and their being sent.
+    """A token bucket for calls that may wait between their grant and their sending.
 
-    Grants that are spread over seconds may all be sent at once, so a call that waited gives its
-    token back and takes one at the time at which it is sent.  ``_before_grants`` is the bucket
-    before the grants that are still known.
+    Grants spread over seconds may all be sent at once, so a call that waited returns its token and
+    acquires another one when it is sent.  ``_before_grants`` is the bucket before the remembered
+    grants.
     """
 
     _bucket: Bucket
@@ -71,7 +75,7 @@
     _granted_ms: deque[float] = msgspec.field(default_factory=deque)
 
     def try_acquire(self, terms: BucketTerms, now_ms: float) -> bool:
-        """Take one token; False when there is none."""
+        """Acquire one token; return False when there is none."""
         if self._before_grants is None:
             self._before_grants = Bucket(self._bucket.tokens, self._bucket.refilled_ms)
         while self._granted_ms and self._granted_ms[0] <= now_ms - _MAX_UNSENT_MS:
@@ -82,14 +86,14 @@
         return True
 
     def add(self, terms: BucketTerms, tokens: float, now_ms: float) -> None:
-        """Add tokens, up to the size of the bucket; earlier grants are known no more."""
+        """Add tokens, up to the size of the bucket, and forget earlier grants."""
         self._bucket.refill(terms, now_ms)
         self._bucket.tokens = min(self._bucket.tokens + tokens, terms.size)
         self._before_grants = None
         self._granted_ms.clear()
 
     def try_reacquire(self, terms: BucketTerms, granted_ms: float, now_ms: float) -> bool:
-        """Take a token now in place of one that was taken up to ``granted_ms``."""
+        """Acquire a token now in place of one that was acquired up to ``granted_ms``."""
         if self._before_grants is not None and remove_grant(self._granted_ms, granted_ms):
             bucket = Bucket(
                 self._before_grants.tokens,
@@ -108,15 +112,15 @@
 
 def _replay(bucket: Bucket, terms: BucketTerms, at_ms: float) -> None:
     bucket.refill(terms, at_ms)
-    # Below 0 where a limit has become lower since.
+    # Negative if the limit has been lowered since.
     bucket.tokens -= 1.0
 
 
 def remove_grant(granted_ms: deque[float], at_ms: float) -> bool:
-    """Take out the grant of a call that is only sent now; False when there is none such.
+    """Remove the grant of a call that is only sent now; return False if there is none.
 
-    The latest that is not after ``at_ms``: its own or an older one, which would be forgotten
-    sooner.
+    The latest grant not after ``at_ms`` is removed: the call's own or an older one, which would
+    expire sooner.
     """
     for position in range(len(granted_ms) - 1, -1, -1):
         if granted_ms[position] <= at_ms:
--- a/src/fescuedock/core/upstream_listing.py
+++ b/src/fescuedock/core/upstream_listing.py
@@ -1,7 +1,8 @@
-"""Which upstreams there are, from their own entries in the key-value service.
+"""The current upstreams, from their own entries in the key-value service.
 
-An entry that vanishes at a calm time is gone at once.  One that vanished in an outage of the
-service is kept until owners of lapsed entries have had the time to write them again.
+An upstream whose entry disappears during normal operation is removed at once.  If the entry
+disappears during an outage of the service, the upstream is retained until owners of expired entries
+have had time to write them again.
 
 Pure: the caller passes the time.
 """
@@ -16,14 +17,14 @@
 
 
 class UpstreamListing(msgspec.Struct):
-    """The upstreams by identity, those that are kept through an outage included."""
+    """The upstreams by identity, including those retained through an outage."""
 
     _listed: dict[str, UpstreamRecord] = msgspec.field(default_factory=dict)
-    # Upstreams whose entries vanished, with the record they had.
+    # Upstreams whose entries disappeared, with their last records.
     _lapsed: dict[str, UpstreamRecord] = msgspec.field(default_factory=dict)
 
     def update(self, found: Mapping[str, UpstreamRecord], *, in_grace: bool) -> None:
-        """Take the entries as they are now; ``in_grace`` says that missing ones may come back."""
+        """Apply the current entries; with ``in_grace`` missing ones may return."""
         vanished = {name: item for name, item in self._listed.items() if name not in found}
         self._listed = dict(found)
         if not in_grace:
@@ -34,7 +35,7 @@
         self._lapsed = {
             name: item
             for name, item in self._lapsed.items()
-            # Another upstream at the address proves that the former one has gone.
+            # Another upstream at the address proves that the former one is gone.
             if name not in found and (item.host, item.port) not in addresses
         }
 
--- a/src/fescuedock/core/work_identity.py
+++ b/src/fescuedock/core/work_identity.py
@@ -1,7 +1,8 @@
-"""The identities of a piece of work and of its prompt's parts, wherever and whenever it comes.
+"""Identities of a unit of work and of its prompt parts, the same for every attempt at every node.
 
-A client that tries again gives its call another identity, and an item runs at many nodes; what a
-piece of work does to the upstreams that run it depends on what is sent to them alone.
+A client that retries gives its call another identity, and an item runs at many nodes.  The effect
+of work on its upstream depends only on the content sent there, so the identity is derived from
+that.
 """
 
 from collections.abc import Iterable, Mapping
@@ -12,21 +13,21 @@
 
 __all__ = ["is_part", "message_parts", "part_identities", "work_identity"]
 
-# 16 bytes: nobody finds other content with the identity of somebody's work.
+# 16 bytes: it is infeasible to find other content with the identity of a given unit of work.
 _IDENTITY_BYTES = 16
-# Each part is preceded by its length, so that no two lists of parts give the same bytes.
+# Each part is preceded by its length, so that no two lists of parts yield the same bytes.
 _LENGTH_BYTES = 8
 _PART_BYTES = 10
-# Keeps these apart from the identities of works.
+# Distinguishes identities of parts from those of units of work.
 _PART_PREFIX = "part-"
-# Prompts have a handful of shared parts; a caller may claim any number.
+# Prompts have a few shared parts; a caller may claim any number.
 _MAX_PARTS = 16
 
 
 def work_identity(*parts: str | bytes) -> str:
-    """Return the identity of work that is made of ``parts``, in hexadecimal.
+    """Return the identity of work that consists of ``parts``, in hexadecimal.
 
-    ``parts`` are all that distinguishes it: what it is sent to, for whom, and its body.
+    ``parts`` must be all that distinguishes it: its destination, its customer, and its body.
     """
     digest = blake2b(digest_size=_IDENTITY_BYTES)
     for part in parts:
@@ -37,9 +38,9 @@
 
 
 def part_identities(names: Iterable[str]) -> tuple[str, ...]:
-    """Return the identities of a prompt's parts, by their names, of the same length for any name.
+    """Return the identities of a prompt's parts, whose length does not depend on the names.
 
-    Of a prompt with too many parts the first ones count.
+    Only the first parts of a prompt with too many parts count.
     """
     digests = (
         blake2b(name.encode(), digest_size=_PART_BYTES) for name in islice(names, _MAX_PARTS)
@@ -48,12 +49,12 @@
 
 
 def message_parts(body: Mapping[str, object]) -> tuple[str, ...]:
-    """Return the identities of the messages that lead up to the last one of a chat request."""
+    """Return the identities of the messages before the last one of a chat request."""
     messages = body.get("messages")
     leading = messages[:-1] if isinstance(messages, list) else []
     return part_identities(msgspec.json.encode(message).decode() for message in leading)
 
 
 def is_part(identity: str) -> bool:
-    """Whether an identity is that of a prompt's part, and not of a work."""
+    """Whether an identity is that of a prompt part, and not of a unit of work."""
     return identity.startswith(_PART_PREFIX)
--- a/tests/builders/placement_ways.py
+++ b/tests/builders/placement_ways.py
@@ -1,4 +1,4 @@
-"""Other ways to rank upstreams, to compare the one that ships with."""
+"""Other ranking policies for upstreams, to compare with the one in use."""
 
 import random
 from collections.abc import Callable, Sequence
@@ -27,7 +27,10 @@
     policy: RoutingPolicy,
     rng: random.Random,
 ) -> list[Choice]:
-    """Draw two at random, the one with the sooner predicted end first; the others as they come."""
+    """Draw two upstreams at random and put the one with the earlier predicted end first.
+
+    The others follow in random order.
+    """
     typical = typical_speed(candidates, policy.placement)
     if typical is None:
         return choose_upstreams(candidates, demand, token_ms, policy, rng)
@@ -51,7 +54,7 @@
     policy: RoutingPolicy,
     rng: random.Random,
 ) -> list[Choice]:
-    """Put the least work for its slots first, weighted with the speed."""
+    """Rank upstreams by work per slot, weighted by their speed."""
     typical = typical_speed(candidates, policy.placement)
     if typical is None:
         return choose_upstreams(candidates, demand, token_ms, policy, rng)
@@ -65,7 +68,7 @@
 
 
 def oracle(fleet: PlayedFleet) -> Ranking:
-    """Return a ranking that knows all speeds, slow periods and free slots of this moment."""
+    """Return a ranking that knows all current speeds, slow periods and free slots."""
 
     def choose(
         candidates: Sequence[Candidate],
--- a/tests/builders/played_speeds.py
+++ b/tests/builders/played_speeds.py
@@ -1,4 +1,4 @@
-"""Upstreams of different and changing speed, for loads that are played in virtual time."""
+"""Simulated upstreams of different and changing speed, for loads replayed in virtual time."""
 
 import random
 from bisect import bisect_right
@@ -8,16 +8,16 @@
 
 __all__ = ["PlayedSpeeds"]
 
-# Of the time of an event at a full upstream, the part that is due to the others that run there.
+# Fraction of the event time at a full upstream that is due to the concurrent runs.
 _CONCURRENCY_SHARE = 0.2
 
 
 @dataclass(slots=True)
 class PlayedSpeeds:
-    """How many times as long as usual an event takes at each upstream.
+    """Slowdown factors of the event time at each upstream.
 
-    Every upstream has slow periods of about ``slow_ms`` in which it takes ``slow_factor`` times as
-    long; ``slow_share`` of the time is slow.  ``lasting`` may be changed while a load is played.
+    Every upstream has slow periods of about ``slow_ms`` in which events take ``slow_factor`` times
+    as long; ``slow_share`` of the time is slow.  ``lasting`` may be changed during the replay.
     """
 
     lasting: dict[str, float]
@@ -37,7 +37,7 @@
         slow_share: float = 0.15,
         length_ms: float = 120_000.0,
     ) -> "PlayedSpeeds":
-        """Deal out ``speeds`` at random, and slow periods for the first ``length_ms``."""
+        """Assign ``speeds`` at random, and slow periods during the first ``length_ms``."""
         names = list(upstream_ids)
         assigned = [speeds[number % len(speeds)] for number in range(len(names))]
         rng.shuffle(assigned)
@@ -63,7 +63,7 @@
         return bisect_right(self._changes_ms.get(upstream_id, []), now_ms) % 2 == 1
 
     def factor(self, upstream_id: str, running: Counter[str], now_ms: float) -> float:
-        """Return how many times as long a step takes now as at a full upstream of speed 1."""
+        """Return the current step time relative to a full upstream of speed 1."""
         slow = self.slow_factor if self.is_slow(upstream_id, now_ms) else 1.0
         concurrency = 1.0 - _CONCURRENCY_SHARE * (1.0 - running[upstream_id] / self.slots)
         return self.lasting[upstream_id] * slow * concurrency
--- a/tests/builders/quota_fleet.py
+++ b/tests/builders/quota_fleet.py
@@ -1,9 +1,9 @@
-"""A fleet that keeps limits of customers, without processes: decisions, views, losses and sends.
+"""A simulated fleet that enforces limits of customers: decisions, views, faults and sends.
 
-Nodes are in groups that cannot reach each other, and die and come back with nothing remembered.
-Each notices a loss after ``LOSS_DETECTION_MS`` and a return after ``RETURN_DETECTION_MS``, but a
-node in a group too small for membership to judge by notices no loss at all, but that it hears of
-too few.  Time only goes on.
+Nodes are in groups that cannot reach each other, and restart without any memory.  Each node detects
+a loss after ``LOSS_DETECTION_MS`` and a return after ``RETURN_DETECTION_MS``.  A node in a group
+that is too small for membership to judge by detects no losses, only that it has too few contacts.
+Time only advances.
 """
 
 import heapq
@@ -26,28 +26,29 @@
 
 LOSS_DETECTION_MS = (1000.0, 2000.0)
 RETURN_DETECTION_MS = (20.0, 300.0)
-# When a node that is cut off finds that it hears of too few: what it heard, and a look.
+# When a node that is cut off detects that it has too few contacts: the age of the last messages and
+# a poll.
 CONTACT_LOSS_MS = (1500.0, 1900.0)
-# How old the records that a node knows may be: a held watch and the pause after it.
+# Maximum age of the records known to a node: a delayed watch and the pause after it.
 RECORDS_AGE_MS = 1200.0
-# The least time between two lives of a node.
+# Minimum time between two incarnations of a node.
 _DOWN_MS = 1000.0
 _CONTACTS = 8
 _CONTACTS_OF_FLEET = 4
-# Since when a fleet has run that a course begins with.
+# Start time of nodes that run since before the trace.
 _LONG_AGO_MS = -1e6
 
 
 def _needed_contacts(fleet_size: int) -> int:
-    """Return how many others a node has to hear of, so as to judge who is lost."""
+    """Return from how many other nodes a node must hear to judge which ones are lost."""
     return max(min(_CONTACTS, fleet_size // _CONTACTS_OF_FLEET), min(fleet_size - 1, 1))
 
 
 class Change(msgspec.Struct, frozen=True):
-    """At ``at_ms`` nodes get into ``groups`` (by node; all others into group 0), or die.
+    """At ``at_ms`` nodes change to ``groups`` (by node; all others to group 0), or die.
 
-    Those in ``down`` are dead until a change that does not name them; ``cut_from_store`` cannot
-    reach the key-value service.
+    Those in ``down`` are dead until a change that does not name them; those in ``cut_from_store``
+    cannot reach the key-value service.
     """
 
     at_ms: float
@@ -57,16 +58,16 @@
 
 
 class FleetSimulation:
-    """Who is up, reaches whom, and sees whom."""
+    """Which nodes are up, reach each other, and see each other."""
 
     def __init__(self, size: int, changes: Iterable[Change], rng: random.Random) -> None:
         self.names = [f"node-{number}" for number in range(size)]
         self.rng = rng
         self.now = Change(0.0)
         self.started_ms = [float("-inf")] * size
-        # What each node sees; replaced at once, so that identities tell of a change.
+        # The nodes that each node sees; replaced as a whole, so that a change alters the identity.
         self.views = [frozenset(self.names) for _ in range(size)]
-        # Which nodes have heard of enough others; one remembers for a while what it heard.
+        # Which nodes have enough contacts; a node remembers its contacts for a while.
         self.has_contact = [True] * size
         self.on_view: Callable[[int, float], None] = lambda node, now_ms: None
         self.on_start: Callable[[int, float], None] = lambda node, now_ms: None
@@ -80,7 +81,7 @@
         heapq.heappush(self._events, (at_ms, self._count, event))
 
     def advance(self, now_ms: float) -> None:
-        """Let everything up to ``now_ms`` happen."""
+        """Process all events up to ``now_ms``."""
         while self._events and self._events[0][0] <= now_ms:
             at_ms, _, event = heapq.heappop(self._events)
             if isinstance(event, Change):
@@ -137,13 +138,13 @@
             self.on_view(node, at_ms)
 
     def _contact_lost_ms(self, node: int, at_ms: float) -> float:
-        """Return before when a node that is cut off still remembers whom it heard."""
+        """Return until when a node that is cut off still remembers its contacts."""
         if self._has_enough_contacts(node):
             return at_ms
         return self.now.at_ms + CONTACT_LOSS_MS[0]
 
     def _update_view(self, at_ms: float, node: int, other: int, change: Change) -> None:
-        # A later change that left this pair as it was does not put off its being noticed.
+        # A later change that leaves this pair as it was does not delay its detection.
         del change
         if not self.is_up(node):
             return
@@ -155,7 +156,7 @@
 
 
 class AdmissionResult(msgspec.Struct, frozen=True):
-    """What became of a call, and the messages that it took."""
+    """Whether a call was admitted, and the number of messages needed."""
 
     admitted: bool
     messages: int
@@ -173,9 +174,9 @@
         self._routes = [self._new_route(node, _LONG_AGO_MS) for node in range(size)]
         self._start_credit = [False] * size
         self._previous_start_ms = [_LONG_AGO_MS] * size
-        # By call: the share that a grant came from.
+        # By call: the share that granted it.
         self._granted: dict[tuple[str, int, float], int] = {}
-        # Of its own, so that ways that are compared see the same course.
+        # Its own generator, so that compared policies see the same trace.
         self._rng = random.Random(size)
         simulation.on_start = self._start
 
@@ -193,7 +194,7 @@
         self._previous_start_ms[node] = now_ms
 
     def share_owners(self, customer: Customer) -> list[int]:
-        """Return the nodes that keep the shares of a customer, by share."""
+        """Return the nodes that own the shares of a customer, by share."""
         count = self.policy.share_count(customer)
         route = self._routes[0]
         return [self._numbers[route.owner_of(customer.name, number)] for number in range(count)]
@@ -201,7 +202,7 @@
     def admit(
         self, customer: Customer, node: int, now_ms: float, waited_ms: float = 0.0
     ) -> AdmissionResult:
-        """Ask as ``node`` does; ``waited_ms`` is since a grant that has not been used."""
+        """Request a grant as ``node`` does; ``waited_ms`` is the time since an unused grant."""
         owners = self.share_owners(customer)
         key = (customer.name, node, round(now_ms - waited_ms, 3))
         last = self._granted.pop(key, None) if waited_ms else None
@@ -235,7 +236,7 @@
 
 
 def busiest_window(times_ms: list[float], window_ms: float) -> tuple[int, float]:
-    """Return the most of any window that is open at its end, and where it begins."""
+    """Return the maximum count in any window, open at its end, and where that window begins."""
     times_ms = sorted(times_ms)
     return max(
         (
--- a/tests/builders/quota_single_owner.py
+++ b/tests/builders/quota_single_owner.py
@@ -1,6 +1,6 @@
-"""Limits granted by one node for each customer, by another that stands in, and by allowances.
+"""Limits granted by one owner per customer, its substitute, and allowances of other nodes.
 
-Compared with shares: the bound does not hold while an owner is cut off and goes on granting.
+For comparison with shares: the bound is exceeded while an owner is cut off and continues to grant.
 """
 
 from collections.abc import Collection
@@ -14,9 +14,9 @@
 __all__ = ["Allowances", "QuotaRoute", "SingleOwnerFleet"]
 
 _SLACK_CALLS = 20.0
-# Of the slack: on top of a burst, and what a new owner starts with.
+# Fraction of the slack that adds to a burst, and that a new owner starts with.
 _SLACK_SHARE = 0.25
-# Of a node's share of the limit, while it reaches no owner.
+# Fraction of a node's share of the limit that it may use while it reaches no owner.
 _ALLOWED_SHARE = 0.2
 
 
@@ -24,7 +24,7 @@
 
 
 class QuotaRoute:
-    """Whom to ask for a call among the nodes that are there: an owner, and its stand-in."""
+    """Which of the visible nodes to query for a call: an owner and its substitute."""
 
     __slots__ = ("_names", "_ranked")
 
@@ -33,7 +33,7 @@
         self._ranked: dict[str, tuple[str, ...]] = {}
 
     def owners_of(self, customer: str, names: Collection[str]) -> tuple[str, ...]:
-        """Return whom to ask, in order."""
+        """Return the nodes to query, in order."""
         if names != self._names:
             self._names, self._ranked = frozenset(names), {}
         if customer not in self._ranked:
@@ -42,7 +42,7 @@
 
 
 class Allowances:
-    """What one node serves of each customer while no owner answers."""
+    """What one node grants to each customer while no owner answers."""
 
     def __init__(self) -> None:
         self._buckets: dict[str, Bucket] = {}
@@ -57,7 +57,7 @@
 
 
 class SingleOwnerFleet:
-    """Nodes with a bucket for each customer that they own or stand in for."""
+    """Nodes with a bucket for each customer that they own or substitute for."""
 
     def __init__(self, simulation: FleetSimulation) -> None:
         self._simulation = simulation
@@ -72,13 +72,13 @@
         self._allowances[node] = Allowances()
 
     def owner_of(self, customer: Customer) -> int:
-        """Return the node that is asked first while all are seen."""
+        """Return the node that is queried first while all nodes are visible."""
         return self._numbers[self._route.owners_of(customer.name, self._simulation.names)[0]]
 
     def admit(
         self, customer: Customer, node: int, now_ms: float, waited_ms: float = 0.0
     ) -> AdmissionResult:
-        """Ask as ``node`` does; a call that waited is not asked for again."""
+        """Request a grant as ``node`` does; a call that waited needs no second grant."""
         if waited_ms:
             return AdmissionResult(True, 0)
         simulation, messages = self._simulation, 0
--- a/tests/builders/quota_traces.py
+++ b/tests/builders/quota_traces.py
@@ -1,4 +1,4 @@
-"""Courses of a fleet that keeps limits: who is cut off when, and the calls of one customer."""
+"""Traces for a fleet that enforces limits: faults over time, and the calls of one customer."""
 
 import heapq
 import random
@@ -25,19 +25,20 @@
 
 WINDOW_MS = 5000.0
 NODES = 54
-# That of the recorded trace: 336 calls in any window, of which 390 may run.
+# The customer of the recorded trace: 336 calls in any window, of which 390 may run.
 RECORDED_CUSTOMER = Customer("caldas", rate_per_s=56.0, burst=56.0)
 
 
 def max_allowed(customer: Customer) -> float:
-    """Return what may run of a customer in any window."""
+    """Return how many calls of a customer may run in any window."""
     return 1.1 * (customer.rate_per_s * WINDOW_MS / 1000 + customer.burst) + 20
 
 
 def recorded_trace(seed: int, *, owner_is_cut_off: bool) -> tuple[FleetSimulation, list[float]]:
-    """16 of 54 nodes are each cut off from all others from 5 to 10 s; 8 times the usual from 3 s.
+    """Cut off 16 of 54 nodes from 5 to 10 s, with 8 times the usual calls from 3 s on.
 
-    They still serve their clients, and reach their upstreams.
+    Each of these nodes is cut off from all others; they still serve their clients and reach their
+    upstreams.
     """
     rng = random.Random(seed)
     everybody = FleetSimulation(NODES, (), rng)
@@ -59,7 +60,7 @@
 def run_times_ms(
     simulation: FleetSimulation, fleet: BucketFleet, calls_ms: list[float]
 ) -> list[float]:
-    """Return when those calls ran that the fleet let in."""
+    """Return when the calls ran that the fleet admitted."""
     ran = []
     for now_ms in calls_ms:
         simulation.advance(now_ms)
@@ -69,9 +70,10 @@
 
 
 class Trace(msgspec.Struct, frozen=True):
-    """A fleet's trace, drawn by hypothesis; ``phases`` are of demand: times of the rate, and ms.
+    """A trace drawn by hypothesis.
 
-    ``wait_share`` of the calls wait for a slot, up to 2.4 s as clients do, and ask again.
+    ``phases`` are pairs of demand, as a multiple of the rate, and duration in ms.  ``wait_share``
+    of the calls wait for a slot, up to 2.4 s as clients do, and then request another grant.
     """
 
     seed: int
@@ -85,7 +87,7 @@
 
 @st.composite
 def traces(draw: st.DrawFn) -> Trace:
-    """Draw losses at least a second apart: a node's power is away for about that long."""
+    """Draw faults at least a second apart, the shortest time for which a node loses its power."""
     size = draw(st.integers(3, 24))
     nodes = st.integers(0, size - 1)
     changes, at_ms = [], 6000.0
@@ -125,7 +127,7 @@
     customer: Customer,
     make_fleet: Callable[[FleetSimulation], BucketFleet] = BucketFleet,
 ) -> list[float]:
-    """Play a trace; return when the calls were sent that the fleet let in."""
+    """Replay a trace; return when the calls were sent that the fleet admitted."""
     rng = random.Random(trace.seed)
     simulation = FleetSimulation(trace.size, trace.changes, rng)
     fleet = make_fleet(simulation)
--- a/tests/test_broken_runs.py
+++ b/tests/test_broken_runs.py
@@ -1,4 +1,4 @@
-"""What broken runs say while it is being found out whether their upstream has ended."""
+"""Evidence of broken runs until it is known whether their upstream has crashed."""
 
 import unittest
 
@@ -52,7 +52,7 @@
     def test_a_run_that_looks_complete_clears_nothing_while_its_upstream_is_unreachable(
         self,
     ) -> None:
-        """An upstream that had fallen silent cleared what it had ended by."""
+        """Guards against an upstream that fell silent and so cleared the cause of its crash."""
         self.runs.add(broken("a", looks_whole=True), 0.0)
         self.assertEqual(self.runs.drain_complete(4000.0), [])
         self.assertEqual(len(self.runs), 1)
--- a/tests/test_customers.py
+++ b/tests/test_customers.py
@@ -1,4 +1,4 @@
-"""Who a caller is, by the keys of a version."""
+"""Identification of callers by the keys of a configuration version."""
 
 import unittest
 from urllib.parse import unquote
@@ -55,7 +55,7 @@
         self.assertEqual(identify(KNOWN, ["x"], public=True), Ok(Caller("")))
         named = identify(KNOWN, ["key-g"], public=True).ok_value
         self.assertEqual(named.name, "gent")
-        # Without the key the call is as good.
+        # The call does not depend on the key, as it would be served without it.
         self.assertTrue(CustomerIndex().is_current(named))
 
     def test_without_customers_no_key_is_needed(self) -> None:
--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -1,4 +1,4 @@
-"""Routing, retry budget, health and admission: single decisions in virtual time."""
+"""Routing, retry budget, health and admission: individual decisions in virtual time."""
 
 import random
 import unittest
@@ -51,7 +51,7 @@
 
 
 class ChooseTest(unittest.TestCase):
-    """Which upstream comes first."""
+    """Which upstream is ranked first."""
 
     def test_the_smallest_predicted_first_token_time_wins(self) -> None:
         slow, fast = candidate("a", first_token_ms=200.0), candidate("b", first_token_ms=50.0)
@@ -118,7 +118,7 @@
 
 
 class PlanTest(unittest.TestCase):
-    """Whom to ask, in which order."""
+    """Which owners are queried, and in which order."""
 
     def test_the_best_two_are_queried_first_and_then_the_best_queues(self) -> None:
         choices = [Choice(name, 1.0) for name in "abc"]
@@ -163,7 +163,7 @@
 
 
 class LearnedTest(unittest.TestCase):
-    """What is learned from measurements."""
+    """Estimates learned from measurements."""
 
     def test_prefill_time_is_the_recent_minimum_for_long_prompts(self) -> None:
         model = PrefillModel(min_tokens=256, rise=0.01)
@@ -269,7 +269,7 @@
 
 
 class HealthTest(unittest.TestCase):
-    """Taking upstreams out and back."""
+    """Taking upstreams out of service and back."""
 
     def observe(self, tracker: HealthTracker, outcome: AttemptOutcome, count: int = 1) -> None:
         for _ in range(count):
@@ -344,7 +344,7 @@
 
 
 class AdmissionTest(unittest.TestCase):
-    """Refusing at once what cannot make it."""
+    """Immediate refusal of requests that cannot be on time."""
 
     def test_a_deadline_that_cannot_be_met_is_refused_with_a_retry_time(self) -> None:
         admission = Admission()
@@ -397,7 +397,7 @@
 
 
 class StandingTest(unittest.TestCase):
-    """When an entry that cannot confirm its configuration stops taking work."""
+    """When an entry that cannot confirm its configuration stops accepting work."""
 
     def test_work_is_taken_while_answers_that_name_the_entry_live(self) -> None:
         standing = EntryStanding(grace_ms=100)
--- a/tests/test_quarantine.py
+++ b/tests/test_quarantine.py
@@ -1,4 +1,4 @@
-"""How a piece of work may run after upstreams ended under it: causes, and innocent work."""
+"""How a unit of work may run after upstream crashes: harmful and innocent work."""
 
 import random
 import unittest
@@ -16,7 +16,7 @@
 START_MS = 1_800_000_000_000
 MINUTE_MS = 60_000.0
 POLICY = QuarantinePolicy()
-# When all that ran at an upstream which ended at ``START_MS`` has been reported.
+# When all runs at an upstream that crashed at ``START_MS`` have been reported.
 SETTLED_MS = START_MS + POLICY.same_crash_ms
 
 
@@ -29,7 +29,7 @@
 
 
 def known_cause(quarantine: Quarantine, work_id: str) -> None:
-    """Have a work be in two crashes concurrent others, and alone in a third."""
+    """Record two crashes of concurrent runs with the work and one of an isolated run."""
     for number in range(2):
         quarantine.record_crash(report(f"{work_id}-{number}", *mixed(work_id, f"x{number}")))
     quarantine.record_crash(report(f"{work_id}-2", CrashedRun(work_id, alone=True)))
@@ -52,7 +52,7 @@
         self.quarantine.record_crash(report("2", *mixed("bad", "b")))
         self.assertIs(self.restriction("bad"), Restriction.ALONE)
         self.quarantine.record_crash(report("3", CrashedRun("bad", alone=True)))
-        # It does not run again meanwhile either.
+        # Until then the work does not run again either.
         verdict = self.quarantine.verdict("bad", START_MS)
         self.assertEqual((verdict.restriction, verdict.crashes), (Restriction.UNSETTLED, 3))
         self.assertEqual(verdict.retry_after_ms, POLICY.same_crash_ms)
@@ -79,20 +79,23 @@
         self.assertIs(self.restriction("innocent"), Restriction.ALONE)
 
     def test_a_run_that_was_not_isolated_after_all_is_no_proof(self) -> None:
-        """Guards against refusing innocent work until the other run has been reported."""
+        """Guards against refusing innocent work until the concurrent run has been reported."""
         for number in range(2):
             self.quarantine.record_crash(report(str(number), *mixed("innocent", f"x{number}")))
         isolated = CrashedRun("innocent", alone=True)
         self.quarantine.record_crash(report("2", isolated, upstream_id="u"))
         self.assertIs(self.restriction("innocent", START_MS + 200), Restriction.UNSETTLED)
-        # Another VM had something there without a permit of the owner.
+        # Another VM had a run there without a permit of the owner.
         late = report("3", *mixed("bad"), upstream_id="u", at_ms=START_MS + 200)
         self.quarantine.record_crash(late)
         for now_ms in (START_MS + 200, SETTLED_MS):
             self.assertIs(self.restriction("innocent", now_ms), Restriction.ALONE)
 
     def test_work_with_different_concurrent_runs_in_each_isolated_crash_is_refused(self) -> None:
-        """Calls ran concurrent them under local permits, and it ended five upstreams more."""
+        """Guards against harmful work that was not refused as calls ran concurrently.
+
+        The calls ran under local permits, and the work crashed five more upstreams.
+        """
         for number in range(3):
             isolated = CrashedRun("bad", alone=True)
             runs = [isolated, *mixed(f"call-{number}", f"other-{number}")]
@@ -186,7 +189,7 @@
     @given(st.integers(0, 2**32), st.integers(1, 4))
     @settings(max_examples=60)
     def test_the_same_facts_give_the_same_verdicts(self, seed: int, copies: int) -> None:
-        """In any order and however often it is received."""
+        """The order and repetition of the facts make no difference."""
         rng = random.Random(seed)
         work_ids = ["a", "b", "c"]
         facts: list[CrashReport | WorkCleared] = []
@@ -256,17 +259,19 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Works that come again at any node, a few at once, and upstreams that run several of them.
+    """Repeated work at any node, several at once, and upstreams that run several of them.
 
-    Causes end each upstream that begins them; innocent work_ids run to their end unless concurrent
-    one. What one node finds the others deliver before the next work_ids come, in any order, but not
-    what comes at the same moment; a node that starts anew knows what was kept.
+    Harmful work crashes each upstream that starts it.  Innocent work completes unless it runs
+    concurrently with harmful work.  The facts that one node finds reach the others before the next
+    work is submitted, in any order, but not during the same step.  A restarted node knows the
+    stored facts.
     """
 
     NODES = 3
-    # Upstreams that begin work at the same moment.
+    # Upstreams that start work at the same moment.
     CONCURRENT_UPSTREAMS = 3
-    # The first crash makes no suspect, the next may come at all upstreams at once, then one alone.
+    # The first crash makes no suspect, the second may occur at all upstreams at once, and the third
+    # is that of an isolated run.
     MAX_CRASHES = POLICY.min_crashes + CONCURRENT_UPSTREAMS - 1
 
     @initialize(causes=st.integers(1, 4), seed=st.integers(0, 2**32))
@@ -281,7 +286,7 @@
 
     @rule(data=st.data())
     def submit_work(self, data: st.DataObject) -> None:
-        """Let work_ids come at once, each at some node; what may run alone does so."""
+        """Submit units of work at once, each to some node; suspects run in isolation."""
         self.now_ms += 1000
         work_ids = st.sampled_from([*self.crashes, *self.innocent])
         groups = st.lists(work_ids, min_size=1, max_size=4, unique=True)
@@ -293,7 +298,7 @@
             free = [work for work in group if restrictions[work] is Restriction.FREE]
             found += self.run_group(free, nodes_of, alone=False)
             for work in group:
-                # Such runs of all nodes take turns at one upstream.
+                # Isolated runs of all nodes follow each other at one upstream.
                 if restrictions[work] is Restriction.ALONE and work not in isolated:
                     isolated.add(work)
                     found += self.run_group([work], nodes_of, alone=True)
@@ -302,7 +307,7 @@
     def run_group(
         self, group: list[str], nodes_of: dict[str, CrashLog], *, alone: bool
     ) -> list[tuple[CrashLog, CrashReport | WorkCleared]]:
-        """Run work_ids at one upstream; return what their nodes found."""
+        """Run units of work at one upstream; return the facts that their nodes found."""
         self.upstreams += 1
         for work in group:
             if work in self.crashes:
@@ -329,14 +334,14 @@
 
     @rule(number=st.integers(0, NODES - 1))
     def restart(self, number: int) -> None:
-        """Start a node anew, with what was kept."""
+        """Restart a node with the stored facts."""
         self.nodes[number] = CrashLog(Quarantine(), boot=2)
         for fact in self.facts:
             self.nodes[number].record(fact)
 
     @rule(work=st.integers(0, 2))
     def innocent_work_is_served(self, work: int) -> None:
-        """A client comes again with innocent work: it runs, and to its end where it is alone."""
+        """A client repeats innocent work, which runs, and completes if it is isolated."""
         name, node = self.innocent[work], self.rng.choice(self.nodes)
         restriction = self.restriction(node, name)
         assert restriction is not Restriction.REFUSED
--- a/tests/test_quarantine_parts.py
+++ b/tests/test_quarantine_parts.py
@@ -1,4 +1,4 @@
-"""Parts of prompts that crash upstreams, told from the parts that come with them."""
+"""Prompt parts that crash upstreams, distinguished from the parts that occur with them."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 START_MS = 1_800_000_000_000
 POLICY = QuarantinePolicy()
 FIRST, BAD, TOPIC = part_identities(["first", "bad", "topic"])
-# The most that parts may cost before they are refused, and what is bounded for a decision.
+# Maximum number of crashes before a harmful part is refused, with any scenario drawn below.
 MAX_CRASHES = 8
 
 
@@ -27,7 +27,7 @@
 
 
 def record_bad_part(quarantine: Quarantine, *other_parts: str) -> None:
-    """Have a part, and whatever always came with it, crash four upstreams, two alone."""
+    """Record four crashes of runs with a part and ``other_parts``, the last two isolated."""
     for number in range(4):
         run = crashed_run(number, *other_parts, BAD, alone=number >= 2)
         quarantine.record_crash(crash_report(number, run))
@@ -58,7 +58,7 @@
         self.assertEqual(self.quarantine.verdict("new", self.later_ms, (FIRST, TOPIC)), FREE)
 
     def test_a_part_with_different_concurrent_runs_in_each_isolated_crash_is_refused(self) -> None:
-        """Calls under local permits ran concurrent each of them, and upstreams went on ending."""
+        """Guards against calls under local permits that prevented a proof during more crashes."""
         for number in range(5):
             self.assertIsNot(self.restriction(FIRST, BAD), Restriction.REFUSED)
             concurrent = (
@@ -67,7 +67,7 @@
             run = crashed_run(number, FIRST, BAD, alone=number >= 2)
             self.quarantine.record_crash(crash_report(number, run, *concurrent))
         self.assertIs(self.restriction(FIRST, BAD), Restriction.REFUSED)
-        # The other part always came with it, and works without the harmful one try it.
+        # The other part always occurred with the harmful one; work without that one tests it.
         self.assertIs(self.restriction(FIRST, TOPIC), Restriction.ALONE)
         self.assertIs(self.restriction("part-3"), Restriction.FREE)
 
@@ -120,7 +120,7 @@
         self.assertIs(self.restriction(FIRST, TOPIC), Restriction.REFUSED)
 
     def test_a_chance_crash_of_an_isolated_run_does_not_refuse_a_common_part(self) -> None:
-        """Sound calls were refused: one alone with the harmful part, one alone ended by chance."""
+        """Guards against refusing sound calls by one harmful and one unrelated isolated crash."""
         for number in range(2):
             run = crashed_run(number, FIRST, BAD)
             self.quarantine.record_crash(crash_report(number, run, crashed_run(10 + number, FIRST)))
--- a/tests/test_quota_partition.py
+++ b/tests/test_quota_partition.py
@@ -1,4 +1,4 @@
-"""A limit over nodes that are processes, while links between them are cut."""
+"""A customer's limit over nodes in separate processes while network links are cut."""
 
 import os
 import random
@@ -24,11 +24,11 @@
 MAX_ALLOWED = 1.1 * LIMIT + 20
 USUAL_PER_S = RATE_PER_S / 1.6
 GENT = {"name": "gent", "apiKeys": ["key-g"], "ratePerS": RATE_PER_S, "burst": BURST}
-# Of the played time.
+# Times within the scenario.
 CUT_S = 5.0
 HEALED_S = 10.0
 END_S = 14.0
-# Over a limit, and nobody known who knows.
+# Over a limit, and no owner reached to check it.
 LIMIT_CODES = {2007, 2008}
 
 
@@ -36,7 +36,7 @@
 
 
 def run_scenario(document: dict, scenario: Scenario) -> None:
-    """Scenario on nodes that have ``document`` in force, and whose buckets are full."""
+    """Run a scenario on nodes with ``document`` in force and with full buckets."""
 
     async def run() -> None:
         with tempfile.TemporaryDirectory(prefix="fescuedock-test-") as folder:
@@ -58,10 +58,10 @@
 
 
 class PartitionTest(unittest.TestCase):
-    """Guards against granting in place of a keeper that is cut off and goes on granting."""
+    """Guards against granting in place of a share owner that is cut off and continues to grant."""
 
     def check(self, groups: dict[int, int]) -> None:
-        """Send 8 times the usual while nodes are in ``groups``."""
+        """Send 8 times the usual load while nodes are in ``groups``."""
         statuses: Counter[int] = Counter()
         ran_s: list[float] = []
 
@@ -94,7 +94,7 @@
             for position, first_s in enumerate(ran_s)
         )
         self.assertLessEqual(max_in_window, MAX_ALLOWED, statuses)
-        # A fleet that lets nobody in keeps any bound.
+        # Without this, a fleet that admits no call would pass.
         self.assertGreaterEqual(max_in_window, 0.8 * LIMIT, statuses)
         self.assertLessEqual(statuses.keys(), {200, 429, 503})
 
@@ -106,7 +106,7 @@
 
 
 class RestartTest(unittest.TestCase):
-    """Guards callers within their limits, who must not pay for stops and deaths of nodes."""
+    """Guards against refusing callers within their limits while nodes stop or die."""
 
     def test_no_call_within_a_limit_is_refused_while_a_third_stops_or_dies(self) -> None:
         rates = {"gent": 20.0, "brugge": 4.0, "leuven": 1.0}
--- a/tests/test_quota_shares.py
+++ b/tests/test_quota_shares.py
@@ -1,4 +1,4 @@
-"""Limits in shares over a whole fleet: the bound on any trace, and the cost of restarts."""
+"""Limits in shares over a whole fleet: the bound under any faults, and the cost of restarts."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
     traces,
 )
 
-# Draws which nodes are lost; the first are those that matter max_in_window.
+# Draws faults of nodes; the first nodes given are those that matter most.
 Faults = Callable[[list[int], random.Random], list[Change]]
 
 
@@ -42,7 +42,7 @@
 
 
 def second_cut(nodes: list[int], rng: random.Random) -> list[Change]:
-    """16 nodes are cut off, and others when those come back within the window."""
+    """16 nodes are cut off, and others when those return within the window."""
     first = {node: number + 1 for number, node in enumerate(nodes[:16])}
     second = {node: number + 1 for number, node in enumerate(nodes[16:32])}
     between_ms = rng.uniform(500.0, 4000.0)
@@ -50,7 +50,7 @@
 
 
 def restarts_in_a_cut(nodes: list[int], _rng: random.Random) -> list[Change]:
-    """The fleet is in halves while a third of its nodes restart, each once."""
+    """The fleet is split into halves while a third of its nodes restart, each once."""
     groups = dict.fromkeys(nodes[: NODES // 2], 1)
     lost = nodes[:: NODES // 18]
     changes = [Change(5000.0, groups)]
@@ -64,7 +64,7 @@
 
 
 class RecordedTraceTest(unittest.TestCase):
-    """Guards against the limit that was exceeded while 16 nodes were cut off."""
+    """Guards against exceeding a limit while 16 nodes are cut off."""
 
     def check_buckets(self, seeds: range, *, owner_is_cut_off: bool) -> None:
         for seed in seeds:
@@ -76,16 +76,16 @@
                 self.assertLessEqual(max_in_window, max_allowed(RECORDED_CUSTOMER))
 
     def test_buckets_stay_within_the_bound_while_the_owner_is_connected(self) -> None:
-        """Guards against allowances of cut-off nodes that add up: 394 calls ran of 389."""
+        """Guards against allowances of cut-off nodes that add up: 394 calls ran, 389 permitted."""
         self.check_buckets(range(8), owner_is_cut_off=False)
 
     def test_buckets_stay_within_the_bound_while_the_owner_is_cut_off(self) -> None:
-        """A new owner does not know what the former one, now cut off, has granted and grants."""
+        """Guards against a new owner that cannot know what the cut-off former one grants."""
         self.check_buckets(range(8), owner_is_cut_off=True)
 
 
 class GeneratedTraceTest(unittest.TestCase):
-    """Guards against granting in place of a keeper that is cut off and goes on granting."""
+    """Guards against granting in place of a share owner that is cut off and continues to grant."""
 
     def trace(
         self, faults: Faults, seed: int, granting: list[int]
@@ -120,13 +120,13 @@
                             BucketFleet, faults, seed, owners[:count]
                         )
                         self.assertLessEqual(max_in_window, max_allowed(RECORDED_CUSTOMER))
-                        # A fleet that lets nobody in keeps any bound.
+                        # Without this, a fleet that admits no call would pass.
                         self.assertGreaterEqual(
                             max_in_window, 0.8 * RECORDED_CUSTOMER.rate_per_s * 6
                         )
 
     def test_a_single_owner_exceeds_the_bound_on_these_traces(self) -> None:
-        """The courses are hard enough: what a stand-in and a cut-off owner grant adds up."""
+        """The traces are hard enough: grants of a cut-off owner and its substitute add up."""
         simulation = FleetSimulation(NODES, (), random.Random(0))
         owner = SingleOwnerFleet(simulation).owner_of(RECORDED_CUSTOMER)
         for faults in (each_cut_off, cut_off_together, halves, second_cut):
@@ -141,22 +141,22 @@
     @settings(max_examples=120, deadline=None)
     @given(traces())
     def test_no_window_holds_more_than_the_bound(self, trace: Trace) -> None:
-        """Any partitions, deaths, faults of all nodes at once, demand, and calls that wait."""
+        """Covers partitions, deaths, loss of all nodes at once, any demand, and waiting calls."""
         customer = Customer("caldas", trace.rate_per_s, trace.rate_per_s * trace.burst_s)
         max_in_window, _ = busiest_window(send_times_ms(trace, customer, BucketFleet), WINDOW_MS)
         self.assertLessEqual(max_in_window, max_allowed(customer))
 
 
 class RestartCostTest(unittest.TestCase):
-    """Guards callers within their limit, who must not pay for stops and deaths of nodes."""
+    """Guards against refusing callers within their limit while nodes stop or die."""
 
     SEEDS = range(8)
 
     def refused(self, way: str, load_name: str) -> tuple[float, float]:
-        """Return how much of what is within the limits was refused, on the mean of all seeds.
+        """Return the mean number of refused calls within the limits over all seeds.
 
-        In percent of the calls that a window lets in which sees all, and as the number of calls
-        before which less than the limit had run.
+        The first value is in percent of the calls that an ideal limiter would admit, the second the
+        number of calls refused before the limit had been used.
         """
         [load] = [load for load in LOADS if load.name == load_name]
         figures = [run_way(way, load, NODES, 74, 141.0, seed) for seed in self.SEEDS]
--- a/tests/test_quotas_core.py
+++ b/tests/test_quotas_core.py
@@ -1,4 +1,4 @@
-"""One limit over all nodes in shares: buckets, owners that change, and who begins with what."""
+"""One limit over all nodes in shares: buckets, changes of share owners, and start credits."""
 
 import random
 import unittest
@@ -25,13 +25,13 @@
 
 
 def max_allowed(customer: Customer) -> float:
-    """Return what may run of a customer in any window, as the platform judges it."""
+    """Return how many calls of a customer may run in any window, as the platform judges it."""
     in_window = customer.rate_per_s * WINDOW_MS / 1000 + customer.burst
     return in_window * (1 + OVER_SHARE) + SLACK
 
 
 class WindowCounter:
-    """Counts grants, and the max_in_window of any window."""
+    """Counts grants, and their maximum in any window."""
 
     def __init__(self) -> None:
         self._at_ms: deque[float] = deque()
@@ -69,7 +69,7 @@
         waits_ms = [bucket.wait_ms(terms, 0.0, 2000.0) for _ in range(30)]
         self.assertEqual(waits_ms[:3], [100.0, 200.0, 300.0])
         self.assertEqual(waits_ms[-1], 2000.0)
-        # A customer that may call never is told the longest time.
+        # A customer without any rate gets the longest time.
         self.assertEqual(bucket.wait_ms(BucketTerms(0.0, 1.0, 1.0), 0.0, 2000.0), 2000.0)
 
 
@@ -113,7 +113,8 @@
         bucket = SendBucket(Bucket(5.0, 0.0))
         granted = [bucket.try_acquire(self.TERMS, 0.0) for _ in range(6)]
         self.assertEqual(granted, [True] * 5 + [False])
-        # A second later the bucket is full again; five may be sent, those that waited among them.
+        # A second later the bucket is full again; five calls may be sent, including those that
+        # waited.
         sent = [bucket.try_reacquire(self.TERMS, 0.0, 1000.0) for _ in range(5)]
         self.assertEqual(sent, [True] * 5)
         self.assertFalse(bucket.try_acquire(self.TERMS, 1000.0))
@@ -126,7 +127,7 @@
 
 
 OWNED = OwnedShare("caldas", 0, 0.0, since_start=True)
-# One share, which is the whole limit.
+# A single share, which is the entire limit.
 SINGLE_SHARE = QuotaPolicy(max_shares=1)
 
 
@@ -179,7 +180,7 @@
             self.assertIsNotNone(owner.request(customer, owned, 0.0, start_credit=start_credit))
 
     def test_an_owner_that_learns_late_of_its_start_credit_gets_it_once(self) -> None:
-        """Guards against a share that stayed empty as its first ask came before the record."""
+        """Guards against a share that stayed empty as its first request preceded the record."""
         owner, customer = QuotaOwner(), Customer("caldas", rate_per_s=0.001, burst=8.0)
         self.assertIsNotNone(owner.request(customer, OWNED, 0.0, start_credit=False))
         granted = [owner.request(customer, OWNED, 1.0, start_credit=True) is None for _ in range(3)]
@@ -215,7 +216,7 @@
     def test_all_shares_and_their_start_credits_fit_into_the_bound(
         self, rate_per_s: float, burst_s: float, slack: float, over: float, bound_s: float
     ) -> None:
-        """Guards the sum of what owners grant, which nothing else bounds."""
+        """Checks the sum of the owners' grants, which nothing else bounds."""
         policy = QuotaPolicy(slack, over, bound_s * 1000)
         customer = Customer("caldas", rate_per_s, rate_per_s * burst_s)
         count, terms = policy.share_count(customer), policy.share_terms(customer)
@@ -226,13 +227,13 @@
         starts = count * terms.start_tokens
         late_s = policy.start_period_s + 0.2
         spare = slack + over * limit - count - late_s * rate_per_s
-        # With less room a share still grants a call at a time.
+        # With less room a share still grants one call at a time.
         if spare >= 0.0 and customer.burst + spare >= 1.0:
             self.assertLessEqual(max_in_window + starts, limit * (1 + over) + slack + 1e-6)
         self.assertGreaterEqual(terms.size, 1.0)
 
 
-class ShareRouteTest(unittest.TestCase):
+class ShareDirectoryTest(unittest.TestCase):
     """Guards against two nodes that grant the same share."""
 
     NAMES = tuple(f"node-{number}" for number in range(20))
@@ -296,7 +297,7 @@
 
 
 class FleetTest(unittest.TestCase):
-    """A hot customer's calls at nodes that are cut off, restart, and disagree on the owner."""
+    """A customer over its limit, at nodes that are cut off, restart, and disagree on the owner."""
 
     NODES = 54
 
@@ -311,7 +312,7 @@
     def test_the_limit_holds_in_every_window(
         self, seed: int, rate_per_s: float, times: float, cut_off: int, changes: int
     ) -> None:
-        """``cut_off`` nodes reach nobody from the beginning on; all owners start anew once."""
+        """``cut_off`` nodes are isolated from the start; all share owners restart once."""
         rng = random.Random(seed)
         customer = Customer("caldas", rate_per_s, burst=rate_per_s)
         cut_off_groups = {node: node + 1 for node in rng.sample(range(self.NODES), cut_off)}
--- a/tests/test_sender_clocks.py
+++ b/tests/test_sender_clocks.py
@@ -1,4 +1,4 @@
-"""When messages were sent, between clocks that have nothing to do with each other."""
+"""When messages were sent, for senders with unrelated clocks."""
 
 import unittest
 
@@ -7,7 +7,7 @@
 
 from fescuedock.core.sender_clocks import SenderClocks
 
-# The receiver's clock less the sender's.
+# The receiver's clock minus the sender's.
 AHEAD_MS = 123_456.0
 
 
--- a/tests/test_slow_peers_core.py
+++ b/tests/test_slow_peers_core.py
@@ -1,4 +1,4 @@
-"""Who may hold how much for slow clients, and who is cut off, for any pattern of reading."""
+"""Which bytes may be held for slow clients, and which clients are cut off."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class HeldBytesMachine(RuleBasedStateMachine):
-    """Any clients hold, read, send and leave at any time, beside a plain expected of the bytes."""
+    """Clients hold, read, send and leave at any time; ``expected`` models their bytes."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -45,7 +45,7 @@
         left_bytes = sum(expected.values())
         remaining = expected.keys() - set(cut_off)
         for key in cut_off:
-            assert left_bytes > BOUND_BYTES, "cut off though all would fit"
+            assert left_bytes > BOUND_BYTES, "cut off although all bytes would fit"
             left_bytes -= expected[key]
             is_oversized = key == name and expected[name] > BOUND_BYTES
             assert is_oversized or all(rates[key] <= rates[other] for other in remaining)
@@ -79,7 +79,7 @@
 
 class HeldBytesTest(unittest.TestCase):
     def test_a_stalled_client_is_cut_off_before_one_that_continues_to_read(self) -> None:
-        """Guards against judging by the whole time: the stalled client was the faster one once."""
+        """Guards against rating by the whole time, over which the stalled client was faster."""
         held = HeldBytes(HeldBounds(100, BOUND_BYTES))
         held.hold("stalled", 500, 0.0)
         held.hold("steady", 400, 0.0)
--- a/tests/test_upstream_speed.py
+++ b/tests/test_upstream_speed.py
@@ -1,4 +1,4 @@
-"""What is learned of an upstream's speed, and how calls are placed by it."""
+"""Learned upstream speed, and the placement of calls by it."""
 
 import random
 import unittest
@@ -45,7 +45,7 @@
 
 
 def first_of(candidates: list[Candidate], seeds: int = 200) -> Counter[str]:
-    """Return how often each is chosen first by nodes that know the same."""
+    """Return how often each candidate is chosen first by nodes with the same knowledge."""
     chosen = (
         choose_by_prediction(candidates, DEMAND, 0.0, POLICY, random.Random(seed))
         for seed in range(seeds)
@@ -54,7 +54,7 @@
 
 
 class LearnedSpeedTest(unittest.TestCase):
-    """The estimates that an owner keeps."""
+    """The speed estimates of an owner."""
 
     def learned(self, event_ms: float = 28.0, in_flight: int = 4) -> UpstreamSpeed:
         speed = UpstreamSpeed(HALF_LIFE_MS)
@@ -81,7 +81,7 @@
         self.assertAlmostEqual(speed.speed(4, 128_000.0).event_ms, 70.0, delta=7.0)
 
     def test_a_full_upstream_is_not_taken_for_a_slow_one(self) -> None:
-        """Events of 24 ms alone and 31 ms in full company are one speed."""
+        """Events of 24 ms for a single attempt and 31 ms at full concurrency are the same speed."""
         speed = UpstreamSpeed(HALF_LIFE_MS)
         for number in range(200):
             in_flight = 1 + number % 8
@@ -108,13 +108,13 @@
 
 
 class PredictionTest(unittest.TestCase):
-    """What a node makes of reports of any age."""
+    """Predictions of a node from reports of any age."""
 
     @given(st.floats(0.05, 20.0), st.floats(1.0, 10.0), st.floats(0.0, 200_000.0))
     def test_no_estimate_outlives_its_half_life(
         self, factor: float, slowness: float, age_ms: float
     ) -> None:
-        """The distance from the typical values is halved with each half-life, or more."""
+        """The distance from the typical values is at least halved with each half-life."""
         load = report(factor=factor, slowness=slowness)
         _, event_ms, _ = predict(candidate(load, age_ms), TYPICAL, 0, PLACEMENT)
         remaining = 0.5 ** (age_ms / PLACEMENT.speed_half_life_ms)
@@ -129,7 +129,7 @@
 
 
 class PlacementTest(unittest.TestCase):
-    """Which upstream a call goes to."""
+    """Which upstream a call is sent to."""
 
     def test_an_upstream_where_the_call_would_be_late_comes_last(self) -> None:
         slow = candidate(report("slow", factor=1.7, slowness=2.5))
@@ -148,7 +148,7 @@
     def test_an_upstream_that_is_believed_slow_is_tried_again(
         self, factor: float, slowness: float
     ) -> None:
-        """After 160 s without evidence it is as good as a typical one."""
+        """After 160 s without evidence it counts as a typical one."""
         forgotten = candidate(report("slow", factor=factor, slowness=slowness), 160_000.0)
         known = [candidate(report(name)) for name in ("b", "c")]
         self.assertGreater(first_of([forgotten, *known], 60)["slow"], 0)
--- a/tests/test_work_identity.py
+++ b/tests/test_work_identity.py
@@ -1,4 +1,4 @@
-"""One identity for all tries of a piece of work, and another for any other work."""
+"""One identity for all attempts of a unit of work, and a different one for any other work."""
 
 import unittest
 
