--- a/src/fescuedock/core/admission.py
+++ b/src/fescuedock/core/admission.py
@@ -59,8 +59,8 @@
     def run_ms(self, max_tokens: int, now_ms: float) -> float:
         """Return the predicted time from the first token to the last; 0 while nothing is known."""
         tokens = min(self._tokens, max_tokens) if max_tokens > 0 else self._tokens
-        fading = 0.5 ** (max(0.0, now_ms - self._last_answer_ms) / self.half_life_ms)
-        return max(0.0, tokens - 1) * self._inter_token_ms * fading
+        decay = 0.5 ** (max(0.0, now_ms - self._last_answer_ms) / self.half_life_ms)
+        return max(0.0, tokens - 1) * self._inter_token_ms * decay
 
 
 class Admission(msgspec.Struct):
--- a/src/fescuedock/core/broken_runs.py
+++ b/src/fescuedock/core/broken_runs.py
@@ -67,9 +67,9 @@
 
     def drain_complete(self, now_ms: float) -> list[BrokenRun]:
         """Drop runs that are no longer evidence of a crash; return those that are complete."""
-        whole = [run for item in self._runs if self._is_complete(item) for run in item[1:]]
+        complete = [run for item in self._runs if self._is_complete(item) for run in item[1:]]
         self._runs = [item for item in self._runs if not self._is_settled(item, now_ms)]
-        return whole
+        return complete
 
     def drain_ended(self, *, refused: bool) -> list[BrokenRun]:
         """Remove and return the runs that were in progress when the upstream crashed.
--- a/src/fescuedock/core/crash_log.py
+++ b/src/fescuedock/core/crash_log.py
@@ -35,9 +35,9 @@
     )
 
 
-def facts_of(news: CrashNews) -> list[CrashFact]:
+def facts_of(message: CrashNews) -> list[CrashFact]:
     """Return the facts in a message."""
-    return [*news.crashes, *news.cleared]
+    return [*message.crashes, *message.cleared]
 
 
 class Receivers(msgspec.Struct, frozen=True):
--- a/src/fescuedock/core/customers.py
+++ b/src/fescuedock/core/customers.py
@@ -129,15 +129,15 @@
     """
     if index.is_empty:
         return Ok(ANONYMOUS)
-    given = set(keys)
-    if len(given) == 1:
-        digest = key_digest(given.pop())
+    distinct_keys = set(keys)
+    if len(distinct_keys) == 1:
+        digest = key_digest(distinct_keys.pop())
         name = index.name_of(digest)
         if name is not None:
             return Ok(Caller(name, "" if public else digest))
         refusal = CallerRefusal.UNKNOWN_KEY
     else:
-        refusal = CallerRefusal.SEVERAL_KEYS if given else CallerRefusal.NO_KEY
+        refusal = CallerRefusal.SEVERAL_KEYS if distinct_keys else CallerRefusal.NO_KEY
     return Ok(Caller("")) if public else Err(refusal)
 
 
--- a/src/fescuedock/core/permits/speed.py
+++ b/src/fescuedock/core/permits/speed.py
@@ -85,8 +85,8 @@
 
     def slowness(self, now_ms: float) -> float:
         """Return the current slowdown factor relative to the usual speed, at least 1."""
-        fading = 0.5 ** (max(now_ms - self._slowness_updated_ms, 0.0) / SLOWNESS_HALF_LIFE_MS)
-        return 1.0 + (self._slowness - 1.0) * fading
+        decay = 0.5 ** (max(now_ms - self._slowness_updated_ms, 0.0) / SLOWNESS_HALF_LIFE_MS)
+        return 1.0 + (self._slowness - 1.0) * decay
 
     def speed(self, in_flight: int, now_ms: float) -> Speed:
         """Return the estimates for an attempt that would be one of ``in_flight``."""
--- a/src/fescuedock/core/placement.py
+++ b/src/fescuedock/core/placement.py
@@ -49,12 +49,12 @@
 def typical_speed(candidates: Sequence[Candidate], policy: PlacementPolicy) -> TypicalSpeed | None:
     """Return typical values, weighted toward recent reports; None without any report of speed."""
     weights = start_ms = event_ms = run_ms = 0.0
-    least_wait_ms = least_fill = float("inf")
+    min_wait_ms = min_fill = float("inf")
     for item in candidates:
         load = item.load
         if load is not None:
-            least_wait_ms = min(least_wait_ms, load.wait_ms)
-            least_fill = min(least_fill, _fill(load))
+            min_wait_ms = min(min_wait_ms, load.wait_ms)
+            min_fill = min(min_fill, _fill(load))
         speed = item.speed
         if speed is None:
             continue
@@ -65,10 +65,10 @@
         run_ms += weight * speed.run_ms
     if not weights:
         return None
-    if least_fill == float("inf"):
-        least_wait_ms = least_fill = 0.0
+    if min_fill == float("inf"):
+        min_wait_ms = min_fill = 0.0
     return TypicalSpeed(
-        start_ms / weights, event_ms / weights, run_ms / weights, least_wait_ms, least_fill
+        start_ms / weights, event_ms / weights, run_ms / weights, min_wait_ms, min_fill
     )
 
 
@@ -131,12 +131,12 @@
         target_ms = demand.target_ms * placement.on_time_share + typical.start_ms
     pause_ms = demand.pause_ms or float("inf")
     left_ms = demand.left_ms or float("inf")
-    covering = prefix_upstream(candidates, demand, policy)
+    preferred = prefix_upstream(candidates, demand, policy)
     draw = rng.random
     scored = []
     for item in candidates:
         load = item.load
-        covered = demand.prefix_tokens if item.upstream_id == covering else 0
+        covered = demand.prefix_tokens if item.upstream_id == preferred else 0
         prompt_tokens = max(demand.prompt_tokens - covered, 0)
         first_ms, event_ms, run_ms = predict(item, typical, prompt_tokens, placement)
         misses = (first_ms > target_ms) + (event_ms > pause_ms) + (first_ms + run_ms > left_ms)
--- a/src/fescuedock/core/quarantine.py
+++ b/src/fescuedock/core/quarantine.py
@@ -309,16 +309,18 @@
         """
         seen_concurrent: set[str] = set()
         work_ids: set[str] = set()
-        ends = 0
+        crashes = 0
         for report in sorted(reports, key=lambda item: (item.at_ms, item.report_id)):
             if not self._was_meant_to_be_isolated(trait, report):
                 continue
             concurrent = self._concurrent_traits(trait, report)
             if seen_concurrent.isdisjoint(concurrent):
-                ends += 1
+                crashes += 1
                 seen_concurrent.update(concurrent)
                 work_ids.update(run.work_id for run in report.runs if trait in traits_of(run))
-        return ends >= self._policy.min_crashes and len(work_ids) >= self._min_units_of_work(trait)
+        return crashes >= self._policy.min_crashes and len(work_ids) >= self._min_units_of_work(
+            trait
+        )
 
     def _min_units_of_work(self, trait: str) -> int:
         return self._policy.part_min_units_of_work if is_part(trait) else 1
--- a/src/fescuedock/core/quotas.py
+++ b/src/fescuedock/core/quotas.py
@@ -83,8 +83,8 @@
 
     def _size(self, customer: Customer, count: int) -> float:
         """Return the total size of all buckets of a customer."""
-        in_bound = customer.rate_per_s * self.window_ms / 1000 + customer.burst
-        spare = self.slack_calls + self.over_share * in_bound
+        in_window = customer.rate_per_s * self.window_ms / 1000 + customer.burst
+        spare = self.slack_calls + self.over_share * in_window
         late_s = (self.max_unsent_ms + self.max_membership_lag_ms / self.max_shares) / 1000
         spare -= count * self._start_tokens(customer, count) + customer.rate_per_s * late_s
         return customer.burst + max(spare, 0.0)
--- a/src/fescuedock/core/recent_runs.py
+++ b/src/fescuedock/core/recent_runs.py
@@ -45,11 +45,11 @@
 
     def pop_suspects(self, upstream_id: str, now_ms: float) -> list[BrokenRun]:
         """Remove and return the runs that may have crashed an upstream just now."""
-        young = [(at_ms, run) for at_ms, run in self._runs if now_ms - at_ms <= _SUSPECT_MS]
+        recent = [(at_ms, run) for at_ms, run in self._runs if now_ms - at_ms <= _SUSPECT_MS]
         self._runs = deque(
-            (item for item in young if item[1].upstream_id != upstream_id), _MAX_RUNS
+            (item for item in recent if item[1].upstream_id != upstream_id), _MAX_RUNS
         )
-        return [run for _, run in young if run.upstream_id == upstream_id]
+        return [run for _, run in recent if run.upstream_id == upstream_id]
 
 
 class SoundParts(msgspec.Struct):
--- a/src/fescuedock/core/route_learning.py
+++ b/src/fescuedock/core/route_learning.py
@@ -100,8 +100,8 @@
     _min_ms: dict[str, float] = msgspec.field(default_factory=dict)
 
     def observe(self, failure_domain: str, round_trip_ms: float) -> None:
-        least_ms = self._min_ms.get(failure_domain, float("inf")) * (1 + self.rise)
-        self._min_ms[failure_domain] = min(least_ms, round_trip_ms)
+        min_ms = self._min_ms.get(failure_domain, float("inf")) * (1 + self.rise)
+        self._min_ms[failure_domain] = min(min_ms, round_trip_ms)
 
     def one_way_ms(self, failure_domain: str) -> float:
         """Return the latency; 0 for an unknown domain, so that it is tried."""
@@ -140,8 +140,8 @@
     def observe(self, prompt_tokens: int, first_token_ms: float) -> None:
         if prompt_tokens < self.min_tokens or first_token_ms < 0:
             return
-        least_ms = self._min_ms * (1 + self.rise)
-        self._min_ms = min(least_ms, first_token_ms / prompt_tokens)
+        min_ms = self._min_ms * (1 + self.rise)
+        self._min_ms = min(min_ms, first_token_ms / prompt_tokens)
 
     @property
     def token_ms(self) -> float:
--- a/src/fescuedock/core/routing.py
+++ b/src/fescuedock/core/routing.py
@@ -189,10 +189,10 @@
     if not candidates:
         return []
     usual_ms = _min_known_first_token_ms(candidates)
-    covering = prefix_upstream(candidates, demand, policy)
+    preferred = prefix_upstream(candidates, demand, policy)
     scored = []
     for item in candidates:
-        covered = demand.prefix_tokens if item.upstream_id == covering else 0
+        covered = demand.prefix_tokens if item.upstream_id == preferred else 0
         prefill_ms = max(0, demand.prompt_tokens - covered) * token_ms
         queue_ms = item.load.first_token_ms if item.load is not None else usual_ms
         queue_ms += 2 * item.latency_ms
@@ -225,23 +225,23 @@
     accepting = [item for item in choices if item.accepting]
     doubted = len(accepting) < (1.0 - policy.max_out_share) * len(choices)
     reachable = [item for item in accepting if not item.owner_silent]
-    asks = [PlannedRequest(item.upstream_id) for item in reachable if item.has_room][
+    requests = [PlannedRequest(item.upstream_id) for item in reachable if item.has_room][
         : policy.max_unqueued_requests
     ]
-    asks += [
+    requests += [
         PlannedRequest(item.upstream_id, local=True) for item in accepting if item.owner_silent
     ]
     queue_ms = min(slack_ms, policy.queue_ms)
     if queue_ms > 0:
-        asks += [
+        requests += [
             PlannedRequest(item.upstream_id, queue_ms)
             for item in (reachable or accepting)[: policy.max_queues]
         ]
     if doubted:
-        asks += [
+        requests += [
             PlannedRequest(item.upstream_id, local=True) for item in choices if not item.accepting
         ]
-    return asks
+    return requests
 
 
 def _is_accepting(item: Candidate) -> bool:
--- a/src/fescuedock/core/sender_clocks.py
+++ b/src/fescuedock/core/sender_clocks.py
@@ -34,15 +34,15 @@
 
     _bounds: dict[str, _Bound] = msgspec.field(default_factory=dict)
 
-    def record_reply(self, sender: str, asked_ms: float, sent_ms: float) -> None:
-        """Record a reply sent at ``sent_ms`` by its sender's clock to a request of ``asked_ms``."""
-        ahead_ms = asked_ms - sent_ms
+    def record_reply(self, sender: str, requested_ms: float, sent_ms: float) -> None:
+        """Record a reply, sent at ``sent_ms`` by the sender's clock, to one's own request."""
+        ahead_ms = requested_ms - sent_ms
         known = self._bounds.get(sender)
         if known is not None:
-            ahead_ms = max(ahead_ms, known.at(asked_ms))
+            ahead_ms = max(ahead_ms, known.at(requested_ms))
         elif len(self._bounds) >= _MAX_SENDERS:
             del self._bounds[min(self._bounds, key=lambda name: self._bounds[name].at_ms)]
-        self._bounds[sender] = _Bound(ahead_ms, asked_ms)
+        self._bounds[sender] = _Bound(ahead_ms, requested_ms)
 
     def is_known(self, sender: str, now_ms: float) -> bool:
         """Whether the sender's clock was compared recently."""
--- a/src/fescuedock/core/slow_peers.py
+++ b/src/fescuedock/core/slow_peers.py
@@ -121,9 +121,9 @@
         if peer is None:
             return
         peer.record_moved(size_bytes, now_ms)
-        taken_bytes = min(size_bytes, peer.held_bytes)
-        peer.held_bytes -= taken_bytes
-        self.total_bytes -= taken_bytes
+        released_bytes = min(size_bytes, peer.held_bytes)
+        peer.held_bytes -= released_bytes
+        self.total_bytes -= released_bytes
         if not peer.held_bytes:
             del self.peers[key]
 
--- a/src/fescuedock/core/token_bucket.py
+++ b/src/fescuedock/core/token_bucket.py
@@ -44,20 +44,20 @@
         self.tokens -= 1.0
         return True
 
-    def wait_ms(self, terms: BucketTerms, now_ms: float, longest_ms: float) -> float:
+    def wait_ms(self, terms: BucketTerms, now_ms: float, max_wait_ms: float) -> float:
         """Return when a refused caller should retry, one token later than the previous caller.
 
         If all were given the same time, they would retry together, and all but one be refused
         again.
         """
         if terms.rate_per_s <= 0:
-            return longest_ms
+            return max_wait_ms
         token_ms = 1000 / terms.rate_per_s
         first_ms = now_ms + (1.0 - self.tokens) * token_ms
         due_ms = max(first_ms, self.assigned_until_ms + token_ms)
-        if due_ms - now_ms > longest_ms:
+        if due_ms - now_ms > max_wait_ms:
             # A caller that must wait this long may as well retry at any time before.
-            return longest_ms
+            return max_wait_ms
         self.assigned_until_ms = due_ms
         return max(due_ms - now_ms, _MIN_WAIT_MS)
 
@@ -105,9 +105,9 @@
             self._bucket = bucket
         return self.try_acquire(terms, now_ms)
 
-    def wait_ms(self, terms: BucketTerms, now_ms: float, longest_ms: float) -> float:
+    def wait_ms(self, terms: BucketTerms, now_ms: float, max_wait_ms: float) -> float:
         """See ``Bucket.wait_ms``."""
-        return self._bucket.wait_ms(terms, now_ms, longest_ms)
+        return self._bucket.wait_ms(terms, now_ms, max_wait_ms)
 
 
 def _replay(bucket: Bucket, terms: BucketTerms, at_ms: float) -> None:
--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -89,9 +89,9 @@
 
     def test_an_idle_connection_decides_between_equals_and_does_not_outweigh_load(self) -> None:
         new = replace(candidate("new"), connected=False)
-        self.assertEqual(choose(new, candidate("kept")), ["kept", "new"])
-        busy = candidate("kept", first_token_ms=80.0)
-        self.assertEqual(choose(new, busy), ["new", "kept"])
+        self.assertEqual(choose(new, candidate("connected")), ["connected", "new"])
+        busy = candidate("connected", first_token_ms=80.0)
+        self.assertEqual(choose(new, busy), ["new", "connected"])
 
     def test_an_upstream_without_a_load_report_is_queried(self) -> None:
         unknown = Candidate("unknown", 1.0, None)
--- a/tests/test_quota_shares.py
+++ b/tests/test_quota_shares.py
@@ -152,14 +152,14 @@
 
     SEEDS = range(8)
 
-    def refused(self, way: str, load_name: str) -> tuple[float, float]:
+    def refused(self, policy: str, load_name: str) -> tuple[float, float]:
         """Return the mean number of refused calls within the limits over all seeds.
 
         The first value is in percent of the calls that an ideal limiter would admit, the second the
         number of calls refused before the limit had been used.
         """
         [load] = [load for load in LOADS if load.name == load_name]
-        figures = [run_way(way, load, NODES, 74, 141.0, seed) for seed in self.SEEDS]
+        figures = [run_way(policy, load, NODES, 74, 141.0, seed) for seed in self.SEEDS]
         within_pct = sum(item.refused_within_limit_pct for item in figures) / len(figures)
         return within_pct, sum(item.refused_below for item in figures) / len(figures)
 
--- a/tests/test_sender_clocks.py
+++ b/tests/test_sender_clocks.py
@@ -20,7 +20,7 @@
 
     def test_the_age_of_a_message_is_its_transmission_time(self) -> None:
         clocks = SenderClocks()
-        clocks.record_reply("a", asked_ms=AHEAD_MS, sent_ms=2.0)
+        clocks.record_reply("a", requested_ms=AHEAD_MS, sent_ms=2.0)
         sent_ms = clocks.earliest_sent_ms("a", 1000.0, AHEAD_MS + 5000)
         self.assertAlmostEqual(sent_ms, AHEAD_MS + 1000, delta=8)
 
--- a/tests/test_upstream_speed.py
+++ b/tests/test_upstream_speed.py
@@ -145,7 +145,7 @@
         self.assertLess(max(first_of(candidates).values()), 200 / 3)
 
     @given(st.floats(1.0, 20.0), st.floats(1.0, 10.0))
-    def test_an_upstream_that_is_believed_slow_is_tried_again(
+    def test_an_upstream_considered_slow_is_tried_again(
         self, factor: float, slowness: float
     ) -> None:
         """After 160 s without evidence it counts as a typical one."""
