--- a/bench/mix_actors.py
+++ b/bench/mix_actors.py
@@ -126,7 +126,7 @@
                 decided_ms = self.fleet.loop.now_ms
                 self.fleet.loop.after(HOP_MS, holder.revoke, action.permit_id, decided_ms)
                 continue
-            reply = self._replies.pop(action.ask.attempt_id, None)
+            reply = self._replies.pop(action.request.attempt_id, None)
             if reply is not None:
                 load = self.core.load(self.upstream_id, self.fleet.loop.now_ms)
                 self.fleet.loop.after(HOP_MS, reply, action, load)
@@ -198,7 +198,7 @@
         groups: dict[str, list[HeldGrant]] = {}
         for grant in self._book:
             if not grant.local:
-                groups.setdefault(grant.ask.upstream_id, []).append(grant)
+                groups.setdefault(grant.request.upstream_id, []).append(grant)
         for upstream_id, group in groups.items():
             message = PermitRenew(self.holder_id, [grant.as_held(sent_ms) for grant in group])
             host = self.fleet.owners[upstream_id]
@@ -212,7 +212,7 @@
             for load in reply.loads:
                 self.loads[load.upstream_id] = (load, self.fleet.loop.now_ms)
             self._book.record_renewal(
-                [grant.ask.attempt_id for grant in group], sent_ms + reply.valid_ms
+                [grant.request.attempt_id for grant in group], sent_ms + reply.valid_ms
             )
             for permit_id in reply.revoked:
                 self.revoke(permit_id)
--- a/src/fescuedock/agent/permit_client.py
+++ b/src/fescuedock/agent/permit_client.py
@@ -82,30 +82,30 @@
 
     @property
     def permit_id(self) -> str:
-        return self._held.ask.attempt_id
+        return self._held.request.attempt_id
 
     @property
     def upstream_id(self) -> str:
-        return self._held.ask.upstream_id
+        return self._held.request.upstream_id
 
     @property
     def work_class(self) -> WorkClass:
-        return self._held.ask.work_class
+        return self._held.request.work_class
 
     @property
     def member(self) -> str:
         """Whose share it was granted from."""
-        return self._held.ask.member
+        return self._held.request.member
 
     @property
     def is_overdue(self) -> bool:
         """Whether it was asked for on behalf of overdue batch work."""
-        return is_overdue(self._held.ask.stage, self._held.ask.slack_ms)
+        return is_overdue(self._held.request.stage, self._held.request.slack_ms)
 
     @property
     def work_id(self) -> str:
         """The identity of the work that runs under it; empty while none is chosen."""
-        return self._held.ask.work_id
+        return self._held.request.work_id
 
     @property
     def parts(self) -> tuple[str, ...]:
@@ -115,7 +115,7 @@
     @property
     def alone(self) -> bool:
         """Whether its owner lets nothing else run at the upstream meanwhile."""
-        return self._held.ask.alone
+        return self._held.request.alone
 
     @property
     def sendable_until_ms(self) -> float:
@@ -149,15 +149,15 @@
 
     def choose(self, work_id: str, parts: tuple[str, ...] = ()) -> None:
         """Note which work runs under a permit that was asked for before it was chosen."""
-        self._held.ask = msgspec.structs.replace(self._held.ask, work_id=work_id)
+        self._held.request = msgspec.structs.replace(self._held.request, work_id=work_id)
         self._held.parts = parts
 
     def describe(
         self, stage: BatchStage, slack_ms: float, left_ms: float, barren_runs: int
     ) -> None:
         """Tell the owner, with the next renewal, how the work stands that was chosen to run."""
-        self._held.ask = msgspec.structs.replace(
-            self._held.ask,
+        self._held.request = msgspec.structs.replace(
+            self._held.request,
             stage=stage,
             slack_ms=int(slack_ms),
             left_ms=int(left_ms),
@@ -366,7 +366,7 @@
         if held is None or self._grants.pop(ended.permit_id, None) is None:
             return
         self._note_run(held, ended)
-        if held.ask.alone and held.unframed and self._nursery is not None:
+        if held.request.alone and held.unframed and self._nursery is not None:
             self._nursery.start_soon(self._return_later, held, ended)
         else:
             self._return(held, ended)
@@ -380,7 +380,7 @@
     async def _return_later(self, held: HeldGrant, ended: EndedPermit) -> None:
         """Keep other work off an upstream that may be about to end under a run alone."""
         self._something_ended.set()
-        work_id = held.ask.work_id
+        work_id = held.request.work_id
         with trio.move_on_after(_LONE_PAUSE_S):
             while any(map(self._view.quarantine.is_suspected, (work_id, *held.parts))):
                 await self._view.wait_quarantine()
@@ -389,12 +389,12 @@
 
     def _note_run(self, held: HeldGrant, ended: EndedPermit) -> None:
         """Note what a run says of the work; all runs end here, so that none is missed."""
-        work_id = held.ask.work_id
+        work_id = held.request.work_id
         upstream_id = ended.upstream_id
         begun = ended.generated_tokens > 0
         unknown = self._view.sound_parts.unknown_among(held.parts, now_ms())
         run = BrokenRun(
-            upstream_id, work_id, alone=held.ask.alone, begun=begun, parts=list(unknown)
+            upstream_id, work_id, alone=held.request.alone, begun=begun, parts=list(unknown)
         )
         if ended.outcome in (*_BROKEN_OFF, AttemptOutcome.CONNECT_REFUSED):
             # What was given up just before may be what ended it, and nobody else would tell.
@@ -454,7 +454,7 @@
     def _held_by_owner(self) -> dict[Address, list[HeldGrant]]:
         by_owner: dict[Address, list[HeldGrant]] = defaultdict(list)
         for held in self._book:
-            owner = self._view.owner_of(held.ask.upstream_id)
+            owner = self._view.owner_of(held.request.upstream_id)
             if owner is not None and not held.local:
                 by_owner[Address(owner.host, owner.agent_port)].append(held)
         return by_owner
@@ -471,7 +471,7 @@
         self._note_loads(renewed.loads)
         self._revoke(renewed.revoked)
         known = {load.upstream_id for load in renewed.loads}
-        good = [held.ask.attempt_id for held in group if held.ask.upstream_id in known]
+        good = [held.request.attempt_id for held in group if held.request.upstream_id in known]
         renew_at_ms = sent_ms + renewed.valid_ms / _RENEWALS_PER_VALIDITY
         self._book.record_renewal(good, sent_ms + renewed.valid_ms, renew_at_ms)
 
--- a/src/fescuedock/agent/permit_service.py
+++ b/src/fescuedock/agent/permit_service.py
@@ -121,7 +121,7 @@
             del self._waiters[attempt_id]
 
     def _reply(self, action: Granted | Refused) -> PermitReply:
-        load = self._owner.load(action.ask.upstream_id, now_ms())
+        load = self._owner.load(action.request.upstream_id, now_ms())
         match action:
             case Granted():
                 return PermitReply(ResultCode.OK, load, action.permit_id, action.valid_ms)
@@ -135,7 +135,7 @@
                 case Revoked():
                     revoked[action.holder_id].append(action.permit_id)
                 case Granted() | Refused():
-                    for waiter in self._waiters.get(action.ask.attempt_id, ()):
+                    for waiter in self._waiters.get(action.request.attempt_id, ()):
                         waiter.settle(action)
         for holder_id, permit_ids in revoked.items():
             peer = self._peers.get(holder_id)
--- a/src/fescuedock/core/permits/actions.py
+++ b/src/fescuedock/core/permits/actions.py
@@ -11,7 +11,7 @@
 class Granted(msgspec.Struct, frozen=True):
     """The attempt may start now; its permit must be renewed within ``valid_ms``."""
 
-    ask: PermitAsk
+    request: PermitAsk
     permit_id: str
     valid_ms: int
 
@@ -19,7 +19,7 @@
 class Refused(msgspec.Struct, frozen=True):
     """The attempt must not start; a request after ``retry_after_ms`` may succeed."""
 
-    ask: PermitAsk
+    request: PermitAsk
     code: ResultCode
     retry_after_ms: int
 
--- a/src/fescuedock/core/permits/fair_order.py
+++ b/src/fescuedock/core/permits/fair_order.py
@@ -38,66 +38,68 @@
 
     def in_order(
         self,
-        asks: Iterable[WaitingRequest],
+        requests: Iterable[WaitingRequest],
         weights: MemberShares,
         running: Callable[[str], int],
         now_ms: float,
     ) -> list[WaitingRequest]:
-        """Return ``asks``, next first; ``running`` gives a member's number of running attempts."""
-        asks = sorted(asks, key=lambda item: (item.ask.priority, *item.sort_key(now_ms)))
-        over = excess_use({item.ask.member for item in asks}, weights, running)
-        overdue = self._first_overdue(asks, now_ms)
-        returned = self._first_retried(asks)
+        """Return ``requests``, next first; ``running`` gives a member's running attempts."""
+        requests = sorted(
+            requests, key=lambda item: (item.request.priority, *item.sort_key(now_ms))
+        )
+        over = excess_use({item.request.member for item in requests}, weights, running)
+        overdue = self._first_overdue(requests, now_ms)
+        retried = self._first_retried(requests)
         tags: dict[str, float] = {}
         ranked = []
-        for position, item in enumerate(asks):
-            ask = item.ask
-            tag = tags.get(ask.member)
+        for position, item in enumerate(requests):
+            request = item.request
+            tag = tags.get(request.member)
             if tag is None:
-                tag = self.shares.start(ask.member)
-            cost = self.shares.cost(ask.prompt_tokens, ask.max_tokens)
-            tags[ask.member] = tag + cost / weights.weight(ask.member)
+                tag = self.shares.start(request.member)
+            cost = self.shares.cost(request.prompt_tokens, request.max_tokens)
+            tags[request.member] = tag + cost / weights.weight(request.member)
             urgency = urgency_of(
-                ask.priority, item.waited_ms(now_ms), overdue_first=item is overdue
+                request.priority, item.waited_ms(now_ms), overdue_first=item is overdue
             )
             # Positions are unique, so the requests themselves are never compared.
-            share_rank = (tag, over[ask.member], item is not returned)
+            share_rank = (tag, over[request.member], item is not retried)
             ranked.append((urgency, item.stage_group, share_rank, position, item))
         ranked.sort()
         return [rank[-1] for rank in ranked]
 
     def record_grant(self, waiting: WaitingRequest, weight: float, now_ms: float) -> float:
         """Record the grant of a request while others wait; return the cost charged for it."""
-        ask = waiting.ask
-        is_overdue = ask.priority > 0 and waiting.waited_ms(now_ms) >= OVERDUE_MS
+        request = waiting.request
+        is_overdue = request.priority > 0 and waiting.waited_ms(now_ms) >= OVERDUE_MS
         self.overdue.record_grant(preferred=is_overdue)
-        self.retried.record_grant(preferred=ask.work_id in self.refused)
-        self.refused.discard(ask.work_id)
-        cost = self.shares.cost(ask.prompt_tokens, ask.max_tokens)
-        self.shares.charge(ask.member, cost, weight, now_ms)
+        self.retried.record_grant(preferred=request.work_id in self.refused)
+        self.refused.discard(request.work_id)
+        cost = self.shares.cost(request.prompt_tokens, request.max_tokens)
+        self.shares.charge(request.member, cost, weight, now_ms)
         return cost
 
     def _first_overdue(
-        self, asks: Sequence[WaitingRequest], now_ms: float
+        self, requests: Sequence[WaitingRequest], now_ms: float
     ) -> WaitingRequest | None:
         """Return the overdue request to grant next, or None while none is due a grant."""
         if not self.overdue.is_due:
             return None
         # Requests are sorted by priority.  Work of the most urgent waiting priority is not held up
         # by a more urgent one.
-        most_urgent = asks[0].ask.priority
+        most_urgent = requests[0].request.priority
         waiting = [
             item
-            for item in asks
-            if item.ask.priority > most_urgent and item.waited_ms(now_ms) >= OVERDUE_MS
+            for item in requests
+            if item.request.priority > most_urgent and item.waited_ms(now_ms) >= OVERDUE_MS
         ]
         return max(waiting, key=lambda item: item.waited_ms(now_ms), default=None)
 
-    def _first_retried(self, asks: Iterable[WaitingRequest]) -> WaitingRequest | None:
+    def _first_retried(self, requests: Iterable[WaitingRequest]) -> WaitingRequest | None:
         """Return the request to prefer because it was refused before, or None."""
         if not self.retried.is_due or not len(self.refused):
             return None
-        return next((item for item in asks if item.ask.work_id in self.refused), None)
+        return next((item for item in requests if item.request.work_id in self.refused), None)
 
 
 def excess_use(
--- a/src/fescuedock/core/permits/holder.py
+++ b/src/fescuedock/core/permits/holder.py
@@ -13,7 +13,7 @@
 class HeldGrant(msgspec.Struct):
     """One permit of this process and the known state of its attempt."""
 
-    ask: PermitAsk
+    request: PermitAsk
     granted_ms: float
     # Counted from before the request or renewal was sent, so it ends before the owner's own count.
     valid_until_ms: float
@@ -40,27 +40,27 @@
     def as_held(self, now_ms: float) -> HeldPermit:
         """Return the entry of this permit in a renewal message."""
         return HeldPermit(
-            permit_id=self.ask.attempt_id,
-            upstream_id=self.ask.upstream_id,
-            attempt_id=self.ask.attempt_id,
-            service=self.ask.service,
-            member=self.ask.member,
-            work_class=self.ask.work_class,
-            slack_ms=self.ask.slack_ms - int(now_ms - self.granted_ms),
-            stage=self.ask.stage,
+            permit_id=self.request.attempt_id,
+            upstream_id=self.request.upstream_id,
+            attempt_id=self.request.attempt_id,
+            service=self.request.service,
+            member=self.request.member,
+            work_class=self.request.work_class,
+            slack_ms=self.request.slack_ms - int(now_ms - self.granted_ms),
+            stage=self.request.stage,
             left_ms=self._left_ms(now_ms),
-            prompt_tokens=self.ask.prompt_tokens,
+            prompt_tokens=self.request.prompt_tokens,
             generated_tokens=self.generated_tokens,
             first_token_ms=self.first_token_ms,
-            alone=self.ask.alone,
-            priority=self.ask.priority,
-            barren_runs=self.ask.barren_runs,
+            alone=self.request.alone,
+            priority=self.request.priority,
+            barren_runs=self.request.barren_runs,
         )
 
     def _left_ms(self, now_ms: float) -> int:
-        if not self.ask.left_ms:
+        if not self.request.left_ms:
             return 0
-        return max(self.ask.left_ms - int(now_ms - self.granted_ms), 1)
+        return max(self.request.left_ms - int(now_ms - self.granted_ms), 1)
 
 
 def validity_ms(settings: AgentSettings, vms: int) -> int:
@@ -101,7 +101,7 @@
         return self._grants.get(permit_id)
 
     def add(self, grant: HeldGrant) -> None:
-        self._grants[grant.ask.attempt_id] = grant
+        self._grants[grant.request.attempt_id] = grant
 
     def end(self, ended: EndedPermit) -> HeldGrant | None:
         """Remove a permit and store its end for the next report; None when it was not held."""
@@ -133,7 +133,7 @@
         return [
             permit_id
             for permit_id, grant in self._grants.items()
-            if grant.ask.work_class is WorkClass.BATCH and grant.valid_until_ms <= now_ms
+            if grant.request.work_class is WorkClass.BATCH and grant.valid_until_ms <= now_ms
         ]
 
 
--- a/src/fescuedock/core/permits/outstanding.py
+++ b/src/fescuedock/core/permits/outstanding.py
@@ -53,21 +53,21 @@
 
     @classmethod
     def granted(
-        cls, ask: PermitAsk, start: AttemptStart, now_ms: float, valid_ms: int
+        cls, request: PermitAsk, start: AttemptStart, now_ms: float, valid_ms: int
     ) -> "OutstandingPermit":
         return cls(
-            permit_id=ask.attempt_id,
-            holder_id=ask.holder_id,
-            member=ask.member,
-            work_class=ask.work_class,
-            due_ms=now_ms + ask.slack_ms,
+            permit_id=request.attempt_id,
+            holder_id=request.holder_id,
+            member=request.member,
+            work_class=request.work_class,
+            due_ms=now_ms + request.slack_ms,
             granted_ms=now_ms,
             expires_ms=now_ms + valid_ms,
-            stage=ask.stage,
-            expected_end_ms=now_ms + ask.left_ms if ask.left_ms else 0.0,
-            prompt_tokens=ask.prompt_tokens,
-            isolated=ask.alone,
-            barren_runs=ask.barren_runs,
+            stage=request.stage,
+            expected_end_ms=now_ms + request.left_ms if request.left_ms else 0.0,
+            prompt_tokens=request.prompt_tokens,
+            isolated=request.alone,
+            barren_runs=request.barren_runs,
             start=start,
         )
 
--- a/src/fescuedock/core/permits/owner.py
+++ b/src/fescuedock/core/permits/owner.py
@@ -86,12 +86,12 @@
             self._tracker(service).set_upstreams(ours, count)
         return actions
 
-    def submit(self, ask: PermitAsk, now_ms: float) -> list[Action]:
+    def submit(self, request: PermitAsk, now_ms: float) -> list[Action]:
         """Handle a permit request; ``NOT_OWNER`` refuses one for an upstream not owned here."""
-        queue = self._queues.get(ask.upstream_id)
+        queue = self._queues.get(request.upstream_id)
         if queue is None:
-            return [Refused(ask, ResultCode.NOT_OWNER, 0)]
-        return queue.submit(ask, now_ms)
+            return [Refused(request, ResultCode.NOT_OWNER, 0)]
+        return queue.submit(request, now_ms)
 
     def start_trial(self, upstream_id: str, now_ms: float) -> bool:
         """Whether an upstream that is out may be probed now, within its health policy."""
--- a/src/fescuedock/core/permits/queue.py
+++ b/src/fescuedock/core/permits/queue.py
@@ -87,25 +87,27 @@
         self.healthy = healthy
         return self._serve(now_ms)
 
-    def submit(self, ask: PermitAsk, now_ms: float) -> list[Action]:
+    def submit(self, request: PermitAsk, now_ms: float) -> list[Action]:
         """Grant, refuse or queue a request.
 
         A repeated request of an attempt that holds a permit returns the same permit.  An attempt
         that has ended gets none, so that a request overtaken by its own end cannot leave a permit
         behind.
         """
-        held = self._held.get(ask.attempt_id)
+        held = self._held.get(request.attempt_id)
         if held is not None:
-            return [self._repeat_answer(ask, held)]
-        if ask.attempt_id in self._ended:
-            return [Refused(ask, ResultCode.REVOKED, 0)]
+            return [self._repeat_answer(request, held)]
+        if request.attempt_id in self._ended:
+            return [Refused(request, ResultCode.REVOKED, 0)]
         if not self.accepting:
-            return [Refused(ask, ResultCode.NO_CAPACITY, 0)]
-        if self._waiting.count(ask.work_class) >= self._settings.max_waiting:
-            return [Refused(ask, ResultCode.NO_CAPACITY, self._retry_after_ms(ask, now_ms))]
-        if ask.attempt_id not in self._waiting:
+            return [Refused(request, ResultCode.NO_CAPACITY, 0)]
+        if self._waiting.count(request.work_class) >= self._settings.max_waiting:
+            return [Refused(request, ResultCode.NO_CAPACITY, self._retry_after_ms(request, now_ms))]
+        if request.attempt_id not in self._waiting:
             self._waiting.add(
-                WaitingRequest(ask, now_ms, now_ms + max(ask.wait_ms, 0), now_ms + ask.slack_ms)
+                WaitingRequest(
+                    request, now_ms, now_ms + max(request.wait_ms, 0), now_ms + request.slack_ms
+                )
             )
         return self._serve(now_ms)
 
@@ -139,7 +141,7 @@
             self._waiting.correct_charge(held, ended.generated_tokens, now_ms)
             self._record_online(held.work_class, now_ms)
             self._held.remove(held.permit_id, now_ms)
-        refused = [] if waiting is None else [Refused(waiting.ask, ResultCode.REVOKED, 0)]
+        refused = [] if waiting is None else [Refused(waiting.request, ResultCode.REVOKED, 0)]
         return [*refused, *self._serve(now_ms)]
 
     def observe_load(self, running: int, waiting: int, now_ms: float) -> None:
@@ -195,10 +197,10 @@
 
     def refuse_all(self, code: ResultCode) -> list[Action]:
         """Refuse every waiting request with ``code``."""
-        asks = [waiting.ask for waiting in self._waiting]
-        for ask in asks:
-            self._waiting.remove(ask.attempt_id)
-        return [Refused(ask, code, 0) for ask in asks]
+        requests = [waiting.request for waiting in self._waiting]
+        for request in requests:
+            self._waiting.remove(request.attempt_id)
+        return [Refused(request, code, 0) for request in requests]
 
     def _serve(self, now_ms: float) -> list[Action]:
         if not self.accepting:
@@ -228,13 +230,13 @@
         for waiting in self._waiting.isolated_in_order():
             # A new owner does not know yet which attempts are running.
             if not len(self._held) and now_ms >= self._rebuild_until_ms:
-                self._waiting.remove(waiting.ask.attempt_id)
+                self._waiting.remove(waiting.request.attempt_id)
                 actions.append(self._grant(waiting, now_ms))
         timed_out = [item for item in self._waiting if now_ms >= item.answer_by_ms]
         for waiting in timed_out:
-            self._waiting.remove(waiting.ask.attempt_id)
-            retry_ms = self._retry_after_ms(waiting.ask, now_ms)
-            actions.append(Refused(waiting.ask, ResultCode.NO_CAPACITY, retry_ms))
+            self._waiting.remove(waiting.request.attempt_id)
+            retry_ms = self._retry_after_ms(waiting.request, now_ms)
+            actions.append(Refused(waiting.request, ResultCode.NO_CAPACITY, retry_ms))
         return actions
 
     def _serve_online(self, now_ms: float) -> list[Action]:
@@ -245,10 +247,10 @@
         ahead = 0.0
         for waiting in queue:
             if self._held.online < self._online_limit(waiting, now_ms):
-                self._waiting.remove(waiting.ask.attempt_id)
+                self._waiting.remove(waiting.request.attempt_id)
                 actions.append(self._grant(waiting, now_ms))
             elif self._should_refuse(waiting, ahead, now_ms):
-                self._waiting.remove(waiting.ask.attempt_id)
+                self._waiting.remove(waiting.request.attempt_id)
                 actions.append(self._refuse_online(waiting, ahead, now_ms))
             else:
                 ahead += waiting.expected_starts
@@ -259,7 +261,7 @@
 
         Protected batch runs are revoked only for a request that found no room at other upstreams.
         """
-        if waiting.ask.wait_ms > 0 and now_ms >= waiting.arrived_ms + _OTHER_OWNERS_MS:
+        if waiting.request.wait_ms > 0 and now_ms >= waiting.arrived_ms + _OTHER_OWNERS_MS:
             return self._hard_limit()
         return self._hard_limit() - self._protected_batch(now_ms)
 
@@ -276,7 +278,7 @@
         answer is of use, one after the caller has left is not.  The same applies to a customer's
         request, on time or not, as its wait depends on the customer's share.
         """
-        target_ms = waiting.ask.target_ms
+        target_ms = waiting.request.target_ms
         if target_ms < 0 or (target_ms and waiting.needs_fair_order):
             start_ms = now_ms + _LATE_WAIT_FACTOR * self._online_wait_ms(ahead)
             return start_ms > waiting.due_ms or now_ms >= waiting.answer_by_ms
@@ -288,7 +290,7 @@
         code = ResultCode.NO_CAPACITY
         if now_ms + wait_ms > waiting.due_ms:
             code = ResultCode.DEADLINE_CANNOT_BE_MET
-        if self._waiting.is_over_share(waiting.ask.member, self._held.count_of):
+        if self._waiting.is_over_share(waiting.request.member, self._held.count_of):
             code = ResultCode.MEMBER_OVER_SHARE
         if waiting.needs_fair_order and now_ms < waiting.answer_by_ms:
             # The refusal is final: it was not made so that the holder chooses again.
@@ -297,7 +299,7 @@
             wait_ms = self._retry_times.assign_delay_ms(
                 now_ms, wait_ms, hold_ms / self._hard_limit()
             )
-        return Refused(waiting.ask, code, max(int(wait_ms), 1))
+        return Refused(waiting.request, code, max(int(wait_ms), 1))
 
     def _revoke_excess_batch(self, now_ms: float) -> list[Action]:
         limit = self._batch_limit(now_ms)
@@ -338,13 +340,13 @@
         actions: list[Action] = []
         for waiting in self._waiting.in_order(WorkClass.BATCH, self._held.count_of, now_ms):
             if self._has_batch_room(now_ms):
-                self._waiting.remove(waiting.ask.attempt_id)
+                self._waiting.remove(waiting.request.attempt_id)
                 actions.append(self._grant(waiting, now_ms))
-                self._pace_batch(waiting.ask, now_ms)
+                self._pace_batch(waiting.request, now_ms)
             elif now_ms >= waiting.answer_by_ms:
-                self._waiting.remove(waiting.ask.attempt_id)
-                retry_ms = self._retry_after_ms(waiting.ask, now_ms)
-                actions.append(Refused(waiting.ask, ResultCode.NO_CAPACITY, retry_ms))
+                self._waiting.remove(waiting.request.attempt_id)
+                retry_ms = self._retry_after_ms(waiting.request, now_ms)
+                actions.append(Refused(waiting.request, ResultCode.NO_CAPACITY, retry_ms))
         return actions
 
     def _has_batch_room(self, now_ms: float) -> bool:
@@ -364,33 +366,33 @@
         # Attempts under revoked permits are still running, so they occupy room until they end.
         return self._held.batch + headroom < limit
 
-    def _pace_batch(self, ask: PermitAsk, now_ms: float) -> None:
+    def _pace_batch(self, request: PermitAsk, now_ms: float) -> None:
         if self._is_online_idle(now_ms) or self._terms.slots:
             return
-        prompt_ms = self._first_token.prompt_ms(ask.prompt_tokens)
+        prompt_ms = self._first_token.prompt_ms(request.prompt_tokens)
         self._next_batch_start_ms = now_ms + prompt_ms / self._settings.batch_start_share
 
     def _grant(self, waiting: WaitingRequest, now_ms: float) -> Granted:
-        ask = waiting.ask
-        start = self._first_token.record_start(ask.prompt_tokens, self._held.unrevoked, now_ms)
-        held = OutstandingPermit.granted(ask, start, now_ms, self.valid_ms)
+        request = waiting.request
+        start = self._first_token.record_start(request.prompt_tokens, self._held.unrevoked, now_ms)
+        held = OutstandingPermit.granted(request, start, now_ms, self.valid_ms)
         held.charged_tokens = self._waiting.charge(waiting, now_ms)
         held.granted_as_overdue = self._waiting.record_grant(waiting, now_ms)
         self._held.add(held, now_ms)
-        self._record_online(ask.work_class, now_ms)
-        if ask.work_class is WorkClass.ONLINE:
+        self._record_online(request.work_class, now_ms)
+        if request.work_class is WorkClass.ONLINE:
             self._limits.observe_online_start(self._held.online, now_ms)
-        return Granted(ask, ask.attempt_id, self.valid_ms)
+        return Granted(request, request.attempt_id, self.valid_ms)
 
     def _record_online(self, work_class: WorkClass, now_ms: float) -> None:
         if work_class is WorkClass.ONLINE:
             self._last_online_ms = now_ms
             self._record_peak(now_ms)
 
-    def _repeat_answer(self, ask: PermitAsk, held: OutstandingPermit) -> Action:
+    def _repeat_answer(self, request: PermitAsk, held: OutstandingPermit) -> Action:
         if held.revoked_ms is not None:
-            return Refused(ask, ResultCode.REVOKED, 0)
-        return Granted(ask, held.permit_id, self.valid_ms)
+            return Refused(request, ResultCode.REVOKED, 0)
+        return Granted(request, held.permit_id, self.valid_ms)
 
     def _record_end(self, permit_id: str, now_ms: float) -> None:
         self._ended.pop(permit_id, None)
@@ -435,8 +437,8 @@
         hold_ms = self._evidence.online_hold_ms(self._terms.objectives.first_token_ms)
         return (ahead + 1) * hold_ms / self._hard_limit()
 
-    def _retry_after_ms(self, ask: PermitAsk, now_ms: float) -> int:
-        if ask.work_class is WorkClass.ONLINE:
+    def _retry_after_ms(self, request: PermitAsk, now_ms: float) -> int:
+        if request.work_class is WorkClass.ONLINE:
             return max(int(self._online_wait_ms(self._waiting.expected_online_starts())), 1)
         ready_ms = max(self._rebuild_until_ms, self._next_batch_start_ms) - now_ms
         return max(int(ready_ms), self._settings.adjust_ms)
--- a/src/fescuedock/core/permits/queued.py
+++ b/src/fescuedock/core/permits/queued.py
@@ -48,7 +48,7 @@
 class WaitingRequest(msgspec.Struct, frozen=True):
     """One queued request with the times by which it must be answered or becomes useless."""
 
-    ask: PermitAsk
+    request: PermitAsk
     arrived_ms: float
     answer_by_ms: float
     due_ms: float
@@ -59,39 +59,39 @@
         Late requests go behind those that can still be on time: with more work than slots, first
         come, first served would make all of them late.
         """
-        target_ms = self.ask.target_ms
+        target_ms = self.request.target_ms
         return target_ms != 0 and now_ms > self.arrived_ms + target_ms
 
     def sort_key(self, now_ms: float) -> tuple[int, float]:
         """Return the sort key among requests of one class and member; lower goes first."""
-        if self.ask.work_class is WorkClass.BATCH:
-            return batch_rank(self.ask.stage, self.ask.left_ms, self.due_ms)
+        if self.request.work_class is WorkClass.BATCH:
+            return batch_rank(self.request.stage, self.request.left_ms, self.due_ms)
         return int(self.is_late(now_ms)), self.start_by_ms
 
     def is_overdue(self, now_ms: float) -> bool:
         """Whether this is batch work with a reserved share of the grants, see ``is_overdue``."""
-        return self.ask.work_class is WorkClass.BATCH and is_overdue(
-            self.ask.stage, self.due_ms - now_ms
+        return self.request.work_class is WorkClass.BATCH and is_overdue(
+            self.request.stage, self.due_ms - now_ms
         )
 
     @property
     def stage_group(self) -> int:
         """Sort key within one class and priority that precedes fair queueing between customers."""
-        return stage_group(self.ask.stage) if self.ask.work_class is WorkClass.BATCH else 0
+        return stage_group(self.request.stage) if self.request.work_class is WorkClass.BATCH else 0
 
     def waited_ms(self, now_ms: float) -> float:
         """Return how long the work has waited, including at other owners."""
-        return self.ask.waited_ms + now_ms - self.arrived_ms
+        return self.request.waited_ms + now_ms - self.arrived_ms
 
     @property
     def needs_fair_order(self) -> bool:
         """Whether the request names a customer or a priority, which then determines the order."""
-        return bool(self.ask.member or self.ask.priority)
+        return bool(self.request.member or self.request.priority)
 
     @property
     def expected_starts(self) -> float:
         """Probability that the work starts from this queue, as it may wait in several."""
-        return 1.0 / max(self.ask.queues, 1)
+        return 1.0 / max(self.request.queues, 1)
 
     @property
     def start_by_ms(self) -> float:
@@ -100,10 +100,10 @@
         Until then, a request with more slack than patience is as good as any other.  Ordering by
         slack would favour the longest answers, and fewer would be complete in time.
         """
-        if self.ask.target_ms > 0:
-            return self.arrived_ms + self.ask.target_ms
+        if self.request.target_ms > 0:
+            return self.arrived_ms + self.request.target_ms
         # Holders repeat a request from time to time, which must not cost a late one its position.
-        return self.due_ms if self.ask.target_ms else min(self.answer_by_ms, self.due_ms)
+        return self.due_ms if self.request.target_ms else min(self.answer_by_ms, self.due_ms)
 
 
 def is_overdue(stage: BatchStage, slack_ms: float) -> bool:
--- a/src/fescuedock/core/permits/waiting.py
+++ b/src/fescuedock/core/permits/waiting.py
@@ -49,29 +49,31 @@
 
     def isolated_in_order(self) -> list[WaitingRequest]:
         """Return the requests for isolated runs, next first: online before batch, by arrival."""
-        asks = [item for item in self._by_attempt.values() if item.ask.alone]
-        asks.sort(key=lambda item: (item.ask.work_class is WorkClass.BATCH, item.arrived_ms))
-        return asks
+        requests = [item for item in self._by_attempt.values() if item.request.alone]
+        requests.sort(
+            key=lambda item: (item.request.work_class is WorkClass.BATCH, item.arrived_ms)
+        )
+        return requests
 
     def expected_online_starts(self) -> float:
         """Return how many online requests will probably start here, as some wait elsewhere too."""
         return sum(
             item.expected_starts
             for item in self._by_attempt.values()
-            if item.ask.work_class is WorkClass.ONLINE
+            if item.request.work_class is WorkClass.ONLINE
         )
 
     def add(self, waiting: WaitingRequest) -> None:
-        self._by_attempt[waiting.ask.attempt_id] = waiting
-        self._counts[waiting.ask.work_class] += 1
-        self.isolated += waiting.ask.alone
+        self._by_attempt[waiting.request.attempt_id] = waiting
+        self._counts[waiting.request.work_class] += 1
+        self.isolated += waiting.request.alone
         self._fair_order_count += waiting.needs_fair_order
 
     def remove(self, attempt_id: str) -> WaitingRequest | None:
         waiting = self._by_attempt.pop(attempt_id, None)
         if waiting is not None:
-            self._counts[waiting.ask.work_class] -= 1
-            self.isolated -= waiting.ask.alone
+            self._counts[waiting.request.work_class] -= 1
+            self.isolated -= waiting.request.alone
             self._fair_order_count -= waiting.needs_fair_order
         return waiting
 
@@ -82,14 +84,16 @@
 
         ``running`` gives the number of running attempts of a member.
         """
-        asks = [item for item in self._by_attempt.values() if item.ask.work_class is work_class]
-        if not self._fair_order_count or len(asks) < 2:
-            asks.sort(key=lambda item: item.sort_key(now_ms))
+        requests = [
+            item for item in self._by_attempt.values() if item.request.work_class is work_class
+        ]
+        if not self._fair_order_count or len(requests) < 2:
+            requests.sort(key=lambda item: item.sort_key(now_ms))
         else:
-            asks = self._order(work_class).in_order(asks, self.shares, running, now_ms)
+            requests = self._order(work_class).in_order(requests, self.shares, running, now_ms)
         if work_class is WorkClass.BATCH and self._is_overdue_grant_due:
-            _put_longest_overdue_first(asks, now_ms)
-        return asks
+            _put_longest_overdue_first(requests, now_ms)
+        return requests
 
     @property
     def _is_overdue_grant_due(self) -> bool:
@@ -97,7 +101,7 @@
 
     def record_grant(self, waiting: WaitingRequest, now_ms: float) -> bool:
         """Record a grant; return whether it was the one reserved for overdue work."""
-        if waiting.ask.work_class is not WorkClass.BATCH:
+        if waiting.request.work_class is not WorkClass.BATCH:
             return False
         is_reserved_grant = self._is_overdue_grant_due and waiting.is_overdue(now_ms)
         self._grants_since_overdue = 0 if is_reserved_grant else self._grants_since_overdue + 1
@@ -114,11 +118,11 @@
 
     def charge(self, waiting: WaitingRequest, now_ms: float) -> float:
         """Charge the customer of a request that was removed for its grant; return the cost."""
-        ask = waiting.ask
-        if not waiting.needs_fair_order or not self._counts[ask.work_class]:
+        request = waiting.request
+        if not waiting.needs_fair_order or not self._counts[request.work_class]:
             return 0.0
-        order = self._order(ask.work_class)
-        return order.record_grant(waiting, self.shares.weight(ask.member), now_ms)
+        order = self._order(request.work_class)
+        return order.record_grant(waiting, self.shares.weight(request.member), now_ms)
 
     def correct_charge(self, held: OutstandingPermit, generated_tokens: int, now_ms: float) -> None:
         """Correct a customer's charge by the tokens that an attempt has generated."""
@@ -135,7 +139,7 @@
     def record_refusal(self, waiting: WaitingRequest, now_ms: float) -> None:
         """Record that work is finally refused, so that its retry goes before other work."""
         if waiting.needs_fair_order:
-            self._order(waiting.ask.work_class).refused.add(waiting.ask.work_id, now_ms)
+            self._order(waiting.request.work_class).refused.add(waiting.request.work_id, now_ms)
 
     def forget(self, running: Mapping[str, int], now_ms: float) -> None:
         """Drop state of customers that no longer affects the order."""
@@ -151,7 +155,7 @@
 
     def is_over_share(self, member: str, running: Callable[[str], int]) -> bool:
         """Whether ``member`` runs more than its share while another member waits."""
-        members = {item.ask.member for item in self._by_attempt.values()} | {member}
+        members = {item.request.member for item in self._by_attempt.values()} | {member}
         if len(members) < 2:
             return False
         total = sum(running(name) for name in members)
@@ -159,9 +163,9 @@
         return running(member) > total * self.shares.weight(member) / weight
 
 
-def _put_longest_overdue_first(asks: list[WaitingRequest], now_ms: float) -> None:
-    overdue = (item for item in asks if item.is_overdue(now_ms))
+def _put_longest_overdue_first(requests: list[WaitingRequest], now_ms: float) -> None:
+    overdue = (item for item in requests if item.is_overdue(now_ms))
     longest = min(overdue, key=lambda item: item.due_ms, default=None)
     if longest is not None:
-        asks.remove(longest)
-        asks.insert(0, longest)
+        requests.remove(longest)
+        requests.insert(0, longest)
--- a/tests/builders/permit_harness.py
+++ b/tests/builders/permit_harness.py
@@ -89,7 +89,7 @@
                 case Revoked():
                     self.revoking[action.permit_id] = action.holder_id
                 case Refused():
-                    self.waiting.pop(action.ask.attempt_id, None)
+                    self.waiting.pop(action.request.attempt_id, None)
                 case Granted():
                     self._start(action)
 
@@ -144,7 +144,7 @@
         return sum(ask.work_class is work_class for ask in self.running.values())
 
     def _start(self, action: Granted) -> None:
-        ask = action.ask
+        ask = action.request
         if self.waiting.pop(ask.attempt_id, None) is None:
             return
         self.running[ask.attempt_id] = ask
--- a/tests/test_permits_alone.py
+++ b/tests/test_permits_alone.py
@@ -36,7 +36,7 @@
         return self.queue.end(ended, now_ms)
 
     def granted(self, actions) -> list[str]:
-        return [item.ask.attempt_id for item in actions if isinstance(item, Granted)]
+        return [item.request.attempt_id for item in actions if isinstance(item, Granted)]
 
     def test_an_empty_upstream_is_granted_at_once_and_excludes_others(self) -> None:
         self.assertEqual(self.granted(self.ask("isolated", alone=True)), ["isolated"])
@@ -76,7 +76,9 @@
         self.ask("isolated", alone=True)
         self.ask("other")
         [refused] = self.queue.tick(WAIT_MS)
-        self.assertEqual((refused.ask.attempt_id, refused.code), ("other", ResultCode.NO_CAPACITY))
+        self.assertEqual(
+            (refused.request.attempt_id, refused.code), ("other", ResultCode.NO_CAPACITY)
+        )
 
     def test_a_new_owner_waits_until_running_attempts_are_reported(self) -> None:
         queue = UpstreamQueue(
--- a/tests/test_permits_overdue.py
+++ b/tests/test_permits_overdue.py
@@ -39,8 +39,8 @@
             [grant] = [
                 item for item in self.queue.end(end, self.now_ms) if isinstance(item, Granted)
             ]
-            self.running = grant.ask
-            granted.append(grant.ask)
+            self.running = grant.request
+            granted.append(grant.request)
         return granted
 
     def test_late_work_is_granted_however_much_other_work_arrives(self) -> None:
--- a/tests/test_permits_queue.py
+++ b/tests/test_permits_queue.py
@@ -101,7 +101,7 @@
         late = ask_for(member="m2", wait_ms=60_000, slack_ms=60_000)
         queue.submit(late, 2.0)
         actions = queue.end(end_of(running[0], AttemptOutcome.COMPLETED), 3.0)
-        self.assertEqual([item.ask.attempt_id for item in actions], [late.attempt_id])
+        self.assertEqual([item.request.attempt_id for item in actions], [late.attempt_id])
 
     def test_a_refusal_is_immediate_and_gives_a_retry_time(self) -> None:
         queue = full_queue()
--- a/tests/test_permits_shares.py
+++ b/tests/test_permits_shares.py
@@ -44,7 +44,7 @@
         self.now_ms += 1.0
         ended = end_of(self.running.pop(0), AttemptOutcome.COMPLETED)
         actions = self.queue.end(ended, self.now_ms)
-        granted = [item.ask for item in actions if isinstance(item, Granted)]
+        granted = [item.request for item in actions if isinstance(item, Granted)]
         self.running += granted
         return granted[0] if granted else None
 
@@ -226,7 +226,7 @@
         for _ in range(40):
             full.queue.submit(ask_for(member="big", wait_ms=150, slack_ms=2000, target_ms=250), 1.0)
         ask = ask_for(member="small", wait_ms=150, slack_ms=2000, target_ms=250)
-        refused = [item.ask.member for item in full.queue.submit(ask, 1.0)]
+        refused = [item.request.member for item in full.queue.submit(ask, 1.0)]
         self.assertNotIn("small", refused)
 
     def test_retried_work_goes_before_new_work_every_other_time(self) -> None:
--- a/tests/test_permits_shares_stateful.py
+++ b/tests/test_permits_shares_stateful.py
@@ -36,11 +36,11 @@
         granted = []
         for action in actions:
             if isinstance(action, Granted | Refused):
-                self.waiting.pop(action.ask.attempt_id, None)
+                self.waiting.pop(action.request.attempt_id, None)
             if isinstance(action, Granted):
-                self.check_order(action.ask)
-                self.running[action.ask.attempt_id] = action.ask
-                granted.append(action.ask)
+                self.check_order(action.request)
+                self.running[action.request.attempt_id] = action.request
+                granted.append(action.request)
         return granted
 
     def check_order(self, granted: PermitAsk) -> None:
--- a/tests/test_send_gate.py
+++ b/tests/test_send_gate.py
@@ -86,7 +86,7 @@
         held = self.held(1900.0)
         book = GrantRegistry()
         book.add(held)
-        book.record_renewal([held.ask.attempt_id], 2600.0)
+        book.record_renewal([held.request.attempt_id], 2600.0)
         self.assertEqual(held.sendable_until_ms, 2600.0)
 
 
