--- a/src/fescuedock/core/permits/limits.py
+++ b/src/fescuedock/core/permits/limits.py
@@ -105,7 +105,7 @@
         self._arrivals_ms: deque[float] = deque()
         self._revocation = DecayedMean(half_life_ms)
         self._engine_cap = float(settings.max_limit)
-        self._capped_ms = now_ms
+        self._engine_cap_ms = now_ms
 
     @property
     def hard(self) -> int:
@@ -115,10 +115,10 @@
     def mixed(self, now_ms: float) -> int:
         """Number of attempts that may run at once while both batch and online run."""
         weight = self.objectives.online_weight
-        bearable = min(self._mixed.value, self._hard.value)
+        sustainable = min(self._mixed.value, self._hard.value)
         own_peak = self._peak.value(now_ms) * (1.0 + self._settings.tail_rise)
-        peak = min(own_peak, bearable)
-        return max(int(weight * peak + (1.0 - weight) * bearable), 1)
+        peak = min(own_peak, sustainable)
+        return max(int(weight * peak + (1.0 - weight) * sustainable), 1)
 
     def headroom(self, now_ms: float) -> float:
         """Return the room to keep free for an online burst within one revocation time."""
@@ -138,8 +138,8 @@
             self._arrivals_ms.popleft()
         self._burst.add(len(self._arrivals_ms), now_ms)
 
-    def observe_revocation(self, took_ms: float, now_ms: float) -> None:
-        self._revocation.add(took_ms, now_ms)
+    def observe_revocation(self, duration_ms: float, now_ms: float) -> None:
+        self._revocation.add(duration_ms, now_ms)
 
     def observe_attempt(self, sample: AttemptSample, now_ms: float) -> None:
         """Record the latency of an online attempt; misses beyond the permitted share cut a limit.
@@ -172,7 +172,7 @@
         if running < self._hard.value:
             self._hard.cut(running, now_ms)
         self._engine_cap = running
-        self._capped_ms = now_ms
+        self._engine_cap_ms = now_ms
 
     def online_cost(self) -> float:
         """Return how much of the mixed limit one online attempt uses."""
@@ -193,11 +193,11 @@
         misses = limit.misses.value(0.0)
         if not limit.is_evidence(sample) or misses * limit.misses.weight < _MIN_MISSES:
             return
-        if misses > share * self._allowed:
+        if misses > share * self._permitted_misses:
             limit.cut(sample.concurrency.in_flight * self._settings.limit_cut, now_ms)
 
     @property
-    def _allowed(self) -> float:
+    def _permitted_misses(self) -> float:
         return 1.0 - self.objectives.online_share
 
     def _ceiling(self, now_ms: float) -> float:
@@ -205,7 +205,7 @@
 
         It is the capacity that the engine has shown, and rises beyond that only after a while.
         """
-        age = (now_ms - self._capped_ms) / self._settings.peak_half_life_ms
+        age = (now_ms - self._engine_cap_ms) / self._settings.peak_half_life_ms
         return min(self._engine_cap * max(age, 1.0), self._settings.max_limit)
 
     def _raise(self, limit: _Limit, used: float, ceiling: float, now_ms: float) -> None:
@@ -215,7 +215,7 @@
             return
         if now_ms - limit.raised_ms < self._settings.adjust_ms:
             return
-        if limit.misses.value(0.0) > _RAISE_SHARE * self._allowed:
+        if limit.misses.value(0.0) > _RAISE_SHARE * self._permitted_misses:
             return
         step = self._settings.limit_step
         if not limit.was_cut:
--- a/src/fescuedock/core/quarantine.py
+++ b/src/fescuedock/core/quarantine.py
@@ -223,24 +223,24 @@
         weight = sum(
             self._weight(trait, report) for report in reports if not self._is_explained(report)
         )
-        standing = (
+        restriction = (
             Restriction.ALONE if weight >= self._policy.isolation_weight else Restriction.FREE
         )
-        return Verdict(standing, crashes, trait=trait)
+        return Verdict(restriction, crashes, trait=trait)
 
     def _verdict_on_cause(
         self, trait: str, reports: list[CrashReport], crashes: int, now_ms: float
     ) -> Verdict:
         policy = self._policy
         pauses_ms = policy.part_retry_pauses_ms if is_part(trait) else policy.retry_pauses_ms
-        by_itself = [item for item in reports if self._was_isolated(trait, item)]
-        shown_by = by_itself or [
+        isolated_reports = [item for item in reports if self._was_isolated(trait, item)]
+        proofs = isolated_reports or [
             item for item in reports if self._was_meant_to_be_isolated(trait, item)
         ]
-        unsettled_ms = max(item.at_ms for item in shown_by) + policy.same_crash_ms - now_ms
+        unsettled_ms = max(item.at_ms for item in proofs) + policy.same_crash_ms - now_ms
         if unsettled_ms > 0:
             return Verdict(Restriction.UNSETTLED, crashes, unsettled_ms, trait)
-        chances = max(self._count_crashes(by_itself) - self._min_units_of_work(trait), 0) + 1
+        chances = max(self._count_crashes(isolated_reports) - self._min_units_of_work(trait), 0) + 1
         pause_ms = pauses_ms[chances - 1] if chances <= len(pauses_ms) else policy.retention_ms
         left_ms = max(report.at_ms for report in reports) + pause_ms - now_ms
         if left_ms <= 0:
--- a/tests/test_quota_partition.py
+++ b/tests/test_quota_partition.py
@@ -101,7 +101,7 @@
     def test_two_halves_of_a_fleet_stay_within_one_limit(self) -> None:
         self.check(dict.fromkeys(range(NODES // 2), 1))
 
-    def test_nodes_cut_off_one_by_one_stay_within_one_limit(self) -> None:
+    def test_individually_cut_off_nodes_stay_within_one_limit(self) -> None:
         self.check({node: node + 1 for node in range(NODES // 2)})
 
 
