--- a/src/fescuedock/core/admission.py
+++ b/src/fescuedock/core/admission.py
@@ -115,6 +115,7 @@
     def _refusal_when_full(
         self, member: str, shares: Mapping[str, float], total: int
     ) -> Fault | None:
+        """Return why a full entry refuses a request, or None if it still admits it."""
         own = self._in_flight.get(member, 0)
         active = {*self._in_flight, member}
         weight = sum(shares.get(name, 1.0) for name in active)
--- a/src/fescuedock/core/health.py
+++ b/src/fescuedock/core/health.py
@@ -29,7 +29,12 @@
 
 
 class HealthPolicy(msgspec.Struct, frozen=True):
-    """Thresholds of ``HealthTracker``; scores are in units of ``FAULT_WEIGHTS``."""
+    """Thresholds of ``HealthTracker``; scores are in units of ``FAULT_WEIGHTS``.
+
+    An upstream whose score reaches ``out_score`` is taken out of service, and returns after
+    ``required_trials`` successful trials.  At most ``max_out_share`` of the fleet's upstreams are
+    out at once.
+    """
 
     out_score: float = 6.0
     success_credit: float = 1.0
@@ -42,6 +47,8 @@
 
 
 class _Record(msgspec.Struct):
+    """The score of one upstream and, while it is out of service, its trials."""
+
     score: float = 0.0
     scored_at_ms: float = 0.0
     out: bool = False
@@ -127,6 +134,7 @@
         record.next_trial_ms = now_ms + record.trial_interval_ms
 
     def _observe_trial(self, record: _Record, outcome: AttemptOutcome, now_ms: float) -> None:
+        """Record the outcome of a trial; a fault doubles the wait before the next one."""
         if record.trial_ends_ms is None:
             # The attempt started before the upstream was taken out, so it is not a trial.
             return
--- a/src/fescuedock/core/permits/holder.py
+++ b/src/fescuedock/core/permits/holder.py
@@ -78,9 +78,9 @@
     """Return when a permit has certainly expired, given when its request was sent and answered.
 
     Its owner counts from the grant, which happened before the answer arrived and no later than the
-    request may wait.  Counting from the sending would expire a permit that was queued for its whole
-    validity before its first use; counting from the answer alone would keep one whose answer was
-    left unread for long.
+    request may wait.  Counting from the sending, a permit that was queued for its whole validity
+    would never be used; counting from the answer alone, a permit whose answer was not read for long
+    would be used after its expiry.
     """
     return min(arrived_ms, sent_ms + wait_ms) + valid_ms
 
@@ -122,6 +122,7 @@
     def record_renewal(
         self, permit_ids: list[str], valid_until_ms: float, renew_at_ms: float = 0.0
     ) -> None:
+        """Extend the permits that their owner has renewed."""
         for permit_id in permit_ids:
             grant = self._grants.get(permit_id)
             if grant is not None:
--- a/src/fescuedock/core/permits/limits.py
+++ b/src/fescuedock/core/permits/limits.py
@@ -80,6 +80,7 @@
             self.raise_confirmed = True
 
     def is_evidence(self, sample: AttemptSample) -> bool:
+        """Whether an attempt started after the last cut and ran under the limit."""
         under = sample.concurrency.in_flight <= self.value + 1.0
         return under and sample.since_ms >= self.cut_ms
 
--- a/src/fescuedock/core/permits/queue.py
+++ b/src/fescuedock/core/permits/queue.py
@@ -168,6 +168,7 @@
         return bool(self._waiting.count(work_class))
 
     def load(self, now_ms: float) -> LoadSnapshot:
+        """Return the load snapshot that replies to holders carry."""
         queued = self._waiting.expected_online_starts()
         # Protected batch runs keep slots from online requests just as online attempts do.
         protected = self._protected_batch(now_ms)
@@ -203,6 +204,7 @@
         return [Refused(request, code, 0) for request in requests]
 
     def _serve(self, now_ms: float) -> list[Action]:
+        """Grant, refuse and revoke as the current state permits."""
         if not self.accepting:
             return self.refuse_all(ResultCode.NO_CAPACITY)
         if self._is_reserved:
@@ -302,6 +304,7 @@
         return Refused(waiting.request, code, max(int(wait_ms), 1))
 
     def _revoke_excess_batch(self, now_ms: float) -> list[Action]:
+        """Revoke the batch permits beyond the limit that online leaves."""
         limit = self._batch_limit(now_ms)
         if self._terms.slots:
             # A recent online peak prevents new batch attempts; running ones continue while slots
@@ -350,6 +353,7 @@
         return actions
 
     def _has_batch_room(self, now_ms: float) -> bool:
+        """Whether a batch attempt may start now."""
         if now_ms < self._rebuild_until_ms or now_ms < self._next_batch_start_ms:
             return False
         if self._waiting.count(WorkClass.ONLINE):
--- a/src/fescuedock/core/quarantine.py
+++ b/src/fescuedock/core/quarantine.py
@@ -211,6 +211,7 @@
                 del known[key]
 
     def _verdict_on(self, trait: str, traits: Collection[str], now_ms: float) -> Verdict:
+        """Return how work with ``traits`` may run as far as one of them is concerned."""
         reports = self._reports_against(trait)
         crashes = self._count_crashes(reports)
         if trait in self._known_causes():
@@ -231,6 +232,7 @@
     def _verdict_on_cause(
         self, trait: str, reports: list[CrashReport], crashes: int, now_ms: float
     ) -> Verdict:
+        """Return the verdict on a known cause, which depends on the time since its crashes."""
         policy = self._policy
         pauses_ms = policy.part_retry_pauses_ms if is_part(trait) else policy.retry_pauses_ms
         isolated_reports = [item for item in reports if self._was_isolated(trait, item)]
@@ -302,10 +304,11 @@
         )
 
     def _has_varying_concurrent_runs(self, trait: str, reports: list[CrashReport]) -> bool:
-        """Whether runs meant to be isolated crashed upstreams with different runs each time.
+        """Whether runs meant to be isolated crashed upstreams with different concurrent runs.
 
-        No trait of the other runs may recur in these crashes.  Where owners do not respond, calls
-        run without their permits, concurrently with isolated runs.
+        A crash counts if its other runs share no trait with those of the crashes counted before.
+        Where owners do not respond, calls run without their permits, concurrently with isolated
+        runs.
         """
         seen_concurrent: set[str] = set()
         work_ids: set[str] = set()
--- a/src/fescuedock/core/quotas.py
+++ b/src/fescuedock/core/quotas.py
@@ -227,6 +227,8 @@
 
 
 class _Share(msgspec.Struct):
+    """The bucket of an owned share; a share owned since another time gets a new one."""
+
     since_ms: float
     bucket: SendBucket
     # Whether the bucket has received its start credit.
