--- a/src/fescuedock/core/permits/limits.py
+++ b/src/fescuedock/core/permits/limits.py
@@ -106,7 +106,7 @@
         self._arrivals_ms: deque[float] = deque()
         self._revocation = DecayedMean(half_life_ms)
         self._engine_cap = float(settings.max_limit)
-        self._engine_cap_ms = now_ms
+        self._engine_cap_seen_ms = now_ms
 
     @property
     def hard(self) -> int:
@@ -173,7 +173,7 @@
         if running < self._hard.value:
             self._hard.cut(running, now_ms)
         self._engine_cap = running
-        self._engine_cap_ms = now_ms
+        self._engine_cap_seen_ms = now_ms
 
     def online_cost(self) -> float:
         """Return how much of the mixed limit one online attempt uses."""
@@ -206,7 +206,7 @@
 
         It is the capacity that the engine has shown, and rises beyond that only after a while.
         """
-        age = (now_ms - self._engine_cap_ms) / self._settings.peak_half_life_ms
+        age = (now_ms - self._engine_cap_seen_ms) / self._settings.peak_half_life_ms
         return min(self._engine_cap * max(age, 1.0), self._settings.max_limit)
 
     def _raise(self, limit: _Limit, used: float, ceiling: float, now_ms: float) -> None:
