--- a/bench/mix_actors.py
+++ b/bench/mix_actors.py
@@ -15,17 +15,17 @@
 from bench.virtual import Attempt, VirtualEngine, VirtualLoop
 from fescuedock.core.admission import Admission
 from fescuedock.core.permits.actions import Action, Granted, Refused, Revoked
-from fescuedock.core.permits.holder import HeldGrant, HolderBook, LocalLimit
+from fescuedock.core.permits.holder import GrantRegistry, HeldGrant, LocalLimit
 from fescuedock.core.permits.owner import OwnedUpstream, PermitOwner
 from fescuedock.core.permits.terms import UpstreamTerms
 from fescuedock.core.route_learning import SilentOwners
 from fescuedock.core.routing import (
-    Ask,
     Candidate,
     Demand,
+    PlannedRequest,
     RoutingPolicy,
     choose_upstreams,
-    plan_asks,
+    plan_requests,
 )
 from fescuedock.schema.permits import (
     AttemptOutcome,
@@ -42,7 +42,7 @@
 if TYPE_CHECKING:
     from bench.mix_runs import Plan
 
-__all__ = ["BatchRunner", "Entry", "Fleet", "OnlineResult", "OwnerHost", "OwnerFactory"]
+__all__ = ["BatchRunner", "Entry", "Fleet", "OnlineResult", "OwnerFactory", "OwnerHost"]
 
 WORKERS = 6
 HOP_MS = 1.0
@@ -88,7 +88,7 @@
             return
         self._holders[holder.holder_id] = holder
         self._replies[ask.attempt_id] = reply
-        self._perform(self.core.ask(ask, self.fleet.loop.now_ms))
+        self._perform(self.core.submit(ask, self.fleet.loop.now_ms))
 
     def renew(self, message: PermitRenew, holder: "Holder", reply: Callable) -> None:
         if not self.alive:
@@ -126,7 +126,7 @@
                 decided_ms = self.fleet.loop.now_ms
                 self.fleet.loop.after(HOP_MS, holder.revoke, action.permit_id, decided_ms)
                 continue
-            reply = self._replies.pop(action.ask.attempt_id, None)
+            reply = self._replies.pop(action.request.attempt_id, None)
             if reply is not None:
                 load = self.core.load(self.upstream_id, self.fleet.loop.now_ms)
                 self.fleet.loop.after(HOP_MS, reply, action, load)
@@ -139,7 +139,7 @@
         self.fleet = fleet
         self.holder_id = holder_id
         self.loads: dict[str, tuple[LoadSnapshot, float]] = {}
-        self._book = HolderBook()
+        self._book = GrantRegistry()
         self._numbers = itertools.count()
         self._reporting = False
         fleet.loop.after(VALID_MS / 3, self._renew)
@@ -164,7 +164,7 @@
             elif action is None:
                 outcome = AttemptOutcome.CANCELLED
                 given_up = EndedPermit(ask.attempt_id, ask.upstream_id, outcome, ask.work_class)
-                self._book.give_up(given_up)
+                self._book.abandon(given_up)
                 self._report_soon()
             done(action)
 
@@ -189,7 +189,7 @@
 
     def _report(self) -> None:
         self._reporting = False
-        for ended in self._book.take_ended():
+        for ended in self._book.drain_ended():
             message = PermitsEnded(self.holder_id, [ended])
             self.fleet.loop.after(HOP_MS, self.fleet.owners[ended.upstream_id].end, message)
 
@@ -198,7 +198,7 @@
         groups: dict[str, list[HeldGrant]] = {}
         for grant in self._book:
             if not grant.local:
-                groups.setdefault(grant.ask.upstream_id, []).append(grant)
+                groups.setdefault(grant.request.upstream_id, []).append(grant)
         for upstream_id, group in groups.items():
             message = PermitRenew(self.holder_id, [grant.as_held(sent_ms) for grant in group])
             host = self.fleet.owners[upstream_id]
@@ -211,7 +211,9 @@
         def take(reply: object) -> None:
             for load in reply.loads:
                 self.loads[load.upstream_id] = (load, self.fleet.loop.now_ms)
-            self._book.renewed([grant.ask.attempt_id for grant in group], sent_ms + reply.valid_ms)
+            self._book.record_renewal(
+                [grant.request.attempt_id for grant in group], sent_ms + reply.valid_ms
+            )
             for permit_id in reply.revoked:
                 self.revoke(permit_id)
 
@@ -256,7 +258,7 @@
             result.refused = True
             return
         slack_ms = left_ms - run_ms
-        asks = deque(plan_asks(choices, slack_ms, self._policy))
+        asks = deque(plan_requests(choices, slack_ms, self._policy))
         self._ask_next(result, asks, avoid, slack_ms)
 
     def _candidate(self, upstream_id: str) -> Candidate:
@@ -267,7 +269,11 @@
         return Candidate(upstream_id, HOP_MS, fresh, silent)
 
     def _ask_next(
-        self, result: OnlineResult, asks: deque[Ask], avoid: frozenset[str], slack_ms: float
+        self,
+        result: OnlineResult,
+        asks: deque[PlannedRequest],
+        avoid: frozenset[str],
+        slack_ms: float,
     ) -> None:
         if not asks:
             result.refused = True
@@ -275,7 +281,7 @@
         step = asks.popleft()
         message = self._message(result, step, slack_ms)
         if step.local:
-            if self._local.try_take(step.upstream_id):
+            if self._local.try_acquire(step.upstream_id):
                 self.hold_local(message)
                 self._run(result, message, avoid, local=True)
             else:
@@ -287,13 +293,13 @@
                 self._run(result, message, avoid, local=False)
                 return
             if action is None:
-                self._silent.note_silent(step.upstream_id, self.fleet.loop.now_ms)
-                asks.append(Ask(step.upstream_id, local=True))
+                self._silent.record_silence(step.upstream_id, self.fleet.loop.now_ms)
+                asks.append(PlannedRequest(step.upstream_id, local=True))
             self._ask_next(result, asks, avoid, slack_ms)
 
         self.ask(message, done)
 
-    def _message(self, result: OnlineResult, step: Ask, slack_ms: float) -> PermitAsk:
+    def _message(self, result: OnlineResult, step: PlannedRequest, slack_ms: float) -> PermitAsk:
         return PermitAsk(
             upstream_id=step.upstream_id,
             attempt_id=self.next_attempt(),
@@ -317,7 +323,7 @@
             span = (run.started_ms, self.fleet.loop.now_ms)
             self.fleet.spans.setdefault(ask.upstream_id, []).append(span)
             if local:
-                self._local.give_back(ask.upstream_id)
+                self._local.release(ask.upstream_id)
             ended = run.ended(whole)
             self.end(ended)
             if whole:
--- a/src/fescuedock/agent/crash_service.py
+++ b/src/fescuedock/agent/crash_service.py
@@ -18,7 +18,7 @@
 from fescuedock.address import Address
 from fescuedock.agent.link import FleetView
 from fescuedock.clock import UnixClock, now_ms
-from fescuedock.core.crash_log import CrashFact, CrashLog, audience_of, facts_of, news_of
+from fescuedock.core.crash_log import CrashFact, CrashLog, facts_of, message_of, receivers_of
 from fescuedock.core.quarantine import QuarantinePolicy, traits_of
 from fescuedock.core.rendezvous import choose_name
 from fescuedock.kv import KvEntry, KvStore
@@ -46,7 +46,7 @@
 __all__ = ["CrashService"]
 
 _REPORT_ID_BYTES = 12
-_SAME_END_WINDOW_MS = QuarantinePolicy().same_end_ms
+_SAME_END_WINDOW_MS = QuarantinePolicy().same_crash_ms
 # A crashing process may still accept connections after its existing ones were cut.
 _SECOND_CONNECT_DELAY_S = 0.05
 # Runs broken off by the same crash are reported within milliseconds of each other.
@@ -162,7 +162,7 @@
             facts = facts_of(news)
             self._stored_at_ms[entry.key] = max((fact.at_ms for fact in facts), default=-math.inf)
             for fact in facts:
-                if not self._view.quarantine.is_forgotten(fact.at_ms, self._now_ms()):
+                if not self._view.quarantine.is_expired(fact.at_ms, self._now_ms()):
                     self._apply_fact(fact)
 
     # --- programs --------------------------------------------------------------------------------
@@ -171,7 +171,7 @@
         if message.looks_whole and message.given_up:
             # The permit of an isolated run was returned; the run itself was reported before.
             if message.upstream_id in self._broken:
-                self._broken[message.upstream_id].note_returned(message.work_id)
+                self._broken[message.upstream_id].record_returned(message.work_id)
             return
         upstream = self._view.upstreams.get(message.upstream_id)
         known = self._has_just_ended(message.upstream_id) or message.upstream_id in self._broken
@@ -206,7 +206,7 @@
             self._publish(WorkCleared(_new_id(), trait, reports, int(self._now_ms())))
 
     async def _on_request(self, message: CrashesRequest, _peer: ServerPeer) -> CrashesReply:
-        seen = self._log.seen_of(message.agent_boot, message.seen)
+        seen = self._log.known_count(message.agent_boot, message.seen)
         with trio.move_on_after(min(message.wait_ms, _MAX_WAIT_MS) / 1000):
             while self._log.length <= seen:
                 await self._changed.wait()
@@ -228,14 +228,14 @@
             if upstream.leaving:
                 break
             started_ms = now_ms()
-            if broken_runs.wants_look(started_ms):
+            if broken_runs.needs_probe(started_ms):
                 acceptance = await self._connect_twice(Address(upstream.host, upstream.port))
                 if acceptance is Acceptance.REFUSED:
                     await self._report_end(upstream_id, refused=True)
                     return
                 if acceptance is Acceptance.ACCEPTED:
-                    broken_runs.note_up(started_ms)
-            for run in broken_runs.take_whole(now_ms()):
+                    broken_runs.record_up(started_ms)
+            for run in broken_runs.drain_complete(now_ms()):
                 self._record_completed_run(run)
             await trio.sleep(broken_runs.pause_ms(now_ms()) / 1000)
         del self._broken[upstream_id]
@@ -245,7 +245,7 @@
 
     def _record_completed_run(self, run: BrokenRun) -> None:
         """Record that a run that looked complete is complete, as its upstream keeps running."""
-        self._view.sound_parts.note(run.parts, now_ms())
+        self._view.sound_parts.record(run.parts, now_ms())
         for trait in (run.work_id, *run.parts):
             self._void_reports(trait)
 
@@ -253,10 +253,10 @@
         """Report the runs at an upstream when it ended."""
         if not self._has_just_ended(upstream_id):
             self._ended_ms[upstream_id] = now_ms()
-        if not self._broken[upstream_id].has_alone:
+        if not self._broken[upstream_id].has_isolated:
             # Nothing runs concurrently with an isolated run, and its retry may be imminent.
             await trio.sleep(_GATHER_PAUSE_S)
-        broken = self._broken.pop(upstream_id).take_ended(refused=refused)
+        broken = self._broken.pop(upstream_id).drain_ended(refused=refused)
         runs = [
             CrashedRun(item.work_id, item.alone, item.begun, item.given_up, item.parts)
             for item in broken
@@ -300,7 +300,7 @@
             self._wake_sender()
 
     def _apply_fact(self, fact: CrashFact) -> bool:
-        if not self._log.note(fact):
+        if not self._log.record(fact):
             return False
         self._view.notify_quarantine_changed()
         self._changed.set()
@@ -327,7 +327,7 @@
             routine=verdict.crashes < 2,
             work_id=trait,
             crashes=verdict.crashes,
-            standing=verdict.standing.name,
+            standing=verdict.restriction.name,
         )
 
     async def _send_forever(self) -> None:
@@ -338,13 +338,13 @@
             relayed, self._to_relay = self._to_relay, []
             vms = self._view.live_vms()
             if found:
-                targets = audience_of(self._view.vm_id, found[0].report_id, vms)
-                await self._push(targets.direct, news_of(found))
-                await self._push(targets.relays, news_of(found, relay=True))
+                targets = receivers_of(self._view.vm_id, found[0].report_id, vms)
+                await self._push(targets.direct, message_of(found))
+                await self._push(targets.relays, message_of(found, relay=True))
             if relayed:
                 own = self._view.vms.get(self._view.vm_id)
                 same_domain = [vm for vm in vms if own and vm.failure_domain == own.failure_domain]
-                await self._push(same_domain, news_of(relayed))
+                await self._push(same_domain, message_of(relayed))
 
     async def _push(self, vms: Iterable[VmRecord], news: CrashNews) -> None:
         for vm in vms:
@@ -366,7 +366,7 @@
 
     async def _write(self, facts: list[CrashFact]) -> None:
         key = f"{self._prefix}{_new_id()}"
-        value = msgspec.msgpack.encode(news_of(facts))
+        value = msgspec.msgpack.encode(message_of(facts))
         pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         while True:
             written = await self._kv.put_if(key, value, 0)
@@ -379,7 +379,7 @@
         """Remove expired reports from the key-value service; all agents choose one to do it."""
         vm_ids = [vm.vm_id for vm in self._view.live_vms()]
         for key, at_ms in list(self._stored_at_ms.items()):
-            if not self._view.quarantine.is_forgotten(at_ms, self._now_ms()):
+            if not self._view.quarantine.is_expired(at_ms, self._now_ms()):
                 continue
             del self._stored_at_ms[key]
             if choose_name(key, vm_ids) == self._view.vm_id:
--- a/src/fescuedock/agent/link.py
+++ b/src/fescuedock/agent/link.py
@@ -139,7 +139,7 @@
         """Whether an upstream was reported to have ended in the last ``_RECENT_END_MS``."""
         self.unix_clock = self.unix_clock or unix_clock()
         since_ms = self.unix_clock() * 1000.0 - _RECENT_END_MS
-        return self.quarantine.has_ended_since(upstream_id, since_ms)
+        return self.quarantine.has_crashed_since(upstream_id, since_ms)
 
     def notify_quarantine_changed(self) -> None:
         """Wake the tasks that wait for a change of ``quarantine``."""
@@ -276,7 +276,7 @@
         match await link.call(request, request.wait_ms + _CALL_TIMEOUT_MS):
             case Ok(CrashesReply() as reply):
                 for fact in facts_of(reply.news):
-                    view.quarantine.note(fact)
+                    view.quarantine.record(fact)
                 view.notify_quarantine_changed()
                 request = CrashesRequest(reply.agent_boot, reply.seen, _POLL_WAIT_MS)
             case _:
--- a/src/fescuedock/agent/permit_client.py
+++ b/src/fescuedock/agent/permit_client.py
@@ -19,10 +19,10 @@
 from fescuedock.address import Address
 from fescuedock.agent.peers import PeerChannels
 from fescuedock.clock import now_ms
-from fescuedock.core.permits.holder import HeldGrant, HolderBook, LocalLimit, lapsed_by_ms
+from fescuedock.core.permits.holder import GrantRegistry, HeldGrant, LocalLimit, lapsed_by_ms
 from fescuedock.core.permits.queued import is_overdue
-from fescuedock.core.recent_runs import RecentRuns
-from fescuedock.core.route_learning import UnansweredAsks
+from fescuedock.core.recent_runs import AbandonedRuns
+from fescuedock.core.route_learning import UnansweredRequests
 from fescuedock.faults import Fault
 from fescuedock.log import log_event
 from fescuedock.net.channel import CallHandler, ChannelClient, Push
@@ -83,30 +83,30 @@
 
     @property
     def permit_id(self) -> str:
-        return self._held.ask.attempt_id
+        return self._held.request.attempt_id
 
     @property
     def upstream_id(self) -> str:
-        return self._held.ask.upstream_id
+        return self._held.request.upstream_id
 
     @property
     def work_class(self) -> WorkClass:
-        return self._held.ask.work_class
+        return self._held.request.work_class
 
     @property
     def member(self) -> str:
         """The member from whose share it was granted."""
-        return self._held.ask.member
+        return self._held.request.member
 
     @property
     def is_overdue(self) -> bool:
         """Whether it was requested for overdue batch work."""
-        return is_overdue(self._held.ask.stage, self._held.ask.slack_ms)
+        return is_overdue(self._held.request.stage, self._held.request.slack_ms)
 
     @property
     def work_id(self) -> str:
         """The identity of the unit of work that runs under it; empty while none is assigned."""
-        return self._held.ask.work_id
+        return self._held.request.work_id
 
     @property
     def parts(self) -> tuple[str, ...]:
@@ -116,7 +116,7 @@
     @property
     def isolated(self) -> bool:
         """Whether its owner lets nothing else run at the upstream at the same time."""
-        return self._held.ask.alone
+        return self._held.request.alone
 
     @property
     def sendable_until_ms(self) -> float:
@@ -150,7 +150,7 @@
 
     def assign_work(self, work_id: str, parts: tuple[str, ...] = ()) -> None:
         """Assign the work to a permit that was requested before the work was chosen."""
-        self._held.ask = msgspec.structs.replace(self._held.ask, work_id=work_id)
+        self._held.request = msgspec.structs.replace(self._held.request, work_id=work_id)
         self._held.parts = parts
 
     def update_work_state(
@@ -160,8 +160,8 @@
 
         ``barren_runs`` is the number of its previous runs without output.
         """
-        self._held.ask = msgspec.structs.replace(
-            self._held.ask,
+        self._held.request = msgspec.structs.replace(
+            self._held.request,
             stage=stage,
             slack_ms=int(slack_ms),
             left_ms=int(left_ms),
@@ -204,15 +204,15 @@
         self._view = view
         self._channels = channels
         self._handlers = handlers
-        self._book = HolderBook()
+        self._book = GrantRegistry()
         self._grants: dict[str, Grant] = {}
         self._valid_ms = settings.agent.permit_valid_ms if settings.agent else _DEFAULT_VALID_MS
         self._permit_ended = trio.Event()
         self._own_agent = Address(settings.vm.host, settings.agent.port) if settings.agent else None
         # Reports on runs to send to this VM's agent, in order.
         self._unsent_reports: list[BrokenRun | WholeRun] = []
-        self._abandoned_runs = RecentRuns()
-        self._unanswered = UnansweredAsks()
+        self._abandoned_runs = AbandonedRuns()
+        self._unanswered = UnansweredRequests()
         self._rng = random.Random(holder_id)
         self._nursery: trio.Nursery | None = None
         # Attempts with a request in progress; True if a revocation arrived before the grant.
@@ -221,7 +221,7 @@
     @property
     def is_unanswered(self) -> bool:
         """Whether no owner has answered this client for seconds; other nodes may be unaffected."""
-        return self._unanswered.is_long(now_ms())
+        return self._unanswered.is_persistent(now_ms())
 
     async def request(
         self, ask: PermitAsk, timeout_ms: float, parts: tuple[str, ...] = ()
@@ -258,11 +258,11 @@
                     reply = await channel.call(ask, timeout_ms)
                 answered = reply.is_ok()
                 if answered:
-                    self._unanswered.note_answer()
+                    self._unanswered.record_answer()
                 else:
-                    self._unanswered.note_silence(now_ms())
+                    self._unanswered.record_silence(now_ms())
                 return reply.and_then(lambda found: self._handle_reply(ask, found, sent_ms, parts))
-            self._unanswered.note_silence(now_ms())
+            self._unanswered.record_silence(now_ms())
             return Err(Fault(ResultCode.PEER_UNKNOWN, f"no answer for {ask.upstream_id}"))
         finally:
             self._pending_requests.pop(ask.attempt_id, None)
@@ -275,7 +275,9 @@
         Return ``NO_CAPACITY`` when the local limit is used up, and for batch work, which must wait;
         ``NOT_OWNER`` when the upstream has gone or is leaving.
         """
-        if ask.work_class is not WorkClass.ONLINE or not self.local_limit.try_take(ask.upstream_id):
+        if ask.work_class is not WorkClass.ONLINE or not self.local_limit.try_acquire(
+            ask.upstream_id
+        ):
             message = f"no local capacity at {ask.upstream_id}"
             return Err(Fault(ResultCode.NO_CAPACITY, message, self._settings.adjust_ms))
         return self._grant(HeldGrant(ask, now_ms(), float("inf"), local=True, parts=parts))
@@ -320,7 +322,7 @@
         # An upstream that has gone since it was chosen is no sign of a silent owner.
         known = upstream_id in self._view.upstreams
         if known:
-            self._unanswered.note_silence(now_ms())
+            self._unanswered.record_silence(now_ms())
         code = ResultCode.PEER_UNREACHABLE if known else ResultCode.NOT_OWNER
         return Fault(code, f"no owner is known for {upstream_id!r}")
 
@@ -375,7 +377,7 @@
         if held is None or self._grants.pop(ended.permit_id, None) is None:
             return
         self._record_run(held, ended)
-        if held.ask.alone and held.unframed and self._nursery is not None:
+        if held.request.alone and held.unframed and self._nursery is not None:
             self._nursery.start_soon(self._return_when_settled, held, ended)
         else:
             self._return(held, ended)
@@ -383,7 +385,7 @@
     def _return(self, held: HeldGrant, ended: EndedPermit) -> None:
         self._book.end(ended)
         if held.local:
-            self.local_limit.give_back(ended.upstream_id)
+            self.local_limit.release(ended.upstream_id)
         self._permit_ended.set()
 
     async def _return_when_settled(self, held: HeldGrant, ended: EndedPermit) -> None:
@@ -393,9 +395,9 @@
         may be about to end because of the run.
         """
         self._permit_ended.set()
-        work_id = held.ask.work_id
+        work_id = held.request.work_id
         with trio.move_on_after(_MAX_ISOLATED_HOLD_S):
-            while any(map(self._view.quarantine.suspects, (work_id, *held.parts))):
+            while any(map(self._view.quarantine.is_suspected, (work_id, *held.parts))):
                 await self._view.wait_quarantine_changed()
         self._unsent_reports.append(
             BrokenRun(ended.upstream_id, work_id, given_up=True, looks_whole=True)
@@ -404,24 +406,24 @@
 
     def _record_run(self, held: HeldGrant, ended: EndedPermit) -> None:
         """Record what a run's end implies for its work; every run ends here, so none is missed."""
-        work_id = held.ask.work_id
+        work_id = held.request.work_id
         upstream_id = ended.upstream_id
         begun = ended.generated_tokens > 0
         unknown = self._view.sound_parts.unknown_among(held.parts, now_ms())
         run = BrokenRun(
-            upstream_id, work_id, alone=held.ask.alone, begun=begun, parts=list(unknown)
+            upstream_id, work_id, alone=held.request.alone, begun=begun, parts=list(unknown)
         )
         if ended.outcome in (*_BROKEN_OUTCOMES, AttemptOutcome.CONNECT_REFUSED):
             # A run abandoned shortly before may have ended the upstream, and only this node can
             # report it.
-            self._unsent_reports += self._abandoned_runs.take(upstream_id, now_ms())
+            self._unsent_reports += self._abandoned_runs.pop_suspects(upstream_id, now_ms())
         if ended.outcome is AttemptOutcome.CONNECT_REFUSED:
             self._report_refused_connect(upstream_id)
         if not work_id:
             return
         if ended.outcome in _ABANDONED_OUTCOMES and held.sent:
             run = msgspec.structs.replace(run, given_up=True)
-            self._abandoned_runs.note(run, now_ms())
+            self._abandoned_runs.record(run, now_ms())
         elif ended.outcome in _BROKEN_OUTCOMES:
             self._unsent_reports.append(run)
         elif ended.outcome is AttemptOutcome.COMPLETED:
@@ -431,17 +433,17 @@
         """Record that a run completed, or looks complete although its upstream may have ended."""
         quarantine = self._view.quarantine
         traits = (run.work_id, *held.parts)
-        suspected = [trait for trait in traits if quarantine.suspects(trait)]
+        suspected = [trait for trait in traits if quarantine.is_suspected(trait)]
         if held.unframed:
             if run.parts or suspected:
                 self._unsent_reports.append(msgspec.structs.replace(run, looks_whole=True))
             return
-        self._view.sound_parts.note(held.parts, now_ms())
+        self._view.sound_parts.record(held.parts, now_ms())
         self._unsent_reports += [WholeRun(trait) for trait in suspected]
 
     def _abandon_request(self, ask: PermitAsk) -> None:
         outcome = AttemptOutcome.CANCELLED
-        self._book.give_up(EndedPermit(ask.attempt_id, ask.upstream_id, outcome, ask.work_class))
+        self._book.abandon(EndedPermit(ask.attempt_id, ask.upstream_id, outcome, ask.work_class))
         self._permit_ended.set()
 
     def _revoke(self, permit_ids: Iterable[str]) -> None:
@@ -470,7 +472,7 @@
     def _held_by_owner(self) -> dict[Address, list[HeldGrant]]:
         by_owner: dict[Address, list[HeldGrant]] = defaultdict(list)
         for held in self._book:
-            owner = self._view.owner_of(held.ask.upstream_id)
+            owner = self._view.owner_of(held.request.upstream_id)
             if owner is not None and not held.local:
                 by_owner[Address(owner.host, owner.agent_port)].append(held)
         return by_owner
@@ -487,9 +489,9 @@
         self._record_loads(renewed.loads)
         self._revoke(renewed.revoked)
         owned_ids = {load.upstream_id for load in renewed.loads}
-        renewed_ids = [held.ask.attempt_id for held in group if held.ask.upstream_id in owned_ids]
+        renewed_ids = [held.request.attempt_id for held in group if held.request.upstream_id in owned_ids]
         renew_at_ms = sent_ms + renewed.valid_ms / _RENEWALS_PER_VALIDITY
-        self._book.renewed(renewed_ids, sent_ms + renewed.valid_ms, renew_at_ms)
+        self._book.record_renewal(renewed_ids, sent_ms + renewed.valid_ms, renew_at_ms)
 
     async def _report_ends_forever(self) -> None:
         while True:
@@ -498,7 +500,7 @@
             await self._send_reports()
             await trio.sleep(self._settings.ended_batch_ms / 1000)
             by_owner: dict[Address, list[EndedPermit]] = defaultdict(list)
-            for ended in self._book.take_ended():
+            for ended in self._book.drain_ended():
                 owner = self._view.owner_of(ended.upstream_id)
                 if owner is not None:
                     by_owner[Address(owner.host, owner.agent_port)].append(ended)
@@ -517,7 +519,7 @@
             await self._view.wait_quarantine_changed()
             for upstream_id in self._abandoned_runs.upstream_ids(now_ms()):
                 if self._view.has_just_ended(upstream_id):
-                    self._unsent_reports += self._abandoned_runs.take(upstream_id, now_ms())
+                    self._unsent_reports += self._abandoned_runs.pop_suspects(upstream_id, now_ms())
             await self._send_reports()
             await self._confirm_sound_parts()
 
--- a/src/fescuedock/agent/permit_service.py
+++ b/src/fescuedock/agent/permit_service.py
@@ -99,7 +99,7 @@
         waiter = _Waiter()
         self._waiters[ask.attempt_id].append(waiter)
         try:
-            self._perform(self._current_owner().ask(ask, now_ms()))
+            self._perform(self._current_owner().submit(ask, now_ms()))
             if ask.work_class is WorkClass.ONLINE and not waiter.settled:
                 # It may expire before the current tick interval ends.
                 self._wake.set()
@@ -124,7 +124,7 @@
             del self._waiters[attempt_id]
 
     def _reply(self, action: Granted | Refused) -> PermitReply:
-        load = self._owner.load(action.ask.upstream_id, now_ms())
+        load = self._owner.load(action.request.upstream_id, now_ms())
         match action:
             case Granted():
                 return PermitReply(ResultCode.OK, load, action.permit_id, action.valid_ms)
@@ -138,7 +138,7 @@
                 case Revoked():
                     revoked[action.holder_id].append(action.permit_id)
                 case Granted() | Refused():
-                    for waiter in self._waiters.get(action.ask.attempt_id, ()):
+                    for waiter in self._waiters.get(action.request.attempt_id, ()):
                         waiter.settle(action)
         for holder_id, permit_ids in revoked.items():
             peer = self._peers.get(holder_id)
@@ -197,7 +197,7 @@
                 await self._wake.wait()
 
     def _tick_s(self) -> float:
-        if self._owner.waits(WorkClass.ONLINE):
+        if self._owner.has_waiting(WorkClass.ONLINE):
             return _ONLINE_TICK_S
         # With 165 nodes and 50 upstreams, two thirds of the nodes own none and need no ticks.
         return _IDLE_TICK_S if self._owner.owns_any else math.inf
@@ -217,7 +217,7 @@
                         nursery.start_soon(self._poll, upstream)
 
     async def _poll(self, upstream: UpstreamRecord) -> None:
-        if self._owner.take_trial(upstream.upstream_id, now_ms()):
+        if self._owner.start_trial(upstream.upstream_id, now_ms()):
             outcome = await self._checks.probe(upstream, self._view.configuration)
             self._perform(self._current_owner().observe(upstream.upstream_id, outcome, now_ms()))
         elif upstream.kind is UpstreamKind.ENGINE and self._checks.load is not None:
--- a/src/fescuedock/core/crash_log.py
+++ b/src/fescuedock/core/crash_log.py
@@ -1,4 +1,4 @@
-"""What an agent has learned of upstreams that ended, and whom it tells.
+"""An agent's facts about crashed upstreams, and the VMs it sends them to.
 
 Pure.
 """
@@ -12,19 +12,20 @@
 from fescuedock.schema.crashes import CrashesReply, CrashNews, CrashReport, WorkCleared
 from fescuedock.schema.view import VmRecord
 
-__all__ = ["Audience", "CrashFact", "CrashLog", "audience_of", "facts_of", "news_of"]
+__all__ = ["CrashFact", "CrashLog", "Receivers", "facts_of", "message_of", "receivers_of"]
 
 CrashFact = CrashReport | WorkCleared
 
-# Kept for programs that start or were away: about 500 bytes each.
-_MOST_FACTS = 4096
-# VMs that one tells by itself.  A channel to each of several hundred would take tens of megabytes.
-_MOST_TOLD = 64
-# Of each other failure domain, as one may have gone.
-_RELAYS = 2
+# Stored for programs that start or were disconnected: about 500 bytes each.
+_MAX_FACTS = 4096
+# Maximum number of VMs that a VM notifies directly.  A channel to each of several hundred would use
+# tens of megabytes.
+_MAX_DIRECT_RECEIVERS = 64
+# Relays in each other failure domain; more than one, as one may have failed.
+_RELAYS_PER_DOMAIN = 2
 
 
-def news_of(facts: Iterable[CrashFact], *, relay: bool = False) -> CrashNews:
+def message_of(facts: Iterable[CrashFact], *, relay: bool = False) -> CrashNews:
     """Return facts as one message."""
     found = list(facts)
     return CrashNews(
@@ -34,37 +35,40 @@
     )
 
 
-def facts_of(news: CrashNews) -> list[CrashFact]:
-    """Return the facts that a message tells."""
-    return [*news.crashes, *news.cleared]
+def facts_of(message: CrashNews) -> list[CrashFact]:
+    """Return the facts in a message."""
+    return [*message.crashes, *message.cleared]
 
 
-class Audience(msgspec.Struct, frozen=True):
-    """VMs to be told, and those of them that tell others of their failure domain."""
+class Receivers(msgspec.Struct, frozen=True):
+    """VMs to notify directly, and relays that notify the others of their failure domain."""
 
     direct: Sequence[VmRecord]
     relays: Sequence[VmRecord] = ()
 
 
-def audience_of(own_id: str, key: str, vms: Iterable[VmRecord]) -> Audience:
-    """Return whom a VM tells: all in a small fleet, else its failure domain and relays of others.
+def receivers_of(own_id: str, key: str, vms: Iterable[VmRecord]) -> Receivers:
+    """Return the VMs that a VM notifies.
 
-    ``key`` spreads the work of relaying.
+    They are all VMs in a small fleet, else those of its failure domain and relays in the others.
+    ``key`` distributes the work of relaying.
     """
     known = {vm.vm_id: vm for vm in vms if vm.agent_port}
     own = known.pop(own_id, None)
-    if len(known) <= _MOST_TOLD or own is None:
-        return Audience(list(known.values()))
+    if len(known) <= _MAX_DIRECT_RECEIVERS or own is None:
+        return Receivers(list(known.values()))
     by_domain: dict[str, list[str]] = {}
     for vm in known.values():
         by_domain.setdefault(vm.failure_domain, []).append(vm.vm_id)
     near = by_domain.pop(own.failure_domain, [])
-    relays = [name for names in by_domain.values() for name in rank_names(key, names)[:_RELAYS]]
-    return Audience([known[name] for name in near], [known[name] for name in relays])
+    relays = [
+        name for names in by_domain.values() for name in rank_names(key, names)[:_RELAYS_PER_DOMAIN]
+    ]
+    return Receivers([known[name] for name in near], [known[name] for name in relays])
 
 
 class CrashLog(msgspec.Struct):
-    """The facts of one agent's incarnation, each once; they are what ``quarantine`` knows."""
+    """The facts of one incarnation of an agent, each once; ``quarantine`` has the same facts."""
 
     quarantine: Quarantine
     boot: int
@@ -73,24 +77,24 @@
 
     @property
     def length(self) -> int:
-        """How many facts there have been."""
+        """Total number of facts recorded."""
         return self._dropped + len(self._facts)
 
-    def note(self, fact: CrashFact) -> bool:
-        """Take a fact; False for one that is known already."""
-        is_new = self.quarantine.note(fact)
+    def record(self, fact: CrashFact) -> bool:
+        """Record a fact; return False if it is already known."""
+        is_new = self.quarantine.record(fact)
         if is_new:
             self._facts.append(fact)
-            if len(self._facts) > _MOST_FACTS:
+            if len(self._facts) > _MAX_FACTS:
                 self._dropped += len(self._facts) // 2
                 del self._facts[: len(self._facts) // 2]
         return is_new
 
-    def seen_of(self, boot: int, seen: int) -> int:
-        """Return how much a program has of this log that had ``seen`` of the one of ``boot``."""
+    def known_count(self, boot: int, seen: int) -> int:
+        """Return how many facts a program has that received ``seen`` of the log of ``boot``."""
         return min(max(seen, 0), self.length) if boot == self.boot else 0
 
     def reply_after(self, seen: int) -> CrashesReply:
-        """Return what comes after the first ``seen`` facts."""
+        """Return the facts after the first ``seen``."""
         facts = self._facts[max(seen - self._dropped, 0) :]
-        return CrashesReply(agent_boot=self.boot, seen=self.length, news=news_of(facts))
+        return CrashesReply(agent_boot=self.boot, seen=self.length, news=message_of(facts))
--- a/src/fescuedock/core/permits/estimates.py
+++ b/src/fescuedock/core/permits/estimates.py
@@ -1,16 +1,16 @@
-"""Small estimators that forget: means, peaks and a straight line, each by its own half-life."""
+"""Exponentially decaying estimators: mean, peak and straight line, each with its own half-life."""
 
 import msgspec
 
 __all__ = ["DecayedLine", "DecayedMean", "DecayedPeak"]
 
 
-def _kept(elapsed_ms: float, half_life_ms: float) -> float:
+def _decay(elapsed_ms: float, half_life_ms: float) -> float:
     return 0.5 ** (max(elapsed_ms, 0.0) / half_life_ms)
 
 
 class DecayedMean(msgspec.Struct):
-    """Mean of samples whose weight halves each ``half_life_ms``."""
+    """Mean of samples whose weight halves every ``half_life_ms``."""
 
     half_life_ms: float
     weight: float = 0.0
@@ -18,9 +18,9 @@
     _at_ms: float = 0.0
 
     def add(self, value: float, now_ms: float, weight: float = 1.0) -> None:
-        kept = _kept(now_ms - self._at_ms, self.half_life_ms)
-        self._sum = self._sum * kept + value * weight
-        self.weight = self.weight * kept + weight
+        decay = _decay(now_ms - self._at_ms, self.half_life_ms)
+        self._sum = self._sum * decay + value * weight
+        self.weight = self.weight * decay + weight
         self._at_ms = now_ms
 
     def value(self, default: float) -> float:
@@ -29,7 +29,7 @@
 
 
 class DecayedPeak(msgspec.Struct):
-    """Highest value seen, sinking toward later ones by half each ``half_life_ms``."""
+    """Highest recent value, which decays by half every ``half_life_ms``."""
 
     half_life_ms: float
     _peak: float = 0.0
@@ -40,11 +40,11 @@
         self._at_ms = now_ms
 
     def value(self, now_ms: float) -> float:
-        return self._peak * _kept(now_ms - self._at_ms, self.half_life_ms)
+        return self._peak * _decay(now_ms - self._at_ms, self.half_life_ms)
 
 
 class DecayedLine(msgspec.Struct):
-    """Least-squares line through samples whose weight halves each ``half_life_ms``."""
+    """Least-squares line through samples whose weight halves every ``half_life_ms``."""
 
     half_life_ms: float
     _count: float = 0.0
@@ -55,19 +55,20 @@
     _at_ms: float = 0.0
 
     def add(self, x: float, y: float, now_ms: float) -> None:
-        kept = _kept(now_ms - self._at_ms, self.half_life_ms)
-        self._count = self._count * kept + 1.0
-        self._x = self._x * kept + x
-        self._y = self._y * kept + y
-        self._xx = self._xx * kept + x * x
-        self._xy = self._xy * kept + x * y
+        decay = _decay(now_ms - self._at_ms, self.half_life_ms)
+        self._count = self._count * decay + 1.0
+        self._x = self._x * decay + x
+        self._y = self._y * decay + y
+        self._xx = self._xx * decay + x * x
+        self._xy = self._xy * decay + x * y
         self._at_ms = now_ms
 
     @property
     def slope(self) -> float:
-        """Growth of y with x; 0 while the samples cannot tell.
+        """Slope of y over x; 0 while the samples do not determine it.
 
-        Never below 0, nor so steep that y would be below 0 at x = 0: these are times that add up.
+        The samples are durations that add up, so the slope is never negative and never so steep
+        that y would be negative at x = 0.
         """
         spread = self._count * self._xx - self._x * self._x
         if spread <= 1e-9 * max(self._count * self._xx, 1.0):
@@ -82,5 +83,5 @@
         return max(self._y / self._count + self.slope * (x - self._x / self._count), 0.0)
 
     def freshness(self, now_ms: float) -> float:
-        """Return 1 right after a sample, halved with each half-life since."""
-        return _kept(now_ms - self._at_ms, self.half_life_ms)
+        """Return 1 right after a sample, halved with every half-life since then."""
+        return _decay(now_ms - self._at_ms, self.half_life_ms)
--- a/src/fescuedock/core/permits/fair_order.py
+++ b/src/fescuedock/core/permits/fair_order.py
@@ -1,8 +1,8 @@
-"""The order of asks of one class that come from several customers or have priorities.
+"""The order of requests of one class that name customers or priorities.
 
-What is most urgent by priority goes first; among those, batch work that can wait less; then
-customers take turns by virtual time; where these are equal, a customer that runs less goes first,
-and then what must start soonest.
+Requests are ordered by priority; for batch work, then by how well its deadline allows it to wait;
+then by the virtual time of fair queueing between customers.  Ties go to the customer that exceeds
+its share least, and then to the request that must start soonest.
 
 Pure: the caller passes the time.
 """
@@ -13,94 +13,99 @@
 
 from fescuedock.core.permits.fair_shares import FairShares
 from fescuedock.core.permits.priority import OVERDUE_MS, BoundedPreference, urgency_of
-from fescuedock.core.permits.queued import MemberShares, Waiting
-from fescuedock.core.permits.returns import RefusedWork
+from fescuedock.core.permits.queued import MemberShares, WaitingRequest
+from fescuedock.core.permits.refusals import RefusedWork
 
-__all__ = ["FairOrder", "over_use"]
+__all__ = ["FairOrder", "excess_use"]
 
-# One grant in so many goes to work that a more urgent priority has kept waiting.
-_OVERDUE_EVERY = 8
-# One grant in so many goes to work that returns after a refusal, before other work that is equal.
-_RETURNED_EVERY = 2
+# One in this many grants goes to work that has been kept waiting by a more urgent priority.
+_OVERDUE_GRANT_INTERVAL = 8
+# One in this many grants goes to work that is retried after a refusal, before otherwise equal work.
+_RETRIED_GRANT_INTERVAL = 2
 
 
 class FairOrder(msgspec.Struct):
-    """What is kept of the customers of one class of work at one upstream."""
+    """Fair-queueing state of the customers of one work class at one upstream."""
 
     shares: FairShares = msgspec.field(default_factory=FairShares)
     overdue: BoundedPreference = msgspec.field(
-        default_factory=lambda: BoundedPreference(_OVERDUE_EVERY)
+        default_factory=lambda: BoundedPreference(_OVERDUE_GRANT_INTERVAL)
     )
-    returned: BoundedPreference = msgspec.field(
-        default_factory=lambda: BoundedPreference(_RETURNED_EVERY)
+    retried: BoundedPreference = msgspec.field(
+        default_factory=lambda: BoundedPreference(_RETRIED_GRANT_INTERVAL)
     )
     refused: RefusedWork = msgspec.field(default_factory=RefusedWork)
 
     def in_order(
         self,
-        asks: Iterable[Waiting],
+        requests: Iterable[WaitingRequest],
         weights: MemberShares,
         running: Callable[[str], int],
         now_ms: float,
-    ) -> list[Waiting]:
-        """Return ``asks``, next first; ``running`` gives what a member runs now."""
-        asks = sorted(asks, key=lambda item: (item.ask.priority, *item.order(now_ms)))
-        over = over_use({item.ask.member for item in asks}, weights, running)
-        overdue = self._first_overdue(asks, now_ms)
-        returned = self._first_returned(asks)
+    ) -> list[WaitingRequest]:
+        """Return ``requests``, next first; ``running`` gives a member's running attempts."""
+        requests = sorted(
+            requests, key=lambda item: (item.request.priority, *item.sort_key(now_ms))
+        )
+        over = excess_use({item.request.member for item in requests}, weights, running)
+        overdue = self._first_overdue(requests, now_ms)
+        retried = self._first_retried(requests)
         tags: dict[str, float] = {}
         ranked = []
-        for position, item in enumerate(asks):
-            ask = item.ask
-            tag = tags.get(ask.member)
+        for position, item in enumerate(requests):
+            request = item.request
+            tag = tags.get(request.member)
             if tag is None:
-                tag = self.shares.start(ask.member)
-            cost = self.shares.cost(ask.prompt_tokens, ask.max_tokens)
-            tags[ask.member] = tag + cost / weights.weight(ask.member)
+                tag = self.shares.start(request.member)
+            cost = self.shares.cost(request.prompt_tokens, request.max_tokens)
+            tags[request.member] = tag + cost / weights.weight(request.member)
             urgency = urgency_of(
-                ask.priority, item.waited_ms(now_ms), overdue_first=item is overdue
+                request.priority, item.waited_ms(now_ms), overdue_first=item is overdue
             )
-            # Positions differ, so that asks themselves are never compared.
-            share_rank = (tag, over[ask.member], item is not returned)
-            ranked.append((urgency, item.turn_rank, share_rank, position, item))
+            # Positions are unique, so the requests themselves are never compared.
+            share_rank = (tag, over[request.member], item is not retried)
+            ranked.append((urgency, item.stage_group, share_rank, position, item))
         ranked.sort()
         return [rank[-1] for rank in ranked]
 
-    def granted(self, waiting: Waiting, weight: float, now_ms: float) -> float:
-        """Take in that an ask is granted while others wait; return the cost it is charged."""
-        ask = waiting.ask
-        is_overdue = ask.priority > 0 and waiting.waited_ms(now_ms) >= OVERDUE_MS
-        self.overdue.note(preferred=is_overdue)
-        self.returned.note(preferred=ask.work_id in self.refused)
-        self.refused.served(ask.work_id)
-        cost = self.shares.cost(ask.prompt_tokens, ask.max_tokens)
-        self.shares.charge(ask.member, cost, weight, now_ms)
+    def record_grant(self, waiting: WaitingRequest, weight: float, now_ms: float) -> float:
+        """Record the grant of a request while others wait; return the cost charged for it."""
+        request = waiting.request
+        is_overdue = request.priority > 0 and waiting.waited_ms(now_ms) >= OVERDUE_MS
+        self.overdue.record_grant(preferred=is_overdue)
+        self.retried.record_grant(preferred=request.work_id in self.refused)
+        self.refused.discard(request.work_id)
+        cost = self.shares.cost(request.prompt_tokens, request.max_tokens)
+        self.shares.charge(request.member, cost, weight, now_ms)
         return cost
 
-    def _first_overdue(self, asks: Sequence[Waiting], now_ms: float) -> Waiting | None:
-        """Return the ask whose turn it is after it has waited too long."""
+    def _first_overdue(
+        self, requests: Sequence[WaitingRequest], now_ms: float
+    ) -> WaitingRequest | None:
+        """Return the overdue request to grant next, or None while none is due a grant."""
         if not self.overdue.is_due:
             return None
-        # Asks are in the order of priorities.  Among equals nobody is kept waiting by another.
-        most_urgent = asks[0].ask.priority
+        # Requests are sorted by priority.  Work of the most urgent waiting priority is not held up
+        # by a more urgent one.
+        most_urgent = requests[0].request.priority
         waiting = [
             item
-            for item in asks
-            if item.ask.priority > most_urgent and item.waited_ms(now_ms) >= OVERDUE_MS
+            for item in requests
+            if item.request.priority > most_urgent and item.waited_ms(now_ms) >= OVERDUE_MS
         ]
         return max(waiting, key=lambda item: item.waited_ms(now_ms), default=None)
 
-    def _first_returned(self, asks: Iterable[Waiting]) -> Waiting | None:
-        """Return the ask whose turn it is as it came back after a refusal."""
-        if not self.returned.is_due or not len(self.refused):
+    def _first_retried(self, requests: Iterable[WaitingRequest]) -> WaitingRequest | None:
+        """Return the request to prefer because it was refused before, or None."""
+        if not self.retried.is_due or not len(self.refused):
             return None
-        return next((item for item in asks if item.ask.work_id in self.refused), None)
+        return next((item for item in requests if item.request.work_id in self.refused), None)
 
 
-def over_use(
+def excess_use(
     members: Iterable[str], weights: MemberShares, running: Callable[[str], int]
 ) -> dict[str, float]:
-    """Return by how much each member runs more than its share of what all of them run."""
+    """Return by how much each member exceeds its share of all running attempts."""
     used = {member: running(member) for member in members}
     total_used = sum(used.values())
     total_weight = sum(weights.weight(member) for member in used)
--- a/src/fescuedock/core/placement.py
+++ b/src/fescuedock/core/placement.py
@@ -1,8 +1,7 @@
 """Chooses upstreams for an online request by the predicted first event, pauses and end.
 
-The prediction is made of what owners report of their upstreams' speed and queues.  Each part counts
-as far as its age lets it: a report is mostly a second old or older, as a node asks each owner
-rarely.
+The prediction uses the owners' reports on the speed and queues of their upstreams, each part
+weighted by its age: a report is usually at least a second old, as a node rarely queries each owner.
 
 Pure: the caller passes the time and the randomness.
 """
@@ -20,24 +19,24 @@
     Demand,
     PlacementPolicy,
     RoutingPolicy,
+    avoidance_rank,
     choose_upstreams,
-    covering_upstream,
-    last_resort,
-    takes_a_batch_slot,
+    needs_batch_eviction,
+    prefix_upstream,
 )
 from fescuedock.schema.permits import LoadSnapshot
 
-__all__ = ["Typical", "choose_by_prediction", "is_worth_moving", "predict", "typical_of"]
+__all__ = ["TypicalSpeed", "choose_by_prediction", "predict", "should_move", "typical_speed"]
 
 
 _RANK = itemgetter(0, 1, 2, 3)
 
 
-class Typical(msgspec.Struct, frozen=True):
-    """Means over the upstreams of a service whose speed is known.
+class TypicalSpeed(msgspec.Struct, frozen=True):
+    """Means over the upstreams of a service with known speed.
 
-    Of ``wait_ms`` and ``fill``, the share of the slots that run online calls, it has the least that
-    is known: an upstream that nobody heard of lately is worth asking.
+    ``wait_ms`` and ``fill``, the share of slots that run online calls, are the known minimum
+    instead, so that an upstream without a recent report is queried.
     """
 
     start_ms: float = 0.0
@@ -47,15 +46,15 @@
     fill: float = 0.0
 
 
-def typical_of(candidates: Sequence[Candidate], policy: PlacementPolicy) -> Typical | None:
-    """Return typical values, to which old reports add little; None without any report of speed."""
+def typical_speed(candidates: Sequence[Candidate], policy: PlacementPolicy) -> TypicalSpeed | None:
+    """Return typical values, weighted toward recent reports; None without any report of speed."""
     weights = start_ms = event_ms = run_ms = 0.0
-    least_wait_ms = least_fill = float("inf")
+    min_wait_ms = min_fill = float("inf")
     for item in candidates:
         load = item.load
         if load is not None:
-            least_wait_ms = min(least_wait_ms, load.wait_ms)
-            least_fill = min(least_fill, _fill(load))
+            min_wait_ms = min(min_wait_ms, load.wait_ms)
+            min_fill = min(min_fill, _fill(load))
         speed = item.speed
         if speed is None:
             continue
@@ -66,10 +65,10 @@
         run_ms += weight * speed.run_ms
     if not weights:
         return None
-    if least_fill == float("inf"):
-        least_wait_ms = least_fill = 0.0
-    return Typical(
-        start_ms / weights, event_ms / weights, run_ms / weights, least_wait_ms, least_fill
+    if min_fill == float("inf"):
+        min_wait_ms = min_fill = 0.0
+    return TypicalSpeed(
+        start_ms / weights, event_ms / weights, run_ms / weights, min_wait_ms, min_fill
     )
 
 
@@ -78,18 +77,19 @@
 
 
 def predict(
-    item: Candidate, typical: Typical, prompt_tokens: int, policy: PlacementPolicy
+    item: Candidate, typical: TypicalSpeed, prompt_tokens: int, policy: PlacementPolicy
 ) -> tuple[float, float, float]:
-    """Return the times that an attempt which began now at an upstream would take.
+    """Return the predicted times of an attempt that began now at an upstream.
 
-    They are those to the first event, between two events, and from the first event to the last, in
-    milliseconds.  A plain tuple, as a call predicts for each upstream of its service.
+    They are the times to the first event, between two events, and from the first event to the last,
+    in milliseconds.  A plain tuple, as each call needs a prediction for every upstream of its
+    service.
     """
     load = item.load
     wait_ms = (typical.wait_ms if load is None else load.wait_ms) + 2 * item.latency_ms
     speed = item.speed
     if speed is None:
-        factor = policy.unheard_factor if load is None else policy.new_factor
+        factor = policy.unknown_factor if load is None else policy.unmeasured_factor
         start_ms = typical.start_ms * factor
         return wait_ms + start_ms, typical.event_ms * factor, typical.run_ms * factor
     age_ms = item.speed_age_ms
@@ -102,8 +102,8 @@
     if speed.slowness <= 1.0:
         return wait_ms + start_ms, event_ms, run_ms
     slowness = 1.0 + (speed.slowness - 1.0) * 0.5 ** (age_ms / SLOWNESS_HALF_LIFE_MS)
-    # The run outlasts the slow period.
-    slowed_ms = min(policy.slow_rest_ms, run_ms * slowness) * (1.0 - 1.0 / slowness)
+    # The run continues after the slow period ends.
+    slowed_ms = min(policy.slow_period_rest_ms, run_ms * slowness) * (1.0 - 1.0 / slowness)
     return wait_ms + start_ms * slowness, event_ms * slowness, run_ms + slowed_ms
 
 
@@ -116,43 +116,44 @@
 ) -> list[Choice]:
     """Return the candidates from the best to the worst, as ``choose_upstreams`` does.
 
-    First come upstreams with room at which the request would be on time; among them the order is
-    by the predicted first event and, less, the end.  The order of near equals is random, with those
-    of the caller's failure domain ahead.  Without any report of speed it is ``choose_upstreams``.
+    Upstreams with room at which the request would be on time come first, ordered by the predicted
+    first event and, with less weight, the end.  Near equals are in random order, with those of the
+    caller's failure domain ahead.  Without any report of speed the result is that of
+    ``choose_upstreams``.
     """
-    placing = policy.placing
-    typical = typical_of(candidates, placing)
+    placement = policy.placement
+    typical = typical_speed(candidates, placement)
     if typical is None:
         return choose_upstreams(candidates, demand, token_ms, policy, rng)
-    # ``target_ms`` leaves out the time that a first event usually takes.
+    # ``target_ms`` excludes the usual time to a first event.
     target_ms = float("inf")
     if demand.target_ms > 0:
-        target_ms = demand.target_ms * placing.reserve + typical.start_ms
+        target_ms = demand.target_ms * placement.on_time_share + typical.start_ms
     pause_ms = demand.pause_ms or float("inf")
     left_ms = demand.left_ms or float("inf")
-    covering = covering_upstream(candidates, demand, policy)
+    preferred = prefix_upstream(candidates, demand, policy)
     draw = rng.random
     scored = []
     for item in candidates:
         load = item.load
-        covered = demand.prefix_tokens if item.upstream_id == covering else 0
+        covered = demand.prefix_tokens if item.upstream_id == preferred else 0
         prompt_tokens = max(demand.prompt_tokens - covered, 0)
-        first_ms, event_ms, run_ms = predict(item, typical, prompt_tokens, placing)
+        first_ms, event_ms, run_ms = predict(item, typical, prompt_tokens, placement)
         misses = (first_ms > target_ms) + (event_ms > pause_ms) + (first_ms + run_ms > left_ms)
-        cost_ms = first_ms + placing.run_share * run_ms
-        if not item.near:
-            cost_ms += placing.domain_ms
+        cost_ms = first_ms + placement.run_weight * run_ms
+        if not item.same_domain:
+            cost_ms += placement.cross_domain_penalty_ms
         if not item.connected:
-            cost_ms += policy.connect_ms
+            cost_ms += policy.connect_penalty_ms
         has_room, accepting, queue_ms, fill = True, True, typical.wait_ms, typical.fill
         if load is not None:
             has_room = not load.queued_online and load.in_flight_online < load.limit
             accepting = load.accepting
             queue_ms = load.first_token_ms
             fill = _fill(load)
-            if load.in_flight_batch and takes_a_batch_slot(item):
-                cost_ms += policy.evict_ms
-        cost_ms *= (1.0 + placing.fill_weight * fill) * (1.0 + placing.spread * draw())
+            if load.in_flight_batch and needs_batch_eviction(item):
+                cost_ms += policy.eviction_penalty_ms
+        cost_ms *= (1.0 + placement.fill_weight * fill) * (1.0 + placement.random_spread * draw())
         choice = Choice(
             item.upstream_id,
             cost_ms,
@@ -162,17 +163,18 @@
             item.owner_silent,
             first_ms,
         )
-        scored.append((last_resort(item), not has_room, misses, cost_ms, choice))
+        scored.append((avoidance_rank(item), not has_room, misses, cost_ms, choice))
     scored.sort(key=_RANK)
     return [entry[4] for entry in scored]
 
 
-def is_worth_moving(
+def should_move(
     load: LoadSnapshot, other: Choice, prompt_tokens: int, policy: PlacementPolicy
 ) -> bool:
-    """Whether a call is better off at ``other`` than where it just got a permit.
+    """Whether a call should move to ``other`` from the upstream that just granted it a permit.
 
-    ``load`` came with the permit, so that it tells of a slow period which was not known before.
+    ``load`` was received with the permit, so that it may show a slow period that was not known
+    before.
     """
     if load.speed_age_ms < 0 or not other.start_ms or not other.has_room:
         return False
--- a/src/fescuedock/core/quarantine.py
+++ b/src/fescuedock/core/quarantine.py
@@ -1,13 +1,13 @@
-"""Whether a piece of work may run, by the upstreams that ended while they ran it or its like.
+"""Decides whether a unit of work may run, from the upstream crashes during its runs.
 
-What ends an upstream may be one piece of work, or a part of the prompt that works share which are
-no two alike.  Both are traits of a run.  When an upstream ends, each trait of what ran there may be
-the cause, and most are not.  What comes again and is there again becomes a suspect, and works that
-have it run alone; what then ends an upstream is the cause and is refused.  A trait of a run that
-became whole is not.
+An upstream may crash because of one unit of work, or because of a prompt part that otherwise
+different work shares.  Both are traits of a run.  When an upstream crashes, each trait of the runs
+there may be the cause, and most are not.  A trait that was present in several crashes is a suspect,
+and work with it runs in isolation.  If an upstream crashes then, the trait is the cause and is
+refused.  A trait of a run that completed is not the cause.
 
-Evidence is a set of facts about incarnations of upstreams, so it may be heard of in any order, more
-than once and from anywhere: all who know the same facts decide the same.
+The evidence is a set of facts about incarnations of upstreams.  Facts may arrive in any order,
+repeatedly and from any VM: all VMs that know the same facts reach the same decision.
 
 Pure: the caller passes the time, which is Unix time, as reports outlive processes.
 """
@@ -22,115 +22,122 @@
 from fescuedock.core.work_identity import is_part
 from fescuedock.schema.crashes import CrashedRun, CrashReport, WorkCleared
 
-__all__ = ["FREE", "Quarantine", "QuarantinePolicy", "Standing", "Verdict", "traits_of"]
+__all__ = ["FREE", "Quarantine", "QuarantinePolicy", "Restriction", "Verdict", "traits_of"]
 
 
-class Standing(enum.Enum):
-    """How a piece of work may run."""
+class Restriction(enum.Enum):
+    """How a unit of work may run."""
 
-    FREE = "beside others"
-    ALONE = "alone"
-    # It would be refused, but for what others may still report of the same end.
-    UNSETTLED = "not yet"
-    REFUSED = "not at all"
+    FREE = "unrestricted"
+    ALONE = "isolated"
+    # To be refused, unless other VMs report further runs of the same crash in time.
+    UNSETTLED = "undecided"
+    REFUSED = "refused"
 
 
 class QuarantinePolicy(msgspec.Struct, frozen=True):
     """Bounds of the decision.
 
-    A crash weighs 1 against a work whose run had given nothing yet, and ``begun_weight`` against
-    one that was well under way: what ends an upstream mostly does so at its start.  From
-    ``alone_from`` on a work runs alone, so that it ends nobody else's runs and its innocence shows.
-    One that has been there in ``enough`` crashes, and was alone in one, is refused.  A part of
-    prompts weighs 1 whatever had come, as it is known to be sound from other runs where it is, and
-    needs crashes of ``part_works`` works alone, as one work says nothing of its parts.
-
-    A refused work gets another chance, alone, when the next of ``pauses_ms`` has passed since its
-    last crash, as that may have been chance; after these it is refused until it is forgotten.  What
-    has a refused part gets it after ``part_pauses_ms``, as sound callers may be among those.
-    Evidence is forgotten after ``kept_ms``, and the oldest first beyond ``most_reports``.
-
-    Reports of one upstream within ``same_end_ms`` are about the same end: an upstream may keep its
-    identity over restarts, and takes longer to come back.  As long a work that seems to have been
-    alone is neither run nor refused: others that ran there may be reported in the meantime.
+    A crash counts with weight 1 against work whose run had produced no output yet, and with
+    ``begun_weight`` against work that was well under way, as most crashes happen at the start of
+    the run that causes them.  From a weight of ``isolation_weight`` on, work runs in isolation, so
+    that it can crash no other runs and can be shown to be harmless.  Work that was present in
+    ``min_crashes`` crashes, in one of them isolated, is refused.  A part of prompts always counts
+    with weight 1, as a harmless part is known from other runs that completed with it.  It is
+    refused after isolated crashes of ``part_min_units_of_work`` different units of work, as a
+    single one does not show which trait is the cause.
+
+    Refused work gets another isolated run when the next of ``retry_pauses_ms`` has passed since its
+    last crash, as that may have been a coincidence.  After the last pause it is refused until its
+    evidence expires.  Work with a refused part uses ``part_retry_pauses_ms`` instead, as harmless
+    work may share the part.  Evidence expires after ``retention_ms``; beyond ``max_reports`` the
+    oldest is dropped first.
+
+    Reports of one upstream within ``same_crash_ms`` are about the same crash: an upstream may keep
+    its identity over restarts, which take longer than that.  For as long, work that appears to have
+    been isolated is neither run nor refused, as other VMs may still report runs that were there.
     """
 
     begun_weight: float = 0.5
-    alone_from: float = 2.0
-    enough: int = 3
-    part_works: int = 2
-    pauses_ms: tuple[float, ...] = (600_000.0, 3_600_000.0)
-    part_pauses_ms: tuple[float, ...] = (60_000.0, 600_000.0, 3_600_000.0)
-    kept_ms: float = 86_400_000.0
-    most_reports: int = 4000
-    same_end_ms: float = 500.0
+    isolation_weight: float = 2.0
+    min_crashes: int = 3
+    part_min_units_of_work: int = 2
+    retry_pauses_ms: tuple[float, ...] = (600_000.0, 3_600_000.0)
+    part_retry_pauses_ms: tuple[float, ...] = (60_000.0, 600_000.0, 3_600_000.0)
+    retention_ms: float = 86_400_000.0
+    max_reports: int = 4000
+    same_crash_ms: float = 500.0
 
 
 class Verdict(msgspec.Struct, frozen=True):
-    """How a work may run.
+    """How a unit of work may run.
 
-    ``retry_after_ms`` is the time until a refused one may come again, or until it is settled.
-    ``trait`` is what speaks against it: its own identity, or that of a part of its prompt.
+    ``retry_after_ms`` is the time until refused work may be retried, or until the verdict is
+    settled.  ``trait`` is the trait that causes the restriction: the identity of the work or of a
+    part of its prompt.
     """
 
-    standing: Standing
+    restriction: Restriction
     crashes: int = 0
     retry_after_ms: float = 0.0
     trait: str = ""
 
 
-FREE = Verdict(Standing.FREE)
-_SEVERITY = list(Standing)
+FREE = Verdict(Restriction.FREE)
+_SEVERITY = list(Restriction)
 
 
 def traits_of(run: CrashedRun) -> tuple[str, ...]:
-    """Return the traits that a run may have ended its upstream by."""
+    """Return the traits of a run that may have crashed its upstream."""
     return (run.work_id, *run.parts)
 
 
 class Quarantine:
-    """What is known of the traits of runs that were under way when upstreams ended."""
+    """Known facts about the traits of runs that were in progress when upstreams crashed."""
 
     __slots__ = (
         "_by_trait",
         "_by_upstream",
         "_causes",
         "_cleared",
+        "_isolated_run_reports",
+        "_known_facts",
         "_policy",
-        "_proofs",
         "_reports",
-        "_seen",
     )
 
     def __init__(self, policy: QuarantinePolicy | None = None) -> None:
         self._policy = policy or QuarantinePolicy()
         self._reports: dict[str, CrashReport] = {}
-        # Identities of reports, by upstream; and by trait, those that speak against it.
+        # Identities of reports by upstream, and by each trait that they count against.
         self._by_upstream: defaultdict[str, set[str]] = defaultdict(set)
         self._by_trait: defaultdict[str, set[str]] = defaultdict(set)
-        # Those of runs alone.
-        self._proofs: set[str] = set()
-        # Traits known as causes; None when they have to be found anew.
+        # Identities of reports with isolated runs.
+        self._isolated_run_reports: set[str] = set()
+        # Traits known as causes; None when they must be determined again.
         self._causes: set[str] | None = set()
-        # Traits and reports that say nothing against them, with when that was found out.
+        # Pairs of a trait and a report that does not count against it, with the time of the
+        # clearance.
         self._cleared: dict[tuple[str, str], float] = {}
-        # Whatever was taken, with its time.
-        self._seen: dict[str, float] = {}
+        # All recorded facts, with their times.
+        self._known_facts: dict[str, float] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is known against any work."""
+        """Whether there is no evidence against any work."""
         return not self._by_trait
 
-    def note(self, fact: CrashReport | WorkCleared) -> bool:
-        """Take a fact; False for one that is known."""
-        return self.note_crash(fact) if isinstance(fact, CrashReport) else self.note_cleared(fact)
+    def record(self, fact: CrashReport | WorkCleared) -> bool:
+        """Record a fact; return False if it is already known."""
+        return (
+            self.record_crash(fact) if isinstance(fact, CrashReport) else self.record_cleared(fact)
+        )
 
-    def note_crash(self, report: CrashReport) -> bool:
-        """Take a report of an upstream's end; False for one that is known."""
-        if report.report_id in self._seen:
+    def record_crash(self, report: CrashReport) -> bool:
+        """Record a report of a crash; return False if it is already known."""
+        if report.report_id in self._known_facts:
             return False
-        self._seen[report.report_id] = report.at_ms
+        self._known_facts[report.report_id] = report.at_ms
         self._reports[report.report_id] = report
         self._by_upstream[report.upstream_id].add(report.report_id)
         for run in report.runs:
@@ -138,17 +145,17 @@
                 if (trait, report.report_id) not in self._cleared:
                     self._by_trait[trait].add(report.report_id)
             if run.alone:
-                self._proofs.add(report.report_id)
+                self._isolated_run_reports.add(report.report_id)
         self._causes = None
-        while len(self._reports) > self._policy.most_reports:
+        while len(self._reports) > self._policy.max_reports:
             self._drop(min(self._reports, key=lambda name: self._reports[name].at_ms))
         return True
 
-    def note_cleared(self, cleared: WorkCleared) -> bool:
-        """Take word that a trait was not the cause of some ends; False when that is known."""
-        if cleared.report_id in self._seen:
+    def record_cleared(self, cleared: WorkCleared) -> bool:
+        """Record that a trait did not cause some crashes; return False if that is already known."""
+        if cleared.report_id in self._known_facts:
             return False
-        self._seen[cleared.report_id] = cleared.at_ms
+        self._known_facts[cleared.report_id] = cleared.at_ms
         for report_id in cleared.void_report_ids:
             self._cleared[cleared.work_id, report_id] = cleared.at_ms
             _discard(self._by_trait, cleared.work_id, report_id)
@@ -156,84 +163,91 @@
         return True
 
     def knows(self, report_id: str) -> bool:
-        """Whether a report was taken and has not been forgotten."""
-        return report_id in self._seen
+        """Whether a fact was recorded and has not expired."""
+        return report_id in self._known_facts
 
-    def has_ended_since(self, upstream_id: str, since_ms: float) -> bool:
-        """Whether an upstream is known to have ended after ``since_ms``."""
+    def has_crashed_since(self, upstream_id: str, since_ms: float) -> bool:
+        """Whether an upstream is known to have crashed after ``since_ms``."""
         names = self._by_upstream.get(upstream_id, ())
         return any(self._reports[name].at_ms >= since_ms for name in names)
 
-    def suspects(self, trait: str) -> bool:
-        """Whether anything is known against a trait."""
+    def is_suspected(self, trait: str) -> bool:
+        """Whether there is evidence against a trait."""
         return trait in self._by_trait
 
     def suspected_among(self, traits: Collection[str]) -> set[str]:
-        """Return those of ``traits``, keys of a mapping, against which anything is known."""
+        """Return those of ``traits``, keys of a mapping, against which there is evidence."""
         return self._by_trait.keys() & traits
 
     def counts(self) -> tuple[int, int, int]:
-        """Return how many traits are under suspicion, known as causes, and have been cleared."""
+        """Return the numbers of suspected traits, of known causes and of cleared traits."""
         cleared = len({trait for trait, _ in self._cleared})
         return len(self._by_trait), len(self._known_causes()), cleared
 
     def reports_against(self, trait: str) -> list[str]:
-        """Return the identities of the reports that speak against a trait."""
+        """Return the identities of the reports that count against a trait."""
         return sorted(self._by_trait.get(trait, ()))
 
     def verdict(self, work_id: str, now_ms: float, parts: Collection[str] = ()) -> Verdict:
-        """Return how a work may run now that has ``parts`` in its prompt; the strictest counts."""
+        """Return how work with ``parts`` in its prompt may run; the strictest trait decides."""
         by_trait = self._by_trait
         if not by_trait:
             return FREE
         traits = (work_id, *parts)
         found = [self._verdict_on(trait, traits, now_ms) for trait in traits if trait in by_trait]
-        return max(found, key=lambda item: _SEVERITY.index(item.standing), default=FREE)
+        return max(found, key=lambda item: _SEVERITY.index(item.restriction), default=FREE)
 
-    def is_forgotten(self, at_ms: float, now_ms: float) -> bool:
-        """Whether what was found out at ``at_ms`` is too old to count."""
-        return at_ms < now_ms - self._policy.kept_ms
+    def is_expired(self, at_ms: float, now_ms: float) -> bool:
+        """Whether a fact of ``at_ms`` is too old to count."""
+        return at_ms < now_ms - self._policy.retention_ms
 
     def forget(self, now_ms: float) -> None:
-        """Drop what is too old to count."""
+        """Drop expired facts."""
         reports = list(self._reports.items())
-        for name in [name for name, report in reports if self.is_forgotten(report.at_ms, now_ms)]:
+        for name in [name for name, report in reports if self.is_expired(report.at_ms, now_ms)]:
             self._drop(name)
-        for known in (self._cleared, self._seen):
-            for key in [key for key, at_ms in known.items() if self.is_forgotten(at_ms, now_ms)]:
+        for known in (self._cleared, self._known_facts):
+            for key in [key for key, at_ms in known.items() if self.is_expired(at_ms, now_ms)]:
                 del known[key]
 
     def _verdict_on(self, trait: str, traits: Collection[str], now_ms: float) -> Verdict:
+        """Return how work with ``traits`` may run as far as one of them is concerned."""
         reports = self._reports_against(trait)
-        crashes = self._count_ends(reports)
+        crashes = self._count_crashes(reports)
         if trait in self._known_causes():
             verdict = self._verdict_on_cause(trait, reports, crashes, now_ms)
-            if verdict.standing is Standing.REFUSED and not self._is_shown(trait, traits):
-                # Something else that was there may be the cause; alone, this one shows it.
-                return Verdict(Standing.ALONE, crashes, trait=trait)
+            if verdict.restriction is Restriction.REFUSED and not self._is_proven(trait, traits):
+                # Another trait of those runs may be the cause; an isolated run shows whether this
+                # one is.
+                return Verdict(Restriction.ALONE, crashes, trait=trait)
             return verdict
         weight = sum(
             self._weight(trait, report) for report in reports if not self._is_explained(report)
         )
-        standing = Standing.ALONE if weight >= self._policy.alone_from else Standing.FREE
-        return Verdict(standing, crashes, trait=trait)
+        restriction = (
+            Restriction.ALONE if weight >= self._policy.isolation_weight else Restriction.FREE
+        )
+        return Verdict(restriction, crashes, trait=trait)
 
     def _verdict_on_cause(
         self, trait: str, reports: list[CrashReport], crashes: int, now_ms: float
     ) -> Verdict:
+        """Return the verdict on a known cause, which depends on the time since its crashes."""
         policy = self._policy
-        pauses_ms = policy.part_pauses_ms if is_part(trait) else policy.pauses_ms
-        by_itself = [item for item in reports if self._was_alone(trait, item)]
-        shown_by = by_itself or [item for item in reports if self._ran_alone(trait, item)]
-        unsettled_ms = max(item.at_ms for item in shown_by) + policy.same_end_ms - now_ms
+        pauses_ms = policy.part_retry_pauses_ms if is_part(trait) else policy.retry_pauses_ms
+        isolated_reports = [item for item in reports if self._was_isolated(trait, item)]
+        proofs = isolated_reports or [
+            item for item in reports if self._was_meant_to_be_isolated(trait, item)
+        ]
+        unsettled_ms = max(item.at_ms for item in proofs) + policy.same_crash_ms - now_ms
         if unsettled_ms > 0:
-            return Verdict(Standing.UNSETTLED, crashes, unsettled_ms, trait)
-        chances = max(self._count_ends(by_itself) - self._least_works(trait), 0) + 1
-        pause_ms = pauses_ms[chances - 1] if chances <= len(pauses_ms) else policy.kept_ms
+            return Verdict(Restriction.UNSETTLED, crashes, unsettled_ms, trait)
+        chances = max(self._count_crashes(isolated_reports) - self._min_units_of_work(trait), 0) + 1
+        pause_ms = pauses_ms[chances - 1] if chances <= len(pauses_ms) else policy.retention_ms
         left_ms = max(report.at_ms for report in reports) + pause_ms - now_ms
         if left_ms <= 0:
-            return Verdict(Standing.ALONE, crashes, trait=trait)
-        return Verdict(Standing.REFUSED, crashes, left_ms, trait)
+            return Verdict(Restriction.ALONE, crashes, trait=trait)
+        return Verdict(Restriction.REFUSED, crashes, left_ms, trait)
 
     def _known_causes(self) -> set[str]:
         if self._causes is None:
@@ -241,20 +255,21 @@
         return self._causes
 
     def _find_causes(self) -> set[str]:
-        """Find the traits that have ended upstreams often enough, certainly by themselves.
+        """Find the traits that crashed upstreams often enough, and certainly by themselves.
 
-        A part that most prompts have is there whenever a rarer one is that ends upstreams.  So the
-        parts of the fewest runs are looked at first, and ends that they explain speak against no
-        other.  Were the common part the cause, there would be ends without the rarer one.  Works
-        come last: one that has a harmful part is there again and again as well.
+        A part that most prompts have is also present when a rare harmful part crashes an upstream.
+        Parts with the fewest runs are therefore examined first, and the crashes that they explain
+        count against no other trait.  If the common part were the cause, there would be crashes
+        without the rare one.  Units of work come last, as work with a harmful part is repeatedly
+        present as well.
         """
-        enough = self._policy.enough
+        min_crashes = self._policy.min_crashes
         suspects = {
             trait
-            for name in self._proofs
+            for name in self._isolated_run_reports
             for run in self._reports[name].runs
             for trait in traits_of(run)
-            if run.alone and len(self._by_trait.get(trait, ())) >= enough
+            if run.alone and len(self._by_trait.get(trait, ())) >= min_crashes
         }
         if not suspects:
             return set()
@@ -268,82 +283,91 @@
                 item.report_id
                 for trait in found
                 for report in self._reports_against(trait)
-                for item in self._same_end(report)
+                for item in self._reports_of_same_crash(report)
             )
         return causes
 
     def _is_cause(self, trait: str, explained: Collection[str]) -> bool:
-        """Whether a trait has ended upstreams by itself, beside the ends that others explain."""
+        """Whether a trait crashed upstreams by itself, apart from crashes explained by others."""
         reports = [item for item in self._reports_against(trait) if item.report_id not in explained]
-        if self._count_ends(reports) < self._policy.enough:
+        if self._count_crashes(reports) < self._policy.min_crashes:
             return False
-        works = {
+        work_ids = {
             run.work_id
             for report in reports
-            if self._was_alone(trait, report)
+            if self._was_isolated(trait, report)
             for run in report.runs
             if trait in traits_of(run)
         }
-        return len(works) >= self._least_works(trait) or self._has_changing_company(trait, reports)
+        return len(work_ids) >= self._min_units_of_work(trait) or self._has_varying_concurrent_runs(
+            trait, reports
+        )
 
-    def _has_changing_company(self, trait: str, reports: list[CrashReport]) -> bool:
-        """Whether runs that were to be alone ended upstreams beside others that had none in common.
+    def _has_varying_concurrent_runs(self, trait: str, reports: list[CrashReport]) -> bool:
+        """Whether runs meant to be isolated crashed upstreams with different concurrent runs.
 
-        Where owners are silent, calls run without their permits beside a run alone.
+        A crash counts if its other runs share no trait with those of the crashes counted before.
+        Where owners do not respond, calls run without their permits, concurrently with isolated
+        runs.
         """
-        met: set[str] = set()
-        works: set[str] = set()
-        ends = 0
+        seen_concurrent: set[str] = set()
+        work_ids: set[str] = set()
+        crashes = 0
         for report in sorted(reports, key=lambda item: (item.at_ms, item.report_id)):
-            if not self._ran_alone(trait, report):
+            if not self._was_meant_to_be_isolated(trait, report):
                 continue
-            company = self._company(trait, report)
-            if met.isdisjoint(company):
-                ends += 1
-                met.update(company)
-                works.update(run.work_id for run in report.runs if trait in traits_of(run))
-        return ends >= self._policy.enough and len(works) >= self._least_works(trait)
+            concurrent = self._concurrent_traits(trait, report)
+            if seen_concurrent.isdisjoint(concurrent):
+                crashes += 1
+                seen_concurrent.update(concurrent)
+                work_ids.update(run.work_id for run in report.runs if trait in traits_of(run))
+        return crashes >= self._policy.min_crashes and len(work_ids) >= self._min_units_of_work(
+            trait
+        )
 
-    def _least_works(self, trait: str) -> int:
-        return self._policy.part_works if is_part(trait) else 1
+    def _min_units_of_work(self, trait: str) -> int:
+        return self._policy.part_min_units_of_work if is_part(trait) else 1
 
-    def _is_shown(self, trait: str, traits: Collection[str]) -> bool:
-        """Whether works that ended upstreams alone show that a trait is harmful in ``traits``.
+    def _is_proven(self, trait: str, traits: Collection[str]) -> bool:
+        """Whether isolated crashes show that a trait is harmful in work with ``traits``.
 
-        Of a part they show little where another suspected one was there that ``traits`` lack, and
-        more if it was another one each time.
+        For a part, a crash is weak evidence if another suspected part was present that ``traits``
+        lack; it is stronger if that was a different part each time.
         """
         if not is_part(trait):
             return True
-        works: set[str] = set()
-        companies: set[frozenset[str]] = set()
+        work_ids: set[str] = set()
+        distinct_other_suspects: set[frozenset[str]] = set()
         for name, run in self._runs_with(trait):
-            if not run.alone or not self._was_alone(trait, self._reports[name]):
+            if not run.alone or not self._was_isolated(trait, self._reports[name]):
                 continue
             suspected = (other for other in run.parts if self._is_suspect(other, name))
-            company = frozenset(suspected).difference(traits)
-            if company:
-                companies.add(company)
+            other_suspects = frozenset(suspected).difference(traits)
+            if other_suspects:
+                distinct_other_suspects.add(other_suspects)
             else:
-                works.add(run.work_id)
-        enough = self._policy.part_works
-        if len(works) >= enough or len(works) + len(companies) > enough:
+                work_ids.add(run.work_id)
+        min_work_ids = self._policy.part_min_units_of_work
+        if (
+            len(work_ids) >= min_work_ids
+            or len(work_ids) + len(distinct_other_suspects) > min_work_ids
+        ):
             return True
         reports = [
             report
             for report in self._reports_against(trait)
-            if not self._suspected_beside(trait, report).difference(traits)
+            if not self._suspected_parts_with(trait, report).difference(traits)
         ]
-        return self._has_changing_company(trait, reports)
+        return self._has_varying_concurrent_runs(trait, reports)
 
-    def _suspected_beside(self, trait: str, report: CrashReport) -> set[str]:
-        """Return the suspected parts that runs with ``trait`` had in a report."""
+    def _suspected_parts_with(self, trait: str, report: CrashReport) -> set[str]:
+        """Return the other suspected parts of runs with ``trait`` in a report."""
         runs = (run for run in report.runs if trait in traits_of(run))
         parts = {part for run in runs for part in run.parts if part != trait}
         return {part for part in parts if self._is_suspect(part, report.report_id)}
 
     def _is_suspect(self, trait: str, report_id: str) -> bool:
-        """Whether a report speaks against a trait, and not it alone."""
+        """Whether a report counts against a trait, and is not the only one."""
         reports = self._by_trait.get(trait, ())
         return report_id in reports and len(reports) > 1
 
@@ -357,32 +381,36 @@
         ]
 
     def _is_explained(self, report: CrashReport) -> bool:
-        """Whether a trait took part in an end that is known to be a cause."""
+        """Whether a known cause was present in a crash."""
         causes = self._known_causes()
         if not causes:
             return False
-        runs: Iterable[CrashedRun] = (run for item in self._same_end(report) for run in item.runs)
+        runs: Iterable[CrashedRun] = (
+            run for item in self._reports_of_same_crash(report) for run in item.runs
+        )
         return any(trait in causes for run in runs for trait in traits_of(run))
 
-    def _was_alone(self, trait: str, report: CrashReport) -> bool:
-        """Whether only runs with a trait were at the upstream, by all that is known of its end.
+    def _was_isolated(self, trait: str, report: CrashReport) -> bool:
+        """Whether only runs with a trait were at the upstream, by all reports of its crash.
 
-        What others had given up does not count: an upstream is emptied for a run alone, so there
-        always is some, and with it no cause would ever be known for certain.
+        Runs that others had given up do not count: an upstream is emptied for an isolated run, so
+        there are always some, and no cause would ever be certain.
         """
-        return self._ran_alone(trait, report) and not self._company(trait, report)
+        return self._was_meant_to_be_isolated(trait, report) and not self._concurrent_traits(
+            trait, report
+        )
 
-    def _ran_alone(self, trait: str, report: CrashReport) -> bool:
-        """Whether all runs with a trait were to be alone at the upstream."""
+    def _was_meant_to_be_isolated(self, trait: str, report: CrashReport) -> bool:
+        """Whether all runs with a trait were permitted as isolated runs."""
         return all(run.alone for run in self._runs_at(report) if trait in traits_of(run))
 
-    def _company(self, trait: str, report: CrashReport) -> set[str]:
-        """Return the traits of runs without ``trait`` that were at the upstream as it ended."""
+    def _concurrent_traits(self, trait: str, report: CrashReport) -> set[str]:
+        """Return the traits of runs without ``trait`` that were at the upstream when it crashed."""
         others = (run for run in self._runs_at(report) if trait not in traits_of(run))
         return {name for run in others if not run.given_up for name in traits_of(run)}
 
     def _runs_at(self, report: CrashReport) -> list[CrashedRun]:
-        return [run for item in self._same_end(report) for run in item.runs]
+        return [run for item in self._reports_of_same_crash(report) for run in item.runs]
 
     def _weight(self, trait: str, report: CrashReport) -> float:
         begun = all(run.begun for run in report.runs if trait in traits_of(run))
@@ -391,19 +419,19 @@
     def _reports_against(self, trait: str) -> list[CrashReport]:
         return [self._reports[name] for name in self._by_trait.get(trait, ())]
 
-    def _same_end(self, report: CrashReport) -> list[CrashReport]:
-        """Return the reports of the end that ``report`` is about, itself among them."""
+    def _reports_of_same_crash(self, report: CrashReport) -> list[CrashReport]:
+        """Return the reports about the crash that ``report`` is about, including itself."""
         others = (self._reports[name] for name in self._by_upstream[report.upstream_id])
-        window_ms = self._policy.same_end_ms
+        window_ms = self._policy.same_crash_ms
         return [item for item in others if abs(item.at_ms - report.at_ms) <= window_ms]
 
-    def _count_ends(self, reports: list[CrashReport]) -> int:
-        """Count the ends of upstreams that the reports are about."""
+    def _count_crashes(self, reports: list[CrashReport]) -> int:
+        """Return the number of different crashes that the reports are about."""
         count = 0
         last: CrashReport | None = None
         for report in sorted(reports, key=lambda item: (item.upstream_id, item.at_ms)):
             is_new = last is None or last.upstream_id != report.upstream_id
-            if is_new or report.at_ms - last.at_ms > self._policy.same_end_ms:
+            if is_new or report.at_ms - last.at_ms > self._policy.same_crash_ms:
                 count += 1
             last = report
         return count
@@ -411,7 +439,7 @@
     def _drop(self, report_id: str) -> None:
         report = self._reports.pop(report_id)
         _discard(self._by_upstream, report.upstream_id, report_id)
-        self._proofs.discard(report_id)
+        self._isolated_run_reports.discard(report_id)
         for run in report.runs:
             for trait in traits_of(run):
                 _discard(self._by_trait, trait, report_id)
@@ -419,7 +447,7 @@
 
 
 def _discard(sets: dict[str, set[str]], key: str, value: str) -> None:
-    """Take a value out of a set, and out of ``sets`` a set that is empty by it."""
+    """Remove a value from a set in ``sets``, and the set itself once it is empty."""
     found = sets.get(key)
     if found is None:
         return
--- a/src/fescuedock/core/retry.py
+++ b/src/fescuedock/core/retry.py
@@ -1,8 +1,8 @@
-"""Decides whether an attempt that failed may be followed by another, and when.
+"""Decides whether and when to retry a failed attempt.
 
-Retries come out of a budget that successes fill: in an outage nothing succeeds, the budget runs
-dry, and the load of retries ends by itself.  Waits are jittered, and nothing is retried that could
-not be whole by its deadline.
+Retries use a budget that successes fill: during an outage nothing succeeds, the budget runs out,
+and the load of retries ends by itself.  Waits are jittered, and nothing is retried that could not
+complete by its deadline.
 
 Pure: the caller passes the time and the randomness.
 """
@@ -17,17 +17,17 @@
 class RetryPolicy(msgspec.Struct, frozen=True):
     """Bounds of retrying.
 
-    ``share`` of recent successes may be retries; ``reserve`` retries are allowed besides while
-    there is little traffic, refilled at ``reserve_per_s``.  A request may fail ``max_attempts``
-    times without getting on, and be continued ``max_resumes`` times where it did get on.  One
-    during which upstreams were lost ``max_losses`` times without giving anything may be what kills
-    them, and is not tried on.
+    Retries may number the fraction ``share`` of recent successes.  ``reserve`` further retries,
+    refilled at ``reserve_per_s``, are permitted while there is little traffic.  A request may fail
+    ``max_attempts`` times without progress, and be resumed ``max_resumes`` times after progress.  A
+    request that lost its upstream ``max_losses`` times before any output may be the cause of the
+    losses and is not retried.
     """
 
     share: float = 0.2
     reserve: float = 10.0
     reserve_per_s: float = 1.0
-    max_saved: float = 100.0
+    max_credit: float = 100.0
     max_attempts: int = 4
     max_resumes: int = 12
     max_losses: int = 2
@@ -36,22 +36,22 @@
 
 
 class RetryBudget(msgspec.Struct):
-    """How many retries one process may still send."""
+    """The retries that one process may still send."""
 
     policy: RetryPolicy = msgspec.field(default_factory=RetryPolicy)
-    _saved: float = 0.0
+    _credit: float = 0.0
     _reserve: float = -1.0
     _refilled_at_ms: float = 0.0
 
-    def succeeded(self) -> None:
-        """Note that a request was answered well."""
-        self._saved = min(self.policy.max_saved, self._saved + self.policy.share)
+    def record_success(self) -> None:
+        """Record that a request succeeded."""
+        self._credit = min(self.policy.max_credit, self._credit + self.policy.share)
 
-    def take(self, now_ms: float) -> bool:
-        """Use up one retry; False when the budget is dry."""
+    def try_consume(self, now_ms: float) -> bool:
+        """Use one retry; return False when the budget is empty."""
         self._refill(now_ms)
-        if self._saved >= 1.0:
-            self._saved -= 1.0
+        if self._credit >= 1.0:
+            self._credit -= 1.0
             return True
         if self._reserve >= 1.0:
             self._reserve -= 1.0
@@ -75,11 +75,11 @@
     resumed: int = 0
     losses: int = 0
 
-    def note_failure(self, *, upstream_lost: bool, progress: bool) -> None:
-        """Note a failed attempt.
+    def record_failure(self, *, upstream_lost: bool, progress: bool) -> None:
+        """Record a failed attempt.
 
-        ``upstream_lost`` says that the upstream went away while it ran the request, ``progress``
-        that the request got on by it.
+        ``upstream_lost`` says that the upstream disappeared while it ran the request, ``progress``
+        that the attempt produced some of the answer.
         """
         if progress:
             self.resumed += 1
@@ -90,10 +90,10 @@
     def next_wait_ms(
         self, budget: RetryBudget, slack_ms: float, now_ms: float, rng: random.Random
     ) -> float | None:
-        """Return how long to wait before another attempt; None when there should be none.
+        """Return how long to wait before the next attempt; None when there must be none.
 
         ``slack_ms`` is the time left until the deadline less the predicted run time.  The first
-        retry hardly waits, as it goes to another upstream; later ones back off, with full jitter.
+        retry waits little, as it goes to another upstream; later ones back off, with full jitter.
         The retry is taken from the ``budget``.
         """
         if self._is_exhausted:
@@ -101,7 +101,7 @@
         bound_ms = self.policy.first_wait_ms * 2 ** max(0, self.failed - 1)
         bound_ms = min(self.policy.max_wait_ms, bound_ms)
         wait_ms = rng.uniform(0.0, bound_ms)
-        if wait_ms > slack_ms or not budget.take(now_ms):
+        if wait_ms > slack_ms or not budget.try_consume(now_ms):
             return None
         return wait_ms
 
--- a/src/fescuedock/core/stored_jobs/pool.py
+++ b/src/fescuedock/core/stored_jobs/pool.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from fescuedock.core.permits.queued import is_overdue
-from fescuedock.core.quarantine import Standing
+from fescuedock.core.quarantine import Restriction
 from fescuedock.core.stored_jobs.job import ItemEnd, ItemRun, StoredJob
 from fescuedock.core.stored_jobs.run_estimates import RunEstimate, RunShare
 from fescuedock.core.stored_jobs.urgency import ItemChoice, rank_items
@@ -40,7 +40,7 @@
         self,
         jobs: Callable[[], Iterable[StoredJob]],
         serves: Callable[[StoredJobRecord, str], bool],
-        restriction: Callable[[ItemRun], Standing] = lambda _run: Standing.FREE,
+        restriction: Callable[[ItemRun], Restriction] = lambda _run: Restriction.FREE,
         none_restricted: Callable[[], bool] = lambda: False,
         priority: Callable[[StoredJobRecord], int] = lambda _record: 0,
     ) -> None:
@@ -137,7 +137,7 @@
         several units of work, and sound items should not wait behind those.
         """
         ranked = self._ranked("", service, now_ms)
-        choices = (item for item in ranked if self._has_restriction(item.run, Standing.ALONE))
+        choices = (item for item in ranked if self._has_restriction(item.run, Restriction.ALONE))
         return min(choices, key=lambda item: item.run.runs_without_output, default=None)
 
     def _choices(
@@ -147,7 +147,7 @@
         version = None if versions is None else versions.software_version
         choices = self._ranked(upstream_id, service, now_ms, version)
         if not self._none_restricted():
-            choices = [item for item in choices if self._has_restriction(item.run, Standing.FREE)]
+            choices = [item for item in choices if self._has_restriction(item.run, Restriction.FREE)]
         return [item for item in choices if versions is None or self._may_start(item, versions)]
 
     def _may_start(self, choice: ItemChoice, versions: UpstreamVersions) -> bool:
@@ -185,9 +185,9 @@
     def _count_free(self, runs: list[ItemRun]) -> int:
         if self._none_restricted():
             return len(runs)
-        return sum(self._has_restriction(run, Standing.FREE) for run in runs)
+        return sum(self._has_restriction(run, Restriction.FREE) for run in runs)
 
-    def _has_restriction(self, run: ItemRun, restriction: Standing) -> bool:
+    def _has_restriction(self, run: ItemRun, restriction: Restriction) -> bool:
         return self._restriction(run) is restriction
 
     def claim_overdue(
--- a/tests/test_permit_search.py
+++ b/tests/test_permit_search.py
@@ -1,4 +1,4 @@
-"""The search for a permit: which calls are refused by prediction, and which ask all the same."""
+"""The search for a permit: which calls are refused by prediction, and which request one anyway."""
 
 import random
 import unittest
@@ -12,7 +12,7 @@
 from fescuedock.agent.permit_client import TimedLoad
 from fescuedock.clock import now_ms
 from fescuedock.core.admission import Admission
-from fescuedock.core.route_learning import AskTimeout, DomainLatency, PrefillModel, SilentOwners
+from fescuedock.core.route_learning import DomainLatency, PrefillModel, RequestTimeout, SilentOwners
 from fescuedock.core.routing import Demand, RoutingPolicy
 from fescuedock.entry.online_permits import find_permit
 from fescuedock.faults import Fault
@@ -27,9 +27,9 @@
 
 @dataclass
 class StubPermits:
-    """Grants whatever is asked for; its last news say that the upstream has a long queue."""
+    """Grants every request; its latest load reports a long queue at the upstream."""
 
-    asked: list[PermitAsk] = field(default_factory=list)
+    requested: list[PermitAsk] = field(default_factory=list)
     holder_id: str = "holder"
 
     @property
@@ -38,16 +38,16 @@
         return {UPSTREAM: TimedLoad(load, now_ms())}
 
     async def request(self, ask: PermitAsk, _timeout_ms: float, _parts: object = ()) -> Ok:
-        self.asked.append(ask)
+        self.requested.append(ask)
         return Ok(ask)
 
     def request_local(self, ask: PermitAsk, _parts: object = ()) -> Ok:
-        self.asked.append(ask)
+        self.requested.append(ask)
         return Ok(ask)
 
 
 class StubSearch:
-    """What a search keeps, over a fleet of one upstream."""
+    """The state of a search in a fleet with one upstream."""
 
     def __init__(self) -> None:
         self.view = FleetView("node-1")
@@ -66,7 +66,7 @@
         self.routing = RoutingPolicy()
         self.admission = Admission()
         self.latency = DomainLatency()
-        self.ask_timeout = AskTimeout()
+        self.ask_timeout = RequestTimeout()
         self.silent = SilentOwners(self.routing)
 
     def prefill(self, _service: str) -> PrefillModel:
@@ -81,7 +81,7 @@
 
 @dataclass
 class StubCall:
-    """A call with a second left, of which a start in ``target_ms`` would still be on time."""
+    """A call with a second left whose answer is on time if it starts within ``target_ms``."""
 
     target_ms: int
     request_id: str = "r-1"
@@ -93,7 +93,7 @@
     max_tokens: int = 1
     software_versions: Collection[str] | None = None
     repeatable: bool = True
-    # The time until the deadline, and that after which its caller leaves.
+    # The time until the deadline, and the time after which the caller disconnects.
     deadline_left_ms: float = 993.0
     patience_left_ms: float = 993.0
 
@@ -111,7 +111,7 @@
 
 
 class MovedPermits(StubPermits):
-    """Refuses the first asks with ``code``; grants from then on."""
+    """Refuses the first requests with ``code`` and grants the others."""
 
     def __init__(self, code: ResultCode, refusals: int) -> None:
         super().__init__()
@@ -119,14 +119,14 @@
         self._refusals = refusals
 
     async def request(self, ask: PermitAsk, timeout_ms: float, _parts: object = ()) -> Ok | Err:
-        if len(self.asked) < self._refusals:
-            self.asked.append(ask)
+        if len(self.requested) < self._refusals:
+            self.requested.append(ask)
             return Err(Fault(self._code, "refused"))
         return await super().request(ask, timeout_ms)
 
 
 class MovedUpstreamTest(unittest.TestCase):
-    """The node that is asked does not own the upstream any more, or not yet."""
+    """The queried node no longer owns the upstream, or does not own it yet."""
 
     def search(self, code: ResultCode) -> tuple[StubSearch, object]:
         found = []
@@ -151,7 +151,7 @@
         run_async(run)
         return found[0]
 
-    def test_the_call_asks_again_and_the_node_does_not_count_as_silent(self) -> None:
+    def test_the_call_repeats_its_request_and_the_node_does_not_count_as_silent(self) -> None:
         _, result, silent = self.search(ResultCode.NOT_OWNER)
         self.assertTrue(result.is_ok())
         self.assertFalse(silent)
@@ -162,7 +162,7 @@
 
 
 class OverShareTest(unittest.TestCase):
-    """Full owners refuse a customer above its share; another upstream may have free slots."""
+    """Full owners refuse a customer above its share, while other upstreams may have free slots."""
 
     def search(self, refusals: int, member: str) -> tuple[StubSearch, object]:
         found = []
@@ -181,25 +181,25 @@
         return found[0]
 
     def test_it_is_not_refused_while_an_upstream_may_have_room(self) -> None:
-        """The first such refusal ended the search, which left free slots unused."""
+        """Guards against a search that ended with the first refusal and left slots unused."""
         state, result = self.search(refusals=9, member="big")
         self.assertTrue(result.is_ok())
-        self.assertIn(state.permits.asked[-1].upstream_id, state.view.upstreams)
+        self.assertIn(state.permits.requested[-1].upstream_id, state.view.upstreams)
 
     def test_it_is_refused_with_that_code_when_all_of_them_refuse(self) -> None:
         state, result = self.search(refusals=100, member="big")
         self.assertIs(result.err_value.code, ResultCode.MEMBER_OVER_SHARE)
-        asked = {ask.upstream_id for ask in state.permits.asked}
-        # The first is known to be full.
-        self.assertEqual(asked | {UPSTREAM}, set(state.view.upstreams))
+        requested = {ask.upstream_id for ask in state.permits.requested}
+        # The first upstream is known to be full.
+        self.assertEqual(requested | {UPSTREAM}, set(state.view.upstreams))
 
-    def test_without_customers_no_more_are_asked_than_planned(self) -> None:
+    def test_without_customers_no_more_owners_are_queried_than_planned(self) -> None:
         state, _ = self.search(refusals=100, member="")
-        self.assertLessEqual(len(state.permits.asked), 5)
+        self.assertLessEqual(len(state.permits.requested), 5)
 
 
 class LongQueueTest(unittest.TestCase):
-    """The queue of the only upstream is longer than the time that the call has left."""
+    """The queue of the only upstream is longer than the time left of the call."""
 
     def search(self, target_ms: int, **times: object):
         results = []
@@ -210,13 +210,13 @@
         run_async(run)
         return results[0]
 
-    def test_a_call_that_can_still_be_on_time_asks(self) -> None:
+    def test_a_call_that_can_still_be_on_time_requests_a_permit(self) -> None:
         self.assertTrue(self.search(200).is_ok())
 
     def test_a_call_whose_target_has_passed_is_refused(self) -> None:
         self.assertIs(self.search(-1).err_value.code, ResultCode.DEADLINE_CANNOT_BE_MET)
 
-    def test_a_customers_late_call_asks_as_the_queue_may_be_anothers(self) -> None:
+    def test_a_customers_late_call_requests_a_permit_as_the_queue_may_be_anothers(self) -> None:
         self.assertTrue(self.search(-1, member="small").is_ok())
         fault = self.search(-1, member="small", deadline_left_ms=-1.0).err_value
         self.assertIs(fault.code, ResultCode.DEADLINE_CANNOT_BE_MET)
@@ -224,13 +224,13 @@
     def test_a_call_without_a_target_is_refused(self) -> None:
         self.assertIs(self.search(0).err_value.code, ResultCode.DEADLINE_CANNOT_BE_MET)
 
-    def test_a_late_call_whose_caller_leaves_before_its_start_is_refused(self) -> None:
+    def test_a_late_call_whose_caller_disconnects_before_its_start_is_refused(self) -> None:
         fault = self.search(-1, deadline_left_ms=5000.0, patience_left_ms=1800.0).err_value
         self.assertIs(fault.code, ResultCode.DEADLINE_CANNOT_BE_MET)
-        # The queue that was to come: by then a call that comes back may start at once.
+        # The predicted queueing time: a call that retries after it may start at once.
         self.assertEqual(fault.retry_after_ms, int(QUEUE_MS))
 
-    def test_a_late_call_whose_caller_waits_longer_than_the_queue_asks(self) -> None:
+    def test_a_late_call_whose_caller_waits_longer_than_the_queue_requests_a_permit(self) -> None:
         self.assertTrue(self.search(-1, deadline_left_ms=5000.0, patience_left_ms=2500.0).is_ok())
 
 
--- a/tests/test_send_gate.py
+++ b/tests/test_send_gate.py
@@ -2,8 +2,8 @@
 
 import unittest
 
-from fescuedock.core.permits.holder import HeldGrant, HolderBook, lapsed_by_ms
-from fescuedock.core.quarantine import Standing, Verdict
+from fescuedock.core.permits.holder import GrantRegistry, HeldGrant, lapsed_by_ms
+from fescuedock.core.quarantine import Restriction, Verdict
 from fescuedock.core.send_gate import PermitStatus, SendRefusal, refusal_of
 from fescuedock.schema.permits import WorkClass
 from fescuedock.schema.view import UpstreamRecord
@@ -19,7 +19,7 @@
     permit: PermitStatus = VALID_PERMIT,
     deadline_ms: float = float("inf"),
     key_is_valid: bool = True,
-    standing: Standing = Standing.FREE,
+    standing: Restriction = Restriction.FREE,
 ) -> SendRefusal | None:
     return refusal_of(
         CHOSEN,
@@ -43,10 +43,10 @@
     def test_suspected_work_runs_only_in_isolation(self) -> None:
         isolated_permit = PermitStatus(False, NOW_MS + 1, isolated=True)
         for standing, concurrently, in_isolation in (
-            (Standing.FREE, None, None),
-            (Standing.ALONE, SendRefusal.NOT_ISOLATED, None),
-            (Standing.UNSETTLED, SendRefusal.NOT_ISOLATED, SendRefusal.NOT_ISOLATED),
-            (Standing.REFUSED, SendRefusal.HARMFUL, SendRefusal.HARMFUL),
+            (Restriction.FREE, None, None),
+            (Restriction.ALONE, SendRefusal.NOT_ISOLATED, None),
+            (Restriction.UNSETTLED, SendRefusal.NOT_ISOLATED, SendRefusal.NOT_ISOLATED),
+            (Restriction.REFUSED, SendRefusal.HARMFUL, SendRefusal.HARMFUL),
         ):
             with self.subTest(standing=standing):
                 self.assertIs(check_send(standing=standing), concurrently)
@@ -84,9 +84,9 @@
 
     def test_a_renewal_counts(self) -> None:
         held = self.held(1900.0)
-        book = HolderBook()
+        book = GrantRegistry()
         book.add(held)
-        book.renewed([held.ask.attempt_id], 2600.0)
+        book.record_renewal([held.request.attempt_id], 2600.0)
         self.assertEqual(held.sendable_until_ms, 2600.0)
 
 
