--- a/src/fescuedock/core/answers.py
+++ b/src/fescuedock/core/answers.py
@@ -50,7 +50,7 @@
         # The reason for the end and the token counts are in the last two.
         self._last: list[bytes] = []
 
-    def take(self, data: bytes) -> None:
+    def add(self, data: bytes) -> None:
         self._first = self._first or data
         self._last = [*self._last[-1:], data]
 
--- a/src/fescuedock/core/entry_standing.py
+++ b/src/fescuedock/core/entry_availability.py
@@ -12,23 +12,23 @@
 from fescuedock.faults import Fault
 from fescuedock.schema.result_codes import ResultCode
 
-__all__ = ["EntryStanding"]
+__all__ = ["EntryAvailability"]
 
 _RETRY_AFTER_MS = 1000
 
 
-class EntryStanding(msgspec.Struct):
+class EntryAvailability(msgspec.Struct):
     """Follows whether the entry is named; ``grace_ms`` is how long answers naming it may live."""
 
     grace_ms: float
-    _named: bool = False
-    _unnamed_since_ms: float = float("-inf")
+    _listed: bool = False
+    _unlisted_since_ms: float = float("-inf")
 
-    def note(self, named: bool, now_ms: float) -> None:
+    def record_listing(self, named: bool, now_ms: float) -> None:
         """Take in whether the fleet's answers may name the entry now."""
-        if self._named and not named:
-            self._unnamed_since_ms = now_ms
-        self._named = named
+        if self._listed and not named:
+            self._unlisted_since_ms = now_ms
+        self._listed = named
 
     def refusal(self, config_version: int, now_ms: float) -> Fault | None:
         """Return why new work is refused; None when it is taken.
@@ -36,9 +36,9 @@
         Without any configuration an entry that is not named refuses at once: it cannot say that a
         model does not exist.
         """
-        if self._named:
+        if self._listed:
             return None
-        if config_version and now_ms - self._unnamed_since_ms <= self.grace_ms:
+        if config_version and now_ms - self._unlisted_since_ms <= self.grace_ms:
             return None
         message = "this entry cannot confirm its configuration; ask /v1/entries for another"
         return Fault(ResultCode.CONFIG_UNCONFIRMED, message, _RETRY_AFTER_MS)
--- a/src/fescuedock/core/entry_choice.py
+++ b/src/fescuedock/core/entry_choice.py
@@ -8,19 +8,19 @@
 
 from fescuedock.schema.view import Program, VmRecord, VmState
 
-__all__ = ["CallerPlace", "eligible_entries", "named_fronts", "rank_entries"]
+__all__ = ["CallerPlace", "eligible_entries", "recommended_vms", "rank_entries"]
 
 # Distances and load count as powers of two: one in eight first choices is of another domain.
-_OTHER_DOMAIN = 3
-_OTHER_REGION = 8
+_OTHER_DOMAIN_COST = 3
+_OTHER_REGION_COST = 8
 # Below this the load is noise: fewer than eight requests.
-_QUIET_LOAD = 3
+_IDLE_LOAD = 3
 # Load is known late and answers are kept, so that following it closely makes all callers go to and
 # fro: only what is over four times the load of the idlest entry counts.
 _TOLERATED_LOAD = 2
 _LIVE = (VmState.ALIVE, VmState.SUSPECT)
 # With fewer than this share unsuspected the suspicion says more of this node than of the others.
-_LEAST_SHARE = 0.5
+_MIN_ANSWERING_SHARE = 0.5
 
 
 class CallerPlace(msgspec.Struct, frozen=True):
@@ -39,7 +39,7 @@
     return [vm for vm in ready if vm.config_confirmed] or ready
 
 
-def named_fronts(live: Sequence[VmRecord]) -> list[VmRecord]:
+def recommended_vms(live: Sequence[VmRecord]) -> list[VmRecord]:
     """Return the VMs of ``live`` that clients should use.
 
     A VM that does not answer probes is left out at once, not only when it is taken for gone a
@@ -47,7 +47,7 @@
     The others carry its share meanwhile; one that was suspected wrongly serves on.
     """
     answering = [vm for vm in live if vm.state is VmState.ALIVE]
-    return answering if len(answering) >= _LEAST_SHARE * len(live) else list(live)
+    return answering if len(answering) >= _MIN_ANSWERING_SHARE * len(live) else list(live)
 
 
 def rank_entries(vms: Sequence[VmRecord], place: CallerPlace, rng: Random) -> list[VmRecord]:
@@ -57,10 +57,10 @@
     callers who keep their answers spread; suspected VMs come last.
     """
     place = _with_region(place, vms)
-    least_load = min((vm.entry_load for vm in vms), default=0)
+    min_load = min((vm.entry_load for vm in vms), default=0)
 
     def key(vm: VmRecord) -> tuple[bool, float]:
-        cost = _distance(vm, place) + _excess(vm.entry_load, least_load)
+        cost = _distance_cost(vm, place) + _load_cost(vm.entry_load, min_load)
         return (vm.state is VmState.SUSPECT, _draw(cost, rng))
 
     return sorted(vms, key=key)
@@ -74,16 +74,16 @@
     return CallerPlace(place.failure_domain, regions[0] if regions else "")
 
 
-def _distance(vm: VmRecord, place: CallerPlace) -> int:
+def _distance_cost(vm: VmRecord, place: CallerPlace) -> int:
     if place.failure_domain == vm.failure_domain:
         return 0
     if place.region and place.region != vm.region:
-        return _OTHER_REGION
-    return _OTHER_DOMAIN
+        return _OTHER_REGION_COST
+    return _OTHER_DOMAIN_COST
 
 
-def _excess(load: int, least_load: int) -> int:
-    return max(0, load - max(least_load, _QUIET_LOAD) - _TOLERATED_LOAD)
+def _load_cost(load: int, min_load: int) -> int:
+    return max(0, load - max(min_load, _IDLE_LOAD) - _TOLERATED_LOAD)
 
 
 def _draw(cost: int, rng: Random) -> float:
--- a/src/fescuedock/core/forwarding/event_stream.py
+++ b/src/fescuedock/core/forwarding/event_stream.py
@@ -20,7 +20,9 @@
     def data(self) -> str:
         """Return the event's data lines, joined by line feeds."""
         lines = [
-            _value(line) for line in self.raw.splitlines() if line.partition(b":")[0] == b"data"
+            _field_value(line)
+            for line in self.raw.splitlines()
+            if line.partition(b":")[0] == b"data"
         ]
         return b"\n".join(lines).decode("utf-8", "replace")
 
@@ -34,7 +36,7 @@
         self._buffer = bytearray()
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether part of an event has come, which is a truncated stream if no more follows."""
         return bool(self._buffer)
 
@@ -62,12 +64,12 @@
 def _number(raw: bytes) -> int:
     for line in raw.splitlines():
         if line.partition(b":")[0] == b"id":
-            value = _value(line)
+            value = _field_value(line)
             return int(value) if value.isdigit() else _NO_ID
     return _NO_ID
 
 
-def _value(line: bytes) -> bytes:
+def _field_value(line: bytes) -> bytes:
     """Return a field's value, without the one space that may follow the colon."""
     value = line.partition(b":")[2]
     return value[1:] if value.startswith(b" ") else value
--- a/src/fescuedock/core/forwarding/progress.py
+++ b/src/fescuedock/core/forwarding/progress.py
@@ -44,9 +44,9 @@
 # After a connection that was refused another upstream is tried at once, and from the second on with
 # pauses that double: while most upstreams are down a call tried the same ones every 0.3 ms.
 _FIRST_REFUSED_PAUSE_MS = 10.0
-_MOST_REFUSED_PAUSE_MS = 160.0
+_MAX_REFUSED_PAUSE_MS = 160.0
 # Keeps the power within numbers.
-_MOST_DOUBLINGS = 8
+_MAX_DOUBLINGS = 8
 
 
 class CallProgress(msgspec.Struct):
@@ -63,37 +63,37 @@
     attempts: int = 0
     answer_begun: bool = False
     # Connections that were refused in a row.
-    _refused: int = 0
+    _consecutive_refusals: int = 0
 
     @property
     def may_have_run(self) -> bool:
         return self.runs > 0
 
     @property
-    def refused(self) -> int:
+    def consecutive_refusals(self) -> int:
         """Connections that were refused in a row."""
-        return self._refused
+        return self._consecutive_refusals
 
-    def note(self, end: AttemptEnd) -> None:
+    def record_end(self, end: AttemptEnd) -> None:
         """Take in how an attempt ended."""
         self.attempts += 1
         if end not in _NOT_RUN:
             self.runs += 1
         if end is AttemptEnd.NOT_SENT:
-            self._refused += 1
+            self._consecutive_refusals += 1
         elif end is not AttemptEnd.WITHDRAWN:
-            self._refused = 0
+            self._consecutive_refusals = 0
 
     def pause_ms(self, end: AttemptEnd) -> float:
         """Return the pause before the attempt that follows one which ended so."""
         if end is AttemptEnd.REJECTED:
             return _REJECTED_PAUSE_MS
-        if end is not AttemptEnd.NOT_SENT or self._refused < 2:
+        if end is not AttemptEnd.NOT_SENT or self._consecutive_refusals < 2:
             return 0.0
-        doublings = min(self._refused - 2, _MOST_DOUBLINGS)
-        return min(_FIRST_REFUSED_PAUSE_MS * 2**doublings, _MOST_REFUSED_PAUSE_MS)
+        doublings = min(self._consecutive_refusals - 2, _MAX_DOUBLINGS)
+        return min(_FIRST_REFUSED_PAUSE_MS * 2**doublings, _MAX_REFUSED_PAUSE_MS)
 
-    def take_fresh(self, events: Iterable[SplitEvent]) -> bytes | None:
+    def take_new_events(self, events: Iterable[SplitEvent]) -> bytes | None:
         """Return the bytes of the events that the client lacks; None when one is missing."""
         parts: list[bytes] = []
         for event in events:
@@ -106,7 +106,7 @@
             parts.append(event.raw)
         return b"".join(parts)
 
-    def may_try_again(self) -> bool:
+    def may_retry(self) -> bool:
         """Whether another attempt may be made."""
         if self.answer_begun:
             # No other run can go on with it; it would keep an upstream busy for nobody.
--- a/src/fescuedock/core/forwarding/stalls.py
+++ b/src/fescuedock/core/forwarding/stalls.py
@@ -14,18 +14,18 @@
     the other upstream still has the other half.
     """
 
-    share: float = 0.6
-    least_ms: float = 100.0
-    most_ms: float = 2000.0
+    target_share: float = 0.6
+    min_ms: float = 100.0
+    max_ms: float = 2000.0
 
-    def first_ms(self, route: Route) -> float:
+    def first_event_ms(self, route: Route) -> float:
         """Return the longest wait for the answer's first event."""
-        return self._bounded(self.share * route.target_latency_ms)
+        return self._bounded(self.target_share * route.target_latency_ms)
 
     def gap_ms(self, route: Route) -> float:
         """Return the longest wait between two events."""
         gap_ms = route.gap_target_ms or route.target_latency_ms
-        return self._bounded(self.share * gap_ms)
+        return self._bounded(self.target_share * gap_ms)
 
     def _bounded(self, wait_ms: float) -> float:
-        return min(max(wait_ms, self.least_ms), self.most_ms)
+        return min(max(wait_ms, self.min_ms), self.max_ms)
--- a/src/fescuedock/core/stream_origins.py
+++ b/src/fescuedock/core/stream_origins.py
@@ -28,40 +28,41 @@
     "RegisteredVersions",
     "Retirement",
     "decide_origin",
-    "rank_keepers",
+    "rank_holders",
     "stream_key",
     "versions_by_service",
 ]
 
 
 class OriginPolicy(msgspec.Struct, frozen=True):
-    """Constants.
-
-    Of each stream ``told`` nodes are told, and ``asked`` are asked, in the same order, as some of
-    the first may have come back without their memory or may not be reached.  The same holds for
-    ``told_disks`` and ``asked_disks``, which know it after a loss of power.  Origins are kept for
-    ``keep_ms``, longer than a client waits for a whole stream, and ``most_kept`` of them at most:
-    the oldest go first, and their streams count as unknown.  A version that has not been listed
-    for ``retire_ms`` leaves the record of its service.
+    """Limits of how origins are replicated, queried and retained.
+
+    Each stream is reported to ``notified_nodes`` nodes, the first ones in the order in which
+    ``queried_nodes`` are queried later: some of the first may have restarted without their memory
+    or may be unreachable.  ``notified_disks`` and ``queried_disks`` bound the same for spools,
+    which still know an origin after a power loss.  Origins are retained for ``retention_ms``,
+    longer than a client waits for a complete stream, and for at most ``max_origins`` streams: the
+    oldest are dropped first, and their streams count as unknown.  A version that has been unlisted
+    for ``retire_after_ms`` is removed from the record of its service.
     """
 
-    told: int = 2
-    asked: int = 8
-    told_disks: int = 1
-    asked_disks: int = 2
-    keep_ms: float = 30_000.0
-    most_kept: int = 8192
-    retire_ms: float = 60_000.0
+    notified_nodes: int = 2
+    queried_nodes: int = 8
+    notified_disks: int = 1
+    queried_disks: int = 2
+    retention_ms: float = 30_000.0
+    max_origins: int = 8192
+    retire_after_ms: float = 60_000.0
 
 
-class _Kept(msgspec.Struct):
+class _KnownOrigin(msgspec.Struct):
     """``origin`` is None where two were noted for the same stream."""
 
     origin: StreamOrigin | None
     at_ms: float
     # Begun here, and whether others were told.
     is_own: bool
-    is_told: bool = False
+    is_reported: bool = False
 
 
 def stream_key(request_id: str, work_id: str) -> str:
@@ -75,67 +76,71 @@
 class OriginMemory:
     """What a node knows of how streams began: of its own ones, and of those it was told of."""
 
-    __slots__ = ("_kept", "_policy")
+    __slots__ = ("_origins", "_policy")
 
     def __init__(self, policy: OriginPolicy) -> None:
         self._policy = policy
         # In the order of time.
-        self._kept: OrderedDict[str, _Kept] = OrderedDict()
+        self._origins: OrderedDict[str, _KnownOrigin] = OrderedDict()
 
     def __len__(self) -> int:
-        return len(self._kept)
+        return len(self._origins)
 
-    def note(self, key: str, origin: StreamOrigin, now_ms: float, *, is_own: bool = False) -> None:
+    def record(
+        self, key: str, origin: StreamOrigin, now_ms: float, *, is_own: bool = False
+    ) -> None:
         """Keep how a stream began."""
         self._drop_old(now_ms)
-        known = self._kept.pop(key, None)
-        kept = _Kept(origin, now_ms, is_own)
+        known = self._origins.pop(key, None)
+        updated = _KnownOrigin(origin, now_ms, is_own)
         if known is not None:
-            kept.is_own |= known.is_own
-            kept.is_told = known.is_told
+            updated.is_own |= known.is_own
+            updated.is_reported = known.is_reported
             if known.origin != origin:
-                kept.origin = None
-        self._kept[key] = kept
-        if len(self._kept) > self._policy.most_kept:
-            self._kept.popitem(last=False)
+                updated.origin = None
+        self._origins[key] = updated
+        if len(self._origins) > self._policy.max_origins:
+            self._origins.popitem(last=False)
 
     def find(self, key: str, now_ms: float) -> StreamOrigin | None:
         """Return what began a stream, None when that is not known for certain."""
         self._drop_old(now_ms)
-        kept = self._kept.get(key)
-        return None if kept is None else kept.origin
+        known = self._origins.get(key)
+        return None if known is None else known.origin
 
-    def note_told(self, keys: Iterable[str]) -> None:
+    def mark_reported(self, keys: Iterable[str]) -> None:
         """Note that others keep these as well."""
         for key in keys:
-            if key in self._kept:
-                self._kept[key].is_told = True
+            if key in self._origins:
+                self._origins[key].is_reported = True
 
-    def untold(self, now_ms: float) -> dict[str, StreamOrigin]:
+    def unreported(self, now_ms: float) -> dict[str, StreamOrigin]:
         """Return the streams that were begun here and that nobody else was told of."""
-        return self._select(now_ms, lambda kept: kept.is_own and not kept.is_told)
+        return self._select(now_ms, lambda known: known.is_own and not known.is_reported)
 
     def all_known(self, now_ms: float) -> dict[str, StreamOrigin]:
         """Return every stream of which it is certain what began it."""
-        return self._select(now_ms, lambda _kept: True)
+        return self._select(now_ms, lambda _known: True)
 
-    def _select(self, now_ms: float, wanted: Callable[[_Kept], bool]) -> dict[str, StreamOrigin]:
+    def _select(
+        self, now_ms: float, wanted: Callable[[_KnownOrigin], bool]
+    ) -> dict[str, StreamOrigin]:
         self._drop_old(now_ms)
         return {
-            key: kept.origin
-            for key, kept in self._kept.items()
-            if kept.origin is not None and wanted(kept)
+            key: known.origin
+            for key, known in self._origins.items()
+            if known.origin is not None and wanted(known)
         }
 
     def _drop_old(self, now_ms: float) -> None:
-        while self._kept:
-            key, kept = next(iter(self._kept.items()))
-            if now_ms - kept.at_ms < self._policy.keep_ms:
+        while self._origins:
+            key, known = next(iter(self._origins.items()))
+            if now_ms - known.at_ms < self._policy.retention_ms:
                 return
-            del self._kept[key]
+            del self._origins[key]
 
 
-def rank_keepers(key: str, domains: Mapping[str, str]) -> list[str]:
+def rank_holders(key: str, domains: Mapping[str, str]) -> list[str]:
     """Return nodes in the order in which they are told of a stream, and asked.
 
     ``domains`` has the failure domain of each node.  Nodes that follow each other are of different
@@ -166,17 +171,17 @@
 
 
 def decide_origin(
-    kept: Sequence[StreamOrigin], registered: RegisteredVersions | None
+    reported: Sequence[StreamOrigin], registered: RegisteredVersions | None
 ) -> Result[StreamOrigin, str]:
     """Return what began a stream, ``Err`` with the reason why that is not known.
 
     ``kept`` is what nodes that were asked had kept, ``registered`` the record of the only service
     that may have begun it, None where there are several.
     """
-    if any(origin != kept[0] for origin in kept):
+    if any(origin != reported[0] for origin in reported):
         return Err("nodes were told of different software versions")
-    if kept:
-        return Ok(kept[0])
+    if reported:
+        return Ok(reported[0])
     if registered is None:
         return Err("no node that was asked knows, and several services may have begun it")
     if registered.single is None:
@@ -230,6 +235,6 @@
         self._since_ms = {pair: self._since_ms.get(pair, now_ms) for pair in gone}
         due: defaultdict[str, list[str]] = defaultdict(list)
         for (service, version), since_ms in self._since_ms.items():
-            if now_ms - since_ms >= self._policy.retire_ms:
+            if now_ms - since_ms >= self._policy.retire_after_ms:
                 due[service].append(version)
         return dict(due)
--- a/src/fescuedock/core/streams.py
+++ b/src/fescuedock/core/streams.py
@@ -41,7 +41,9 @@
         """Return how long to wait for the next event when ``usual_ms`` is the usual wait."""
         return max(self.floor_ms, self.factor * usual_ms)
 
-    def whole_timeout_ms(self, objectives: Objectives, max_tokens: int, bound_ms: float) -> float:
+    def full_answer_timeout_ms(
+        self, objectives: Objectives, max_tokens: int, bound_ms: float
+    ) -> float:
         """Return how long to wait for an answer in one piece.
 
         ``bound_ms`` where the caller sets no limit to its tokens: nobody knows how long it gets.
@@ -55,7 +57,7 @@
 class AttemptEnd(enum.Enum):
     """How an attempt stopped giving events."""
 
-    WHOLE = enum.auto()
+    COMPLETE = enum.auto()
     BROKEN = enum.auto()
 
 
@@ -116,7 +118,7 @@
     _current_version: str = ""
     _texts: list[str] = msgspec.field(default_factory=list)
     _opened: bool = False
-    _closed: bool = False
+    _usage_sent: bool = False
     _first_event: bool = True
     _resumed: bool = False
     _identity: bytes = b""
@@ -160,11 +162,11 @@
             return None
         if self._repeated < self.tokens and not self.finished:
             self._first_event = False
-            self._compare(event)
+            self._check_replayed(event)
             return None
         first_event, self._first_event = self._first_event, False
         if self.finished:
-            return self._closing(event)
+            return self._usage_event(event)
         if event.text:
             self.tokens += 1
             self._repeated += 1
@@ -176,7 +178,7 @@
             # A part of the answer that no count of tokens describes.
             self.resumable = False
         self.finished = event.finished
-        return self._data_of(event)
+        return self._event_data(event)
 
     def end(self, attempt_id: str, how: AttemptEnd) -> NextStep:
         """Take in the end of an attempt.
@@ -186,7 +188,7 @@
         if attempt_id != self.attempt_id or self.ended:
             return NextStep.IGNORE
         self.attempt_id = ""
-        closed = self._closed or not self.wants_usage or how is AttemptEnd.WHOLE
+        closed = self._usage_sent or not self.wants_usage or how is AttemptEnd.COMPLETE
         if self.finished and closed:
             self.ended = True
             return NextStep.FINISH
@@ -194,7 +196,7 @@
             return NextStep.CONTINUE
         return NextStep.GIVE_UP
 
-    def _compare(self, event: StreamEvent) -> None:
+    def _check_replayed(self, event: StreamEvent) -> None:
         """Take an event of a replay before it gets to where the caller is.
 
         It must repeat what the caller was given, else the two halves would not be one answer.
@@ -204,14 +206,14 @@
             self._repeated += 1
         self._diverged |= event.finished
 
-    def _closing(self, event: StreamEvent) -> bytes | None:
+    def _usage_event(self, event: StreamEvent) -> bytes | None:
         """Pass one event after the end's reason: the token counts, if the caller wants them."""
-        if event.text or event.finished or not self.wants_usage or self._closed:
+        if event.text or event.finished or not self.wants_usage or self._usage_sent:
             return None
-        self._closed = True
-        return self._data_of(event)
+        self._usage_sent = True
+        return self._event_data(event)
 
-    def _data_of(self, event: StreamEvent) -> bytes:
+    def _event_data(self, event: StreamEvent) -> bytes:
         """Return the event's bytes; all carry the answer identity of the first one."""
         if not self._opened:
             self._opened = True
--- a/src/fescuedock/entry/main.py
+++ b/src/fescuedock/entry/main.py
@@ -13,7 +13,7 @@
 from fescuedock.agent.permit_client import open_permit_client
 from fescuedock.backing.etcd import EtcdKv
 from fescuedock.clock import now_ms, unix_clock
-from fescuedock.core.entry_standing import EntryStanding
+from fescuedock.core.entry_availability import EntryAvailability
 from fescuedock.daemon import Stop, run_program
 from fescuedock.entry.app import entry_handler
 from fescuedock.entry.claiming import sweep_claims_forever
@@ -45,12 +45,12 @@
     view: FleetView | None = None
     leaving: bool = False
     served: trio.Event = field(default_factory=trio.Event)
-    standing: EntryStanding = field(init=False)
+    standing: EntryAvailability = field(init=False)
 
     def __post_init__(self) -> None:
         settings = self.settings.entry
         self.server = HttpServer(self.handle, _limits(settings))
-        self.standing = EntryStanding(settings.leave_spread_ms + settings.answer_valid_ms)
+        self.standing = EntryAvailability(settings.leave_spread_ms + settings.answer_valid_ms)
 
     @property
     def joined(self) -> bool:
@@ -77,7 +77,7 @@
         version = 0
         while True:
             own = self.view.vms.get(self.settings.vm.vm_id)
-            self.standing.note(own is not None and Program.ENTRY in own.ready, now_ms())
+            self.standing.record_listing(own is not None and Program.ENTRY in own.ready, now_ms())
             version = await self.view.wait_changed(version)
 
     async def handle(self, request: Request, responder: Responder) -> None:
--- a/src/fescuedock/entry/online_relay.py
+++ b/src/fescuedock/entry/online_relay.py
@@ -93,7 +93,7 @@
                 ) as events,
             ):
                 await self._relay_events(events, watch)
-                how = AttemptEnd.WHOLE
+                how = AttemptEnd.COMPLETE
         except ATTEMPT_ERRORS as caught:
             error = caught
         self._prefer_version()
--- a/src/fescuedock/entry/online_whole.py
+++ b/src/fescuedock/entry/online_whole.py
@@ -52,7 +52,7 @@
     collector = AnswerCollector(chat=request.path == _CHAT_PATH)
 
     async def take(data: bytes) -> None:
-        collector.take(data)
+        collector.add(data)
 
     streamed = msgspec.structs.replace(request, body=streamed_body(request.body))
     ended = await relay_attempts(state, streamed, stream, take, lambda _attempt: None)
@@ -83,4 +83,4 @@
 def _stall_ms(state: OnlineState, request: OnlineRequest) -> float:
     spec = request.spec
     bound_ms = spec.request_timeout_ms
-    return state.stall.whole_timeout_ms(spec.objectives, request.max_tokens, bound_ms)
+    return state.stall.full_answer_timeout_ms(spec.objectives, request.max_tokens, bound_ms)
--- a/src/fescuedock/node/front.py
+++ b/src/fescuedock/node/front.py
@@ -10,7 +10,7 @@
 from fescuedock.agent.link import FleetView
 from fescuedock.clock import now_ms
 from fescuedock.core.customers import Caller, identify, scoped_job_id
-from fescuedock.core.entry_choice import named_fronts
+from fescuedock.core.entry_choice import recommended_vms
 from fescuedock.core.forwarding.route_table import ClientLimits, Route, RouteKind
 from fescuedock.core.slow_peers import HeldBounds, HeldBytes
 from fescuedock.faults import Fault
@@ -255,7 +255,7 @@
         own_id = self.view.vm_id
         fronts = [
             Address(vm.host, vm.entry_port)
-            for vm in named_fronts(self.view.live_vms(Program.ENTRY))
+            for vm in recommended_vms(self.view.live_vms(Program.ENTRY))
             if vm.vm_id != own_id
         ]
         return [*fronts, self.own_address] if self.ready else fronts
--- a/src/fescuedock/node/item_run.py
+++ b/src/fescuedock/node/item_run.py
@@ -175,7 +175,7 @@
         with suppress(ResponseLostError):
             _take_events(splitter.feed(response.read_ready()), item, software_version, record)
         raise
-    if splitter.has_rest:
+    if splitter.has_partial_event:
         return ItemEnd.INTERRUPTED, AttemptEnd.LOST, "the last event is not whole"
     if not item.fits(software_version):
         return ItemEnd.INTERRUPTED, AttemptEnd.LOST, "no event came"
--- a/src/fescuedock/node/online_call.py
+++ b/src/fescuedock/node/online_call.py
@@ -221,11 +221,11 @@
             if end is None:
                 self._count(ResultCode.OK)
                 return
-            self.progress.note(end)
+            self.progress.record_end(end)
             if self.failure_passed_on:
                 self._note_failure_passed_on()
                 return
-            if not self.progress.may_try_again() or self._has_no_upstream_left():
+            if not self.progress.may_retry() or self._has_no_upstream_left():
                 await self.give_up(self._fault_of(end))
                 return
             await trio.sleep(self.progress.pause_ms(end) / 1000)
@@ -257,7 +257,7 @@
 
     def _has_no_upstream_left(self) -> bool:
         """Whether each upstream at which a stream could go on has refused it."""
-        if self.software_version is None or self.progress.refused < _MOST_REFUSED:
+        if self.software_version is None or self.progress.consecutive_refusals < _MOST_REFUSED:
             return False
         return not any(
             item.software_version == self.software_version and item.upstream_id not in self.avoided
@@ -354,7 +354,7 @@
         if self.progress.is_last_run():
             return float("inf")
         limits = self.shared.stalls
-        wait_ms = limits.first_ms(self.route) if first else limits.gap_ms(self.route)
+        wait_ms = limits.first_event_ms(self.route) if first else limits.gap_ms(self.route)
         return (now_ms() + wait_ms) / 1000
 
     async def _take_answer(
@@ -436,7 +436,7 @@
                     return AttemptEnd.LOST
                 # Before events are taken: one that is taken must reach the client.
                 await self._wait_client(stall, self._note_begun(upstream))
-            fresh = self.progress.take_fresh(events)
+            fresh = self.progress.take_new_events(events)
             if fresh is None:
                 return AttemptEnd.LOST
             if self.out is not None:
@@ -444,7 +444,7 @@
                     await self._wait_client(stall, self.out.wait_room())
             elif fresh:
                 await self._wait_client(stall, self._begin(answer, fresh))
-        if splitter.has_rest:
+        if splitter.has_partial_event:
             return AttemptEnd.LOST
         if answer.response.unframed and not record.events and self.progress.last_event < 0:
             # Nothing tells an answer without an event from one that was broken off.
--- a/src/fescuedock/node/stream_origins.py
+++ b/src/fescuedock/node/stream_origins.py
@@ -22,7 +22,7 @@
     RegisteredVersions,
     Retirement,
     decide_origin,
-    rank_keepers,
+    rank_holders,
     versions_by_service,
 )
 from fescuedock.faults import Fault
@@ -119,7 +119,7 @@
                 told_ms = float("-inf")
             elif now_ms() - told_ms >= _LOOK_INTERVAL_S * 1000:
                 told_ms = now_ms()
-                await self._tell_all(self.memory.untold(told_ms))
+                await self._tell_all(self.memory.unreported(told_ms))
             with trio.move_on_after(_LOOK_INTERVAL_S):
                 await self._replicas.wait_changed(seen)
 
@@ -135,14 +135,18 @@
         While others may need it, returns once another node keeps it, or after a short while: a
         stream of which nobody knows is refused later, never continued wrongly.
         """
-        self.memory.note(key, origin, now_ms(), is_own=True)
+        self.memory.record(key, origin, now_ms(), is_own=True)
         is_uncertain = len(route.services) > 1 or self._is_uncertain(origin.service)
         if not is_uncertain or self._nursery is None:
             return
         ranked = self._keepers(key, live_only=True)
-        disks = self._disks(key)[: self._policy.told_disks]
-        for first in range(0, _TELL_ROUNDS * self._policy.told, self._policy.told):
-            told = ranked[first : first + self._policy.told] + (disks if not first else [])
+        disks = self._disks(key)[: self._policy.notified_disks]
+        for first in range(
+            0, _TELL_ROUNDS * self._policy.notified_nodes, self._policy.notified_nodes
+        ):
+            told = ranked[first : first + self._policy.notified_nodes] + (
+                disks if not first else []
+            )
             if not told:
                 return
             kept = trio.Event()
@@ -163,7 +167,7 @@
         reply = await self._call(name, KeepOrigins(streams), _TELL_TIMEOUT_MS)
         if not isinstance(reply, KeepOriginsReply) or reply.code != ResultCode.OK:
             return
-        self.memory.note_told(origins)
+        self.memory.mark_reported(origins)
         if kept is not None:
             kept.set()
 
@@ -171,8 +175,8 @@
         """Tell the keepers of each stream, with one message for many."""
         by_keeper: defaultdict[str, dict[str, StreamOrigin]] = defaultdict(dict)
         for key, origin in origins.items():
-            told = self._keepers(key, live_only=True)[: self._policy.told]
-            for name in told + self._disks(key)[: self._policy.told_disks]:
+            told = self._keepers(key, live_only=True)[: self._policy.notified_nodes]
+            for name in told + self._disks(key)[: self._policy.notified_disks]:
                 by_keeper[name][key] = origin
         async with trio.open_nursery() as nursery:
             for name, rows in by_keeper.items():
@@ -225,8 +229,8 @@
             if service is not None:
                 nursery.start_soon(read)
             if key is not None:
-                disks = self._disks(key)[: self._policy.asked_disks]
-                for name in self._keepers(key)[: self._policy.asked] + disks:
+                disks = self._disks(key)[: self._policy.queried_disks]
+                for name in self._keepers(key)[: self._policy.queried_nodes] + disks:
                     nursery.start_soon(find, name)
         return kept, registered
 
@@ -258,7 +262,7 @@
 
     async def _on_keep(self, message: KeepOrigins, _peer: ServerPeer) -> KeepOriginsReply:
         for stream in message.streams:
-            self.memory.note(stream.stream_key, stream.origin, now_ms())
+            self.memory.record(stream.stream_key, stream.origin, now_ms())
         return KeepOriginsReply(ResultCode.OK)
 
     async def _on_find(self, message: FindOrigin, _peer: ServerPeer) -> FindOriginReply:
@@ -360,13 +364,13 @@
         nodes = self._known_nodes()
         vms = self._view.vms
         present = {vm.vm_id for vm in self._view.live_vms()} if live_only else vms.keys()
-        ranked = rank_keepers(key, {name: domain for name, (domain, _) in nodes.items()})
+        ranked = rank_holders(key, {name: domain for name, (domain, _) in nodes.items()})
         return [name for name in ranked if name in present and name != self._view.vm_id]
 
     def _disks(self, key: str) -> list[str]:
         """Return the spools that may keep an origin, in order."""
         self._known_nodes()
-        return rank_keepers(key, {name: domain for name, (domain, _) in self._spools.items()})
+        return rank_holders(key, {name: domain for name, (domain, _) in self._spools.items()})
 
     def _known_nodes(self) -> dict[str, tuple[str, Address]]:
         if self._nodes_version != self._table.version:
--- a/src/fescuedock/spool/origins.py
+++ b/src/fescuedock/spool/origins.py
@@ -107,13 +107,13 @@
 
     def __init__(self, disk: Disk, folder: Path, policy: OriginPolicy | None = None) -> None:
         self._policy = policy or OriginPolicy()
-        self._log = OriginLog(disk, folder, self._policy.keep_ms)
+        self._log = OriginLog(disk, folder, self._policy.retention_ms)
         self._memory = OriginMemory(self._policy)
 
     def open(self) -> None:
         """Read what was kept before; ``OSError`` when the disk cannot be read."""
         for stream in self._log.read():
-            self._memory.note(stream.stream_key, stream.origin, now_ms())
+            self._memory.record(stream.stream_key, stream.origin, now_ms())
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
         """Handlers by message type."""
@@ -121,7 +121,7 @@
 
     async def _on_keep(self, message: KeepOrigins, _peer: ServerPeer) -> KeepOriginsReply:
         for stream in message.streams:
-            self._memory.note(stream.stream_key, stream.origin, now_ms())
+            self._memory.record(stream.stream_key, stream.origin, now_ms())
         try:
             self._log.append(message.streams, now_ms())
         except OSError as error:
--- a/tests/builders/origin_ways.py
+++ b/tests/builders/origin_strategies.py
@@ -13,11 +13,11 @@
     OriginPolicy,
     RegisteredVersions,
     decide_origin,
-    rank_keepers,
+    rank_holders,
 )
 from fescuedock.schema.origins import StreamOrigin
 
-__all__ = ["LOSSES", "WAYS", "Outcome", "Way", "play"]
+__all__ = ["LOSSES", "STRATEGIES", "Outcome", "Strategy", "play"]
 
 _SERVICE = "desk"
 _VERSIONS = ("v1", "v1.1")
@@ -26,15 +26,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Way:
+class Strategy:
     """``told`` and ``asked`` name nodes for a stream's key, among all registered ones.
 
     With ``single_by_record`` a service's record decides what nobody knows, and nobody is told
     while it names one version.
     """
 
-    told: Callable[[str, Mapping[str, str]], Sequence[str]]
-    asked: Callable[[str, Mapping[str, str]], Sequence[str]]
+    notified: Callable[[str, Mapping[str, str]], Sequence[str]]
+    queried: Callable[[str, Mapping[str, str]], Sequence[str]]
     single_by_record: bool = True
 
 
@@ -42,28 +42,28 @@
 class Outcome:
     """``wrong`` went on at another version; messages count each way, of streams and returns."""
 
-    taken_up: int = 0
-    went_on: int = 0
-    wrong: int = 0
-    told: int = 0
-    asked: int = 0
+    resumed: int = 0
+    continued: int = 0
+    wrong_version: int = 0
+    notifications: int = 0
+    queries: int = 0
     streams: int = 0
 
     @property
     def share(self) -> float:
-        return self.went_on / max(self.taken_up, 1)
+        return self.continued / max(self.resumed, 1)
 
 
-def _nobody(_key: str, _domains: Mapping[str, str]) -> list[str]:
+def _no_node(_key: str, _domains: Mapping[str, str]) -> list[str]:
     return []
 
 
-def _all(_key: str, domains: Mapping[str, str]) -> list[str]:
+def _every_node(_key: str, domains: Mapping[str, str]) -> list[str]:
     return list(domains)
 
 
 def _first(count: int) -> Callable[[str, Mapping[str, str]], list[str]]:
-    return lambda key, domains: rank_keepers(key, domains)[:count]
+    return lambda key, domains: rank_holders(key, domains)[:count]
 
 
 def _owner_of_one(key: str, domains: Mapping[str, str]) -> list[str]:
@@ -75,17 +75,17 @@
     return list({choose_name(f"i-{number}", domains) for number in range(_UPSTREAMS)})
 
 
-_KEEPERS = _first(_POLICY.told)
-_ASKED = _first(_POLICY.asked)
-WAYS = {
-    "keepers": Way(_KEEPERS, _ASKED),
-    "keepers, always told": Way(_KEEPERS, _ASKED, single_by_record=False),
-    "one keeper": Way(_first(1), _ASKED),
-    "three keepers": Way(_first(3), _ASKED),
-    "owners of upstreams": Way(_owner_of_one, _owners),
-    "nobody told, all asked": Way(_nobody, _all),
-    "all told": Way(_all, _nobody),
-    "record alone": Way(_nobody, _nobody),
+_NOTIFIED = _first(_POLICY.notified_nodes)
+_QUERIED = _first(_POLICY.queried_nodes)
+STRATEGIES = {
+    "holders": Strategy(_NOTIFIED, _QUERIED),
+    "holders, always notified": Strategy(_NOTIFIED, _QUERIED, single_by_record=False),
+    "one holder": Strategy(_first(1), _QUERIED),
+    "three holders": Strategy(_first(3), _QUERIED),
+    "owners of upstreams": Strategy(_owner_of_one, _owners),
+    "none notified, all queried": Strategy(_no_node, _every_node),
+    "all notified": Strategy(_every_node, _no_node),
+    "record only": Strategy(_no_node, _no_node),
 }
 
 
@@ -114,13 +114,13 @@
 
 
 def play(
-    way: Way,
+    strategy: Strategy,
     loss: str,
     seed: int,
     *,
     versions: int = 2,
     nodes: int = 8,
-    store_away: bool = False,
+    store_unavailable: bool = False,
     streams: int = 400,
 ) -> Outcome:
     """Play one loss, with every stream taken up at a node that clients still reach."""
@@ -131,25 +131,25 @@
     lost = choose_lost(names, domains, rng)
     reached = names if comes_back else [name for name in names if name not in lost]
     used = _VERSIONS[:versions]
-    record = RegisteredVersions(_SERVICE, frozenset(used), not store_away)
+    record = RegisteredVersions(_SERVICE, frozenset(used), not store_unavailable)
     outcome = Outcome(streams=streams)
     for number in range(streams):
         key = f"{seed}-{number}"
         origin = StreamOrigin(_SERVICE, rng.choice(used))
-        starter, taker = rng.choice(names), rng.choice(reached)
+        starter, resumer = rng.choice(names), rng.choice(reached)
         holders = {starter}
-        if versions > 1 or not way.single_by_record:
-            told = [name for name in way.told(key, domains) if name != starter]
-            outcome.told += 2 * len(told)
-            holders.update(told)
+        if versions > 1 or not strategy.single_by_record:
+            notified = [name for name in strategy.notified(key, domains) if name != starter]
+            outcome.notifications += 2 * len(notified)
+            holders.update(notified)
         knowing = {name for name in holders if name in reached and name not in lost}
-        outcome.taken_up += 1
-        kept = [origin] if taker in knowing else []
+        outcome.resumed += 1
+        kept = [origin] if resumer in knowing else []
         if not kept:
-            asked = [name for name in way.asked(key, domains) if name != taker]
-            outcome.asked += 2 * len(asked)
-            kept = [origin] if knowing & set(asked) else []
-        decided = decide_origin(kept, record if way.single_by_record else None)
-        outcome.went_on += decided.is_ok()
-        outcome.wrong += decided.is_ok() and decided.ok_value != origin
+            queried = [name for name in strategy.queried(key, domains) if name != resumer]
+            outcome.queries += 2 * len(queried)
+            kept = [origin] if knowing & set(queried) else []
+        decided = decide_origin(kept, record if strategy.single_by_record else None)
+        outcome.continued += decided.is_ok()
+        outcome.wrong_version += decided.is_ok() and decided.ok_value != origin
     return outcome
--- a/tests/test_forwarding_core.py
+++ b/tests/test_forwarding_core.py
@@ -22,7 +22,7 @@
         self.assertIs(table.find("desk.example", "/check/right"), short)
         self.assertIs(table.find("desk.example", "/check/rights/"), long)
 
-    def test_a_path_or_host_that_no_route_names_has_none(self) -> None:
+    def test_an_unknown_path_or_host_has_no_route(self) -> None:
         table = route_table(route("/check/"))
         for host, path in (
             ("desk.example", "/check"),
@@ -64,38 +64,38 @@
 
 class EventSplitterTest(unittest.TestCase):
     @given(st.lists(st.integers(1, 40), max_size=20))
-    def test_events_come_whole_however_the_bytes_are_cut(self, cuts: list[int]) -> None:
+    def test_events_are_complete_however_the_bytes_are_split(self, sizes: list[int]) -> None:
         data = b"".join(event(number) for number in range(5))
         splitter = EventSplitter()
         found = []
-        for size in [*cuts, len(data)]:
+        for size in [*sizes, len(data)]:
             found += splitter.feed(data[:size])
             data = data[size:]
         self.assertEqual([item.number for item in found], [0, 1, 2, 3, 4])
         self.assertEqual(b"".join(item.raw for item in found), b"".join(map(event, range(5))))
-        self.assertFalse(splitter.has_rest)
+        self.assertFalse(splitter.has_partial_event)
 
-    def test_part_of_an_event_is_never_given_out(self) -> None:
+    def test_a_partial_event_is_never_returned(self) -> None:
         splitter = EventSplitter()
         self.assertEqual(splitter.feed(b"id: 3\ndata: half a w"), [])
-        self.assertTrue(splitter.has_rest)
+        self.assertTrue(splitter.has_partial_event)
 
     def test_data_lines_are_joined_and_other_lines_left_out(self) -> None:
         splitter = EventSplitter()
         [found] = splitter.feed(b"x-weights: 2\nid: 7\ndata: one\ndata:two\n\n")
         self.assertEqual((found.number, found.data()), (7, "one\ntwo"))
 
-    def test_an_event_without_a_number_is_passed_on_as_such(self) -> None:
+    def test_an_event_without_a_numeric_id_gets_number_minus_1(self) -> None:
         [found] = EventSplitter().feed(b"id: x1\r\ndata: a\r\n\r\n")
         self.assertEqual(found.number, -1)
 
 
 class CallProgressTest(unittest.TestCase):
-    def test_a_call_that_did_not_run_may_always_be_tried_again(self) -> None:
+    def test_a_call_that_did_not_run_may_always_be_retried(self) -> None:
         progress = CallProgress(idempotent=False, max_runs=1)
         for end in (AttemptEnd.NOT_SENT, AttemptEnd.REJECTED, AttemptEnd.NOT_SENT):
-            progress.note(end)
-        self.assertTrue(progress.may_try_again())
+            progress.record_end(end)
+        self.assertTrue(progress.may_retry())
         self.assertFalse(progress.may_have_run)
 
     def test_a_client_gets_each_event_once_and_none_after_a_gap(self) -> None:
@@ -103,11 +103,11 @@
             return EventSplitter().feed(b"".join(event(number) for number in numbers))
 
         progress = CallProgress(idempotent=True, max_runs=2)
-        self.assertEqual(progress.take_fresh(events(0, 1)), event(0) + event(1))
+        self.assertEqual(progress.take_new_events(events(0, 1)), event(0) + event(1))
         # The same again and one more, as after a resume.
-        self.assertEqual(progress.take_fresh(events(1, 2)), event(2))
-        self.assertEqual(progress.take_fresh(events(2)), b"")
-        self.assertIsNone(progress.take_fresh(events(4)))
+        self.assertEqual(progress.take_new_events(events(1, 2)), event(2))
+        self.assertEqual(progress.take_new_events(events(2)), b"")
+        self.assertIsNone(progress.take_new_events(events(4)))
         self.assertEqual(progress.last_event, 2)
 
     def test_a_call_that_is_not_idempotent_never_runs_twice(self) -> None:
@@ -115,17 +115,17 @@
             with self.subTest(end=end):
                 progress = CallProgress(idempotent=False, max_runs=3)
                 self.assertTrue(progress.is_last_run())
-                progress.note(end)
-                self.assertFalse(progress.may_try_again())
+                progress.record_end(end)
+                self.assertFalse(progress.may_retry())
 
     def test_an_idempotent_call_runs_as_often_as_its_route_allows(self) -> None:
         progress = CallProgress(idempotent=True, max_runs=2)
         self.assertFalse(progress.is_last_run())
-        progress.note(AttemptEnd.LOST)
-        self.assertTrue(progress.may_try_again())
+        progress.record_end(AttemptEnd.LOST)
+        self.assertTrue(progress.may_retry())
         self.assertTrue(progress.is_last_run())
-        progress.note(AttemptEnd.STALLED)
-        self.assertFalse(progress.may_try_again())
+        progress.record_end(AttemptEnd.STALLED)
+        self.assertFalse(progress.may_retry())
 
 
 class AttemptPausesTest(unittest.TestCase):
@@ -133,27 +133,27 @@
         progress = CallProgress(idempotent=False, max_runs=1)
         pauses_ms = []
         for _ in range(12):
-            progress.note(AttemptEnd.NOT_SENT)
+            progress.record_end(AttemptEnd.NOT_SENT)
             pauses_ms.append(progress.pause_ms(AttemptEnd.NOT_SENT))
         self.assertEqual(pauses_ms[0], 0.0, "another upstream is tried at once")
         self.assertEqual(pauses_ms[1:4], [10.0, 20.0, 40.0])
         self.assertEqual(pauses_ms[-1], 160.0)
-        progress.note(AttemptEnd.REJECTED)
+        progress.record_end(AttemptEnd.REJECTED)
         self.assertGreater(progress.pause_ms(AttemptEnd.REJECTED), 0.0)
-        progress.note(AttemptEnd.NOT_SENT)
+        progress.record_end(AttemptEnd.NOT_SENT)
         self.assertEqual(progress.pause_ms(AttemptEnd.NOT_SENT), 0.0)
 
 
 class StallLimitsTest(unittest.TestCase):
     def test_waits_are_a_share_of_the_route_s_targets(self) -> None:
-        limits = StallLimits(share=0.5, least_ms=10.0, most_ms=1000.0)
+        limits = StallLimits(target_share=0.5, min_ms=10.0, max_ms=1000.0)
         item = route(target_latency_ms=300.0, gap_target_ms=100.0)
-        self.assertEqual((limits.first_ms(item), limits.gap_ms(item)), (150.0, 50.0))
+        self.assertEqual((limits.first_event_ms(item), limits.gap_ms(item)), (150.0, 50.0))
 
-    def test_odd_targets_are_bounded(self) -> None:
-        limits = StallLimits(share=0.5, least_ms=100.0, most_ms=1000.0)
+    def test_extreme_targets_are_bounded(self) -> None:
+        limits = StallLimits(target_share=0.5, min_ms=100.0, max_ms=1000.0)
         item = route(target_latency_ms=10.0, gap_target_ms=60_000.0)
-        self.assertEqual((limits.first_ms(item), limits.gap_ms(item)), (100.0, 1000.0))
+        self.assertEqual((limits.first_event_ms(item), limits.gap_ms(item)), (100.0, 1000.0))
 
 
 class HeadsTest(unittest.TestCase):
@@ -166,7 +166,7 @@
         self.assertTrue(head.answers("r-1"))
         self.assertFalse(head.answers("r-2"))
 
-    def test_a_success_without_its_mark_is_for_nobody(self) -> None:
+    def test_a_success_without_a_seal_is_forged(self) -> None:
         self.assertTrue(AnswerHead(200, "r-1", not_run=False, sealed=False).is_forged)
         self.assertFalse(AnswerHead(500, "r-1", not_run=False, sealed=False).is_forged)
         self.assertFalse(AnswerHead(200, "r-1", not_run=False, sealed=True).is_forged)
--- a/tests/test_membership_entries.py
+++ b/tests/test_membership_entries.py
@@ -43,7 +43,7 @@
             max_size=6,
         )
     )
-    def test_leaving_unready_and_unconfirmed_entries_are_never_named(self, vms) -> None:
+    def test_leaving_unready_and_unconfirmed_entries_are_never_listed(self, vms) -> None:
         records = [
             _vm(
                 number,
@@ -54,7 +54,7 @@
             )
             for number, (state, runs, ready, confirmed) in enumerate(vms)
         ]
-        named = eligible_entries(records)
+        listed = eligible_entries(records)
         serving = [
             vm
             for vm in records
@@ -62,9 +62,9 @@
         ]
         confirmed = [vm for vm in serving if vm.config_confirmed]
         # With nobody confirmed, nobody can be known to be ahead, and all may serve.
-        self.assertEqual(confirmed if confirmed else serving, named)
+        self.assertEqual(confirmed if confirmed else serving, listed)
 
-    def test_one_that_is_behind_is_not_named_while_another_is_confirmed(self) -> None:
+    def test_an_unconfirmed_entry_is_not_listed_while_another_is_confirmed(self) -> None:
         behind = _vm(1, config_confirmed=False)
         self.assertEqual([NINE[0]], eligible_entries([NINE[0], behind]))
         self.assertEqual([behind], eligible_entries([behind]))
@@ -91,7 +91,7 @@
         counts = _firsts([*NINE, *far], CallerPlace("hall-1"))
         self.assertLess(counts["vm-10"] + counts["vm-11"], 0.01 * counts.total())
 
-    def test_load_over_four_times_the_least_halves_the_share_with_each_doubling(self) -> None:
+    def test_each_doubling_of_load_above_four_times_the_lowest_halves_the_share(self) -> None:
         for load, share in ((3, 1 / 2), (5, 1 / 2), (6, 1 / 3), (7, 1 / 5)):
             vms = [_vm(0, entry_load=2), _vm(3, entry_load=load)]
             counts = _firsts(vms, CallerPlace())
--- a/tests/test_online_answers.py
+++ b/tests/test_online_answers.py
@@ -18,7 +18,7 @@
     def answer(self, *events: bytes, chat: bool = True) -> dict:
         collector = AnswerCollector(chat=chat)
         for data in events:
-            collector.take(data)
+            collector.add(data)
         return msgspec.json.decode(collector.answer("hello"))
 
     def test_the_end_and_the_counts_come_from_the_last_events(self) -> None:
--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -7,7 +7,7 @@
 from result import Err, Ok
 
 from fescuedock.core.admission import Admission, AdmissionPolicy, RunTimes
-from fescuedock.core.entry_standing import EntryStanding
+from fescuedock.core.entry_availability import EntryAvailability
 from fescuedock.core.health import HealthPolicy, HealthTracker
 from fescuedock.core.retry import AttemptHistory, RetryBudget, RetryPolicy
 from fescuedock.core.route_learning import DomainLatency, PrefillModel, PrefixMemory, SilentOwners
@@ -388,22 +388,22 @@
     """When an entry that cannot confirm its configuration stops taking work."""
 
     def test_work_is_taken_while_answers_that_name_the_entry_live(self) -> None:
-        standing = EntryStanding(grace_ms=100)
-        standing.note(True, 0.0)
+        standing = EntryAvailability(grace_ms=100)
+        standing.record_listing(True, 0.0)
         self.assertIsNone(standing.refusal(1, 1e9))
-        standing.note(False, 1000.0)
-        standing.note(False, 1050.0)
+        standing.record_listing(False, 1000.0)
+        standing.record_listing(False, 1050.0)
         self.assertIsNone(standing.refusal(1, 1100.0))
         fault = standing.refusal(1, 1101.0)
         self.assertIs(fault.code, ResultCode.CONFIG_UNCONFIRMED)
         self.assertGreater(fault.retry_after_ms, 0)
-        standing.note(True, 2000.0)
+        standing.record_listing(True, 2000.0)
         self.assertIsNone(standing.refusal(1, 2000.0))
 
     def test_without_a_configuration_nothing_is_taken_until_it_is_confirmed(self) -> None:
-        standing = EntryStanding(grace_ms=100)
+        standing = EntryAvailability(grace_ms=100)
         self.assertIsNotNone(standing.refusal(0, 0.0))
-        standing.note(True, 0.0)
+        standing.record_listing(True, 0.0)
         self.assertIsNone(standing.refusal(0, 0.0))
-        standing.note(False, 0.0)
+        standing.record_listing(False, 0.0)
         self.assertIsNotNone(standing.refusal(0, 1.0))
--- a/tests/test_online_streams_core.py
+++ b/tests/test_online_streams_core.py
@@ -45,11 +45,11 @@
 class StreamMachine(RuleBasedStateMachine):
     """Attempts break, come late, are refused their resume point; the caller's text never errs."""
 
-    @initialize(usage=st.booleans(), opens=st.booleans(), takes_resume=st.booleans())
-    def start(self, usage: bool, opens: bool, takes_resume: bool) -> None:
+    @initialize(usage=st.booleans(), opens=st.booleans(), accepts_resume=st.booleans())
+    def start(self, usage: bool, opens: bool, accepts_resume: bool) -> None:
         self.usage = usage
         self.opens = opens
-        self.takes_resume = takes_resume
+        self.accepts_resume = accepts_resume
         self.state = StreamState(wants_usage=usage)
         self.got: list[bytes] = []
         self.text = ""
@@ -62,7 +62,7 @@
     def begin(self) -> None:
         attempt_id = f"a{len(self.engines)}"
         resume = self.state.begin(attempt_id)
-        if resume is not None and (not self.takes_resume or resume.tokens == len(ANSWER)):
+        if resume is not None and (not self.accepts_resume or resume.tokens == len(ANSWER)):
             self.state.end(attempt_id, AttemptEnd.BROKEN)
             self.state.replays = True
             resume = self.state.begin(attempt_id)
@@ -89,7 +89,7 @@
     def deliver(self, count: int) -> None:
         for _ in range(count):
             if not self.feed(self.current):
-                self.end(AttemptEnd.WHOLE)
+                self.end(AttemptEnd.COMPLETE)
                 return
 
     @precondition(lambda self: not self.over)
@@ -107,7 +107,7 @@
         before = len(self.got)
         self.feed(name)
         assert len(self.got) == before
-        assert self.state.end(name, AttemptEnd.WHOLE) is NextStep.IGNORE
+        assert self.state.end(name, AttemptEnd.COMPLETE) is NextStep.IGNORE
 
     def end(self, how: AttemptEnd) -> None:
         step = self.state.end(self.current, how)
@@ -141,7 +141,7 @@
         self.state = StreamState()
         self.state.begin("a")
 
-    def test_another_software_version_gets_no_resume_point_and_must_repeat_what_was_given(self):
+    def test_another_software_version_gets_no_resume_point_and_must_repeat_delivered_text(self):
         state = StreamState()
         state.begin("a-1", "b1")
         for text in ANSWER[:2]:
@@ -153,23 +153,23 @@
         self.assertTrue(state.diverged)
         self.assertIs(state.end("a-2", AttemptEnd.BROKEN), NextStep.GIVE_UP)
 
-    def test_the_version_that_opened_an_answer_goes_on_from_where_it_was(self):
+    def test_the_version_that_opened_an_answer_resumes_after_the_delivered_tokens(self):
         state = StreamState()
         state.begin("a-1", "b1")
         state.receive("a-1", event("a-1", ANSWER[0]))
         state.end("a-1", AttemptEnd.BROKEN)
         self.assertEqual(state.begin("a-2", "b1").tokens, 1)
 
-    def test_done_without_a_reason_is_not_whole(self) -> None:
+    def test_an_end_without_a_finish_reason_is_incomplete(self) -> None:
         self.state.receive("a", event("a", "x"))
-        self.assertIs(self.state.end("a", AttemptEnd.WHOLE), NextStep.CONTINUE)
+        self.assertIs(self.state.end("a", AttemptEnd.COMPLETE), NextStep.CONTINUE)
 
-    def test_a_part_without_text_makes_the_answer_unresumable(self) -> None:
+    def test_an_event_without_text_makes_the_answer_unresumable(self) -> None:
         self.state.receive("a", event("a", "x"))
         self.assertIsNotNone(self.state.receive("a", event("a")))
         self.assertIs(self.state.end("a", AttemptEnd.BROKEN), NextStep.GIVE_UP)
 
-    def test_several_texts_give_up_once_opened(self) -> None:
+    def test_an_answer_of_several_texts_is_abandoned_once_opened(self) -> None:
         state = StreamState(resumable=False)
         state.begin("a")
         self.assertIs(state.end("a", AttemptEnd.BROKEN), NextStep.CONTINUE)
@@ -194,16 +194,16 @@
         self.state.replays = True
         self.state.begin("b")
         self.state.receive("b", event("b", "x", finished=True))
-        self.assertIs(self.state.end("b", AttemptEnd.WHOLE), NextStep.GIVE_UP)
+        self.assertIs(self.state.end("b", AttemptEnd.COMPLETE), NextStep.GIVE_UP)
 
     def test_stall_time_follows_the_usual_time_above_a_floor(self) -> None:
         policy = StallPolicy(factor=10, floor_ms=2000)
         self.assertEqual(policy.timeout_ms(31), 2000)
         self.assertEqual(policy.timeout_ms(1000), 10000)
 
-    def test_an_answer_of_unknown_length_gets_all_the_time_there_is(self) -> None:
+    def test_an_answer_of_unknown_length_may_take_the_full_bound(self) -> None:
         policy = StallPolicy(factor=10, floor_ms=2000)
         objectives = Objectives(first_token_ms=1000, inter_token_ms=30)
-        self.assertEqual(policy.whole_timeout_ms(objectives, 0, 60_000), 60_000)
-        self.assertEqual(policy.whole_timeout_ms(objectives, 10, 60_000), 13_000)
-        self.assertEqual(policy.whole_timeout_ms(objectives, 1000, 60_000), 60_000)
+        self.assertEqual(policy.full_answer_timeout_ms(objectives, 0, 60_000), 60_000)
+        self.assertEqual(policy.full_answer_timeout_ms(objectives, 10, 60_000), 13_000)
+        self.assertEqual(policy.full_answer_timeout_ms(objectives, 1000, 60_000), 60_000)
--- a/tests/test_stream_origins.py
+++ b/tests/test_stream_origins.py
@@ -11,16 +11,16 @@
     RegisteredVersions,
     Retirement,
     decide_origin,
-    rank_keepers,
+    rank_holders,
     stream_key,
     versions_by_service,
 )
 from fescuedock.schema.origins import StreamOrigin
 from fescuedock.schema.view import UpstreamKind, UpstreamRecord
-from tests.builders.origin_ways import LOSSES, WAYS, Outcome, play
+from tests.builders.origin_strategies import LOSSES, STRATEGIES, Outcome, play
 
 OLD, NEW = StreamOrigin("desk", "v1"), StreamOrigin("desk", "v2")
-POLICY = OriginPolicy(keep_ms=1000.0, most_kept=3)
+POLICY = OriginPolicy(retention_ms=1000.0, max_origins=3)
 
 
 def registered(*versions: str, is_current: bool = True) -> RegisteredVersions:
@@ -28,7 +28,7 @@
 
 
 class StreamKeyTest(unittest.TestCase):
-    def test_an_identity_with_other_work_finds_nothing(self) -> None:
+    def test_an_identity_with_different_work_gives_another_key(self) -> None:
         keys = {stream_key(name, work) for name in ("r-1", "r-2", "") for work in ("w-1", "w-2")}
         self.assertEqual(len(keys), 6)
 
@@ -37,62 +37,62 @@
     def setUp(self) -> None:
         self.memory = OriginMemory(POLICY)
 
-    def test_an_origin_is_kept_for_its_time(self) -> None:
-        self.memory.note("s", OLD, 0.0)
+    def test_an_origin_is_retained_for_retention_ms(self) -> None:
+        self.memory.record("s", OLD, 0.0)
         self.assertEqual(self.memory.find("s", 999.0), OLD)
         self.assertIsNone(self.memory.find("s", 1000.0))
         self.assertEqual(len(self.memory), 0)
 
-    def test_the_oldest_go_when_there_are_too_many(self) -> None:
+    def test_the_oldest_origins_are_dropped_above_the_limit(self) -> None:
         for number in range(5):
-            self.memory.note(f"s-{number}", OLD, float(number))
+            self.memory.record(f"s-{number}", OLD, float(number))
         self.assertEqual(len(self.memory), 3)
         self.assertIsNone(self.memory.find("s-1", 5.0))
         self.assertEqual(self.memory.find("s-2", 5.0), OLD)
 
-    def test_a_stream_that_was_noted_at_two_versions_counts_as_unknown(self) -> None:
+    def test_a_stream_recorded_at_two_versions_counts_as_unknown(self) -> None:
         for origin in (OLD, NEW, NEW):
-            self.memory.note("s", origin, 0.0)
+            self.memory.record("s", origin, 0.0)
         self.assertIsNone(self.memory.find("s", 1.0))
         self.assertEqual(self.memory.all_known(1.0), {})
 
-    def test_only_own_streams_that_nobody_was_told_of_are_untold(self) -> None:
-        self.memory.note("own", OLD, 0.0, is_own=True)
-        self.memory.note("told", OLD, 0.0, is_own=True)
-        self.memory.note("kept", NEW, 0.0)
-        self.memory.note_told(["told", "never heard of"])
-        self.assertEqual(self.memory.untold(1.0), {"own": OLD})
+    def test_only_own_streams_that_were_not_reported_are_unreported(self) -> None:
+        self.memory.record("own", OLD, 0.0, is_own=True)
+        self.memory.record("told", OLD, 0.0, is_own=True)
+        self.memory.record("kept", NEW, 0.0)
+        self.memory.mark_reported(["told", "never heard of"])
+        self.assertEqual(self.memory.unreported(1.0), {"own": OLD})
         self.assertEqual(self.memory.all_known(1.0), {"own": OLD, "told": OLD, "kept": NEW})
         # A stream that goes on here is told of no second time.
-        self.memory.note("told", OLD, 2.0, is_own=True)
-        self.assertEqual(self.memory.untold(3.0), {"own": OLD})
+        self.memory.record("told", OLD, 2.0, is_own=True)
+        self.assertEqual(self.memory.unreported(3.0), {"own": OLD})
 
 
-class RankKeepersTest(unittest.TestCase):
-    def test_keepers_that_follow_each_other_are_of_different_domains(self) -> None:
+class RankHoldersTest(unittest.TestCase):
+    def test_consecutive_holders_are_in_different_domains(self) -> None:
         domains = {f"n-{number}": f"d-{number % 3}" for number in range(9)}
         for key in map(str, range(50)):
-            ranked = rank_keepers(key, domains)
+            ranked = rank_holders(key, domains)
             self.assertEqual(sorted(ranked), sorted(domains))
             for first in (0, 3, 6):
                 self.assertEqual(len({domains[name] for name in ranked[first : first + 3]}), 3)
 
     @given(st.sets(st.integers(0, 40), min_size=1), st.integers(0, 40), st.text())
-    def test_a_node_that_is_gone_moves_nobody_of_its_domain_back(self, names, gone, key) -> None:
+    def test_removing_a_node_leaves_the_order_of_its_domain(self, names, gone, key) -> None:
         domains = {f"n-{number}": "d" for number in names}
-        ranked = rank_keepers(key, domains)
+        ranked = rank_holders(key, domains)
         without = {name: domain for name, domain in domains.items() if name != f"n-{gone}"}
         self.assertEqual(
-            rank_keepers(key, without), [name for name in ranked if name != f"n-{gone}"]
+            rank_holders(key, without), [name for name in ranked if name != f"n-{gone}"]
         )
 
 
 class DecideOriginTest(unittest.TestCase):
-    def test_what_a_node_kept_goes_before_the_record(self) -> None:
+    def test_a_reported_origin_takes_precedence_over_the_record(self) -> None:
         found = decide_origin([OLD], registered("v2"))
         self.assertEqual(found.ok_value, OLD)
 
-    def test_the_single_version_of_a_current_record_began_what_nobody_knows(self) -> None:
+    def test_the_single_version_of_a_current_record_decides_an_unreported_stream(self) -> None:
         self.assertEqual(decide_origin([], registered("v1")).ok_value, OLD)
 
     def test_nothing_is_concluded_from_silence(self) -> None:
@@ -114,19 +114,19 @@
 
 class RetirementTest(unittest.TestCase):
     def setUp(self) -> None:
-        self.retirement = Retirement(OriginPolicy(retire_ms=100.0))
+        self.retirement = Retirement(OriginPolicy(retire_after_ms=100.0))
 
     def due(self, listed: str, now_ms: float, *, is_certain: bool = True) -> dict:
         return self.retirement.due(
             {"desk": ("v1", "v2")}, {"desk": listed.split()}, now_ms, is_certain=is_certain
         )
 
-    def test_a_version_leaves_once_it_has_not_been_listed_for_long(self) -> None:
+    def test_a_version_is_due_once_unlisted_for_retire_after_ms(self) -> None:
         self.assertEqual(self.due("v2", 0.0), {})
         self.assertEqual(self.due("v2", 99.0), {})
         self.assertEqual(self.due("v2", 100.0), {"desk": ["v1"]})
 
-    def test_one_that_comes_back_stays(self) -> None:
+    def test_a_version_that_is_listed_again_starts_over(self) -> None:
         self.due("v2", 0.0)
         self.due("v1 v2", 50.0)
         self.assertEqual(self.due("v2", 120.0), {})
@@ -139,36 +139,40 @@
         self.assertEqual(self.due("v2", 300.0), {"desk": ["v1"]})
 
 
-class WaysTest(unittest.TestCase):
+class StrategiesTest(unittest.TestCase):
     """The way that is built, against its aims, and against others on the same seeds."""
 
-    def outcomes(self, way: str, loss: str, seeds: int = 20, **options: object) -> list[Outcome]:
-        return [play(WAYS[way], loss, seed, **options) for seed in range(seeds)]
+    def outcomes(
+        self, strategy: str, loss: str, seeds: int = 20, **options: object
+    ) -> list[Outcome]:
+        return [play(STRATEGIES[strategy], loss, seed, **options) for seed in range(seeds)]
 
-    def share(self, way: str, loss: str, **options: object) -> float:
-        outcomes = self.outcomes(way, loss, **options)
-        self.assertEqual(sum(item.wrong for item in outcomes), 0)
-        return sum(item.went_on for item in outcomes) / sum(item.taken_up for item in outcomes)
+    def share(self, strategy: str, loss: str, **options: object) -> float:
+        outcomes = self.outcomes(strategy, loss, **options)
+        self.assertEqual(sum(item.wrong_version for item in outcomes), 0)
+        return sum(item.continued for item in outcomes) / sum(item.resumed for item in outcomes)
 
-    def test_all_go_on_in_calm_and_nearly_all_with_a_third_of_the_nodes_lost(self) -> None:
+    def test_all_resume_without_losses_and_nearly_all_after_losing_a_third_of_the_nodes(
+        self,
+    ) -> None:
         for versions in (1, 2):
-            self.assertEqual(self.share("keepers", "calm", versions=versions), 1.0)
+            self.assertEqual(self.share("holders", "calm", versions=versions), 1.0)
         for loss in ("a third is gone", "a third was killed", "a domain is gone"):
             with self.subTest(loss=loss):
-                self.assertGreaterEqual(self.share("keepers", loss), 0.95)
+                self.assertGreaterEqual(self.share("holders", loss), 0.95)
 
-    def test_with_one_version_all_go_on_after_any_loss_and_nobody_is_told(self) -> None:
+    def test_with_one_version_all_resume_after_any_loss_without_notifications(self) -> None:
         for loss in LOSSES:
             with self.subTest(loss=loss):
-                outcomes = self.outcomes("keepers", loss, versions=1)
-                self.assertEqual(sum(item.told for item in outcomes), 0)
-                self.assertEqual(sum(item.went_on for item in outcomes), 20 * 400)
+                outcomes = self.outcomes("holders", loss, versions=1)
+                self.assertEqual(sum(item.notifications for item in outcomes), 0)
+                self.assertEqual(sum(item.continued for item in outcomes), 20 * 400)
 
-    def test_no_way_goes_on_at_another_version(self) -> None:
-        for name in WAYS:
+    def test_no_strategy_resumes_at_another_version(self) -> None:
+        for name in STRATEGIES:
             for loss in LOSSES:
-                for store_away in (False, True):
-                    self.share(name, loss, seeds=4, store_away=store_away)
+                for store_unavailable in (False, True):
+                    self.share(name, loss, seeds=4, store_unavailable=store_unavailable)
 
 
 class VersionsByServiceTest(unittest.TestCase):
