--- a/src/fescuedock/core/answers.py
+++ b/src/fescuedock/core/answers.py
@@ -1,4 +1,4 @@
-"""Puts the events of a streamed answer together to the JSON of an answer in one piece."""
+"""Assembles the events of a streamed answer into the JSON of a non-streamed answer."""
 
 from typing import Any
 
@@ -7,12 +7,12 @@
 __all__ = ["AnswerCollector", "can_be_collected", "streamed_body"]
 
 _DATA = b"data: "
-# What these ask for comes in parts that are no text.
+# Request fields whose results arrive as events with content other than text.
 _STRUCTURED = ("tools", "functions", "logprobs", "top_logprobs", "audio", "modalities")
 
 
 class _Event(msgspec.Struct):
-    """The fields of an event that an answer in one piece has too."""
+    """The fields of an event that a non-streamed answer has too."""
 
     id: str = ""
     created: int = 0
@@ -26,7 +26,7 @@
 
 
 def can_be_collected(body: dict[str, Any]) -> bool:
-    """Whether the answer to a request is one text, so that nothing is lost between events."""
+    """Whether the answer is a single text, so that its events can be joined without loss."""
     if body.get("n") not in (None, 1) or body.get("best_of") not in (None, 1) or body.get("echo"):
         return False
     prompt = body.get("prompt")
@@ -35,19 +35,19 @@
 
 
 def streamed_body(body: dict[str, Any]) -> dict[str, Any]:
-    """Return the request for the same answer as a stream with its token counts."""
+    """Return the request body for the same answer as a stream with token counts."""
     return {**body, "stream": True, "stream_options": {"include_usage": True}}
 
 
 class AnswerCollector:
-    """Takes the events of one answer, as bytes, in order."""
+    """Collects the events of one answer, as bytes, in order."""
 
     __slots__ = ("_chat", "_first", "_last")
 
     def __init__(self, *, chat: bool) -> None:
         self._chat = chat
         self._first = b""
-        # The reason for the end and the token counts are in the last two.
+        # The finish reason and the token counts are in the last two events.
         self._last: list[bytes] = []
 
     def add(self, data: bytes) -> None:
@@ -55,9 +55,9 @@
         self._last = [*self._last[-1:], data]
 
     def answer(self, text: str) -> bytes:
-        """Return the whole answer as JSON; ``text`` is that of all tokens.
+        """Return the complete answer as JSON; ``text`` is the text of all tokens.
 
-        Raises ``msgspec.MsgspecError`` when an event cannot be read.
+        Raise ``msgspec.MsgspecError`` if an event cannot be decoded.
         """
         first = _read(self._first)
         last = [_read(data) for data in self._last]
--- a/src/fescuedock/core/entry_availability.py
+++ b/src/fescuedock/core/entry_availability.py
@@ -1,8 +1,8 @@
-"""Whether an entry may take new work, by what its own VM's agent makes known of it.
+"""Decides whether an entry accepts new work, by whether its own VM's agent lists it.
 
-An agent stops naming its entry when the configuration cannot be confirmed and the cut-off policy
-says not to serve.  Callers who were given the entry's address before are still served until their
-answers have expired; whoever comes later is sent elsewhere.
+An agent stops listing its entry when the configuration cannot be confirmed and the cut-off policy
+forbids serving.  Callers that received the entry's address before are still served until their
+answers have expired; later requests are refused and sent to another entry.
 
 Pure: the caller passes the time.
 """
@@ -18,23 +18,23 @@
 
 
 class EntryAvailability(msgspec.Struct):
-    """Follows whether the entry is named; ``grace_ms`` is how long answers naming it may live."""
+    """Tracks whether the entry is listed; answers that list it are valid for ``grace_ms``."""
 
     grace_ms: float
     _listed: bool = False
     _unlisted_since_ms: float = float("-inf")
 
     def record_listing(self, named: bool, now_ms: float) -> None:
-        """Take in whether the fleet's answers may name the entry now."""
+        """Record whether the fleet's answers may list the entry now."""
         if self._listed and not named:
             self._unlisted_since_ms = now_ms
         self._listed = named
 
     def refusal(self, config_version: int, now_ms: float) -> Fault | None:
-        """Return why new work is refused; None when it is taken.
+        """Return why new work is refused; None if it is accepted.
 
-        Without any configuration an entry that is not named refuses at once: it cannot say that a
-        model does not exist.
+        Without any configuration an unlisted entry refuses at once, because it cannot know whether
+        a model exists.
         """
         if self._listed:
             return None
--- a/src/fescuedock/core/entry_choice.py
+++ b/src/fescuedock/core/entry_choice.py
@@ -1,4 +1,4 @@
-"""Which entries a caller is told to use, and in which order."""
+"""Decides which entries a caller should use, and in which order."""
 
 import math
 from collections.abc import Iterable, Sequence
@@ -10,30 +10,30 @@
 
 __all__ = ["CallerPlace", "eligible_entries", "recommended_vms", "rank_entries"]
 
-# Distances and load count as powers of two: one in eight first choices is of another domain.
+# Costs are exponents of two: an entry in another domain is 1/8 as likely to be the first choice.
 _OTHER_DOMAIN_COST = 3
 _OTHER_REGION_COST = 8
-# Below this the load is noise: fewer than eight requests.
+# Loads are logarithms; a load up to this one is noise (fewer than eight requests).
 _IDLE_LOAD = 3
-# Load is known late and answers are kept, so that following it closely makes all callers go to and
-# fro: only what is over four times the load of the idlest entry counts.
+# Loads are known late and callers cache answers, so following the load closely would make all
+# callers oscillate: only load above four times that of the least loaded entry counts.
 _TOLERATED_LOAD = 2
 _LIVE = (VmState.ALIVE, VmState.SUSPECT)
-# With fewer than this share unsuspected the suspicion says more of this node than of the others.
+# If a smaller share of the VMs answers, this node is more likely at fault than the suspected ones.
 _MIN_ANSWERING_SHARE = 0.5
 
 
 class CallerPlace(msgspec.Struct, frozen=True):
-    """Where a caller says it is; empty names say nothing."""
+    """The location that a caller gives; an empty name is unknown."""
 
     failure_domain: str = ""
     region: str = ""
 
 
 def eligible_entries(vms: Iterable[VmRecord]) -> list[VmRecord]:
-    """Return the VMs that may be named: live, with a ready entry, their configuration confirmed.
+    """Return the VMs to list: live, with a ready entry and a confirmed configuration.
 
-    If none could confirm its configuration, none is ahead of the others and all may be named.
+    If no VM could confirm its configuration, none is ahead of the others and all may be listed.
     """
     ready = [vm for vm in vms if vm.state in _LIVE and vm.entry_port and Program.ENTRY in vm.ready]
     return [vm for vm in ready if vm.config_confirmed] or ready
@@ -42,9 +42,9 @@
 def recommended_vms(live: Sequence[VmRecord]) -> list[VmRecord]:
     """Return the VMs of ``live`` that clients should use.
 
-    A VM that does not answer probes is left out at once, not only when it is taken for gone a
-    second later: a client that connects to a dead VM waits for one second, three times its target.
-    The others carry its share meanwhile; one that was suspected wrongly serves on.
+    A VM that fails its probes is excluded at once, not only when it is declared gone a second
+    later: a client that connects to a dead VM waits for one second, three times its target.  The
+    other VMs serve its share meanwhile; a wrongly suspected VM still serves its existing clients.
     """
     answering = [vm for vm in live if vm.state is VmState.ALIVE]
     return answering if len(answering) >= _MIN_ANSWERING_SHARE * len(live) else list(live)
@@ -53,8 +53,8 @@
 def rank_entries(vms: Sequence[VmRecord], place: CallerPlace, rng: Random) -> list[VmRecord]:
     """Return ``vms`` in the order in which one caller should try them.
 
-    The order is drawn anew for each answer, near and idle entries more likely first, so that
-    callers who keep their answers spread; suspected VMs come last.
+    The order is random for each answer, with near and lightly loaded entries more likely first, so
+    that callers that cache their answers are spread; suspected VMs come last.
     """
     place = _with_region(place, vms)
     min_load = min((vm.entry_load for vm in vms), default=0)
@@ -67,7 +67,7 @@
 
 
 def _with_region(place: CallerPlace, vms: Sequence[VmRecord]) -> CallerPlace:
-    """Add the region of the failure domain, where that is known."""
+    """Return ``place`` with the region of its failure domain, if that is known."""
     if place.region:
         return place
     regions = [vm.region for vm in vms if vm.failure_domain == place.failure_domain]
@@ -87,5 +87,5 @@
 
 
 def _draw(cost: int, rng: Random) -> float:
-    """Draw a sort key: the least of several is the entry's with a chance of 2 ** -cost."""
+    """Draw a sort key; an entry has the lowest of several with a weight of 2 ** -cost."""
     return -math.log(1.0 - rng.random()) * 2.0**cost
--- a/src/fescuedock/core/forwarding/__init__.py
+++ b/src/fescuedock/core/forwarding/__init__.py
@@ -1,1 +1,1 @@
-"""Decisions about calls that are passed on to upstreams without being understood."""
+"""Decisions about calls that are forwarded to upstreams without interpreting their bodies."""
--- a/src/fescuedock/core/forwarding/calls.py
+++ b/src/fescuedock/core/forwarding/calls.py
@@ -1,4 +1,4 @@
-"""What is known of a call and of an upstream's answer without understanding their bodies."""
+"""What is known about a call and an upstream's answer without interpreting their bodies."""
 
 import msgspec
 
@@ -6,23 +6,23 @@
 
 
 class CallHead(msgspec.Struct, frozen=True):
-    """What a client says of its call."""
+    """What a client states about its call."""
 
     request_id: str
-    # How long the client will wait, in all; None when it does not say.
+    # Total time that the client will wait; None if it does not say.
     patience_ms: float | None = None
     prompt_tokens: int = 0
     max_tokens: int = 0
-    # Identity and tokens of each part of the prompt, in order; the last is the call's own.
+    # Identity and token count of each prompt part, in order; only this call has the last one.
     prompt_parts: tuple[tuple[str, int], ...] = ()
-    # Number of the last event that the client has of an earlier answer; below 0 for none.
+    # Number of the last event that the client received of an earlier answer; below 0 for none.
     last_event: int = -1
-    # The client's attempt that brought that stream's first event; empty when it does not say.
+    # Request id of the attempt that delivered the stream's first event; empty if not stated.
     resumes: str = ""
 
     @property
     def shared_parts(self) -> tuple[tuple[str, int], ...]:
-        """The parts of the prompt that other calls may begin with too."""
+        """The leading prompt parts that other calls may share."""
         return self.prompt_parts[:-1]
 
     @property
@@ -31,16 +31,16 @@
 
 
 class AnswerHead(msgspec.Struct, frozen=True):
-    """What an upstream's answer says before its body.
+    """What an upstream's answer states before its body.
 
-    ``not_run`` is the upstream's promise that it did not run the request; without it any answer
-    means that it may have.
+    ``not_run`` is the upstream's promise that it did not run the request; without it the request
+    may have run, whatever the answer.
     """
 
     status: int
     request_id: str
     not_run: bool
-    # Bears the mark by which clients know an answer as an upstream's.
+    # Has the seal by which clients recognize an upstream's answer.
     sealed: bool
 
     @property
@@ -49,9 +49,9 @@
 
     @property
     def is_forged(self) -> bool:
-        """Whether it looks like a success but bears no mark, so that no client may get it."""
+        """Whether it looks like a success but has no seal, so that it must not reach a client."""
         return self.is_success and not self.sealed
 
     def answers(self, request_id: str) -> bool:
-        """Whether it belongs to ``request_id``; one without an identity is taken to."""
+        """Whether it belongs to ``request_id``; an answer without a request id is assumed to."""
         return self.request_id in ("", request_id)
--- a/src/fescuedock/core/forwarding/event_stream.py
+++ b/src/fescuedock/core/forwarding/event_stream.py
@@ -1,7 +1,7 @@
-"""Cuts a stream of server-sent events into its events, as the bytes came.
+"""Splits a stream of server-sent events into events, keeping their bytes unchanged.
 
-Only whole events are given out: an upstream may stop in the middle of one, and the rest of it comes
-again from the upstream that goes on.
+Only complete events are returned: an upstream may stop in the middle of an event, which the
+upstream that continues the stream sends again.
 """
 
 import msgspec
@@ -12,7 +12,7 @@
 
 
 class SplitEvent(msgspec.Struct, frozen=True):
-    """One event: its bytes, and its number, which is -1 for one that has none."""
+    """One event: its bytes, and its number, -1 if its id is missing or not a number."""
 
     number: int
     raw: bytes
@@ -28,7 +28,7 @@
 
 
 class EventSplitter:
-    """Takes the bytes of one upstream's stream and gives the events that are whole."""
+    """Splits the bytes of one upstream's stream into complete events."""
 
     __slots__ = ("_buffer",)
 
@@ -37,11 +37,11 @@
 
     @property
     def has_partial_event(self) -> bool:
-        """Whether part of an event has come, which is a truncated stream if no more follows."""
+        """Whether part of an event was received: if no more follows, the stream is truncated."""
         return bool(self._buffer)
 
     def feed(self, data: bytes) -> list[SplitEvent]:
-        """Take in ``data``; return the events that it completes."""
+        """Append ``data``; return the events that it completes."""
         self._buffer += data
         events: list[SplitEvent] = []
         while (end := _event_end(self._buffer)) is not None:
@@ -52,7 +52,7 @@
 
 
 def _event_end(buffer: bytearray) -> int | None:
-    """Return where the first event ends, past its empty line."""
+    """Return the position after the first event's empty line, None without a complete event."""
     ends = [
         position + len(mark)
         for mark in (b"\n\n", b"\r\n\r\n")
@@ -70,6 +70,6 @@
 
 
 def _field_value(line: bytes) -> bytes:
-    """Return a field's value, without the one space that may follow the colon."""
+    """Return a field's value without the optional space after the colon."""
     value = line.partition(b":")[2]
     return value[1:] if value.startswith(b" ") else value
--- a/src/fescuedock/core/forwarding/progress.py
+++ b/src/fescuedock/core/forwarding/progress.py
@@ -1,7 +1,7 @@
-"""What may follow an attempt of one call.
+"""Decides what may follow a failed attempt of one call.
 
-A call that is not idempotent gets another attempt only while none can have run.  An idempotent one
-may run at as many upstreams as its route allows.
+A call that is not idempotent is retried only while no attempt can have run.  An idempotent call may
+run at as many upstreams as its route allows.
 
 A pure state machine.
 """
@@ -17,43 +17,43 @@
 
 
 class AttemptEnd(enum.Enum):
-    """How an attempt ended that did not give the whole answer."""
+    """How an attempt ended that did not deliver the complete answer."""
 
-    # Nothing can have arrived at the upstream.
+    # Nothing can have reached the upstream.
     NOT_SENT = "not_sent"
-    # The upstream says that it did not run it.
+    # The upstream says that it did not run the call.
     REJECTED = "rejected"
-    # No answer, or one that ends early.
+    # No answer, or a truncated one.
     LOST = "lost"
-    # The upstream ran it and says that it failed.
+    # The upstream ran the call and reports a failure.
     FAILED = "failed"
-    # Nothing came for too long.
+    # The upstream sent nothing for too long.
     STALLED = "stalled"
-    # Taken back by the owner of the upstream for more urgent work.
+    # The owner of the upstream revoked the permit for more urgent work.
     REVOKED = "revoked"
-    # Not sent, as what it had been chosen by did not hold any more; nothing is known against the
-    # upstream.
+    # Not sent, because the reason for choosing the upstream no longer held; this says nothing
+    # against the upstream.
     WITHDRAWN = "withdrawn"
 
 
 _NOT_RUN = (AttemptEnd.NOT_SENT, AttemptEnd.REJECTED, AttemptEnd.WITHDRAWN)
 
 
-# Before the next attempt after an upstream that was full: a share of the time a slot takes to free.
+# Pause after an upstream that was full: a fraction of the time until a slot becomes free.
 _REJECTED_PAUSE_MS = 15.0
-# After a connection that was refused another upstream is tried at once, and from the second on with
-# pauses that double: while most upstreams are down a call tried the same ones every 0.3 ms.
+# After the first refused connection another upstream is tried at once; from the second on, pauses
+# double.  Without them a call retried the same upstreams every 0.3 ms while most were down.
 _FIRST_REFUSED_PAUSE_MS = 10.0
 _MAX_REFUSED_PAUSE_MS = 160.0
-# Keeps the power within numbers.
+# Limits the exponent to avoid huge numbers.
 _MAX_DOUBLINGS = 8
 
 
 class CallProgress(msgspec.Struct):
     """The attempts of one call so far.
 
-    ``last_event`` is the number of the last event that the client has, below 0 for none.
-    ``answer_begun`` says that the client has the beginning of an answer without events.
+    ``last_event`` is the number of the last event that was sent to the client, below 0 for none.
+    ``answer_begun`` says that the client received the beginning of an answer without events.
     """
 
     idempotent: bool
@@ -62,7 +62,6 @@
     runs: int = 0
     attempts: int = 0
     answer_begun: bool = False
-    # Connections that were refused in a row.
     _consecutive_refusals: int = 0
 
     @property
@@ -71,11 +70,11 @@
 
     @property
     def consecutive_refusals(self) -> int:
-        """Connections that were refused in a row."""
+        """The number of consecutive attempts whose connection was refused."""
         return self._consecutive_refusals
 
     def record_end(self, end: AttemptEnd) -> None:
-        """Take in how an attempt ended."""
+        """Record how an attempt ended."""
         self.attempts += 1
         if end not in _NOT_RUN:
             self.runs += 1
@@ -85,7 +84,7 @@
             self._consecutive_refusals = 0
 
     def pause_ms(self, end: AttemptEnd) -> float:
-        """Return the pause before the attempt that follows one which ended so."""
+        """Return the pause between an attempt that ended this way and the next one."""
         if end is AttemptEnd.REJECTED:
             return _REJECTED_PAUSE_MS
         if end is not AttemptEnd.NOT_SENT or self._consecutive_refusals < 2:
@@ -94,7 +93,7 @@
         return min(_FIRST_REFUSED_PAUSE_MS * 2**doublings, _MAX_REFUSED_PAUSE_MS)
 
     def take_new_events(self, events: Iterable[SplitEvent]) -> bytes | None:
-        """Return the bytes of the events that the client lacks; None when one is missing."""
+        """Return the bytes of the events that are new to the client; None if one was skipped."""
         parts: list[bytes] = []
         for event in events:
             if 0 <= event.number <= self.last_event:
@@ -109,12 +108,12 @@
     def may_retry(self) -> bool:
         """Whether another attempt may be made."""
         if self.answer_begun:
-            # No other run can go on with it; it would keep an upstream busy for nobody.
+            # No other run can continue the answer; it would occupy an upstream in vain.
             return False
         if not self.may_have_run:
             return True
         return self.idempotent and self.runs < self.max_runs
 
     def is_last_run(self) -> bool:
-        """Whether the run that is under way is the last that the call may have."""
+        """Whether the run in progress is the last one allowed."""
         return not self.idempotent or self.runs + 1 >= self.max_runs
--- a/src/fescuedock/core/forwarding/route_table.py
+++ b/src/fescuedock/core/forwarding/route_table.py
@@ -1,6 +1,6 @@
-"""Which service a call goes to, and what may be done with it on the way.
+"""Routes: which service a call goes to, and how it may be retried, resumed and timed.
 
-A table is made from one version of the configuration and never changes.
+A table is built from one version of the configuration and is immutable.
 """
 
 import enum
@@ -15,7 +15,7 @@
 
 
 class RouteKind(enum.Enum):
-    """What may be repeated of a route's calls."""
+    """Which calls of a route may be repeated."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -24,30 +24,30 @@
 
 
 class Route(msgspec.Struct, frozen=True):
-    """One route.  ``services`` pairs the names of services with their weights."""
+    """One route.  ``services`` holds pairs of a service name and its weight."""
 
     name: str
     host: str
     prefix: str
     kind: RouteKind
     services: tuple[tuple[str, float], ...]
-    # Longest time that a call may be kept waiting; 0 sets no bound.
+    # Longest time that a call may wait; 0 for no limit.
     timeout_ms: float = 0.0
-    # Time to the answer, or to a stream's first event, that earns full credit.
+    # Time to the answer, or to a stream's first event, within which a call is on time.
     target_latency_ms: float = 1000.0
-    # Longest pause between two events of a stream that is still on time; 0 where none is declared.
+    # Longest pause between two events of a stream that is on time; 0 if none is declared.
     gap_target_ms: float = 0.0
-    # How long clients wait for a stream's first event before they leave; 0 where that is not known.
+    # How long clients wait for a stream's first event before they disconnect; 0 if unknown.
     first_event_patience_ms: float = 0.0
-    # Upstreams that may run one call at most.
+    # Maximum number of upstreams that may run one call.
     max_attempts: int = 1
-    # A stream may go on at another upstream after the last event that arrived.
+    # Whether another upstream may continue a stream after the last received event.
     resumable: bool = False
-    # Callers need no key.
+    # Whether callers need no API key.
     public: bool = False
     # 0 is the most urgent.
     priority: int = 0
-    # Of batch jobs, from their submission.
+    # For batch jobs, counted from their submission.
     due_ms: float = 0.0
     retention_ms: float = 0.0
 
@@ -59,7 +59,7 @@
         return self.kind in (RouteKind.SAFE, RouteKind.BATCH)
 
     def choose_service(self, rng: random.Random) -> str:
-        """Draw a service by weight."""
+        """Draw a service at random by weight."""
         names = [name for name, _ in self.services]
         if len(names) == 1:
             return names[0]
@@ -74,16 +74,16 @@
 
 
 class ServiceTerms(msgspec.Struct, frozen=True):
-    """What the configuration says of a service and its engines."""
+    """The configuration of a service and its engines."""
 
     name: str
     health_path: str = "/health"
-    # Requests that one upstream runs at once; 0 where it is not declared.
+    # Requests that one upstream runs concurrently; 0 if not declared.
     slots: int = 0
 
 
 class ClientLimits(msgspec.Struct, frozen=True):
-    """Bounds of what clients may send, and of how long they may take."""
+    """Limits on the size and duration of what clients send."""
 
     max_header_bytes: int = 16384
     max_body_bytes: int = 4 * 1024 * 1024
@@ -99,7 +99,7 @@
     services: Mapping[str, ServiceTerms] = msgspec.field(default_factory=dict)
     limits: ClientLimits = msgspec.field(default_factory=ClientLimits)
     customers: CustomerIndex = msgspec.field(default_factory=CustomerIndex)
-    # Made of ``routes``, whatever is passed.
+    # Built from ``routes``; a passed value is replaced.
     _by_host: dict[str, dict[str, Route]] = msgspec.field(default_factory=dict)
     _by_name: dict[str, Route] = msgspec.field(default_factory=dict)
 
@@ -110,8 +110,8 @@
     def priority_of(self, route: Route | None, customer: str | None) -> int:
         """Return the priority of a customer's work on ``route``: its own, or else the route's.
 
-        The route counts as this version has it, by name, so that a change also applies to a call
-        that began under an older version.
+        The route is looked up by name in this version, so that a change also applies to calls that
+        started under an older version.
         """
         known = self.customers.by_name.get(customer or "")
         if known is not None and known.priority is not None:
@@ -122,7 +122,7 @@
 
     @property
     def resumable_services(self) -> frozenset[str]:
-        """The services to which streams go that may be resumed."""
+        """The services of routes with resumable streams."""
         return frozenset(
             name
             for route in self.routes
@@ -133,7 +133,7 @@
     def find(self, host: str, path: str) -> Route | None:
         """Return the route of ``host`` with the longest prefix of ``path``; None without one.
 
-        Prefixes begin and end with a slash, so only the path's own slashes need be tried: the cost
+        Prefixes begin and end with a slash, so only the path's own slashes are tried, and the cost
         does not grow with the number of routes.
         """
         prefixes = self._by_host.get(_host_name(host))
@@ -158,5 +158,5 @@
 
 
 def _host_name(host: str) -> str:
-    """Return a Host header's name in the form that is compared: without port, in lower case."""
+    """Return the host name of a Host header for comparison: without port, in lower case."""
     return host.rpartition(":")[0].lower() if ":" in host else host.lower()
--- a/src/fescuedock/core/forwarding/stalls.py
+++ b/src/fescuedock/core/forwarding/stalls.py
@@ -1,4 +1,4 @@
-"""How long a silent upstream is waited for before a stream goes on at another one."""
+"""How long to wait for a silent upstream before another one continues the stream."""
 
 import msgspec
 
@@ -8,10 +8,10 @@
 
 
 class StallLimits(msgspec.Struct, frozen=True):
-    """Shares of the route's own targets, and bounds for routes that name none or odd ones.
+    """Waits as a share of the route's targets, bounded for routes without or with extreme targets.
 
-    Too early runs a request twice that was only slow; too late costs the target.  At half of it
-    the other upstream still has the other half.
+    A short wait runs a request twice that was only slow; a long one misses the target.  The default
+    share leaves the other upstream the remaining 40% of the target.
     """
 
     target_share: float = 0.6
--- a/src/fescuedock/core/stream_origins.py
+++ b/src/fescuedock/core/stream_origins.py
@@ -1,11 +1,12 @@
-"""Which software version began a stream, so that it goes on at no other one.
+"""Determines which software version started a stream, so that no other version continues it.
 
-A client may take a stream up at any node while the one that began it is gone.  Two things tell how
-the stream began.  While upstreams of several versions serve, the node that begins a stream tells a
-few others before the client gets the first event; what they answer later is certain, their silence
-says nothing.  And a record for each service, in the key-value service, names every version at
-which a stream may have begun: a node begins none at a version that is not in it.  While it names a
-single one, that is the answer for a stream of which nobody knows.
+A client may resume a stream at any node after the node that started it was lost.  There are two
+sources for the version.  While upstreams of several versions serve, the node that starts a stream
+reports its origin to a few other nodes before the client gets the first event; their later reports
+are certain, and their silence proves nothing.  In addition, the key-value service holds a record
+for each service with every version at which a stream may have started; a node starts no stream at
+a version that is missing from it.  While the record has a single version, that is the version of
+a stream whose origin no queried node knows.
 
 Pure: the caller passes the time.
 """
@@ -56,31 +57,31 @@
 
 
 class _KnownOrigin(msgspec.Struct):
-    """``origin`` is None where two were noted for the same stream."""
+    """``origin`` is None if two different ones were recorded for the same stream."""
 
     origin: StreamOrigin | None
     at_ms: float
-    # Begun here, and whether others were told.
+    # Whether this node started the stream, and whether other nodes were notified.
     is_own: bool
     is_reported: bool = False
 
 
 def stream_key(request_id: str, work_id: str) -> str:
-    """Return what a stream is known by: the client's attempt that began it, and its work.
+    """Return the key of a stream, made of the request id that started it and of its work id.
 
-    An identity that comes with other work, or from another customer, finds nothing.
+    A request id sent with other work, or by another customer, gives a key that is not recorded.
     """
     return work_identity(request_id, work_id)
 
 
 class OriginMemory:
-    """What a node knows of how streams began: of its own ones, and of those it was told of."""
+    """The origins that one node knows: of streams it started and of those reported to it."""
 
     __slots__ = ("_origins", "_policy")
 
     def __init__(self, policy: OriginPolicy) -> None:
         self._policy = policy
-        # In the order of time.
+        # Ordered by time, oldest first.
         self._origins: OrderedDict[str, _KnownOrigin] = OrderedDict()
 
     def __len__(self) -> int:
@@ -89,7 +90,7 @@
     def record(
         self, key: str, origin: StreamOrigin, now_ms: float, *, is_own: bool = False
     ) -> None:
-        """Keep how a stream began."""
+        """Record the origin of a stream; conflicting origins make it unknown."""
         self._drop_old(now_ms)
         known = self._origins.pop(key, None)
         updated = _KnownOrigin(origin, now_ms, is_own)
@@ -103,23 +104,23 @@
             self._origins.popitem(last=False)
 
     def find(self, key: str, now_ms: float) -> StreamOrigin | None:
-        """Return what began a stream, None when that is not known for certain."""
+        """Return the origin of a stream, None if it is not known for certain."""
         self._drop_old(now_ms)
         known = self._origins.get(key)
         return None if known is None else known.origin
 
     def mark_reported(self, keys: Iterable[str]) -> None:
-        """Note that others keep these as well."""
+        """Record that other nodes hold the origins of these streams as well."""
         for key in keys:
             if key in self._origins:
                 self._origins[key].is_reported = True
 
     def unreported(self, now_ms: float) -> dict[str, StreamOrigin]:
-        """Return the streams that were begun here and that nobody else was told of."""
+        """Return the streams that were started here and reported to no other node."""
         return self._select(now_ms, lambda known: known.is_own and not known.is_reported)
 
     def all_known(self, now_ms: float) -> dict[str, StreamOrigin]:
-        """Return every stream of which it is certain what began it."""
+        """Return every stream whose origin is certain."""
         return self._select(now_ms, lambda _known: True)
 
     def _select(
@@ -141,10 +142,10 @@
 
 
 def rank_holders(key: str, domains: Mapping[str, str]) -> list[str]:
-    """Return nodes in the order in which they are told of a stream, and asked.
+    """Return nodes in the order in which they are notified and queried about a stream.
 
-    ``domains`` has the failure domain of each node.  Nodes that follow each other are of different
-    domains while there are any, so that the loss of one domain takes only one keeper.
+    ``domains`` has the failure domain of each node.  Consecutive nodes are in different domains as
+    far as possible, so that losing one domain loses only one holder.
     """
     by_domain: dict[str, list[str]] = {}
     for name in rank_names(key, domains):
@@ -153,9 +154,9 @@
 
 
 class RegisteredVersions(msgspec.Struct, frozen=True):
-    """What a node read of a service's record; ``software_versions`` is None where there is none.
+    """A service's version record as a node read it; ``software_versions`` is None without one.
 
-    ``is_current`` says that no version can have been added since.
+    ``is_current`` says that no version can have been added since then.
     """
 
     service: str
@@ -164,7 +165,7 @@
 
     @property
     def single(self) -> str | None:
-        """The only version at which streams may have begun; None when there are others."""
+        """The only version at which streams may have started; None if there are several or none."""
         if self.software_versions is None or len(self.software_versions) != 1:
             return None
         return next(iter(self.software_versions))
@@ -173,28 +174,28 @@
 def decide_origin(
     reported: Sequence[StreamOrigin], registered: RegisteredVersions | None
 ) -> Result[StreamOrigin, str]:
-    """Return what began a stream, ``Err`` with the reason why that is not known.
+    """Return the origin of a stream, or ``Err`` with the reason why it is unknown.
 
-    ``kept`` is what nodes that were asked had kept, ``registered`` the record of the only service
-    that may have begun it, None where there are several.
+    ``reported`` holds the origins that the queried nodes knew.  ``registered`` is the record of the
+    only service that may have started the stream, None if there are several.
     """
     if any(origin != reported[0] for origin in reported):
-        return Err("nodes were told of different software versions")
+        return Err("nodes report different software versions")
     if reported:
         return Ok(reported[0])
     if registered is None:
-        return Err("no node that was asked knows, and several services may have begun it")
+        return Err("no queried node knows the origin, and several services may have started it")
     if registered.single is None:
-        return Err("no node that was asked knows, and several software versions have served")
+        return Err("no queried node knows the origin, and several software versions have served")
     if not registered.is_current:
-        return Err("no node that was asked knows, and another software version may have come")
+        return Err("no queried node knows the origin, and a software version may have been added")
     return Ok(StreamOrigin(registered.service, registered.single))
 
 
 def versions_by_service(
     upstreams: Iterable[UpstreamRecord], services: Collection[str]
 ) -> dict[str, frozenset[str]]:
-    """Return the versions of the listed upstreams of each of ``services``."""
+    """Return the software versions of the listed upstreams, for each of ``services``."""
     found: defaultdict[str, set[str]] = defaultdict(set)
     for item in upstreams:
         if item.service in services:
@@ -203,7 +204,7 @@
 
 
 class Retirement:
-    """Since when each version of a service's record has not been listed any more."""
+    """Tracks since when each version in a service's record has no listed upstream."""
 
     __slots__ = ("_policy", "_since_ms")
 
@@ -219,10 +220,10 @@
         *,
         is_certain: bool,
     ) -> dict[str, Sequence[str]]:
-        """Return the versions that may leave the record of each service.
+        """Return the versions to remove from the record of each service.
 
-        One that begins streams anywhere stays.  ``is_certain`` is False while entries of upstreams
-        may be missing though the upstreams serve.
+        A version that still starts streams anywhere stays.  ``is_certain`` is False while serving
+        upstreams may be missing from the list.
         """
         gone = {
             (service, version)
--- a/src/fescuedock/core/streams.py
+++ b/src/fescuedock/core/streams.py
@@ -1,10 +1,10 @@
 """The state of one caller's streamed answer over any number of attempts.
 
-It counts what the caller was given, drops what comes from attempts that are over, and decides
-after a broken attempt whether the answer can go on elsewhere.  A caller gets each token once and
-an end only when the answer is whole.
+Counts the delivered tokens, drops events of attempts that have ended, and decides after a broken
+attempt whether another one can continue the answer.  A caller receives each token once, and the end
+of the stream only when the answer is complete.
 
-A pure state machine: attempts are known by their identities, and nothing here reads a clock.
+A pure state machine: attempts are identified by their ids, and nothing here reads a clock.
 """
 
 import enum
@@ -28,10 +28,10 @@
 
 
 class StallPolicy(msgspec.Struct, frozen=True):
-    """When a silent stream counts as hung: ``factor`` times what is usual, ``floor_ms`` at least.
+    """A silent stream counts as hung after ``factor`` times the usual wait, at least ``floor_ms``.
 
-    Too early doubles work that was only slow, too late keeps a caller waiting for a dead process
-    whose connection stays open.
+    A short timeout repeats work that was only slow; a long one keeps a caller waiting for a dead
+    process whose connection stays open.
     """
 
     factor: float = 10.0
@@ -44,9 +44,9 @@
     def full_answer_timeout_ms(
         self, objectives: Objectives, max_tokens: int, bound_ms: float
     ) -> float:
-        """Return how long to wait for an answer in one piece.
+        """Return how long to wait for an answer that is not streamed.
 
-        ``bound_ms`` where the caller sets no limit to its tokens: nobody knows how long it gets.
+        This is ``bound_ms`` if the caller sets no token limit, since the run time is then unknown.
         """
         if max_tokens <= 0:
             return bound_ms
@@ -55,14 +55,14 @@
 
 
 class AttemptEnd(enum.Enum):
-    """How an attempt stopped giving events."""
+    """How the events of an attempt ended."""
 
     COMPLETE = enum.auto()
     BROKEN = enum.auto()
 
 
 class NextStep(enum.Enum):
-    """What follows the end of an attempt."""
+    """What to do after the end of an attempt."""
 
     FINISH = enum.auto()
     CONTINUE = enum.auto()
@@ -73,8 +73,8 @@
 class StreamEvent(Protocol):
     """One event of an engine's stream.
 
-    ``data`` is what the caller would get.  ``text`` is the token's text, empty for an event
-    without a token; ``finished`` marks the event that gives the reason for the end.
+    ``data`` holds the bytes for the caller.  ``text`` is the token's text, empty for an event
+    without a token; ``finished`` marks the event that carries the finish reason.
     """
 
     @property
@@ -88,21 +88,21 @@
 
 
 class ResumePoint(msgspec.Struct, frozen=True):
-    """Where another attempt goes on: after ``tokens`` tokens that read ``text``."""
+    """Where another attempt continues: after ``tokens`` tokens with the text ``text``."""
 
     tokens: int
     text: str
 
 
 class StreamState(msgspec.Struct):
-    """What one caller was given.
-
-    ``wants_usage`` says that the caller asked for a closing event with token counts, so that the
-    answer is not whole before it.  ``resumable`` is False for an answer of several texts.
-    ``replays`` lets further attempts start anew, as far as they repeat what the caller was given;
-    it is set once an engine does not take a resume point.  An attempt at another software version
-    than the one that wrote what the caller was given starts anew in the same way.  ``begun``: there
-    was an attempt.
+    """What was delivered to one caller.
+
+    ``wants_usage`` says that the caller requested a final event with token counts; the answer is
+    incomplete without it.  ``resumable`` is False for an answer of several texts.  With
+    ``replays``, further attempts start from the beginning and must repeat the delivered text; it
+    is set once an engine rejects a resume point.  An attempt at a software version other than the
+    one that wrote the delivered text starts from the beginning in the same way.  ``begun`` says
+    that there was an attempt.
     """
 
     wants_usage: bool = False
@@ -113,7 +113,7 @@
     finished: bool = False
     ended: bool = False
     begun: bool = False
-    # Of the upstream that opened the answer.
+    # Version of the upstream that opened the answer.
     software_version: str = ""
     _current_version: str = ""
     _texts: list[str] = msgspec.field(default_factory=list)
@@ -122,7 +122,7 @@
     _first_event: bool = True
     _resumed: bool = False
     _identity: bytes = b""
-    # Tokens of the current attempt that repeat delivered ones.
+    # Position of the current attempt in tokens, counted from the start of the answer.
     _repeated: int = 0
     _diverged: bool = False
 
@@ -132,16 +132,16 @@
 
     @property
     def diverged(self) -> bool:
-        """Whether the current attempt gives another answer than the caller was given."""
+        """Whether the current attempt's text differs from the delivered text."""
         return self._diverged
 
     @property
     def opened(self) -> bool:
-        """Whether the caller was given anything."""
+        """Whether anything was delivered to the caller."""
         return self._opened
 
     def begin(self, attempt_id: str, software_version: str = "") -> ResumePoint | None:
-        """Let ``attempt_id`` take over; return where it must go on, None for from the start."""
+        """Make ``attempt_id`` the current attempt; return its resume point, None for the start."""
         self.attempt_id = attempt_id
         self._current_version = software_version
         self.begun = True
@@ -154,9 +154,9 @@
         return ResumePoint(self.tokens, self.text)
 
     def receive(self, attempt_id: str, event: StreamEvent) -> bytes | None:
-        """Take in an event; return what the caller gets now, None for nothing.
+        """Handle an event; return the bytes to deliver now, or None.
 
-        What comes from another attempt than the current one is dropped.
+        Events of any attempt other than the current one are dropped.
         """
         if attempt_id != self.attempt_id or self.ended or self._diverged:
             return None
@@ -172,18 +172,18 @@
             self._repeated += 1
             self._texts.append(event.text)
         elif not event.finished and first_event and self._opened:
-            # A stream that took over opens the answer again.
+            # A continuing stream repeats the opening event of the answer.
             return None
         elif not event.finished and not first_event:
-            # A part of the answer that no count of tokens describes.
+            # Content that is not text: a token count cannot serve as a resume point after it.
             self.resumable = False
         self.finished = event.finished
         return self._event_data(event)
 
     def end(self, attempt_id: str, how: AttemptEnd) -> NextStep:
-        """Take in the end of an attempt.
+        """Handle the end of an attempt.
 
-        An engine's word that the stream is whole counts only after a reason for its end.
+        An engine's end marker counts only after an event with a finish reason.
         """
         if attempt_id != self.attempt_id or self.ended:
             return NextStep.IGNORE
@@ -197,9 +197,9 @@
         return NextStep.GIVE_UP
 
     def _check_replayed(self, event: StreamEvent) -> None:
-        """Take an event of a replay before it gets to where the caller is.
+        """Compare a replayed event with the delivered text at its position.
 
-        It must repeat what the caller was given, else the two halves would not be one answer.
+        The text must be the same, since otherwise the caller would receive parts of two answers.
         """
         if event.text:
             self._diverged = event.text != self._texts[self._repeated]
@@ -207,14 +207,14 @@
         self._diverged |= event.finished
 
     def _usage_event(self, event: StreamEvent) -> bytes | None:
-        """Pass one event after the end's reason: the token counts, if the caller wants them."""
+        """Return the token count event that follows the finish reason, once and if requested."""
         if event.text or event.finished or not self.wants_usage or self._usage_sent:
             return None
         self._usage_sent = True
         return self._event_data(event)
 
     def _event_data(self, event: StreamEvent) -> bytes:
-        """Return the event's bytes; all carry the answer identity of the first one."""
+        """Return the event's bytes, with the answer identity of the first attempt."""
         if not self._opened:
             self._opened = True
             self.software_version = self._current_version
--- a/tests/builders/origin_strategies.py
+++ b/tests/builders/origin_strategies.py
@@ -1,7 +1,7 @@
-"""A model of who knows how a stream began when nodes are lost, for several ways of keeping it.
+"""A model of which nodes know a stream's origin after nodes are lost, for several strategies.
 
-It plays the decisions of ``core.stream_origins`` alone: no time passes but that between a stream's
-beginning and its client's return.
+It runs only the decisions of ``core.stream_origins``; the single time step is the one between the
+start of a stream and its resumption by the client.
 """
 
 import random
@@ -27,10 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Strategy:
-    """``told`` and ``asked`` name nodes for a stream's key, among all registered ones.
+    """``notified`` and ``queried`` choose nodes for a stream's key, among all registered ones.
 
-    With ``single_by_record`` a service's record decides what nobody knows, and nobody is told
-    while it names one version.
+    With ``single_by_record`` a service's record decides when no node knows the origin, and no node
+    is notified while the record has a single version.
     """
 
     notified: Callable[[str, Mapping[str, str]], Sequence[str]]
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """``wrong`` went on at another version; messages count each way, of streams and returns."""
+    """Counts of streams; ``notifications`` and ``queries`` count messages and their replies."""
 
     resumed: int = 0
     continued: int = 0
@@ -102,7 +102,7 @@
     return set(rng.sample(names, k=len(names) // 2))
 
 
-# What is lost, and whether it comes back without its memory.
+# Which nodes are lost, and whether they restart without their memory.
 LOSSES = {
     "calm": (lambda *_args: set(), False),
     "a third is gone": (_third, False),
@@ -123,13 +123,13 @@
     store_unavailable: bool = False,
     streams: int = 400,
 ) -> Outcome:
-    """Play one loss, with every stream taken up at a node that clients still reach."""
+    """Simulate one loss; every stream is resumed at a node that clients can still reach."""
     rng = random.Random(f"{loss}-{seed}")
     domains = {f"n-{number}": f"d-{number % 3}" for number in range(nodes)}
     names = list(domains)
-    choose_lost, comes_back = LOSSES[loss]
+    choose_lost, restarts = LOSSES[loss]
     lost = choose_lost(names, domains, rng)
-    reached = names if comes_back else [name for name in names if name not in lost]
+    reached = names if restarts else [name for name in names if name not in lost]
     used = _VERSIONS[:versions]
     record = RegisteredVersions(_SERVICE, frozenset(used), not store_unavailable)
     outcome = Outcome(streams=streams)
--- a/tests/test_forwarding_core.py
+++ b/tests/test_forwarding_core.py
@@ -1,4 +1,4 @@
-"""Forwarding's decisions: routes, events, what may follow an attempt, and stalls."""
+"""Tests the decisions of forwarding: routes, event splitting, retries and stall limits."""
 
 import random
 import unittest
@@ -104,7 +104,7 @@
 
         progress = CallProgress(idempotent=True, max_runs=2)
         self.assertEqual(progress.take_new_events(events(0, 1)), event(0) + event(1))
-        # The same again and one more, as after a resume.
+        # A resumed stream repeats an event and adds one.
         self.assertEqual(progress.take_new_events(events(1, 2)), event(2))
         self.assertEqual(progress.take_new_events(events(2)), b"")
         self.assertIsNone(progress.take_new_events(events(4)))
--- a/tests/test_membership_entries.py
+++ b/tests/test_membership_entries.py
@@ -1,4 +1,4 @@
-"""Which entries callers are told to use, and how they spread."""
+"""Tests which entries callers should use, and how callers are spread over them."""
 
 import random
 import unittest
@@ -61,7 +61,7 @@
             if vm.state in ("alive", "suspect") and vm.entry_port and "entry" in vm.ready
         ]
         confirmed = [vm for vm in serving if vm.config_confirmed]
-        # With nobody confirmed, nobody can be known to be ahead, and all may serve.
+        # If no entry is confirmed, none is known to be ahead, and all may serve.
         self.assertEqual(confirmed if confirmed else serving, listed)
 
     def test_an_unconfirmed_entry_is_not_listed_while_another_is_confirmed(self) -> None:
--- a/tests/test_online_streams_core.py
+++ b/tests/test_online_streams_core.py
@@ -1,4 +1,4 @@
-"""The state of a streamed answer against an oracle, whatever the attempts do."""
+"""Tests StreamState against an oracle under broken, late and refused attempts."""
 
 import unittest
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 
 
 class Engine:
-    """An engine's stream for one attempt, which may break off or be late."""
+    """An engine's stream for one attempt, which may break or send late events."""
 
     def __init__(self, attempt_id: str, first: int, *, opens: bool, usage: bool) -> None:
         self.events = [event(attempt_id)] if opens else []
@@ -43,7 +43,7 @@
 
 
 class StreamMachine(RuleBasedStateMachine):
-    """Attempts break, come late, are refused their resume point; the caller's text never errs."""
+    """Attempts break, send late or lack resume support; the caller's text stays correct."""
 
     @initialize(usage=st.booleans(), opens=st.booleans(), accepts_resume=st.booleans())
     def start(self, usage: bool, opens: bool, accepts_resume: bool) -> None:
@@ -99,7 +99,7 @@
 
     @rule(data=st.data())
     def deliver_late(self, data: st.DataObject) -> None:
-        """An attempt that is over goes on sending."""
+        """An attempt that has ended sends further events."""
         old = [name for name in self.engines if name != self.current or self.over]
         if not old:
             return
@@ -135,7 +135,7 @@
 
 
 class StreamStateTest(unittest.TestCase):
-    """Cases that the machine does not reach."""
+    """Cases that the state machine does not cover."""
 
     def setUp(self) -> None:
         self.state = StreamState()
--- a/tests/test_recommended_vms.py
+++ b/tests/test_recommended_vms.py
@@ -1,4 +1,4 @@
-"""Which VMs clients are sent to."""
+"""Tests which VMs clients should use."""
 
 import unittest
 
--- a/tests/test_stream_origins.py
+++ b/tests/test_stream_origins.py
@@ -1,4 +1,4 @@
-"""What a node knows of how streams began, and what it makes of what others tell."""
+"""Tests which stream origins a node knows, and the decision from the reports of others."""
 
 import unittest
 
@@ -58,13 +58,13 @@
 
     def test_only_own_streams_that_were_not_reported_are_unreported(self) -> None:
         self.memory.record("own", OLD, 0.0, is_own=True)
-        self.memory.record("told", OLD, 0.0, is_own=True)
-        self.memory.record("kept", NEW, 0.0)
-        self.memory.mark_reported(["told", "never heard of"])
+        self.memory.record("reported", OLD, 0.0, is_own=True)
+        self.memory.record("remote", NEW, 0.0)
+        self.memory.mark_reported(["reported", "unknown"])
         self.assertEqual(self.memory.unreported(1.0), {"own": OLD})
-        self.assertEqual(self.memory.all_known(1.0), {"own": OLD, "told": OLD, "kept": NEW})
-        # A stream that goes on here is told of no second time.
-        self.memory.record("told", OLD, 2.0, is_own=True)
+        self.assertEqual(self.memory.all_known(1.0), {"own": OLD, "reported": OLD, "remote": NEW})
+        # A stream that continues here is not reported again.
+        self.memory.record("reported", OLD, 2.0, is_own=True)
         self.assertEqual(self.memory.unreported(3.0), {"own": OLD})
 
 
@@ -140,7 +140,7 @@
 
 
 class StrategiesTest(unittest.TestCase):
-    """The way that is built, against its aims, and against others on the same seeds."""
+    """The implemented strategy reaches its targets; no strategy resumes at a wrong version."""
 
     def outcomes(
         self, strategy: str, loss: str, seeds: int = 20, **options: object
