--- a/src/fescuedock/entry/admin.py
+++ b/src/fescuedock/entry/admin.py
@@ -35,7 +35,7 @@
 _SUBMIT_TIMEOUT_MS = 12000
 _RETRY_AFTER_MS = 1000
 _NO_STORE = [("cache-control", "no-store")]
-_MESSAGES = {
+_REFUSAL_MESSAGES = {
     ResultCode.STALE_VERSION: "the patch was built on another version than {version}",
     ResultCode.INVALID_PATCH: "the patched configuration would be invalid: {problems}",
     ResultCode.PATCH_ID_REUSED: "the patch_id was used with other content",
@@ -194,7 +194,7 @@
     if code is ResultCode.OK:
         await responder.send_json(200, PatchAnswer(reply.version))
         return
-    text = _MESSAGES.get(code, code.name).format(
+    text = _REFUSAL_MESSAGES.get(code, code.name).format(
         version=reply.version, problems="; ".join(reply.problems)
     )
     body = msgspec.json.decode(fault_body(Fault(code, text)))
--- a/src/fescuedock/entry/app.py
+++ b/src/fescuedock/entry/app.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from fescuedock.entry import admin, entries, files, jobs, models, online, seeing, services
+from fescuedock.entry import admin, entries, files, jobs, models, monitoring, online, services
 from fescuedock.entry.context import EntryContext
 from fescuedock.entry.operators import is_operators_path, operator_refusal
 from fescuedock.entry.routes import route_requests
@@ -11,9 +11,9 @@
 
 __all__ = ["entry_handler"]
 
-_MODULES = (models, online, services, files, jobs, entries, admin, seeing)
+_MODULES = (models, online, services, files, jobs, entries, admin, monitoring)
 # Reads and the operators' paths are answered whatever the entry's standing.
-_WORK = (("POST", "/v1/"), ("", "/services/"))
+_WORK_PATHS = (("POST", "/v1/"), ("", "/services/"))
 
 # Returns why new work is refused, None when it is taken.
 Refusal = Callable[[], Fault | None]
@@ -24,7 +24,7 @@
     route = route_requests([item for module in _MODULES for item in module.routes(context)])
 
     async def handle(request: Request, responder: Responder) -> None:
-        fault = _refused(context, refusal, request)
+        fault = _refusal_of(context, refusal, request)
         if fault is None:
             await route(request, responder)
         else:
@@ -33,14 +33,14 @@
     return handle
 
 
-def _refused(context: EntryContext, refusal: Refusal, request: Request) -> Fault | None:
+def _refusal_of(context: EntryContext, refusal: Refusal, request: Request) -> Fault | None:
     if is_operators_path(request.path):
         return operator_refusal(context.settings.entry, request.headers)
-    return refusal() if _is_work(request) else None
+    return refusal() if _is_new_work(request) else None
 
 
-def _is_work(request: Request) -> bool:
+def _is_new_work(request: Request) -> bool:
     return any(
         request.path.startswith(prefix) and method in ("", request.method)
-        for method, prefix in _WORK
+        for method, prefix in _WORK_PATHS
     )
--- a/src/fescuedock/entry/claiming.py
+++ b/src/fescuedock/entry/claiming.py
@@ -28,21 +28,21 @@
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.view import Program
 
-__all__ = ["ClaimDesk", "sweep_claims", "sweep_claims_forever"]
+__all__ = ["ClaimManager", "sweep_claims", "sweep_claims_forever"]
 
 _TOKEN_BITS = 128
 _PUT_ATTEMPTS = 3
 # The caller waits for the record of its answer, but not through an outage.
-_KEEP_TIMEOUT_S = 0.5
+_RECORD_TIMEOUT_S = 0.5
 _MAX_UNSENT = 1024
 _RETRY_AFTER_MS = 1000
-_SWEEPER = "claims"
-_PAGE = 200
+_SWEEPER_KEY = "claims"
+_PAGE_SIZE = 200
 # Deletions take a small part of what the key-value service can write.
 _DELETE_PAUSE_S = 0.02
 
 
-class ClaimDesk:
+class ClaimManager:
     """Makes the claims of one entry."""
 
     __slots__ = ("_context", "_rng", "_unsent")
@@ -53,7 +53,7 @@
         # Tokens of claims that may stand although nothing was sent under them.
         self._unsent: OrderedDict[str, None] = OrderedDict()
 
-    async def make_claim(self, call: ServiceCall) -> Result[Claim | RecordedAnswer, Fault]:
+    async def claim_call(self, call: ServiceCall) -> Result[Claim | RecordedAnswer, Fault]:
         """Return a claim under which ``call`` may be sent once, or the answer it had before.
 
         ``CLAIM_UNAVAILABLE``, ``ALREADY_CLAIMED`` or ``KEY_REUSED`` when it must not be sent.
@@ -66,21 +66,21 @@
             created_at_s=self._context.unix_clock(),
             unsent_tokens=self._unsent.keys(),
         )
-        is_ours = False
+        is_granted = False
         try:
             with trio.move_on_at(call.deadline_ms / 1000):
-                made = await self._carry_on(claim)
-                is_ours = isinstance(made, Ok) and made.ok_value is claim
+                made = await self._run_steps(claim)
+                is_granted = isinstance(made, Ok) and made.ok_value is claim
                 return made
         finally:
             # Only now: while the answer to its write is on the way, this claim may still be the
             # one that sends, and a resend that took it over would send the call as well.
-            if not is_ours:
-                self._note_unsent(claim.token)
+            if not is_granted:
+                self._record_unsent(claim.token)
         message = "the call's claim could not be made within the deadline"
         return Err(Fault(ResultCode.CLAIM_UNAVAILABLE, message, _RETRY_AFTER_MS))
 
-    async def keep(self, claim: Claim, answer: RecordedAnswer) -> None:
+    async def record_answer(self, claim: Claim, answer: RecordedAnswer) -> None:
         """Record the answer for resends, which else learn only that the call may have run."""
         await self._put_once(claim.answered(answer))
 
@@ -88,7 +88,7 @@
         """Record that nothing was sent, so that a resend can run the call."""
         await self._put_once(claim.not_sent())
 
-    async def _carry_on(self, claim: Claim) -> Result[Claim | RecordedAnswer, Fault]:
+    async def _run_steps(self, claim: Claim) -> Result[Claim | RecordedAnswer, Fault]:
         step = claim.start()
         while True:
             match step:
@@ -116,13 +116,13 @@
     async def _put_once(self, step: PutRecord) -> None:
         """Write without following up: both outcomes of a lost answer are truthful."""
         value = msgspec.json.encode(step.record)
-        with trio.move_on_after(_KEEP_TIMEOUT_S):
+        with trio.move_on_after(_RECORD_TIMEOUT_S):
             written = await self._context.kv.put_if(step.key, value, step.expected_revision)
             if isinstance(written, Ok):
                 return
         log_event("claim_not_updated", key=step.key, state=step.record.state.value)
 
-    def _note_unsent(self, token: str) -> None:
+    def _record_unsent(self, token: str) -> None:
         self._unsent[token] = None
         if len(self._unsent) > _MAX_UNSENT:
             self._unsent.popitem(last=False)
@@ -133,7 +133,7 @@
     while True:
         await trio.sleep(context.settings.entry.claim_sweep_interval_ms / 1000)
         entries = [vm.vm_id for vm in context.view.live_vms(Program.ENTRY)]
-        if choose_name(_SWEEPER, entries) == context.settings.vm.vm_id:
+        if choose_name(_SWEEPER_KEY, entries) == context.settings.vm.vm_id:
             await sweep_claims(context)
 
 
@@ -147,7 +147,7 @@
     start_after = ""
     deleted = 0
     while True:
-        page = await context.kv.get_range(prefix, start_after=start_after, limit=_PAGE)
+        page = await context.kv.get_range(prefix, start_after=start_after, limit=_PAGE_SIZE)
         if isinstance(page, Err):
             log_event("claim_sweep_broken_off", reason=str(page.err_value))
             return deleted
--- a/src/fescuedock/entry/entries.py
+++ b/src/fescuedock/entry/entries.py
@@ -12,14 +12,14 @@
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.view import VmRecord
 
-__all__ = ["EntriesAnswer", "NamedEntry", "routes"]
+__all__ = ["EntriesAnswer", "ListedEntry", "routes"]
 
 _RETRY_AFTER_MS = 1000
 # An age that JSON readers can hold exactly, for "never".
 _MAX_AGE_MS = 2**53
 
 
-class NamedEntry(msgspec.Struct):
+class ListedEntry(msgspec.Struct):
     """One entry; ``address`` is HOST:PORT."""
 
     vm_id: str
@@ -31,7 +31,7 @@
 class EntriesAnswer(msgspec.Struct):
     """Entries in the order to try them, and for how long the answer may be kept."""
 
-    entries: list[NamedEntry]
+    entries: list[ListedEntry]
     valid_for_ms: int
     membership_age_ms: int
     view_version: int
@@ -51,7 +51,7 @@
             await responder.send_fault(fault)
             return
         answer = EntriesAnswer(
-            entries=[_named(vm) for vm in ranked],
+            entries=[_listed_entry(vm) for vm in ranked],
             valid_for_ms=context.settings.entry.answer_valid_ms,
             membership_age_ms=int(min(context.view.membership_age_ms, _MAX_AGE_MS)),
             view_version=context.view.version,
@@ -61,6 +61,6 @@
     return [Route("GET", "/v1/entries", get_entries)]
 
 
-def _named(vm: VmRecord) -> NamedEntry:
+def _listed_entry(vm: VmRecord) -> ListedEntry:
     host = f"[{vm.host}]" if ":" in vm.host else vm.host
-    return NamedEntry(vm.vm_id, f"{host}:{vm.entry_port}", vm.failure_domain, vm.region)
+    return ListedEntry(vm.vm_id, f"{host}:{vm.entry_port}", vm.failure_domain, vm.region)
--- a/src/fescuedock/entry/files.py
+++ b/src/fescuedock/entry/files.py
@@ -54,18 +54,18 @@
     """Return the routes under ``/v1/files``."""
     uploads = trio.Semaphore(_MAX_UPLOADS)
     downloads = trio.Semaphore(_MAX_DOWNLOADS)
-    turns = trio.Lock()
+    chunk_lock = trio.Lock()
 
     async def upload(request: Request, responder: Responder, _values: dict[str, str]) -> None:
         async with _slot(uploads, responder) as granted:
             if granted:
-                await _answer(responder, await _upload(context, request, turns))
+                await _send_result(responder, await _upload(context, request, chunk_lock))
 
     async def list_all(request: Request, responder: Responder, _values: dict[str, str]) -> None:
         await _list(context, request, responder)
 
     async def get(request: Request, responder: Responder, values: dict[str, str]) -> None:
-        await _answer(responder, await _find(context, request, values["file_id"]))
+        await _send_result(responder, await _find(context, request, values["file_id"]))
 
     async def content(request: Request, responder: Responder, values: dict[str, str]) -> None:
         async with _slot(downloads, responder) as granted:
@@ -84,12 +84,12 @@
     ]
 
 
-def page_limit(text: str | None, default: int, most: int) -> Result[int, Fault]:
+def page_limit(text: str | None, default: int, max_limit: int) -> Result[int, Fault]:
     """Return the ``limit`` of a list request."""
     if text is None:
         return Ok(default)
     if text.isascii() and text.isdigit() and int(text[:9]) > 0:
-        return Ok(min(int(text[:9]), most))
+        return Ok(min(int(text[:9]), max_limit))
     return Err(Fault(ResultCode.BAD_REQUEST, f"limit must be a number from 1, not {text[:20]!r}"))
 
 
@@ -110,14 +110,14 @@
 
 
 async def _upload(
-    context: EntryContext, request: Request, turns: trio.Lock
+    context: EntryContext, request: Request, chunk_lock: trio.Lock
 ) -> Result[_FileObject, Fault]:
     member = find_member(context, request.headers)
     if isinstance(member, Err):
         return member
     max_bytes = context.settings.entry.max_body_bytes
     batch = context.settings.batch
-    received = await receive_upload(request, context.stores, batch, max_bytes, turns)
+    received = await receive_upload(request, context.stores, batch, max_bytes, chunk_lock)
     if isinstance(received, Err):
         return received
     file_id = _new_file_id(request, member.ok_value, received.ok_value)
@@ -216,7 +216,7 @@
     await responder.send_json(200, {"id": file_id, "object": "file", "deleted": True})
 
 
-async def _answer(responder: Responder, result: Result[_FileObject, Fault]) -> None:
+async def _send_result(responder: Responder, result: Result[_FileObject, Fault]) -> None:
     if isinstance(result, Err):
         await responder.send_fault(result.err_value)
         return
--- a/src/fescuedock/entry/fleet_status.py
+++ b/src/fescuedock/entry/fleet_status.py
@@ -26,8 +26,8 @@
         cleared_traits=cleared,
         vm_id=view.vm_id,
         config_version=view.config_version,
-        config_age_ms=_whole_ms(view.config_age_ms),
-        membership_age_ms=_whole_ms(view.membership_age_ms),
+        config_age_ms=_integer_ms(view.config_age_ms),
+        membership_age_ms=_integer_ms(view.membership_age_ms),
         vms=[_vm_status(vm) for _, vm in sorted(view.vms.items())],
         upstreams=[
             _upstream_status(view, permits, item) for _, item in sorted(view.upstreams.items())
@@ -67,10 +67,10 @@
         status.in_flight_online = timed.load.in_flight_online
         status.in_flight_batch = timed.load.in_flight_batch
         status.limit = timed.load.limit
-        status.load_age_ms = _whole_ms(now_ms() - timed.at_ms)
+        status.load_age_ms = _integer_ms(now_ms() - timed.at_ms)
     return status
 
 
-def _whole_ms(interval_ms: float) -> int:
+def _integer_ms(interval_ms: float) -> int:
     """Return whole milliseconds; -1 for "never"."""
     return int(interval_ms) if math.isfinite(interval_ms) else _NEVER_MS
--- a/src/fescuedock/entry/job_acceptance.py
+++ b/src/fescuedock/entry/job_acceptance.py
@@ -43,9 +43,9 @@
     record = await _checked_record(context, request, file)
     if isinstance(record, Err):
         return record
-    kept = await _ensure_copies(context, file.segments)
-    if isinstance(kept, Err):
-        return kept
+    copied = await _ensure_copies(context, file.segments)
+    if isinstance(copied, Err):
+        return copied
     created = await create_job(context, record.ok_value)
     if isinstance(created, Err):
         return created
@@ -72,9 +72,9 @@
     runners = context.view.live_vms(Program.BATCH)
     chosen = chosen_runner(record.job_id, runners)
     owner_id = RunnerName.parse(record.owner).vm_id
-    told = {vm.vm_id: vm for vm in runners if vm.vm_id == owner_id or vm == chosen}
+    notified = {vm.vm_id: vm for vm in runners if vm.vm_id == owner_id or vm == chosen}
     message = JobPush(job_id=record.job_id, cancelled=cancelled)
-    for vm in told.values():
+    for vm in notified.values():
         await _push(context, vm, message)
 
 
--- a/src/fescuedock/entry/jobs.py
+++ b/src/fescuedock/entry/jobs.py
@@ -48,10 +48,10 @@
     """Return the routes under ``/v1/batches``."""
 
     async def create(request: Request, responder: Responder, _values: dict[str, str]) -> None:
-        await _answer(responder, await _create(context, request))
+        await _send_result(responder, await _create(context, request))
 
     async def get(request: Request, responder: Responder, values: dict[str, str]) -> None:
-        await _answer(responder, await _get(context, request, values["job_id"]))
+        await _send_result(responder, await _get(context, request, values["job_id"]))
 
     async def list_all(request: Request, responder: Responder, _values: dict[str, str]) -> None:
         page = await _list(context, request)
@@ -61,7 +61,7 @@
         await responder.send_json(200, _list_body(page.ok_value))
 
     async def cancel(request: Request, responder: Responder, values: dict[str, str]) -> None:
-        await _answer(responder, await _cancel(context, request, values["job_id"]))
+        await _send_result(responder, await _cancel(context, request, values["job_id"]))
 
     return [
         Route("POST", "/v1/batches", create),
@@ -75,10 +75,10 @@
     member = find_member(context, request.headers)
     if isinstance(member, Err):
         return member
-    asked = _read_body(await request.read(_MAX_BODY_BYTES), request, member.ok_value)
-    if isinstance(asked, Err):
-        return asked
-    file_id, wanted = asked.ok_value.file_id, asked.ok_value.request
+    creation = _read_body(await request.read(_MAX_BODY_BYTES), request, member.ok_value)
+    if isinstance(creation, Err):
+        return creation
+    file_id, wanted = creation.ok_value.file_id, creation.ok_value.request
     file = await read_file(context, member.ok_value, file_id)
     if isinstance(file, Ok):
         wanted = msgspec.structs.replace(wanted, input_hash=file.ok_value.content_hash)
@@ -89,14 +89,14 @@
     return file
 
 
-class _Asked(msgspec.Struct, frozen=True):
-    """A creation as asked for; the request lacks the hash of the input yet."""
+class _CreateRequest(msgspec.Struct, frozen=True):
+    """A creation as creation for; the request lacks the hash of the input yet."""
 
     file_id: str
     request: JobRequest
 
 
-def _read_body(data: bytes, request: Request, member: str) -> Result[_Asked, Fault]:
+def _read_body(data: bytes, request: Request, member: str) -> Result[_CreateRequest, Fault]:
     try:
         body = msgspec.json.decode(data, type=_CreateBody)
     except msgspec.MsgspecError as error:
@@ -119,7 +119,7 @@
         metadata=metadata.ok_value,
         input_hash="",
     )
-    return Ok(_Asked(body.input_file_id, wanted))
+    return Ok(_CreateRequest(body.input_file_id, wanted))
 
 
 def _checked_metadata(metadata: dict[str, str]) -> Result[dict[str, str], Fault]:
@@ -164,7 +164,7 @@
     return record
 
 
-async def _answer(responder: Responder, result: Result[JobRecord, Fault]) -> None:
+async def _send_result(responder: Responder, result: Result[JobRecord, Fault]) -> None:
     if isinstance(result, Err):
         await responder.send_fault(result.err_value)
         return
--- a/src/fescuedock/entry/main.py
+++ b/src/fescuedock/entry/main.py
@@ -45,12 +45,12 @@
     view: FleetView | None = None
     leaving: bool = False
     served: trio.Event = field(default_factory=trio.Event)
-    standing: EntryAvailability = field(init=False)
+    availability: EntryAvailability = field(init=False)
 
     def __post_init__(self) -> None:
         settings = self.settings.entry
         self.server = HttpServer(self.handle, _limits(settings))
-        self.standing = EntryAvailability(settings.leave_spread_ms + settings.answer_valid_ms)
+        self.availability = EntryAvailability(settings.leave_spread_ms + settings.answer_valid_ms)
 
     @property
     def joined(self) -> bool:
@@ -70,14 +70,16 @@
         """Return why new work is refused; a leaving entry takes it until it closes."""
         if self.leaving:
             return None
-        return self.standing.refusal(self.view.config_version, now_ms())
+        return self.availability.refusal(self.view.config_version, now_ms())
 
-    async def follow_standing(self) -> None:
+    async def follow_listing(self) -> None:
         """Note for ever whether this VM's agent lets the fleet name this entry."""
         version = 0
         while True:
             own = self.view.vms.get(self.settings.vm.vm_id)
-            self.standing.record_listing(own is not None and Program.ENTRY in own.ready, now_ms())
+            self.availability.record_listing(
+                own is not None and Program.ENTRY in own.ready, now_ms()
+            )
             version = await self.view.wait_changed(version)
 
     async def handle(self, request: Request, responder: Responder) -> None:
@@ -111,7 +113,7 @@
         async with _open_context(entry, bound) as context:
             entry.view = context.view
             entry.handler = entry_handler(context, entry.refusal)
-            nursery.start_soon(entry.follow_standing)
+            nursery.start_soon(entry.follow_listing)
             nursery.start_soon(sweep_claims_forever, context)
             task_status.started(bound)
             await stop.wait()
@@ -154,8 +156,8 @@
     stop_at_ms = now_ms() + settings.vm.stop_timeout_ms
     entry.leaving = True
     with trio.move_on_at(stop_at_ms / 1000):
-        told = await agent.hello()
-        log_event("entry_leaving", agent_told=told, in_flight=entry.server.in_flight)
+        notified = await agent.hello()
+        log_event("entry_leaving", agent_told=notified, in_flight=entry.server.in_flight)
         await trio.sleep((settings.entry.leave_spread_ms + settings.entry.answer_valid_ms) / 1000)
     entry.server.stop()
     with trio.move_on_at(stop_at_ms / 1000):
--- a/src/fescuedock/entry/online.py
+++ b/src/fescuedock/entry/online.py
@@ -8,10 +8,10 @@
 from fescuedock.clock import now_ms
 from fescuedock.entry.context import EntryContext
 from fescuedock.entry.online_attempt import Attempt
+from fescuedock.entry.online_full import fetch_full_answer
 from fescuedock.entry.online_request import OnlineRequest, read_online_request
 from fescuedock.entry.online_state import OnlineState
 from fescuedock.entry.online_stream import relay_stream
-from fescuedock.entry.online_whole import fetch_whole
 from fescuedock.entry.routes import Route
 from fescuedock.faults import Fault
 from fescuedock.log import log_event
@@ -23,7 +23,7 @@
 _PATHS = ("/v1/chat/completions", "/v1/completions")
 
 
-class _Times(msgspec.Struct, frozen=True):
+class _CallerTimes(msgspec.Struct, frozen=True):
     """What the caller saw; 0 between tokens for an answer in one piece."""
 
     first_token_ms: float = 0.0
@@ -51,23 +51,23 @@
     admitted = state.admission.admit(online.member, state.shares())
     if isinstance(admitted, Err):
         await responder.send_fault(admitted.err_value, [("x-request-id", request_id)])
-        _record(state, online, admitted, _Times())
+        _record(state, online, admitted, _CallerTimes())
         return
     try:
         if online.streamed:
             outcome = await relay_stream(state, online, responder)
         else:
-            outcome = await _answer_whole(state, online, responder)
+            outcome = await _send_full_answer(state, online, responder)
     finally:
         state.admission.release(online.member)
     _record(state, online, outcome, _times_of(outcome, started_ms))
 
 
-async def _answer_whole(
+async def _send_full_answer(
     state: OnlineState, request: OnlineRequest, responder: Responder
 ) -> Result[Attempt, Fault]:
     headers = [("x-request-id", request.request_id)]
-    answer = await fetch_whole(state, request)
+    answer = await fetch_full_answer(state, request)
     if isinstance(answer, Err):
         await responder.send_fault(answer.err_value, headers)
         return answer
@@ -75,15 +75,15 @@
     return Ok(answer.ok_value.attempt)
 
 
-def _times_of(outcome: Result[Attempt | None, Fault], started_ms: float) -> _Times:
+def _times_of(outcome: Result[Attempt | None, Fault], started_ms: float) -> _CallerTimes:
     attempt = outcome.ok() if isinstance(outcome, Ok) else None
     if attempt is None or not attempt.tokens:
-        return _Times(now_ms() - started_ms)
-    return _Times(attempt.first_token_at_ms - started_ms, max(0.0, attempt.inter_token_ms))
+        return _CallerTimes(now_ms() - started_ms)
+    return _CallerTimes(attempt.first_token_at_ms - started_ms, max(0.0, attempt.inter_token_ms))
 
 
 def _record(
-    state: OnlineState, request: OnlineRequest, outcome: Result[object, Fault], times: _Times
+    state: OnlineState, request: OnlineRequest, outcome: Result[object, Fault], times: _CallerTimes
 ) -> None:
     code = ResultCode.OK if isinstance(outcome, Ok) else outcome.err_value.code
     state.context.metrics.record_online(
--- a/src/fescuedock/entry/online_attempt.py
+++ b/src/fescuedock/entry/online_attempt.py
@@ -87,7 +87,7 @@
     def attempt_id(self) -> str:
         return self.grant.permit_id
 
-    def note_token(self, at_ms: float) -> None:
+    def record_token(self, at_ms: float) -> None:
         if not self.tokens:
             self.first_token_at_ms = at_ms
         self.last_token_at_ms = at_ms
@@ -164,12 +164,12 @@
     return Failure(outcome, fault)
 
 
-class _EngineFault(msgspec.Struct):
+class _EngineErrorDetail(msgspec.Struct):
     message: str
 
 
 class _EngineErrorBody(msgspec.Struct):
-    error: _EngineFault
+    error: _EngineErrorDetail
 
 
 def _engine_message(error: EngineError) -> str:
--- a/src/fescuedock/entry/online_whole.py
+++ b/src/fescuedock/entry/online_full.py
@@ -20,48 +20,50 @@
 from fescuedock.schema.permits import AttemptOutcome
 from fescuedock.schema.view import UpstreamRecord
 
-__all__ = ["WholeAnswer", "fetch_whole"]
+__all__ = ["FullAnswer", "fetch_full_answer"]
 
 _CHAT_PATH = "/v1/chat/completions"
 
 
-class WholeAnswer(msgspec.Struct, frozen=True):
+class FullAnswer(msgspec.Struct, frozen=True):
     """The JSON of an answer, and the attempt that ended it."""
 
     body: bytes
     attempt: Attempt
 
 
-async def fetch_whole(state: OnlineState, request: OnlineRequest) -> Result[WholeAnswer, Fault]:
+async def fetch_full_answer(
+    state: OnlineState, request: OnlineRequest
+) -> Result[FullAnswer, Fault]:
     """Return the answer; at the deadline the request is given up."""
     stream = StreamState(wants_usage=True)
     with trio.move_on_at(request.deadline_ms / 1000):
         if not can_be_collected(request.body):
-            return await _call(state, request, stream)
+            return await _fetch_from_engine(state, request, stream)
         collected = await _collect(state, request, stream)
         if isinstance(collected, Err) or stream.resumable:
             return collected
         # The answer has parts that only the engine can put together.
-        return await _call(state, request, stream)
+        return await _fetch_from_engine(state, request, stream)
     return Err(deadline_fault(sent=stream.begun))
 
 
 async def _collect(
     state: OnlineState, request: OnlineRequest, stream: StreamState
-) -> Result[WholeAnswer, Fault]:
+) -> Result[FullAnswer, Fault]:
     collector = AnswerCollector(chat=request.path == _CHAT_PATH)
 
-    async def take(data: bytes) -> None:
+    async def add(data: bytes) -> None:
         collector.add(data)
 
     streamed = msgspec.structs.replace(request, body=streamed_body(request.body))
-    ended = await relay_attempts(state, streamed, stream, take, lambda _attempt: None)
-    return ended.map(lambda attempt: WholeAnswer(collector.answer(stream.text), attempt))
+    ended = await relay_attempts(state, streamed, stream, add, lambda _attempt: None)
+    return ended.map(lambda attempt: FullAnswer(collector.answer(stream.text), attempt))
 
 
-async def _call(
+async def _fetch_from_engine(
     state: OnlineState, request: OnlineRequest, stream: StreamState
-) -> Result[WholeAnswer, Fault]:
+) -> Result[FullAnswer, Fault]:
     """Let the engine form the answer; a broken attempt starts again from the beginning."""
     answers: list[bytes] = []
 
@@ -77,7 +79,7 @@
         raise UpstreamStalledError("the engine did not answer in many times the usual time")
 
     ended = await run_attempts(state, request, run_one)
-    return ended.map(lambda attempt: WholeAnswer(answers[0], attempt))
+    return ended.map(lambda attempt: FullAnswer(answers[0], attempt))
 
 
 def _stall_ms(state: OnlineState, request: OnlineRequest) -> float:
--- a/src/fescuedock/entry/online_permits.py
+++ b/src/fescuedock/entry/online_permits.py
@@ -36,16 +36,16 @@
 __all__ = ["OnlineCall", "PermitSearch", "find_permit"]
 
 _RETRY_AFTER_MS = 1000
-_SILENCE = (ResultCode.PEER_UNREACHABLE, ResultCode.PEER_UNKNOWN)
+_NO_REPLY_CODES = (ResultCode.PEER_UNREACHABLE, ResultCode.PEER_UNKNOWN)
 # Answers that say nothing of the room at an upstream.
-_NO_OWNER = (*_SILENCE, ResultCode.NOT_OWNER)
+_NO_LOAD_INFO_CODES = (*_NO_REPLY_CODES, ResultCode.NOT_OWNER)
 # Before the choice is made anew when a node turned out not to own an upstream: views are replaced
 # every 100 ms.  An upstream that leaves has its asks refused so; taken for silence, the node that
 # answered was passed over for a second, with all that it owns.
 _NOT_OWNER_PAUSE_S = 0.02
 # In which nodes hear of an upstream's end from each other.
-_NEWS_S = 0.1
-_NOTHING_KNOWN = Fault(ResultCode.NO_CAPACITY, "more became known of the work", _RETRY_AFTER_MS)
+_CRASH_REPORT_WAIT_S = 0.1
+_VERDICT_CHANGED = Fault(ResultCode.NO_CAPACITY, "more became known of the work", _RETRY_AFTER_MS)
 
 
 class OnlineCall(Protocol):
@@ -101,7 +101,7 @@
     rng: random.Random
     admission: Admission
     latency: DomainLatency
-    ask_timeout: AskTimeout
+    reply_timeout: AskTimeout
     silent: SilentOwners
 
     @property
@@ -134,47 +134,51 @@
     while True:
         verdict = state.view.verdict_on(call.work_id, call.parts)
         if verdict.standing is Standing.REFUSED:
-            return Err(_harmful(verdict))
+            return Err(_harmful_fault(verdict))
         if verdict.standing is Standing.UNSETTLED:
             with trio.move_on_after(verdict.retry_after_ms / 1000):
                 await state.view.wait_quarantine()
             continue
         if verdict.standing is Standing.ALONE:
-            answer = await _ask_alone(state, call, avoid)
-            if not answer.again:
+            answer = await _request_isolated(state, call, avoid)
+            if not answer.retry:
                 return answer.result
             continue
         choices = _choose(state, call, avoid)
         if not choices:
-            return Err(Fault(ResultCode.NO_UPSTREAM, _why_none(state, call), _RETRY_AFTER_MS))
+            return Err(
+                Fault(ResultCode.NO_UPSTREAM, _no_upstream_message(state, call), _RETRY_AFTER_MS)
+            )
         in_time = _check_deadline(state, call, choices)
         if isinstance(in_time, Err):
             return in_time
-        answer = await _ask_all(state, call, choices)
-        if not answer.again:
+        answer = await _request_all(state, call, choices)
+        if not answer.retry:
             return answer.result
 
 
-def _why_none(state: PermitSearch, call: OnlineCall) -> str:
+def _no_upstream_message(state: PermitSearch, call: OnlineCall) -> str:
     message = f"no live upstream serves {call.service!r}"
     if any(_is_usable(state, item) for item in state.view.upstreams_of(call.service)):
         message += f" at software version {' or '.join(sorted(call.software_versions))}"
     return message
 
 
-def _harmful(verdict: Verdict) -> Fault:
-    what = "requests with a part of its prompt" if is_part(verdict.trait) else "this request"
-    message = f"{verdict.crashes} upstreams ended while they ran {what} ({verdict.trait})"
+def _harmful_fault(verdict: Verdict) -> Fault:
+    subject = "requests with a part of its prompt" if is_part(verdict.trait) else "this request"
+    message = f"{verdict.crashes} upstreams ended while they ran {subject} ({verdict.trait})"
     return Fault(ResultCode.WORK_HARMFUL, message, int(verdict.retry_after_ms))
 
 
-async def _ask_alone(state: PermitSearch, call: OnlineCall, avoid: Collection[str]) -> "_Answer":
+async def _request_isolated(
+    state: PermitSearch, call: OnlineCall, avoid: Collection[str]
+) -> "_SearchResult":
     """Wait for an upstream on which nothing else runs; again when more is known of the work.
 
     All nodes choose the same one for a service, so that suspects never take more than that.
     """
-    if avoid and await _is_settled(state, call):
-        return _Answer(Err(_NOTHING_KNOWN), again=True)
+    if avoid and await _wait_until_cleared(state, call):
+        return _SearchResult(Err(_VERDICT_CHANGED), retry=True)
     choices = _choose(state, call, avoid)
     usable = [item.upstream_id for item in choices if item.accepting and not item.owner_silent]
     fresh = [name for name in usable if name not in avoid]
@@ -182,33 +186,33 @@
     wait_ms = _slack_ms(call, run_ms)
     if not usable or wait_ms <= 0:
         why = "no upstream is free for a run alone" if usable else "no upstream can be asked"
-        return _Answer(Err(Fault(ResultCode.NO_CAPACITY, why, _RETRY_AFTER_MS)))
+        return _SearchResult(Err(Fault(ResultCode.NO_CAPACITY, why, _RETRY_AFTER_MS)))
     ask = Ask(rank_names(call.service, fresh or usable)[0], wait_ms)
     started_ms = now_ms()
-    granted = await _ask_until_news(state, call, ask, run_ms)
+    granted = await _request_until_cleared(state, call, ask, run_ms)
     if granted is None:
-        return _Answer(Err(_NOTHING_KNOWN), again=True)
-    in_vain = now_ms() - started_ms >= wait_ms
-    if isinstance(granted, Err) and not in_vain:
+        return _SearchResult(Err(_VERDICT_CHANGED), retry=True)
+    timed_out = now_ms() - started_ms >= wait_ms
+    if isinstance(granted, Err) and not timed_out:
         # Its owner is silent or keeps work from it, which the next choice knows.
         await trio.sleep(_NOT_OWNER_PAUSE_S)
-        return _Answer(granted, again=True)
-    return _Answer(granted)
+        return _SearchResult(granted, retry=True)
+    return _SearchResult(granted)
 
 
-async def _is_settled(state: PermitSearch, call: OnlineCall) -> bool:
+async def _wait_until_cleared(state: PermitSearch, call: OnlineCall) -> bool:
     """Wait a moment for news of a suspect; return whether it is none any more.
 
     An upstream that failed the call may just have ended, under another try of the same work.
     """
-    with trio.move_on_after(_NEWS_S):
+    with trio.move_on_after(_CRASH_REPORT_WAIT_S):
         while state.view.verdict_on(call.work_id, call.parts).standing is Standing.ALONE:
             await state.view.wait_quarantine()
         return True
     return False
 
 
-async def _ask_until_news(
+async def _request_until_cleared(
     state: PermitSearch, call: OnlineCall, ask: Ask, run_ms: float
 ) -> Result[Grant, Fault] | None:
     """Ask for a run alone; None when the work is no such suspect any more."""
@@ -216,12 +220,12 @@
     try:
         async with trio.open_nursery() as nursery:
 
-            async def ask_alone() -> None:
+            async def request_isolated() -> None:
                 nonlocal granted
-                granted = await _ask(state, call, ask, run_ms, alone=True)
+                granted = await _request_permit(state, call, ask, run_ms, alone=True)
                 nursery.cancel_scope.cancel()
 
-            nursery.start_soon(ask_alone)
+            nursery.start_soon(request_isolated)
             while state.view.verdict_on(call.work_id, call.parts).standing is Standing.ALONE:
                 await state.view.wait_quarantine()
             nursery.cancel_scope.cancel()
@@ -271,7 +275,7 @@
     return not upstream.leaving and not (policy is not None and policy.drain)
 
 
-def _is_overtaken(state: PermitSearch, upstream_id: str) -> bool:
+def _became_unusable(state: PermitSearch, upstream_id: str) -> bool:
     """Whether an upstream that was chosen has begun to leave or has gone since."""
     upstream = state.view.upstreams.get(upstream_id)
     return upstream is None or not _is_usable(state, upstream)
@@ -334,14 +338,16 @@
     return state.admission.check_deadline(call.left_ms(), first_token_ms, run_ms)
 
 
-class _Answer(msgspec.Struct, frozen=True):
-    """What came of a round of asks; ``again`` says that it taught enough for another one."""
+class _SearchResult(msgspec.Struct, frozen=True):
+    """What came of a round of asks; ``retry`` says that it taught enough for another one."""
 
     result: Result[Grant, Fault]
-    again: bool = False
+    retry: bool = False
 
 
-async def _ask_all(state: PermitSearch, call: OnlineCall, choices: list[Choice]) -> _Answer:
+async def _request_all(
+    state: PermitSearch, call: OnlineCall, choices: list[Choice]
+) -> _SearchResult:
     """Ask in the planned order; the refusal that comes back soonest stands for all.
 
     An owner that turns out to be silent, or one that queued the call in vain, ends the round.
@@ -353,37 +359,37 @@
         if queues:
             answer = await _queue_at_several(state, call, list(asks), run_ms)
         else:
-            answer = await _ask_in_turn(state, call, list(asks), choices, run_ms)
-        if isinstance(answer.result, Ok) or answer.again:
+            answer = await _request_in_order(state, call, list(asks), choices, run_ms)
+        if isinstance(answer.result, Ok) or answer.retry:
             return answer
-        refusal = _kinder(refusal, answer.result.err_value)
+        refusal = _more_informative(refusal, answer.result.err_value)
     if call.member:
-        granted = await _ask_with_room(state, call, choices, plan, run_ms)
+        granted = await _request_with_room(state, call, choices, plan, run_ms)
         if granted is not None:
             return granted
-    return _Answer(Err(_refusal(refusal)))
+    return _SearchResult(Err(_refusal(refusal)))
 
 
-async def _ask_with_room(
+async def _request_with_room(
     state: PermitSearch, call: OnlineCall, choices: list[Choice], plan: list[Ask], run_ms: float
-) -> _Answer | None:
+) -> _SearchResult | None:
     """Ask the other upstreams that may have free slots; None when none of them grants.
 
     A customer above its share is refused by full owners at once, which says nothing of the others.
     Each answer tells the load, so a node asks an upstream in vain once in ``stale_ms`` at most.
     """
-    asked = {ask.upstream_id for ask in plan}
+    requested = {ask.upstream_id for ask in plan}
     rest = [
         Ask(item.upstream_id)
         for item in choices
         if item.has_room
         and item.accepting
         and not item.owner_silent
-        and item.upstream_id not in asked
+        and item.upstream_id not in requested
     ]
     if not rest:
         return None
-    answer = await _ask_in_turn(state, call, rest, choices, run_ms)
+    answer = await _request_in_order(state, call, rest, choices, run_ms)
     return answer if isinstance(answer.result, Ok) else None
 
 
@@ -391,23 +397,25 @@
     return min(call.left_ms() - run_ms, call.start_left_ms())
 
 
-async def _ask_in_turn(
+async def _request_in_order(
     state: PermitSearch,
     call: OnlineCall,
     asks: Sequence[Ask],
     choices: Sequence[Choice],
     run_ms: float,
-) -> _Answer:
+) -> _SearchResult:
     """Ask for slots that are believed to be free, until one is granted."""
     refusal: Fault | None = None
     for number, ask in enumerate(asks, start=1):
-        granted = await _ask(state, call, ask, run_ms)
+        granted = await _request_permit(state, call, ask, run_ms)
         if isinstance(granted, Ok):
-            return _Answer(await _better(state, call, granted, asks[number - 1 :], choices, run_ms))
-        if granted.err_value.code in _SILENCE:
-            return _Answer(granted, again=True)
-        refusal = _kinder(refusal, granted.err_value)
-    return _Answer(Err(refusal))
+            return _SearchResult(
+                await _move_to_faster(state, call, granted, asks[number - 1 :], choices, run_ms)
+            )
+        if granted.err_value.code in _NO_REPLY_CODES:
+            return _SearchResult(granted, retry=True)
+        refusal = _more_informative(refusal, granted.err_value)
+    return _SearchResult(Err(refusal))
 
 
 def _should_move(
@@ -423,7 +431,7 @@
     )
 
 
-async def _better(
+async def _move_to_faster(
     state: PermitSearch,
     call: OnlineCall,
     granted: Ok[Grant],
@@ -439,7 +447,7 @@
         if not _should_move(state, call, ask, other, choices):
             return granted
         try:
-            moved = await _ask(state, call, other, run_ms)
+            moved = await _request_permit(state, call, other, run_ms)
         except BaseException:
             state.permits.give_back(granted.ok_value)
             raise
@@ -459,27 +467,27 @@
 
 async def _queue_at_several(
     state: PermitSearch, call: OnlineCall, asks: Sequence[Ask], run_ms: float
-) -> _Answer:
+) -> _SearchResult:
     """Wait in several queues at once; the first grant counts and the other asks are withdrawn.
 
     A slot that comes free anywhere then goes to the call that needs it soonest.  In one queue
     after the other a call missed its target beside upstreams that served late ones.
     """
-    refusals: list[_Answer] = []
+    refusals: list[_SearchResult] = []
     grants: list[Grant] = []
 
     async def queue_at(ask: Ask) -> None:
         started_ms = now_ms()
-        granted = await _ask(state, call, ask, run_ms, queues=len(asks))
+        granted = await _request_permit(state, call, ask, run_ms, queues=len(asks))
         if isinstance(granted, Err):
-            in_vain = now_ms() - started_ms >= ask.wait_ms
+            timed_out = now_ms() - started_ms >= ask.wait_ms
             code = granted.err_value.code
             if code is ResultCode.NOT_OWNER:
                 await trio.sleep(_NOT_OWNER_PAUSE_S)
-            again = code is ResultCode.NOT_OWNER or (in_vain and code not in _SILENCE)
+            retry = code is ResultCode.NOT_OWNER or (timed_out and code not in _NO_REPLY_CODES)
             # The refusal of one that leaves says nothing of those that came since the choice.
-            again = again or _is_overtaken(state, ask.upstream_id)
-            refusals.append(_Answer(granted, again=again))
+            retry = retry or _became_unusable(state, ask.upstream_id)
+            refusals.append(_SearchResult(granted, retry=retry))
             return
         grants.append(granted.ok_value)
         nursery.cancel_scope.cancel()
@@ -496,29 +504,29 @@
     for grant in grants[1:]:
         state.permits.give_back(grant)
     if grants:
-        return _Answer(Ok(grants[0]))
-    return _sum_up(refusals)
+        return _SearchResult(Ok(grants[0]))
+    return _merge_refusals(refusals)
 
 
-def _sum_up(refusals: Iterable[_Answer]) -> _Answer:
+def _merge_refusals(refusals: Iterable[_SearchResult]) -> _SearchResult:
     """Return one answer for several refusals: ask again if any owner had queued the call."""
-    kindest: Fault | None = None
-    again = False
+    best: Fault | None = None
+    retry = False
     for refusal in refusals:
-        kindest = _kinder(kindest, refusal.result.err_value)
-        again = again or refusal.again
-    return _Answer(Err(kindest), again)
+        best = _more_informative(best, refusal.result.err_value)
+        retry = retry or refusal.retry
+    return _SearchResult(Err(best), retry)
 
 
 def _refusal(fault: Fault | None) -> Fault:
     """Return the caller's answer: nothing was sent, and it may come back."""
-    if fault is None or fault.code in _NO_OWNER:
+    if fault is None or fault.code in _NO_LOAD_INFO_CODES:
         why = "no time is left to wait" if fault is None else "no owner answers"
         return Fault(ResultCode.NO_CAPACITY, f"no capacity: {why}", _RETRY_AFTER_MS)
     return msgspec.structs.replace(fault, retry_after_ms=fault.retry_after_ms or _RETRY_AFTER_MS)
 
 
-async def _ask(
+async def _request_permit(
     state: PermitSearch,
     call: OnlineCall,
     ask: Ask,
@@ -550,23 +558,23 @@
     if ask.local:
         return state.permits.ask_local(message, call.parts)
     started_ms = now_ms()
-    state.ask_timeout.under_way += 1
+    state.reply_timeout.under_way += 1
     try:
-        timeout_ms = ask.wait_ms + state.ask_timeout.timeout_ms
+        timeout_ms = ask.wait_ms + state.reply_timeout.timeout_ms
         granted = await state.permits.ask(message, timeout_ms, call.parts)
     finally:
-        state.ask_timeout.under_way -= 1
-    _note_answer(state, ask, granted, now_ms() - started_ms)
+        state.reply_timeout.under_way -= 1
+    _record_reply(state, ask, granted, now_ms() - started_ms)
     return granted
 
 
-def _note_answer(
+def _record_reply(
     state: PermitSearch, ask: Ask, granted: Result[Grant, Fault], round_trip_ms: float
 ) -> None:
     owner = state.view.owner_of(ask.upstream_id)
     if owner is None:
         return
-    if isinstance(granted, Err) and granted.err_value.code in _SILENCE:
+    if isinstance(granted, Err) and granted.err_value.code in _NO_REPLY_CODES:
         state.silent.note_silent(owner.vm_id, now_ms())
         return
     state.silent.note_answer(owner.vm_id)
@@ -574,10 +582,10 @@
         state.latency.observe(owner.failure_domain, round_trip_ms)
 
 
-def _kinder(first: Fault | None, second: Fault) -> Fault:
+def _more_informative(first: Fault | None, second: Fault) -> Fault:
     """Return the refusal that tells more: an owner's before a silence, the sooner before others."""
-    if first is None or first.code in _NO_OWNER:
+    if first is None or first.code in _NO_LOAD_INFO_CODES:
         return second
-    if second.code in _NO_OWNER or not second.retry_after_ms:
+    if second.code in _NO_LOAD_INFO_CODES or not second.retry_after_ms:
         return first
     return second if second.retry_after_ms < (first.retry_after_ms or 10**9) else first
--- a/src/fescuedock/entry/online_relay.py
+++ b/src/fescuedock/entry/online_relay.py
@@ -36,7 +36,7 @@
     request: OnlineRequest,
     stream: StreamState,
     write: WriteData,
-    serving: Callable[[Attempt], None],
+    on_first_token: Callable[[Attempt], None],
 ) -> Result[Attempt, Fault]:
     """Pass the events of a whole answer to ``write``; return the attempt that ended it.
 
@@ -44,25 +44,25 @@
     """
 
     async def run_one(attempt: Attempt, upstream: UpstreamRecord) -> AttemptOutcome:
-        await _Relay(state, request, write, stream, attempt, serving).run(upstream)
+        await _Relay(state, request, write, stream, attempt, on_first_token).run(upstream)
         return AttemptOutcome.COMPLETED
 
     return await run_attempts(state, request, run_one)
 
 
-class _Watch(msgspec.Struct):
+class _StallWatch(msgspec.Struct):
     """Whether the relay waits for the upstream, and since when."""
 
     timeout_ms: float
     waiting: bool = True
     since_ms: float = msgspec.field(default_factory=now_ms)
     stalled: bool = False
-    pause: trio.CancelScope = msgspec.field(default_factory=trio.CancelScope)
+    sleep_scope: trio.CancelScope = msgspec.field(default_factory=trio.CancelScope)
 
-    def expect_within(self, timeout_ms: float) -> None:
+    def set_timeout(self, timeout_ms: float) -> None:
         """Look for a stall after ``timeout_ms`` from now on."""
         self.timeout_ms = timeout_ms
-        self.pause.cancel()
+        self.sleep_scope.cancel()
 
 
 class _Relay(msgspec.Struct):
@@ -73,7 +73,7 @@
     write: WriteData
     stream: StreamState
     attempt: Attempt
-    serving: Callable[[Attempt], None]
+    on_first_token: Callable[[Attempt], None]
 
     async def run(self, upstream: UpstreamRecord) -> None:
         """Relay until the answer is whole; raise one of ``ATTEMPT_ERRORS`` if it is not."""
@@ -82,7 +82,7 @@
         error: Exception = ResponseLostError("the stream ended without a reason for its end")
         try:
             async with (
-                self._watched() as watch,
+                self._stall_watch() as watch,
                 self.state.engines.stream(
                     upstream,
                     self.request.path,
@@ -101,7 +101,7 @@
         if step is NextStep.GIVE_UP:
             raise AnswerLostError(f"the answer cannot be continued: {error}") from error
         if step is not NextStep.FINISH:
-            raise self._resume_refusal(error, resume)
+            raise self._resume_error(error, resume)
 
     def _prefer_version(self) -> None:
         """Have the next attempt go to the version that opened the answer, while that serves."""
@@ -112,20 +112,20 @@
         )
         self.request.software_versions = (version,) if self.stream.opened and serving else None
 
-    def _resume_refusal(self, error: Exception, resume: ResumePoint | None) -> Exception:
+    def _resume_error(self, error: Exception, resume: ResumePoint | None) -> Exception:
         """Return ``error``, or what it means if an engine refused to go on from ``resume``."""
         if resume is None or not isinstance(error, EngineError) or not error.is_permanent:
             return error
         self.stream.replays = True
         return ResumeRefusedError(f"no resume after {resume.tokens} tokens: {error}")
 
-    async def _relay_events(self, events: EngineStream, watch: _Watch) -> None:
+    async def _relay_events(self, events: EngineStream, watch: _StallWatch) -> None:
         stream = self.stream
         attempt = self.attempt
         async for event in events:
             at_ms = now_ms()
             if event.text:
-                self._note_token(attempt, watch, at_ms)
+                self._record_token(attempt, watch, at_ms)
             data = stream.receive(attempt.attempt_id, event)
             if stream.diverged:
                 raise ResponseLostError("another attempt gives another answer")
@@ -135,21 +135,21 @@
                 watch.waiting = True
             watch.since_ms = at_ms
 
-    def _note_token(self, attempt: Attempt, watch: _Watch, at_ms: float) -> None:
+    def _record_token(self, attempt: Attempt, watch: _StallWatch, at_ms: float) -> None:
         if not attempt.tokens:
             objectives = self.request.spec.objectives
-            watch.expect_within(self.state.stall.timeout_ms(objectives.inter_token_ms))
-            self.serving(attempt)
-        attempt.note_token(at_ms)
+            watch.set_timeout(self.state.stall.timeout_ms(objectives.inter_token_ms))
+            self.on_first_token(attempt)
+        attempt.record_token(at_ms)
 
     @asynccontextmanager
-    async def _watched(self) -> AsyncIterator[_Watch]:
+    async def _stall_watch(self) -> AsyncIterator[_StallWatch]:
         """Cut the block off when the upstream stalls; raise its error or ``UpstreamStalledError``.
 
         The nursery's group around an error of the block is taken off.
         """
         usual_ms = self.request.spec.objectives.first_token_ms
-        watch = _Watch(self.state.stall.timeout_ms(usual_ms))
+        watch = _StallWatch(self.state.stall.timeout_ms(usual_ms))
         caught: Exception | None = None
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_cancel_stalled, watch, nursery.cancel_scope)
@@ -164,7 +164,7 @@
             raise UpstreamStalledError(f"nothing came for {watch.timeout_ms:.0f} ms")
 
 
-async def _cancel_stalled(watch: _Watch, scope: trio.CancelScope) -> None:
+async def _cancel_stalled(watch: _StallWatch, scope: trio.CancelScope) -> None:
     """Cancel ``scope`` when its relay has waited for the upstream for too long."""
     while True:
         due_ms = watch.since_ms + watch.timeout_ms
@@ -174,5 +174,5 @@
             return
         # While the caller is slow the clock stands still: the write has a timeout of its own.
         wake_ms = max(due_ms, now_ms() + watch.timeout_ms / 2) if not watch.waiting else due_ms
-        with trio.CancelScope(deadline=wake_ms / 1000) as watch.pause:
+        with trio.CancelScope(deadline=wake_ms / 1000) as watch.sleep_scope:
             await trio.sleep_forever()
--- a/src/fescuedock/entry/online_request.py
+++ b/src/fescuedock/entry/online_request.py
@@ -110,7 +110,7 @@
             member=member.ok_value,
             service=service,
             spec=context.view.configuration.services[service],
-            demand=_demand_of(body.ok_value),
+            demand=_estimate_demand(body.ok_value),
             max_tokens=_max_tokens(body.ok_value),
             deadline_ms=arrived_ms + deadline.ok_value,
             work_id=work_identity(service, "POST", request.path, member.ok_value, data),
@@ -145,11 +145,11 @@
     return 0
 
 
-def _demand_of(body: Mapping[str, Any]) -> Demand:
+def _estimate_demand(body: Mapping[str, Any]) -> Demand:
     text = "\0".join(_texts(body)).encode()
     if not text:
         return Demand(0, 0, "")
-    shared = _shared_part(body, text)
+    shared = _shareable_prefix(body, text)
     name = str(body.get("model")).encode()
     digest = blake2b(name + b"\0" + shared[:_PREFIX_BYTES], digest_size=_HASH_BYTES)
     return Demand(_tokens(text), _tokens(shared), digest.hexdigest())
@@ -159,7 +159,7 @@
     return -(-len(text) // _BYTES_PER_TOKEN)
 
 
-def _shared_part(body: Mapping[str, Any], text: bytes) -> bytes:
+def _shareable_prefix(body: Mapping[str, Any], text: bytes) -> bytes:
     """Return what other prompts may begin with too: the first message, or a leading part."""
     messages = body.get("messages")
     if isinstance(messages, list) and len(messages) > 1:
--- a/src/fescuedock/entry/online_run.py
+++ b/src/fescuedock/entry/online_run.py
@@ -46,9 +46,9 @@
     while True:
         granted = await find_permit(state, call, avoid)
         if isinstance(granted, Err):
-            return Err(_truthful(granted.err_value, sent))
+            return Err(_final_fault(granted.err_value, sent))
         attempt = begin_attempt(granted.ok_value, call)
-        failure = await _try(state, attempt, call, run_one)
+        failure = await _run_attempt(state, attempt, call, run_one)
         if failure is None:
             return Ok(attempt)
         _log_failure(call, attempt, failure)
@@ -59,16 +59,16 @@
         if _was_sent(failure):
             sent = failure
             if not call.repeatable:
-                return Err(_unknown(failure))
+                return Err(_execution_unknown(failure))
         avoid.add(attempt.grant.upstream_id)
         history.note_failure(upstream_lost=failure.upstream_lost, progress=attempt.tokens > 0)
         wait_ms = history.next_wait_ms(state.budget, call.left_ms(), now_ms(), state.rng)
         if wait_ms is None:
-            return Err(_truthful(failure.fault, sent))
+            return Err(_final_fault(failure.fault, sent))
         await trio.sleep(wait_ms / 1000)
 
 
-async def _try(
+async def _run_attempt(
     state: OnlineState, attempt: Attempt, call: OnlineCall, run_one: RunAttempt
 ) -> Failure | None:
     """Run one attempt and report it to the owner; None when it went well."""
@@ -85,7 +85,7 @@
         attempt.outcome = failure.outcome
         return failure
     else:
-        _learn(state, attempt)
+        _observe_attempt(state, attempt)
         return None
     finally:
         attempt.end()
@@ -103,7 +103,7 @@
     )
 
 
-def _learn(state: OnlineState, attempt: Attempt) -> None:
+def _observe_attempt(state: OnlineState, attempt: Attempt) -> None:
     state.budget.succeeded()
     if attempt.tokens < 1:
         return
@@ -128,12 +128,12 @@
     return Fault(ResultCode.DEADLINE_CANNOT_BE_MET, message, _RETRY_AFTER_MS)
 
 
-def _unknown(failure: Failure) -> Fault:
+def _execution_unknown(failure: Failure) -> Fault:
     message = f"the call may have run: {failure.fault.message}"
     return Fault(ResultCode.EXECUTION_UNKNOWN, message)
 
 
-def _truthful(fault: Fault, sent: Failure | None) -> Fault:
+def _final_fault(fault: Fault, sent: Failure | None) -> Fault:
     """Return ``fault``, or that of an attempt that was sent where ``fault`` would say "not run"."""
     if fault.outcome is not Outcome.NOT_RUN or sent is None:
         return fault
--- a/src/fescuedock/entry/online_state.py
+++ b/src/fescuedock/entry/online_state.py
@@ -45,7 +45,7 @@
     admission: Admission = field(default_factory=Admission)
     latency: DomainLatency = field(default_factory=DomainLatency)
     prefixes: PrefixMemory = field(default_factory=PrefixMemory)
-    ask_timeout: AskTimeout = field(default_factory=AskTimeout)
+    reply_timeout: AskTimeout = field(default_factory=AskTimeout)
     engines: EngineClient = field(init=False)
     budget: RetryBudget = field(init=False)
     silent: SilentOwners = field(init=False)
--- a/src/fescuedock/entry/result_files.py
+++ b/src/fescuedock/entry/result_files.py
@@ -55,7 +55,7 @@
     groups = await committed_groups(context.stores, record)
     if isinstance(groups, Err):
         return groups
-    refs = [ref for group in groups.ok_value for ref in _refs_of(group, kind)]
+    refs = [ref for group in groups.ok_value for ref in _segments_of(group, kind)]
     return Ok(FileContent(context.stores, refs))
 
 
@@ -77,5 +77,5 @@
     return Ok(groups + record.groups)
 
 
-def _refs_of(group: CommittedGroup, kind: ResultKind) -> list[SegmentRef]:
+def _segments_of(group: CommittedGroup, kind: ResultKind) -> list[SegmentRef]:
     return group.outputs if kind is ResultKind.OUTPUT else group.errors
--- a/src/fescuedock/entry/service_call.py
+++ b/src/fescuedock/entry/service_call.py
@@ -22,17 +22,17 @@
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.view import UpstreamRecord
 
-__all__ = ["ServiceCall", "open_attempt", "passed_headers", "read_service_call"]
+__all__ = ["ServiceCall", "open_attempt", "forwarded_headers", "read_service_call"]
 
 KEY_HEADER = "idempotency-key"
-MARK_HEADER = "x-non-idempotent"
+NON_IDEMPOTENT_HEADER = "x-non-idempotent"
 
 _MAX_BODY_BYTES = 16 * 1024 * 1024
 _MAX_KEY_CHARACTERS = 255
 _NO_DEMAND = Demand(0, 0, "")
 _TRUE = ("true", "1", "yes")
 # These belong to one connection, or are ours.
-_NOT_PASSED = HOP_HEADERS | {"content-length", "host", DEADLINE_HEADER, MARK_HEADER}
+_NOT_FORWARDED = HOP_HEADERS | {"content-length", "host", DEADLINE_HEADER, NON_IDEMPOTENT_HEADER}
 
 
 class ServiceCall(msgspec.Struct, frozen=True):
@@ -110,8 +110,8 @@
     if len(key) > _MAX_KEY_CHARACTERS:
         message = f"the Idempotency-Key has more than {_MAX_KEY_CHARACTERS} characters"
         return Err(Fault(ResultCode.BAD_REQUEST, message))
-    marked = request.headers.get(MARK_HEADER, "").lower() in _TRUE
-    ruled = is_non_idempotent(spec.non_idempotent, request.method, values["path"])
+    marked = request.headers.get(NON_IDEMPOTENT_HEADER, "").lower() in _TRUE
+    configured = is_non_idempotent(spec.non_idempotent, request.method, values["path"])
     return Ok(
         ServiceCall(
             request_id=request_id,
@@ -123,7 +123,7 @@
             headers=_request_headers(request.headers, member.ok_value, request_id),
             body=await request.read(_MAX_BODY_BYTES),
             deadline_ms=arrived_ms + wait.ok_value,
-            repeatable=not (marked or ruled or key),
+            repeatable=not (marked or configured or key),
             idempotency_key=key,
         )
     )
@@ -152,12 +152,12 @@
         yield response
 
 
-def passed_headers(headers: Mapping[str, str], request_id: str) -> list[tuple[str, str]]:
+def forwarded_headers(headers: Mapping[str, str], request_id: str) -> list[tuple[str, str]]:
     """Return the service's headers that are the caller's business."""
-    passed = [item for item in headers.items() if item[0] not in _NOT_PASSED]
-    if not any(name == "x-request-id" for name, _ in passed):
-        passed.append(("x-request-id", request_id))
-    return passed
+    forwarded = [item for item in headers.items() if item[0] not in _NOT_FORWARDED]
+    if not any(name == "x-request-id" for name, _ in forwarded):
+        forwarded.append(("x-request-id", request_id))
+    return forwarded
 
 
 def _time_allowed_ms(
@@ -172,12 +172,12 @@
     headers: Mapping[str, str], member: str, request_id: str
 ) -> list[tuple[str, str]]:
     """Return what the service gets; a member's key for us is none of its business."""
-    passed = [item for item in headers.items() if item[0] not in _NOT_PASSED]
+    forwarded = [item for item in headers.items() if item[0] not in _NOT_FORWARDED]
     if member != ANONYMOUS:
-        passed = [item for item in passed if item[0] != "authorization"]
+        forwarded = [item for item in forwarded if item[0] != "authorization"]
     if "x-request-id" not in headers:
-        passed.append(("x-request-id", request_id))
-    return passed
+        forwarded.append(("x-request-id", request_id))
+    return forwarded
 
 
 def _target_at_service(target: str) -> str:
--- a/src/fescuedock/entry/services.py
+++ b/src/fescuedock/entry/services.py
@@ -13,7 +13,7 @@
 from result import Err, Ok, Result
 
 from fescuedock.clock import now_ms
-from fescuedock.entry.claiming import ClaimDesk
+from fescuedock.entry.claiming import ClaimManager
 from fescuedock.entry.context import EntryContext
 from fescuedock.entry.online_attempt import Attempt, UpstreamStalledError
 from fescuedock.entry.online_run import deadline_fault, run_attempts
@@ -21,8 +21,8 @@
 from fescuedock.entry.routes import Route
 from fescuedock.entry.service_call import (
     ServiceCall,
+    forwarded_headers,
     open_attempt,
-    passed_headers,
     read_service_call,
 )
 from fescuedock.faults import Fault
@@ -35,13 +35,13 @@
 
 __all__ = ["routes"]
 
-# An answer up to this size is held until it is whole, so that a broken one can be tried again.
-_HELD_BYTES = 1024 * 1024
+# An answer up to this size is buffered until it is complete, so that a broken one can be retried.
+_MAX_BUFFERED_BYTES = 1024 * 1024
 _EVENT_STREAM = "text/event-stream"
 _JSON = "application/json"
 
 # Told of an answer before the caller gets it.
-KeepAnswer = Callable[[RecordedAnswer], Awaitable[None]]
+RecordAnswer = Callable[[RecordedAnswer], Awaitable[None]]
 
 
 class _BrokenAnswerError(Exception):
@@ -51,17 +51,17 @@
 def routes(context: EntryContext, rng: random.Random | None = None) -> list[Route]:
     """Return the routes of plain services.  ``rng`` must be unguessable outside tests."""
     state = OnlineState(context, rng or random.SystemRandom())
-    desk = ClaimDesk(context, state.rng)
+    claims = ClaimManager(context, state.rng)
 
     async def call(request: Request, responder: Responder, values: dict[str, str]) -> None:
-        await _serve(state, desk, request, responder, values)
+        await _serve(state, claims, request, responder, values)
 
     return [Route("*", "/services/{service}/{path*}", call)]
 
 
 async def _serve(
     state: OnlineState,
-    desk: ClaimDesk,
+    claims: ClaimManager,
     request: Request,
     responder: Responder,
     values: dict[str, str],
@@ -77,7 +77,7 @@
     outcome = state.admission.admit(call.member, state.shares())
     if isinstance(outcome, Ok):
         try:
-            outcome = await _carry_out(state, desk, call, responder)
+            outcome = await _execute(state, claims, call, responder)
         finally:
             state.admission.release(call.member)
     if isinstance(outcome, Err) and not responder.started:
@@ -86,35 +86,37 @@
     state.context.metrics.record_online(call.service, call.member, now_ms() - started_ms, 0.0, code)
 
 
-async def _carry_out(
-    state: OnlineState, desk: ClaimDesk, call: ServiceCall, responder: Responder
+async def _execute(
+    state: OnlineState, claims: ClaimManager, call: ServiceCall, responder: Responder
 ) -> Result[None, Fault]:
     """Answer ``call``; a fault is the caller's answer unless a part of another one went out."""
     if not call.idempotency_key:
-        return await _run(state, call, responder, _keep_nothing)
-    return await _run_claimed(state, desk, call, responder)
+        return await _run(state, call, responder, _record_nothing)
+    return await _run_claimed(state, claims, call, responder)
 
 
 async def _run_claimed(
-    state: OnlineState, desk: ClaimDesk, call: ServiceCall, responder: Responder
+    state: OnlineState, claims: ClaimManager, call: ServiceCall, responder: Responder
 ) -> Result[None, Fault]:
-    made = await desk.make_claim(call)
-    if isinstance(made, Err):
-        return made
-    claim = made.ok_value
+    claimed = await claims.claim_call(call)
+    if isinstance(claimed, Err):
+        return claimed
+    claim = claimed.ok_value
     if isinstance(claim, RecordedAnswer):
         await responder.send(claim.status, claim.body, _replay_headers(claim, call))
         return Ok(None)
     # The call goes on when its caller leaves: a resend finds the answer in the record.
     with trio.CancelScope(shield=True):
-        outcome = await _run(state, call, responder, lambda answer: desk.keep(claim, answer))
+        outcome = await _run(
+            state, call, responder, lambda answer: claims.record_answer(claim, answer)
+        )
         if isinstance(outcome, Err) and outcome.err_value.outcome is Outcome.NOT_RUN:
-            await desk.release(claim)
+            await claims.release(claim)
     return outcome
 
 
 async def _run(
-    state: OnlineState, call: ServiceCall, responder: Responder, keep: KeepAnswer
+    state: OnlineState, call: ServiceCall, responder: Responder, record_answer: RecordAnswer
 ) -> Result[None, Fault]:
     """Send the call and its answer on within the deadline."""
     sent = False
@@ -124,8 +126,8 @@
         sent = True
         with trio.move_on_after(call.spec.request_timeout_ms / 1000):
             async with open_attempt(state.context.http, call, upstream, attempt.check) as response:
-                attempt.note_token(now_ms())
-                await _relay(attempt, call, response, responder, keep)
+                attempt.record_token(now_ms())
+                await _relay(attempt, call, response, responder, record_answer)
                 failed = response.status >= 500
                 return AttemptOutcome.SERVER_ERROR if failed else AttemptOutcome.COMPLETED
         raise UpstreamStalledError(f"no answer in {call.spec.request_timeout_ms} ms")
@@ -144,21 +146,23 @@
     call: ServiceCall,
     response: ClientResponse,
     responder: Responder,
-    keep: KeepAnswer,
+    record_answer: RecordAnswer,
 ) -> None:
     """Give the caller the answer: in one piece when it is small, else as it comes."""
     chunks = response.chunks()
     streamed = response.headers.get("content-type", "").startswith(_EVENT_STREAM)
-    held = await _read_held(chunks, 0 if streamed else _HELD_BYTES)
-    headers = passed_headers(response.headers, call.request_id)
+    buffered = await _read_buffered(chunks, 0 if streamed else _MAX_BUFFERED_BYTES)
+    headers = forwarded_headers(response.headers, call.request_id)
     kind = response.headers.get("content-type", "")
-    await keep(RecordedAnswer(response.status, kind, held.body if held.whole else b""))
-    if held.whole:
-        await responder.send(response.status, held.body, headers)
+    await record_answer(
+        RecordedAnswer(response.status, kind, buffered.body if buffered.complete else b"")
+    )
+    if buffered.complete:
+        await responder.send(response.status, buffered.body, headers)
         return
     try:
         async with responder.stream(response.status, headers) as output:
-            await output.write(held.body)
+            await output.write(buffered.body)
             async for chunk in chunks:
                 await output.write(chunk)
     except ResponseLostError as error:
@@ -166,25 +170,25 @@
         raise _BrokenAnswerError(str(error)) from error
 
 
-class _Held(msgspec.Struct, frozen=True):
-    """The beginning of an answer; ``whole`` says that it is all of it."""
+class _BufferedBody(msgspec.Struct, frozen=True):
+    """The beginning of an answer; ``complete`` says that it is all of it."""
 
     body: bytes
-    whole: bool
+    complete: bool
 
 
-async def _read_held(chunks: AsyncIterator[bytes], limit_bytes: int) -> _Held:
+async def _read_buffered(chunks: AsyncIterator[bytes], limit_bytes: int) -> _BufferedBody:
     parts: list[bytes] = []
     size_bytes = 0
     async for chunk in chunks:
         parts.append(chunk)
         size_bytes += len(chunk)
         if size_bytes > limit_bytes:
-            return _Held(b"".join(parts), False)
-    return _Held(b"".join(parts), True)
+            return _BufferedBody(b"".join(parts), False)
+    return _BufferedBody(b"".join(parts), True)
 
 
-async def _keep_nothing(_answer: RecordedAnswer) -> None:
+async def _record_nothing(_answer: RecordedAnswer) -> None:
     """Record no answer: the call has no Idempotency-Key."""
 
 
--- a/src/fescuedock/entry/uploads.py
+++ b/src/fescuedock/entry/uploads.py
@@ -61,18 +61,22 @@
 
 
 async def receive_upload(
-    request: Request, stores: StoreClient, settings: BatchSettings, max_bytes: int, turns: trio.Lock
+    request: Request,
+    stores: StoreClient,
+    settings: BatchSettings,
+    max_bytes: int,
+    chunk_lock: trio.Lock,
 ) -> Result[Upload, Fault]:
     """Read the form of ``POST /v1/files`` to its end and write its file to the stores.
 
-    Uploads that share ``turns`` work on one chunk between them in each pass of the loop, so that
-    online requests wait for one chunk and not for one of each.  ``BodyTooLargeError`` when the
-    request is over ``max_bytes``.
+    Uploads that share ``chunk_lock`` process one chunk between them in each pass of the event loop,
+    so that online requests wait for one chunk in all instead of one for each upload.  Raise
+    ``BodyTooLargeError`` if the request is over ``max_bytes``.
     """
     opened = open_form(request.headers.get("content-type", ""))
     if isinstance(opened, Err):
         return opened
-    receiver = _Receiver(opened.ok_value, _ContentWriter(stores, settings, turns))
+    receiver = _Receiver(opened.ok_value, _ContentWriter(stores, settings, chunk_lock))
     received_bytes = 0
     async for data in request.body:
         received_bytes += len(data)
@@ -105,7 +109,7 @@
             self._fault = events.err_value
             return
         for event in events.ok_value:
-            result = await self._take(event)
+            result = await self._handle_event(event)
             if isinstance(result, Err):
                 self._fault = result.err_value
                 return
@@ -121,7 +125,7 @@
         finished = await self._content.finish(self._upload)
         return finished if isinstance(finished, Err) else Ok(self._upload)
 
-    async def _take(self, event: PartBegin | PartData) -> Result[None, Fault]:
+    async def _handle_event(self, event: PartBegin | PartData) -> Result[None, Fault]:
         if isinstance(event, PartBegin):
             return self._begin(event)
         if self._field == _FILE_FIELD:
@@ -146,9 +150,9 @@
 class _ContentWriter:
     """Cuts, checks and writes the content of one file."""
 
-    def __init__(self, stores: StoreClient, settings: BatchSettings, turns: trio.Lock) -> None:
+    def __init__(self, stores: StoreClient, settings: BatchSettings, chunk_lock: trio.Lock) -> None:
         self._stores = stores
-        self._turns = turns
+        self._chunk_lock = chunk_lock
         self._checker = InputChecker(settings)
         self._reader = LineReader(settings.max_line_bytes)
         self._cutter = SegmentCutter(settings.segment_items, settings.segment_bytes)
@@ -157,15 +161,15 @@
         self._segments: list[SegmentRef] = []
 
     async def write(self, data: bytes) -> Result[None, Fault]:
-        async with self._turns:
-            cuts = self._cut(data)
-        return await self._put_all(cuts)
+        async with self._chunk_lock:
+            ready = self._cut(data)
+        return await self._put_all(ready)
 
     async def finish(self, upload: Upload) -> Result[None, Fault]:
         """Write what is left and put the result into ``upload``."""
-        cuts = self._add(self._reader.finish())
+        ready = self._add_lines(self._reader.finish())
         last = self._cutter.finish()
-        result = await self._put_all([*cuts, *([last] if last else [])])
+        result = await self._put_all([*ready, *([last] if last else [])])
         if isinstance(result, Err):
             return result
         self._checker.finish()
@@ -179,26 +183,26 @@
         self._hash.update(data)
         self._size_bytes += len(data)
         if self._checker.problem is None:
-            return self._add(self._reader.feed(data))
-        return self._add([*self._reader.finish(), data])
+            return self._add_lines(self._reader.feed(data))
+        return self._add_lines([*self._reader.finish(), data])
 
-    def _add(self, lines: list[bytes]) -> list[CutSegment]:
-        cuts: list[CutSegment] = []
+    def _add_lines(self, lines: list[bytes]) -> list[CutSegment]:
+        ready: list[CutSegment] = []
         for number, line in enumerate(lines):
             self._checker.check(line)
             if self._checker.problem is not None:
                 # No input any more, so that it need not be taken apart, however short its lines.
-                return [*cuts, *self._add_whole(b"".join(lines[number:]))]
+                return [*ready, *self._add_unparsed(b"".join(lines[number:]))]
             cut = self._cutter.add(line)
-            cuts += [cut] if cut else []
-        return cuts
+            ready += [cut] if cut else []
+        return ready
 
-    def _add_whole(self, data: bytes) -> list[CutSegment]:
+    def _add_unparsed(self, data: bytes) -> list[CutSegment]:
         cut = self._cutter.add(data)
         return [cut] if cut else []
 
-    async def _put_all(self, cuts: list[CutSegment]) -> Result[None, Fault]:
-        for cut in cuts:
+    async def _put_all(self, ready: list[CutSegment]) -> Result[None, Fault]:
+        for cut in ready:
             result = await self._stores.put_segment(cut.body, cut.items)
             if isinstance(result, Err):
                 return result
--- a/src/fescuedock/node/online.py
+++ b/src/fescuedock/node/online.py
@@ -53,13 +53,13 @@
         "_prefill",
         "_routes",
         "admission",
-        "ask_timeout",
         "first_event_ms",
         "http",
         "latency",
         "metrics",
         "origins",
         "permits",
+        "reply_timeout",
         "retry_after_ms",
         "rng",
         "routing",
@@ -95,7 +95,7 @@
         self.routing = routing
         self.admission = Admission()
         self.latency = DomainLatency()
-        self.ask_timeout = AskTimeout()
+        self.reply_timeout = AskTimeout()
         self.stalls = StallLimits()
         # What an upstream takes to a first event: a step, a prompt and the way; learned.
         self.first_event_ms = _FIRST_EVENT_MS
--- a/tests/builders/load_player.py
+++ b/tests/builders/load_player.py
@@ -216,7 +216,7 @@
     routing: RoutingPolicy
     admission: Admission = field(default_factory=Admission)
     latency: DomainLatency = field(default_factory=DomainLatency)
-    ask_timeout: AskTimeout = field(default_factory=AskTimeout)
+    reply_timeout: AskTimeout = field(default_factory=AskTimeout)
     silent: SilentOwners = field(init=False)
 
     def __post_init__(self) -> None:
--- a/tests/builders/online.py
+++ b/tests/builders/online.py
@@ -60,7 +60,7 @@
     "chat_body",
     "open_fleet",
     "oracle_text",
-    "patient_asks",
+    "long_permit_timeout",
     "read_stream",
     "record",
     "run",
@@ -80,14 +80,14 @@
 class Owner:
     """The one owner of all upstreams.
 
-    ``silent`` makes it take asks and answer none, ``delay_ms`` answer late.
+    ``silent`` makes it take permit_requests and answer none, ``delay_ms`` answer late.
     """
 
     service: PermitService
     address: Address
     silent: bool = False
     delay_ms: float = 0.0
-    asks: int = 0
+    permit_requests: int = 0
 
 
 @dataclass(slots=True)
@@ -211,7 +211,7 @@
     owner = Owner(service, Address(HOST, 0))
 
     async def handle(message: object, peer: object) -> object:
-        owner.asks += isinstance(message, permits.PermitAsk)
+        owner.permit_requests += isinstance(message, permits.PermitAsk)
         if owner.silent:
             await trio.sleep_forever()
         await trio.sleep(owner.delay_ms / 1000)
@@ -322,7 +322,7 @@
         await trio.sleep(0.002)
 
 
-def patient_asks() -> AbstractContextManager[object]:
+def long_permit_timeout() -> AbstractContextManager[object]:
     """Let programs wait two seconds for an owner of permits that should answer at once.
 
     All programs of such a test share one loop.  On a busy machine it answers later than an ask
--- a/tests/test_entry_jobs.py
+++ b/tests/test_entry_jobs.py
@@ -87,7 +87,7 @@
 
 class FileTest(_SiteTest):
     @at_site()
-    async def test_file_is_kept_given_back_listed_and_deleted(self, site: JobSite) -> None:
+    async def test_a_file_is_stored_returned_listed_and_deleted(self, site: JobSite) -> None:
         client = site.entry.client()
         content = input_file(3000)
         file_id = await upload(client, content)
@@ -101,7 +101,7 @@
         await self.assert_refused(client.files.delete(file_id), ResultCode.NOT_FOUND)
 
     @at_site(batch=SMALL)
-    async def test_any_bytes_come_back_as_they_were(self, site: JobSite) -> None:
+    async def test_any_content_is_returned_unchanged(self, site: JobSite) -> None:
         client = site.entry.client()
         short_lines = b"a\n" * 200_000
         contents = (b"", b"\n\n", b"\r\nx", bytes(range(256)) * 40, b"z" * 5000, short_lines)
@@ -113,14 +113,14 @@
         self.assertLess(max(len(file.segments) for file in found), 20)
 
     @at_site()
-    async def test_list_goes_page_by_page(self, site: JobSite) -> None:
+    async def test_files_are_listed_in_pages(self, site: JobSite) -> None:
         client = site.entry.client()
         wanted = {await upload(client, input_file(number)) for number in range(1, 6)}
         found = [item.id async for item in client.files.list(limit=2)]
         self.assertEqual((len(found), set(found)), (5, wanted))
 
     @at_site()
-    async def test_uploads_that_are_no_form_are_refused(self, site: JobSite) -> None:
+    async def test_malformed_forms_are_refused(self, site: JobSite) -> None:
         form = "multipart/form-data; boundary=b"
         head = b'--b\r\ncontent-disposition: form-data; name="%b"\r\n\r\n'
         purpose = head % b"purpose" + b"batch\r\n"
@@ -144,7 +144,7 @@
         self.assertEqual(len(keys(site.entry, "files")), 1)
 
     @at_site()
-    async def test_full_disks_are_said_and_leave_no_file(self, site: JobSite) -> None:
+    async def test_full_disks_are_reported_and_leave_no_file(self, site: JobSite) -> None:
         client = site.entry.client()
         for node in site.fleet.nodes.values():
             node.usage.max_bytes = 1000
@@ -171,7 +171,7 @@
         await upload(client, GOOD)
 
     @at_site()
-    async def test_lost_answers_during_a_deletion_are_told_truly(self, site: JobSite) -> None:
+    async def test_lost_answers_during_a_deletion_are_resolved(self, site: JobSite) -> None:
         client = site.entry.client()
         for when in LostAnswer:
             file_id = await upload(client, GOOD)
@@ -182,7 +182,9 @@
 
 class AcceptanceTest(_SiteTest):
     @at_site(batch=SMALL)
-    async def test_wrong_lines_are_named_and_nothing_is_accepted(self, site: JobSite) -> None:
+    async def test_invalid_lines_are_reported_by_number_and_nothing_is_accepted(
+        self, site: JobSite
+    ) -> None:
         cases = [
             (b"", ResultCode.EMPTY_INPUT, ""),
             (b"\n \n", ResultCode.EMPTY_INPUT, ""),
@@ -225,7 +227,7 @@
         self.assertIn("line 1", file.status_details)
 
     @at_site()
-    async def test_requests_that_cannot_be_read_are_refused(self, site: JobSite) -> None:
+    async def test_invalid_requests_are_refused(self, site: JobSite) -> None:
         client = site.entry.client()
         file_id = await upload(client, GOOD)
         bad = ResultCode.BAD_REQUEST
@@ -340,7 +342,7 @@
         self.assertEqual((await submit(second.client(), file_id, key)).id, again.id)
 
     @at_site()
-    async def test_service_that_is_down_is_said_and_nothing_is_accepted(
+    async def test_a_key_value_outage_is_reported_and_nothing_is_accepted(
         self, site: JobSite
     ) -> None:
         client = site.entry.client()
@@ -353,7 +355,7 @@
         self.assertEqual((await submit(client, file_id, "k")).status, "in_progress")
 
     @at_site()
-    async def test_service_that_goes_down_after_the_record_leaves_the_outcome_unknown(
+    async def test_a_key_value_outage_after_the_record_leaves_the_outcome_unknown(
         self, site: JobSite
     ) -> None:
         client = site.entry.client()
@@ -389,9 +391,7 @@
             self.assertEqual(b"".join(bodies), content)
 
     @at_site()
-    async def test_copies_are_there_when_a_job_is_accepted_not_only_at_the_upload(
-        self, site: JobSite
-    ) -> None:
+    async def test_copies_are_checked_when_a_job_is_accepted(self, site: JobSite) -> None:
         client = site.entry.client()
         file_id = await upload(client, input_file(3))
         for vm_id in ("vm-1", "vm-2"):
@@ -407,7 +407,7 @@
 
 class MemberTest(_SiteTest):
     @at_site()
-    async def test_nobody_sees_the_files_and_jobs_of_another_member(self, site: JobSite) -> None:
+    async def test_a_member_cannot_see_files_and_jobs_of_another(self, site: JobSite) -> None:
         ours, theirs = site.entry.client(), site.entry.client("vandenbroucke")
         file_id = await upload(ours, input_file(3))
         batch = await submit(ours, file_id)
@@ -440,9 +440,7 @@
         self.assertEqual(stored(site.entry, batch.id).state, JobState.CANCELLING)
 
     @at_site()
-    async def test_cancel_keeps_what_the_owner_commits_at_the_same_time(
-        self, site: JobSite
-    ) -> None:
+    async def test_cancel_preserves_a_concurrent_commit_of_the_owner(self, site: JobSite) -> None:
         client = site.entry.client()
         batch = await submit(client, await upload(client, input_file(3)))
         group = CommittedGroup(ranges=[[0, 1]], succeeded=1)
@@ -461,7 +459,7 @@
         self.assertEqual((record.state, record.succeeded), (JobState.CANCELLING, 1))
 
     @at_site()
-    async def test_lost_answers_and_outages_during_a_cancel_are_told_truly(
+    async def test_lost_answers_and_outages_during_a_cancel_are_reported_correctly(
         self, site: JobSite
     ) -> None:
         client = site.entry.client()
@@ -481,24 +479,24 @@
 
 class PushTest(_SiteTest):
     @at_site()
-    async def test_runner_is_told_of_new_and_cancelled_jobs(self, site: JobSite) -> None:
-        told: list[JobPush] = []
+    async def test_runners_are_notified_of_new_and_cancelled_jobs(self, site: JobSite) -> None:
+        received: list[JobPush] = []
 
-        async def take(message: JobPush, _peer: ServerPeer) -> None:
-            told.append(message)
+        async def record_push(message: JobPush, _peer: ServerPeer) -> None:
+            received.append(message)
 
         async with trio.open_nursery() as nursery:
             codec = site.fleet.codec
-            address = await nursery.start(serve_channel, Address(HOST, 0), codec, take)
+            address = await nursery.start(serve_channel, Address(HOST, 0), codec, record_push)
             site.fleet.add_runner("vm-2", address.port)
             client = site.entry.client()
             batch = await submit(client, await upload(client, input_file(3)))
             await client.batches.cancel(batch.id)
-            await until(lambda: len(told) == 2)
+            await until(lambda: len(received) == 2)
             nursery.cancel_scope.cancel()
-        self.assertEqual([message.job_id for message in told], [batch.id] * 2)
+        self.assertEqual([message.job_id for message in received], [batch.id] * 2)
         # Their order is not promised: a runner reads the record whichever comes first.
-        self.assertCountEqual([message.cancelled for message in told], [False, True])
+        self.assertCountEqual([message.cancelled for message in received], [False, True])
 
 
 class ResultTest(_SiteTest):
@@ -549,7 +547,7 @@
         self.assertEqual(keys(site.entry, "open"), [])
 
     @at_site()
-    async def test_lost_segment_is_never_passed_off_as_the_end(self, site: JobSite) -> None:
+    async def test_a_lost_segment_never_looks_like_the_end_of_the_file(self, site: JobSite) -> None:
         client = site.entry.client()
         batch = await submit(client, await upload(client, input_file(4)))
         await self._finish(site, batch.id)
@@ -561,7 +559,7 @@
             await client.files.content(batch.output_file_id)
 
     @at_site()
-    async def test_jobs_are_listed_youngest_first_page_by_page(self, site: JobSite) -> None:
+    async def test_jobs_are_listed_youngest_first_in_pages(self, site: JobSite) -> None:
         client = site.entry.client()
         file_id = await upload(client, GOOD)
         wanted = {(await submit(client, file_id, str(number))).id for number in range(5)}
--- a/tests/test_entry_operators.py
+++ b/tests/test_entry_operators.py
@@ -14,7 +14,7 @@
 
 
 class OperatorsTest(unittest.TestCase):
-    def test_any_of_the_keys_is_good_and_nothing_else(self) -> None:
+    def test_only_the_configured_keys_are_accepted(self) -> None:
         settings = EntrySettings(0, operator_key_hash=HASHES)
         for key in ("old", "new"):
             self.assertIsNone(operator_refusal(settings, {"authorization": f"Bearer {key}"}))
@@ -24,7 +24,7 @@
         self.assertIsNone(operator_refusal(EntrySettings(0), {}))
 
     @with_fleet(entry_changes={"operator_key_hash": HASHES})
-    async def test_operators_paths_are_closed_and_callers_paths_open(
+    async def test_operator_paths_need_a_key_and_caller_paths_do_not(
         self, fleet: OnlineFleet
     ) -> None:
         for path in ("/admin/config/patches", "/admin/leave", "/admin/status", "/admin/none"):
--- a/tests/test_node_online.py
+++ b/tests/test_node_online.py
@@ -14,7 +14,7 @@
     running_fleet,
     worker_entry,
 )
-from tests.builders.online import patient_asks, wait_until
+from tests.builders.online import long_permit_timeout, wait_until
 from tests.builders.standins import run_async
 
 
@@ -80,7 +80,7 @@
                 self.assertEqual(answer.body, whole_stream("/check/9", b"case"))
                 nursery.cancel_scope.cancel()
 
-        with patient_asks():
+        with long_permit_timeout():
             self.run_fleet(test, upstreams=1)
 
     def test_an_entry_of_another_writer_costs_the_others_nothing(self) -> None:
@@ -229,7 +229,7 @@
             self.assertEqual(fleet.upstream_runs("r-left"), 0)
             self.assertEqual((await fleet.call(node.front, "POST", "/check/9", b"a")).status, 200)
 
-        with patient_asks():
+        with long_permit_timeout():
             self.run_fleet(test, upstreams=1)
 
     def test_a_call_that_waits_for_a_slot_goes_elsewhere_when_the_upstream_leaves(self) -> None:
@@ -251,7 +251,7 @@
             self.assertEqual(answers, [200])
             self.assertEqual((upstream.runs["r-waits"], other.runs["r-waits"]), (0, 1))
 
-        with patient_asks():
+        with long_permit_timeout():
             self.run_fleet(test, upstreams=1)
 
     async def fill_slots(self, fleet: NodeFleet, nursery: trio.Nursery) -> None:
--- a/tests/test_online_answers.py
+++ b/tests/test_online_answers.py
@@ -21,7 +21,7 @@
             collector.add(data)
         return msgspec.json.decode(collector.answer("hello"))
 
-    def test_the_end_and_the_counts_come_from_the_last_events(self) -> None:
+    def test_finish_reason_and_token_counts_come_from_the_last_events(self) -> None:
         usage = {"prompt_tokens": 1, "completion_tokens": 2, "total_tokens": 3}
         answer = self.answer(
             event(choices=[{"delta": {"role": "assistant"}}], system_fingerprint="fp"),
@@ -34,20 +34,20 @@
         self.assertEqual((answer["usage"], answer["system_fingerprint"]), (usage, "fp"))
         self.assertEqual((answer["id"], answer["object"]), ("a1", "chat.completion"))
 
-    def test_an_engine_without_counts_gives_none(self) -> None:
+    def test_without_token_counts_the_answer_has_no_usage(self) -> None:
         last = event(choices=[{"text": "", "finish_reason": "stop"}])
         answer = self.answer(event(choices=[{"text": "hello"}]), last, chat=False)
         self.assertNotIn("usage", answer)
         self.assertEqual(answer["choices"][0]["text"], "hello")
         self.assertEqual(answer["choices"][0]["finish_reason"], "stop")
 
-    def test_what_is_more_than_one_text_is_left_to_the_engine(self) -> None:
+    def test_answers_of_more_than_one_text_are_not_collected(self) -> None:
         self.assertTrue(can_be_collected({"n": 1, "prompt": ["one"], "tools": []}))
         for fields in ({"n": 2}, {"best_of": 3}, {"echo": True}, {"tools": [{}]}, {"logprobs": 1}):
             self.assertFalse(can_be_collected(fields), fields)
         self.assertFalse(can_be_collected({"prompt": ["one", "two"]}))
 
-    def test_the_callers_body_is_kept(self) -> None:
+    def test_the_request_body_is_not_modified(self) -> None:
         body = {"model": "m", "stream": False}
         self.assertIs(streamed_body(body)["stream"], True)
         self.assertEqual(body, {"model": "m", "stream": False})
--- a/tests/test_online_claiming.py
+++ b/tests/test_online_claiming.py
@@ -10,7 +10,7 @@
 
 from fescuedock.clock import now_ms
 from fescuedock.core.claims import Claim
-from fescuedock.entry.claiming import ClaimDesk
+from fescuedock.entry.claiming import ClaimManager
 from fescuedock.entry.service_call import ServiceCall
 from fescuedock.faults import Fault
 from fescuedock.schema.claims import RecordedAnswer
@@ -18,10 +18,10 @@
 from fescuedock.schema.result_codes import ResultCode
 from tests.builders.kv import MemoryKv
 
-_ANSWER_S = 0.5
+_REPLY_DELAY_S = 0.5
 
 
-class LateAnswerKv(MemoryKv):
+class LateReplyKv(MemoryKv):
     """Answers the first write half a second after it took effect."""
 
     def __init__(self) -> None:
@@ -33,7 +33,7 @@
         is_first = self._writes == 1
         written = await super().put_if(*arguments, **options)
         if is_first:
-            await trio.sleep(_ANSWER_S)
+            await trio.sleep(_REPLY_DELAY_S)
         return written
 
 
@@ -54,22 +54,22 @@
     )
 
 
-class ClaimUnderWayTest(unittest.TestCase):
+class PendingClaimTest(unittest.TestCase):
     def resend(self, first_left_ms: float) -> list[Result[Claim | RecordedAnswer, Fault]]:
         """Return what a call and its resend, a fifth of a second later, got in their order."""
-        made: dict[int, Result] = {}
+        results: dict[int, Result] = {}
 
         async def run() -> None:
             platform = SimpleNamespace(key_prefix="/p/")
             context = SimpleNamespace(
-                kv=LateAnswerKv(),
+                kv=LateReplyKv(),
                 settings=SimpleNamespace(platform=platform),
                 unix_clock=lambda: 1_000_000,
             )
-            desk = ClaimDesk(context, random.Random(1))
+            claims = ClaimManager(context, random.Random(1))
 
             async def claim(number: int, left_ms: float) -> None:
-                made[number] = await desk.make_claim(service_call(left_ms))
+                results[number] = await claims.claim_call(service_call(left_ms))
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(claim, 0, first_left_ms)
@@ -77,14 +77,14 @@
                 nursery.start_soon(claim, 1, 3000.0)
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-        return [made[0], made[1]]
+        return [results[0], results[1]]
 
-    def test_a_claim_that_is_under_way_is_not_taken_over(self) -> None:
+    def test_a_pending_claim_is_not_taken_over(self) -> None:
         first, second = self.resend(3000.0)
         self.assertIsInstance(first, Ok)
         self.assertIs(second.err_value.code, ResultCode.ALREADY_CLAIMED)
 
-    def test_a_claim_that_was_given_up_unsent_is_taken_over(self) -> None:
+    def test_a_claim_abandoned_before_sending_is_taken_over(self) -> None:
         first, second = self.resend(100.0)
         self.assertIs(first.err_value.code, ResultCode.CLAIM_UNAVAILABLE)
         self.assertIsInstance(second, Ok)
--- a/tests/test_online_requests.py
+++ b/tests/test_online_requests.py
@@ -1,4 +1,4 @@
-"""Online requests through a whole entry: real sockets, stand-in engines, a real owner of permits.
+"""Online requests through a full entry: real sockets, stand-in engines, a real owner of permits.
 
 Each caller's text is compared with the oracle's, which knows every token of every prompt.
 """
@@ -42,7 +42,7 @@
 
 
 async def read_truncated(response: ClientResponse) -> tuple[ReadStream, bool]:
-    """Return what came, and whether the response ended as a whole one."""
+    """Return what came, and whether the response ended as a complete one."""
     data = b""
     try:
         async for chunk in response.chunks():
@@ -63,7 +63,7 @@
 class StreamTest(unittest.TestCase):
     """Streamed answers through faults."""
 
-    def check_whole(self, data: bytes, body: dict) -> ReadStream:
+    def check_complete(self, data: bytes, body: dict) -> ReadStream:
         stream = read_stream(data)
         self.assertEqual(stream.text, oracle_text(body))
         self.assertTrue(stream.done)
@@ -72,7 +72,7 @@
         return stream
 
     @with_fleet()
-    async def test_death_of_the_worker_in_mid_stream_loses_and_doubles_nothing(
+    async def test_an_engine_death_during_a_stream_loses_and_repeats_no_token(
         self, fleet: OnlineFleet
     ) -> None:
         wanted = chat_body(**LONG)
@@ -84,13 +84,13 @@
                 if not died and data.count(b"data:") > 5:
                     died = serving_engine(fleet)
                     fleet.standins.engines[died].die()
-        self.check_whole(data, wanted)
+        self.check_complete(data, wanted)
         other = next(name for name in fleet.standins.engines if name != died)
         resumed = fleet.standins.engines[other].stats
         self.assertLess(resumed.tokens, 60)
 
     @with_fleet(engines=3)
-    async def test_many_callers_through_cuts_and_errors_each_get_their_own(
+    async def test_concurrent_callers_get_their_own_answers_despite_cuts_and_errors(
         self, fleet: OnlineFleet
     ) -> None:
         for number in range(30):
@@ -107,17 +107,17 @@
         wanted = chat_body(text, stream_options={"include_usage": True})
         status, _, data = await fleet.post(CHAT, wanted)
         self.assertEqual(status, 200)
-        stream = self.check_whole(data, wanted)
+        stream = self.check_complete(data, wanted)
         self.assertEqual(stream.usage["completion_tokens"], 12)
 
     @with_fleet(engines=1)
-    async def test_an_answer_that_cannot_be_finished_is_visibly_broken(
+    async def test_an_answer_that_cannot_be_finished_is_truncated_visibly(
         self, fleet: OnlineFleet
     ) -> None:
         fleet.standins.engines["engine-1"].faults.cut_after.extend([1] * 40)
         async with streaming(fleet, chat_body()) as response:
-            stream, whole = await read_truncated(response)
-        self.assertFalse(whole)
+            stream, complete = await read_truncated(response)
+        self.assertFalse(complete)
         self.assertFalse(stream.done)
         self.assertTrue(oracle_text(chat_body()).startswith(stream.text))
         self.assertEqual(stream.error["name"], "UPSTREAM_LOST")
@@ -125,16 +125,16 @@
         self.assertGreater(stream.error["retry_after_ms"], 0)
 
     @with_fleet()
-    async def test_a_caller_who_is_reading_is_served_past_the_deadline(
+    async def test_a_stream_that_started_continues_past_the_deadline(
         self, fleet: OnlineFleet
     ) -> None:
         wanted = chat_body(max_tokens=200)
         status, _, data = await fleet.post(CHAT, wanted, {"x-deadline-ms": "250"})
         self.assertEqual(status, 200)
-        self.check_whole(data, wanted)
+        self.check_complete(data, wanted)
 
     @with_fleet()
-    async def test_a_hung_worker_is_left_for_another(self, fleet: OnlineFleet) -> None:
+    async def test_a_stream_moves_from_a_hung_engine_to_another(self, fleet: OnlineFleet) -> None:
         wanted = chat_body(**LONG)
         async with streaming(fleet, wanted) as response:
             data = b""
@@ -144,10 +144,10 @@
                 if not frozen and data.count(b"data:") > 5:
                     frozen = serving_engine(fleet)
                     fleet.standins.engines[frozen].freeze()
-        self.check_whole(data, wanted)
+        self.check_complete(data, wanted)
 
     @with_fleet()
-    async def test_the_callers_disconnect_ends_the_work_upstream(self, fleet: OnlineFleet) -> None:
+    async def test_a_caller_disconnect_cancels_the_run_upstream(self, fleet: OnlineFleet) -> None:
         async with streaming(fleet, chat_body(max_tokens=5000)) as response:
             await anext(response.chunks())
             engine = fleet.standins.engines[serving_engine(fleet)]
@@ -161,7 +161,7 @@
         now_ms = trio.current_time() * 1000
         return [book.load(name, now_ms).in_flight_online for name in fleet.standins.engines]
 
-    def test_a_slow_caller_is_cut_off_and_held_in_bounded_memory(self) -> None:
+    def test_a_slow_caller_is_disconnected_within_bounded_memory(self) -> None:
         sent_bytes = 0
         gone = trio.Event()
         event = b'data: {"choices":[{"text":"%s","finish_reason":null}]}\n\n' % (b"x" * 200_000)
@@ -189,24 +189,24 @@
         run(body)
 
 
-class TroubleTest(unittest.TestCase):
+class RandomFaultsTest(unittest.TestCase):
     """Everything at once, at random."""
 
     @with_fleet(engines=3)
-    async def test_callers_get_their_own_answer_a_visible_break_or_a_refusal(
+    async def test_callers_get_their_own_answer_a_visible_truncation_or_a_refusal(
         self, fleet: OnlineFleet
     ) -> None:
         rng = random.Random(11)
         outcomes: set[str] = set()
-        async with trio.open_nursery() as callers, trio.open_nursery() as trouble:
-            trouble.start_soon(self.make_trouble, fleet, rng)
+        async with trio.open_nursery() as callers, trio.open_nursery() as faults:
+            faults.start_soon(self.inject_faults, fleet, rng)
             for number in range(80):
-                callers.start_soon(self.ask, fleet, f"caller {number}", outcomes)
+                callers.start_soon(self.send_chat, fleet, f"caller {number}", outcomes)
                 await trio.sleep(rng.uniform(0, 0.02))
-            trouble.cancel_scope.cancel()
-        self.assertIn("whole", outcomes)
+            faults.cancel_scope.cancel()
+        self.assertIn("complete", outcomes)
 
-    async def make_trouble(self, fleet: OnlineFleet, rng: random.Random) -> None:
+    async def inject_faults(self, fleet: OnlineFleet, rng: random.Random) -> None:
         while True:
             engine = rng.choice(list(fleet.standins.engines.values()))
             match rng.randrange(4):
@@ -223,7 +223,7 @@
                     fleet.show(leaving=(engine.upstream_id,) if rng.random() < 0.3 else ())
             await trio.sleep(rng.uniform(0, 0.05))
 
-    async def ask(self, fleet: OnlineFleet, text: str, outcomes: set[str]) -> None:
+    async def send_chat(self, fleet: OnlineFleet, text: str, outcomes: set[str]) -> None:
         wanted = chat_body(text, max_tokens=30)
         async with streaming(fleet, wanted) as response:
             if response.status != 200:
@@ -232,17 +232,17 @@
                 self.assertGreater(fault["retry_after_ms"], 0)
                 outcomes.add(fault["outcome"])
                 return
-            stream, whole = await read_truncated(response)
+            stream, complete = await read_truncated(response)
         self.assertTrue(oracle_text(wanted).startswith(stream.text))
-        self.assertIs(stream.done, whole)
-        if whole:
+        self.assertIs(stream.done, complete)
+        if complete:
             self.assertEqual(stream.text, oracle_text(wanted))
         else:
             self.assertEqual(stream.error["outcome"], "failed")
-        outcomes.add("whole" if whole else "broken")
+        outcomes.add("complete" if complete else "broken")
 
 
-class WholeTest(unittest.TestCase):
+class FullAnswerTest(unittest.TestCase):
     """Answers in one piece, and errors."""
 
     def check_text(self, data: bytes, body: dict) -> None:
@@ -250,7 +250,7 @@
         self.assertEqual(answer["choices"][0]["message"]["content"], oracle_text(body))
 
     @with_fleet()
-    async def test_death_of_the_worker_gives_the_whole_answer_of_another(
+    async def test_after_an_engine_death_another_engine_completes_the_answer(
         self, fleet: OnlineFleet
     ) -> None:
         wanted = chat_body(stream=False, **LONG)
@@ -268,7 +268,7 @@
         self.check_text(data, wanted)
 
     @with_fleet()
-    async def test_a_broken_whole_answer_goes_on_where_it_broke(self, fleet: OnlineFleet) -> None:
+    async def test_a_broken_full_answer_is_resumed_where_it_broke(self, fleet: OnlineFleet) -> None:
         for engine in fleet.standins.engines.values():
             engine.faults.cut_after.append(10)
         wanted = chat_body(stream=False, **LONG)
@@ -279,7 +279,7 @@
         self.assertLess(tokens, 75)
 
     @with_fleet(engines=1)
-    async def test_whole_answers_are_those_of_the_engine(self, fleet: OnlineFleet) -> None:
+    async def test_full_answers_equal_those_of_the_engine(self, fleet: OnlineFleet) -> None:
         engine = fleet.standins.engines["engine-1"].address
         text = {"model": MODEL, "prompt": "who is entitled?", "max_tokens": 5}
         for path, wanted in [
@@ -294,8 +294,8 @@
                 theirs = await response.read()
             self.assertEqual(self.comparable(ours), self.comparable(theirs))
 
-    def test_an_answer_with_other_parts_than_text_is_formed_by_the_engine(self) -> None:
-        whole = b'{"choices":[{"message":{"content":"x","reasoning_content":"because"}}]}'
+    def test_an_answer_with_content_other_than_text_comes_from_the_engine(self) -> None:
+        complete = b'{"choices":[{"message":{"content":"x","reasoning_content":"because"}}]}'
         parts = (
             b'data: {"choices":[{"delta":{"role":"assistant"}}]}\n\n'
             b'data: {"choices":[{"delta":{"reasoning_content":"because"}}]}\n\n'
@@ -305,13 +305,13 @@
 
         async def answer(request: Request, responder: Responder) -> None:
             streamed = msgspec.json.decode(await request.read(10_000)).get("stream")
-            await responder.send(200, parts if streamed else whole)
+            await responder.send(200, parts if streamed else complete)
 
         async def body() -> None:
             async with open_fleet(engines=0) as fleet, served(answer) as made:
                 fleet.show(record("e", made[1], UpstreamKind.ENGINE, MODEL_SERVICE))
                 status, _, data = await fleet.post(CHAT, chat_body(stream=False))
-                self.assertEqual((status, data), (200, whole))
+                self.assertEqual((status, data), (200, complete))
 
         run(body)
 
@@ -320,7 +320,7 @@
         return {**answer, "id": answer["id"][:5], "created": 0}
 
     @with_fleet(engines=4)
-    async def test_a_prompt_that_kills_workers_is_given_up_after_two(
+    async def test_a_prompt_that_kills_engines_fails_after_two_of_them(
         self, fleet: OnlineFleet
     ) -> None:
         for engine in fleet.standins.engines.values():
@@ -331,14 +331,16 @@
         self.assertEqual(sum(e.deaths for e in fleet.standins.engines.values()), 2)
 
     @with_fleet()
-    async def test_what_the_engine_rejects_is_not_retried(self, fleet: OnlineFleet) -> None:
+    async def test_a_request_that_the_engine_rejects_is_not_retried(
+        self, fleet: OnlineFleet
+    ) -> None:
         for stream in (True, False):
             wanted = chat_body("[[impossible]]", stream=stream)
             status, _, data = await fleet.post(CHAT, wanted)
             self.assertEqual(status, 400)
             self.assertEqual(fault_of(data)["name"], "UPSTREAM_REJECTED")
             self.assertIn("[[impossible]]", fault_of(data)["message"])
-        # What arrived, and not the asks: an owner that answers late is passed over by the second.
+        # Counts arrivals: an owner that replies late is skipped by the second permit request.
         received = [engine.received for engine in fleet.standins.engines.values()]
         self.assertEqual(sum(received), 2)
 
@@ -355,7 +357,9 @@
             self.assertGreaterEqual(trio.current_time() - started, 0.299)
 
     @with_fleet(engines=1)
-    async def test_one_slow_prefill_refuses_no_longer_prompt(self, fleet: OnlineFleet) -> None:
+    async def test_one_slow_prefill_does_not_get_longer_prompts_refused(
+        self, fleet: OnlineFleet
+    ) -> None:
         engine = fleet.standins.engines["engine-1"]
         engine.slowness = 20.0
         await fleet.post(CHAT, chat_body("x" * 1200, max_tokens=1))
@@ -365,7 +369,7 @@
         self.assertEqual(status, 200)
 
     @with_fleet(entry_changes={"require_api_key": True})
-    async def test_refusals_of_what_cannot_be_read_or_found(self, fleet: OnlineFleet) -> None:
+    async def test_invalid_requests_are_refused(self, fleet: OnlineFleet) -> None:
         key = {"authorization": "Bearer key-of-escuela"}
         for headers, wanted, name in [
             ({}, chat_body(), "UNAUTHORIZED"),
@@ -411,7 +415,7 @@
             self.assertEqual(status, 200)
             self.assertEqual(read_stream(data).text, oracle_text(chat_body()))
         # Only the first request waited for the owner, and only once.
-        self.assertEqual(fleet.owner.asks, 1)
+        self.assertEqual(fleet.owner.permit_requests, 1)
 
     @with_fleet(engines=1, permit_changes={"local_limit": 2})
     async def test_without_an_owner_the_local_limit_holds(self, fleet: OnlineFleet) -> None:
@@ -459,21 +463,21 @@
         self.assertEqual(fleet.standins.engines["engine-1"].stats.admitted, 0)
 
     @with_fleet(permit_changes={"local_limit": 1})
-    async def test_a_slow_owner_is_waited_for_before_anyone_is_refused(
+    async def test_requests_wait_for_a_slow_owner_instead_of_being_refused(
         self, fleet: OnlineFleet
     ) -> None:
         fleet.owner.delay_ms = 200
         async with trio.open_nursery() as nursery:
             for _ in range(10):
-                nursery.start_soon(self.one_whole_chat, fleet)
+                nursery.start_soon(self.one_full_chat, fleet)
 
-    async def one_whole_chat(self, fleet: OnlineFleet) -> None:
+    async def one_full_chat(self, fleet: OnlineFleet) -> None:
         status, _, data = await fleet.post(CHAT, chat_body())
         self.assertEqual(status, 200)
         self.assertEqual(read_stream(data).text, oracle_text(chat_body()))
 
     @with_fleet(engines=0)
-    async def test_no_upstream_is_said_at_once(self, fleet: OnlineFleet) -> None:
+    async def test_a_missing_upstream_is_reported_at_once(self, fleet: OnlineFleet) -> None:
         status, headers, data = await fleet.post(CHAT, chat_body())
         self.assertEqual((status, fault_of(data)["name"]), (503, "NO_UPSTREAM"))
         self.assertIn("retry-after", headers)
--- a/tests/test_online_services.py
+++ b/tests/test_online_services.py
@@ -62,7 +62,7 @@
         nursery.cancel_scope.cancel()
 
 
-class CutTest(unittest.TestCase):
+class ConnectionCutTest(unittest.TestCase):
     """Calls that may not be repeated, with the connection cut at each moment."""
 
     def check(self, cut: str, status: int, outcome: str, executed: int, **headers: str) -> None:
@@ -80,13 +80,13 @@
 
         run(body)
 
-    def test_before_a_byte_has_left_is_not_run(self) -> None:
+    def test_a_cut_before_sending_is_not_run(self) -> None:
         self.check("refused", 503, "not_run", 0)
 
-    def test_after_the_bytes_have_left_but_before_execution_is_unknown(self) -> None:
+    def test_a_cut_after_sending_before_execution_is_unknown(self) -> None:
         self.check("cut_before", 504, "unknown", 0)
 
-    def test_after_execution_is_unknown(self) -> None:
+    def test_a_cut_after_execution_is_unknown(self) -> None:
         self.check("cut_after", 504, "unknown", 1)
 
     def test_the_same_holds_under_a_claim(self) -> None:
@@ -98,7 +98,7 @@
             with self.subTest(cut=cut):
                 self.check(cut, status, outcome, executed, **key())
 
-    def test_a_reset_while_the_bytes_leave_is_unknown(self) -> None:
+    def test_a_reset_while_sending_is_unknown(self) -> None:
         async def body() -> None:
             async with open_fleet(plain_services=0) as fleet, resetting_upstream() as address:
                 fleet.show(record("reset", address, UpstreamKind.PLAIN, PLAIN_SERVICE))
@@ -108,7 +108,7 @@
         run(body)
 
     @with_fleet()
-    async def test_a_mark_of_the_request_counts_as_the_configurations(
+    async def test_the_request_header_marks_a_call_as_non_idempotent(
         self, fleet: OnlineFleet
     ) -> None:
         only_plain(fleet).cut_after = 1
@@ -118,7 +118,7 @@
         self.assertEqual(executions(fleet), 1)
 
     @with_fleet()
-    async def test_the_deadline_leaves_it_unknown_at_once(self, fleet: OnlineFleet) -> None:
+    async def test_a_call_at_its_deadline_is_unknown(self, fleet: OnlineFleet) -> None:
         only_plain(fleet).delay_ms = 60_000
         _, _, data = await fleet.post(BOOKINGS, ORDER, {"x-deadline-ms": "200"})
         self.assertEqual(fault_of(data)["name"], "EXECUTION_UNKNOWN")
@@ -138,7 +138,7 @@
     """Calls that may be repeated, and how calls are passed on."""
 
     @with_fleet()
-    async def test_a_lost_answer_is_tried_again(self, fleet: OnlineFleet) -> None:
+    async def test_a_lost_answer_is_retried(self, fleet: OnlineFleet) -> None:
         only_plain(fleet).cut_after = 1
         status, _, _ = await fleet.post(QUERIES, ORDER)
         self.assertEqual((status, executions(fleet)), (200, 2))
@@ -167,7 +167,7 @@
 
         run(body)
 
-    def test_a_large_answer_that_breaks_off_is_visibly_broken(self) -> None:
+    def test_a_large_answer_that_breaks_off_is_truncated_visibly(self) -> None:
         async def produce(request: Request, responder: Responder) -> None:
             await request.read(1000)
             async with responder.stream(200, [("content-type", "text/plain")]) as out:
@@ -183,7 +183,7 @@
         run(body)
 
     @with_fleet()
-    async def test_an_unknown_service_is_said(self, fleet: OnlineFleet) -> None:
+    async def test_an_unknown_service_is_refused(self, fleet: OnlineFleet) -> None:
         for name in ("nobody", "demo-llm"):
             _, _, data = await fleet.post(f"/services/{name}/x", b"")
             self.assertEqual(fault_of(data)["name"], "UNKNOWN_SERVICE")
@@ -233,7 +233,7 @@
         self.assertEqual(executions(fleet), 1)
 
     @with_fleet(entries=2)
-    async def test_what_was_not_sent_can_be_sent_by_another_entry(self, fleet: OnlineFleet) -> None:
+    async def test_an_unsent_call_can_be_sent_by_another_entry(self, fleet: OnlineFleet) -> None:
         service = only_plain(fleet)
         service.listener.take_down()
         _, _, data = await fleet.post(BOOKINGS, ORDER, key(), 0)
@@ -246,7 +246,9 @@
         self.assertEqual(executions(fleet), 1)
 
     @with_fleet()
-    async def test_an_outage_refuses_claims_only(self, fleet: OnlineFleet) -> None:
+    async def test_a_key_value_outage_refuses_only_calls_with_a_key(
+        self, fleet: OnlineFleet
+    ) -> None:
         fleet.standins.kv.take_down()
         status, headers, data = await fleet.post(BOOKINGS, ORDER, key())
         self.assertEqual((status, fault_of(data)["name"]), (503, "CLAIM_UNAVAILABLE"))
@@ -262,7 +264,7 @@
         self.assertEqual(executions(fleet), 2)
 
     @with_fleet(entries=2)
-    async def test_a_silent_service_refuses_by_the_deadline_and_a_resend_runs(
+    async def test_a_silent_key_value_service_refuses_by_the_deadline_and_a_resend_runs(
         self, fleet: OnlineFleet
     ) -> None:
         # The write takes effect 200 ms before the deadline, but its answers are lost, and the read
@@ -280,7 +282,7 @@
         self.assertEqual((status, executions(fleet)), (200, 1))
 
     @with_fleet(entries=2)
-    async def test_lost_answers_of_the_claim_do_not_run_it_twice_or_never(
+    async def test_lost_answers_of_the_claim_run_the_call_exactly_once(
         self, fleet: OnlineFleet
     ) -> None:
         for number, when in enumerate(LostAnswer):
@@ -294,7 +296,7 @@
                 self.assertEqual(executions(fleet), number + 1)
 
     @with_fleet(entries=2)
-    async def test_a_caller_that_leaves_does_not_stop_a_claimed_call(
+    async def test_a_caller_disconnect_does_not_stop_a_claimed_call(
         self, fleet: OnlineFleet
     ) -> None:
         only_plain(fleet).delay_ms = 50
@@ -310,7 +312,7 @@
         self.assertEqual(executions(fleet), 1)
 
     @with_fleet(entry_changes={"claim_retention_s": 60})
-    async def test_old_claims_are_swept(self, fleet: OnlineFleet) -> None:
+    async def test_expired_claims_are_deleted(self, fleet: OnlineFleet) -> None:
         await fleet.post(BOOKINGS, ORDER, key())
         context = fleet.contexts[0]
         self.assertEqual(await sweep_claims(context), 0)
--- a/tests/test_online_stop.py
+++ b/tests/test_online_stop.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(slots=True)
-class Stopping:
+class StoppingVm:
     """One VM with an agent and an entry, and how its entry is doing."""
 
     entry: Address
@@ -61,7 +61,7 @@
 
 
 @asynccontextmanager
-async def one_vm(stop_timeout_ms: int) -> AsyncIterator[Stopping]:
+async def one_vm(stop_timeout_ms: int) -> AsyncIterator[StoppingVm]:
     [agent_port] = free_ports(1, HOST)
     async with trio.open_nursery() as nursery:
         standins = await nursery.start(run_standins, StandinSettings(engines=1, step_ms=5))
@@ -76,7 +76,7 @@
         standins.add_system_vm("vm1", "hall-a", Address(HOST, agent_port))
         await nursery.start(run_agent, settings, Stop())
         engine = standins.engines["engine-1"]
-        vm = Stopping(Address(HOST, 0), HttpClient(), engine, Stop(), trio.Event())
+        vm = StoppingVm(Address(HOST, 0), HttpClient(), engine, Stop(), trio.Event())
 
         async def serve(*, task_status: trio.TaskStatus[Address]) -> None:
             await run_entry(settings, vm.stop, task_status=task_status)
@@ -91,7 +91,7 @@
             nursery.cancel_scope.cancel()
 
 
-async def _configure(vm: Stopping) -> None:
+async def _configure(vm: StoppingVm) -> None:
     patch = msgspec.to_builtins(configuration())
     request = {"base_version": 0, "patch_id": "first", "patch": patch}
     status = 0
@@ -118,7 +118,7 @@
                     nursery.start_soon(stream)
                     started = trio.current_time()
                     vm.stop.request()
-                    await self.check_not_named(vm)
+                    await self.check_not_listed(vm)
                     status, data = await vm.post(CHAT, chat_body())
                     self.assertEqual(status, 200)
                     self.assertEqual(read_stream(data).text, oracle_text(chat_body()))
@@ -131,14 +131,14 @@
 
         run(body)
 
-    async def check_not_named(self, vm: Stopping) -> None:
+    async def check_not_listed(self, vm: StoppingVm) -> None:
         """Wait until no answer names the entry, well before it closes."""
         status = 200
         while status == 200:
             status, data = await vm.get("/v1/entries")
         self.assertEqual(msgspec.json.decode(data)["error"]["name"], "NO_CAPACITY")
 
-    def test_the_stop_timeout_bounds_it(self) -> None:
+    def test_the_stop_timeout_bounds_the_stop(self) -> None:
         async def body() -> None:
             async with one_vm(stop_timeout_ms=600) as vm:
 
--- a/tests/test_overtaken_sends.py
+++ b/tests/test_overtaken_sends.py
@@ -25,7 +25,13 @@
 from tests.builders.connecting import meanwhile, stand_still
 from tests.builders.jobs_calls import JOB, read_page, submit
 from tests.builders.node import NodeFleet, running_fleet
-from tests.builders.online import OnlineFleet, chat_body, patient_asks, wait_until, with_fleet
+from tests.builders.online import (
+    OnlineFleet,
+    chat_body,
+    long_permit_timeout,
+    wait_until,
+    with_fleet,
+)
 from tests.builders.standins import run_async
 
 # Of these tests' nodes: how long after an acknowledged end an item may still begin.
@@ -150,7 +156,7 @@
             self.assertEqual((answer.status, answer.whole), (200, True))
             self.assertEqual(sum(item.runs.total() for item in fleet.upstreams), 1)
 
-        with patient_asks():
+        with long_permit_timeout():
             lines = self.run_fleet(test)
         attempts = [line for line in lines if line["message_type"] == "call_attempt"]
         self.assertEqual({line["local_permit"] for line in attempts}, {False}, attempts)
--- a/tests/test_permit_search.py
+++ b/tests/test_permit_search.py
@@ -66,7 +66,7 @@
         self.routing = RoutingPolicy()
         self.admission = Admission()
         self.latency = DomainLatency()
-        self.ask_timeout = AskTimeout()
+        self.reply_timeout = AskTimeout()
         self.silent = SilentOwners(self.routing)
 
     def prefill(self, _service: str) -> PrefillModel:
--- a/tests/test_promises_jobs.py
+++ b/tests/test_promises_jobs.py
@@ -10,7 +10,7 @@
 from fescuedock.standin.engine import EngineService
 from fescuedock.standin.kv_faults import LostAnswer
 from tests.builders.local import run_session, wait_until
-from tests.builders.online import patient_asks
+from tests.builders.online import long_permit_timeout
 from tests.builders.promises import (
     TRIP_SERVICE,
     ask,
@@ -104,7 +104,7 @@
             engines = engines_of(system, TRIP_SERVICE)
             await self._limit_engines(system)
             first, *_ = vms = list(system.vms.values())
-            with patient_asks():
+            with long_permit_timeout():
                 job_id = await submit(system, first, ENDLESS)
                 await self._wait_busy(engines)
                 await self._burst(system, vms, "with owners")
