--- a/src/fescuedock/entry/admin.py
+++ b/src/fescuedock/entry/admin.py
@@ -1,4 +1,4 @@
-"""HTTP for operators: the configuration, its patches, history and spread; a VM's leave."""
+"""HTTP for operators: the configuration, its patches, history and rollout; a VM's leave."""
 
 import msgspec
 from result import Err, Ok, Result
@@ -31,7 +31,7 @@
 ]
 
 _MAX_PATCH_BYTES = 4_000_000
-# Longer than the agent follows up a write whose answer was lost.
+# Longer than the agent takes to resolve a write whose reply was lost.
 _SUBMIT_TIMEOUT_MS = 12000
 _RETRY_AFTER_MS = 1000
 _NO_STORE = [("cache-control", "no-store")]
@@ -39,15 +39,15 @@
     ResultCode.STALE_VERSION: "the patch was built on another version than {version}",
     ResultCode.INVALID_PATCH: "the patched configuration would be invalid: {problems}",
     ResultCode.PATCH_ID_REUSED: "the patch_id was used with other content",
-    ResultCode.KV_UNAVAILABLE: "the key-value service is away; nothing was written",
-    ResultCode.KV_UNKNOWN: "the answer to the write was lost; send again with the same patch_id",
-    ResultCode.CONFIG_REVERTED: "the key-value service shows another configuration than {version}",
+    ResultCode.KV_UNAVAILABLE: "the key-value service is unavailable; nothing was written",
+    ResultCode.KV_UNKNOWN: "the reply to the write was lost; send again with the same patch_id",
+    ResultCode.CONFIG_REVERTED: "the key-value service holds another configuration than {version}",
     ResultCode.CONFIG_UNCONFIRMED: "another VM has a later version than {version}; ask its entry",
 }
 
 
 class ConfigAnswer(msgspec.Struct):
-    """GET /admin/config.  An age below 0 says that the version was never confirmed."""
+    """GET /admin/config.  An age below 0 means that the version was never confirmed."""
 
     version: int
     chain_hash: str
@@ -56,7 +56,7 @@
 
 
 class HistoryAnswer(msgspec.Struct):
-    """GET /admin/config/history: the patches that the record remembers, newest first."""
+    """GET /admin/config/history: the patches stored in the record, newest first."""
 
     version: int
     patches: list[AppliedPatch]
@@ -69,7 +69,7 @@
 
 
 class VmVersion(msgspec.Struct):
-    """The version in force on one VM, as membership messages say."""
+    """The version in use on one VM, as reported by membership messages."""
 
     vm_id: str
     failure_domain: str
@@ -79,7 +79,7 @@
 
 
 class VersionsAnswer(msgspec.Struct):
-    """GET /admin/config/versions: ``behind`` names the live VMs below ``version``."""
+    """GET /admin/config/versions: ``behind`` lists the VMs that are below the requested version."""
 
     version: int
     vms: list[VmVersion]
@@ -152,7 +152,7 @@
 
 
 async def _pull(context: EntryContext) -> Result[tuple[ConfigPush, ConfigRecord], Fault]:
-    """Get the record in force from this VM's agent."""
+    """Read the current record from this VM's agent."""
     match await context.agent.call(ConfigPull(0, whole_record=True)):
         case Ok(ConfigPush(version=0, confirmed_age_ms=age_ms)) if age_ms < 0:
             message = "this VM knows no version yet"
--- a/src/fescuedock/entry/app.py
+++ b/src/fescuedock/entry/app.py
@@ -12,15 +12,15 @@
 __all__ = ["entry_handler"]
 
 _MODULES = (models, online, services, files, jobs, entries, admin, monitoring)
-# Reads and the operators' paths are answered whatever the entry's standing.
+# New work.  Reads and operator paths are answered even while the entry refuses new work.
 _WORK_PATHS = (("POST", "/v1/"), ("", "/services/"))
 
-# Returns why new work is refused, None when it is taken.
+# Returns why new work is refused, None if it is accepted.
 Refusal = Callable[[], Fault | None]
 
 
 def entry_handler(context: EntryContext, refusal: Refusal) -> Handler:
-    """Return the handler of every request to an entry; ``refusal`` is asked for new work."""
+    """Return the handler of every request to an entry; ``refusal`` is called for new work."""
     route = route_requests([item for module in _MODULES for item in module.routes(context)])
 
     async def handle(request: Request, responder: Responder) -> None:
--- a/src/fescuedock/entry/claiming.py
+++ b/src/fescuedock/entry/claiming.py
@@ -1,4 +1,4 @@
-"""Makes and keeps the claims of calls with an ``Idempotency-Key``, and removes old ones."""
+"""Creates and updates the claims of calls with an ``Idempotency-Key``, and deletes expired ones."""
 
 import random
 from collections import OrderedDict
@@ -32,31 +32,32 @@
 
 _TOKEN_BITS = 128
 _PUT_ATTEMPTS = 3
-# The caller waits for the record of its answer, but not through an outage.
+# The caller waits while its answer is recorded, but not during an outage.
 _RECORD_TIMEOUT_S = 0.5
 _MAX_UNSENT = 1024
 _RETRY_AFTER_MS = 1000
 _SWEEPER_KEY = "claims"
 _PAGE_SIZE = 200
-# Deletions take a small part of what the key-value service can write.
+# Limits deletions to a small part of the write capacity of the key-value service.
 _DELETE_PAUSE_S = 0.02
 
 
 class ClaimManager:
-    """Makes the claims of one entry."""
+    """Creates and updates the claims of one entry."""
 
     __slots__ = ("_context", "_rng", "_unsent")
 
     def __init__(self, context: EntryContext, rng: random.Random) -> None:
         self._context = context
         self._rng = rng
-        # Tokens of claims that may stand although nothing was sent under them.
+        # Tokens of claims that may be stored although nothing was sent under them.
         self._unsent: OrderedDict[str, None] = OrderedDict()
 
     async def claim_call(self, call: ServiceCall) -> Result[Claim | RecordedAnswer, Fault]:
-        """Return a claim under which ``call`` may be sent once, or the answer it had before.
+        """Return a claim under which ``call`` may be sent once, or its recorded answer.
 
-        ``CLAIM_UNAVAILABLE``, ``ALREADY_CLAIMED`` or ``KEY_REUSED`` when it must not be sent.
+        The fault is ``CLAIM_UNAVAILABLE``, ``ALREADY_CLAIMED`` or ``KEY_REUSED`` if the call must
+        not be sent.
         """
         prefix = self._context.settings.platform.key_prefix
         claim = Claim(
@@ -73,15 +74,15 @@
                 is_granted = isinstance(made, Ok) and made.ok_value is claim
                 return made
         finally:
-            # Only now: while the answer to its write is on the way, this claim may still be the
-            # one that sends, and a resend that took it over would send the call as well.
+            # Not earlier: until the reply to its write arrives, this claim may still be granted,
+            # and a resend that takes it over would send the call a second time.
             if not is_granted:
                 self._record_unsent(claim.token)
         message = "the call's claim could not be made within the deadline"
         return Err(Fault(ResultCode.CLAIM_UNAVAILABLE, message, _RETRY_AFTER_MS))
 
     async def record_answer(self, claim: Claim, answer: RecordedAnswer) -> None:
-        """Record the answer for resends, which else learn only that the call may have run."""
+        """Record the answer for resends; without it they learn only that the call may have run."""
         await self._put_once(claim.answered(answer))
 
     async def release(self, claim: Claim) -> None:
@@ -114,7 +115,7 @@
         )
 
     async def _put_once(self, step: PutRecord) -> None:
-        """Write without following up: both outcomes of a lost answer are truthful."""
+        """Write without resolving a lost reply: the stored record is true in either case."""
         value = msgspec.json.encode(step.record)
         with trio.move_on_after(_RECORD_TIMEOUT_S):
             written = await self._context.kv.put_if(step.key, value, step.expected_revision)
@@ -129,7 +130,7 @@
 
 
 async def sweep_claims_forever(context: EntryContext) -> None:
-    """Remove old claims now and then, if this entry is the one that does it for the fleet."""
+    """Delete expired claims periodically while this entry is the one chosen by the fleet."""
     while True:
         await trio.sleep(context.settings.entry.claim_sweep_interval_ms / 1000)
         entries = [vm.vm_id for vm in context.view.live_vms(Program.ENTRY)]
@@ -138,9 +139,9 @@
 
 
 async def sweep_claims(context: EntryContext) -> int:
-    """Delete the claims that are older than the retention; return how many.
+    """Delete the claims that are older than the retention; return how many were deleted.
 
-    Two sweepers at once do no harm: each deletes only the revision that it read.
+    Two concurrent sweeps are safe: each deletes only the revision that it read.
     """
     prefix = f"{context.settings.platform.key_prefix}claims/"
     retention_s = context.settings.entry.claim_retention_s
--- a/src/fescuedock/entry/context.py
+++ b/src/fescuedock/entry/context.py
@@ -1,4 +1,4 @@
-"""What the handlers of an entry share."""
+"""The resources that all handlers of an entry share."""
 
 from typing import TYPE_CHECKING
 
@@ -19,7 +19,7 @@
 
 
 class EntryContext(msgspec.Struct, frozen=True):
-    """Wired once by ``run_entry``; handlers keep no other state than their own."""
+    """Built once by ``run_entry``; any other state belongs to a single handler."""
 
     settings: Settings
     view: "FleetView"
--- a/src/fescuedock/entry/entries.py
+++ b/src/fescuedock/entry/entries.py
@@ -1,4 +1,4 @@
-"""GET /v1/entries: which entries a caller is to use, since nothing stands before them."""
+"""GET /v1/entries: which entries a caller should use, as no load balancer is in front of them."""
 
 import random
 
@@ -15,12 +15,12 @@
 __all__ = ["EntriesAnswer", "ListedEntry", "routes"]
 
 _RETRY_AFTER_MS = 1000
-# An age that JSON readers can hold exactly, for "never".
+# Stands for "never": the largest integer that every JSON reader represents exactly.
 _MAX_AGE_MS = 2**53
 
 
 class ListedEntry(msgspec.Struct):
-    """One entry; ``address`` is HOST:PORT."""
+    """One entry; ``address`` has the form HOST:PORT."""
 
     vm_id: str
     address: str
@@ -29,7 +29,7 @@
 
 
 class EntriesAnswer(msgspec.Struct):
-    """Entries in the order to try them, and for how long the answer may be kept."""
+    """Entries in the order to try them, and how long the answer may be cached."""
 
     entries: list[ListedEntry]
     valid_for_ms: int
--- a/src/fescuedock/entry/file_content.py
+++ b/src/fescuedock/entry/file_content.py
@@ -1,4 +1,4 @@
-"""Streams the segments of a file to a caller."""
+"""Sends the segments of a file to a caller."""
 
 from collections.abc import Sequence
 
@@ -28,10 +28,10 @@
         return sum(ref.size_bytes for ref in self._segments)
 
     async def send(self, responder: Responder) -> None:
-        """Answer with the whole content, one segment in memory at a time.
+        """Respond with the full content, holding one segment in memory at a time.
 
-        A segment that cannot be read later on breaks the connection, so that the caller never
-        takes a part for the whole.
+        If a later segment cannot be read, the connection is dropped, so that the caller never
+        mistakes a part for the complete file.
         """
         if not self._segments:
             await responder.send(200, b"", [("content-type", _CONTENT_TYPE)])
--- a/src/fescuedock/entry/file_records.py
+++ b/src/fescuedock/entry/file_records.py
@@ -1,4 +1,4 @@
-"""Keeps the records of uploaded files in the key-value service."""
+"""Stores the records of uploaded files in the key-value service."""
 
 import msgspec
 from result import Err, Ok, Result
@@ -16,14 +16,14 @@
 
 
 class FilePage(msgspec.Struct, frozen=True):
-    """Files of one member in the order of their identities; ``more`` says that there are others."""
+    """Files of one member in the order of their ids; ``more`` says that further files follow."""
 
     files: tuple[FileRecord, ...]
     more: bool
 
 
 async def create_file(context: EntryContext, record: FileRecord) -> Result[FileRecord, Fault]:
-    """Create the file; returns the one that is there already under the same identity."""
+    """Create the file record; return the existing one if the id is already in use."""
     key = _key(context, record.member, record.file_id)
     value = msgspec.msgpack.encode(record)
     written = await put_resolved(context.kv, key, value, 0, lambda found: found == value)
@@ -35,7 +35,7 @@
 
 
 async def read_file(context: EntryContext, member: str, file_id: str) -> Result[FileRecord, Fault]:
-    """Return the member's file; ``NOT_FOUND`` also for a file of another member."""
+    """Return the member's file; a file of another member is ``NOT_FOUND`` too."""
     found = await context.kv.get(_key(context, member, file_id))
     if isinstance(found, Err):
         return found
@@ -47,7 +47,7 @@
 async def list_files(
     context: EntryContext, member: str, after: str, limit: int
 ) -> Result[FilePage, Fault]:
-    """Return up to ``limit`` files of the member, those after the identity ``after``."""
+    """Return up to ``limit`` files of the member, starting after the id ``after``."""
     prefix = file_prefix(context.settings.platform.key_prefix, member)
     start = prefix + after if after else ""
     page = await context.kv.get_range(prefix, start_after=start, limit=limit)
@@ -59,7 +59,7 @@
 
 
 async def delete_file(context: EntryContext, member: str, file_id: str) -> Result[None, Fault]:
-    """Delete the member's file; the segments stay for the jobs that use them."""
+    """Delete the member's file record; its segments stay for the jobs that use them."""
     key = _key(context, member, file_id)
     unsure = False
     for _ in range(_DELETE_ATTEMPTS):
@@ -79,7 +79,7 @@
 
 
 def _unknown(file_id: str) -> Fault:
-    text = f"whether {file_id} was deleted is not known; send again"
+    text = f"it is not known whether {file_id} was deleted; send again"
     return Fault(ResultCode.KV_UNKNOWN, text, retry_after_ms=1000)
 
 
--- a/src/fescuedock/entry/files.py
+++ b/src/fescuedock/entry/files.py
@@ -1,4 +1,4 @@
-"""The files of members: ``/v1/files`` as OpenAI's interface has it."""
+"""The files of members: ``/v1/files``, compatible with OpenAI's interface."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -30,7 +30,7 @@
 _OUTPUT_PURPOSE = "batch_output"
 _DEFAULT_PAGE = 100
 _MAX_PAGE = 100
-# Each upload in progress takes some segments and a digest for each line, each download a segment.
+# An upload holds some segments and a digest for each line in memory, a download one segment.
 _MAX_UPLOADS = 8
 _MAX_DOWNLOADS = 32
 _SLOT_WAIT_MS = 10000
@@ -85,17 +85,19 @@
 
 
 def page_limit(text: str | None, default: int, max_limit: int) -> Result[int, Fault]:
-    """Return the ``limit`` of a list request."""
+    """Return the ``limit`` of a list request, at most ``max_limit``."""
     if text is None:
         return Ok(default)
     if text.isascii() and text.isdigit() and int(text[:9]) > 0:
         return Ok(min(int(text[:9]), max_limit))
-    return Err(Fault(ResultCode.BAD_REQUEST, f"limit must be a number from 1, not {text[:20]!r}"))
+    return Err(
+        Fault(ResultCode.BAD_REQUEST, f"limit must be a positive integer, not {text[:20]!r}")
+    )
 
 
 @asynccontextmanager
 async def _slot(slots: trio.Semaphore, responder: Responder) -> AsyncIterator[bool]:
-    """Hold one of ``slots`` for the block; gives False after a refusal for want of one."""
+    """Hold one of ``slots`` for the block; yield False if the request was refused without one."""
     with trio.move_on_after(_SLOT_WAIT_MS / 1000) as waiting:
         await slots.acquire()
     if waiting.cancelled_caught:
@@ -206,7 +208,7 @@
         await responder.send_fault(member.err_value)
         return
     if parse_result_file(file_id) is not None:
-        text = f"{file_id!r} is kept as long as its batch"
+        text = f"{file_id!r} is retained as long as its batch"
         await responder.send_fault(Fault(ResultCode.BAD_REQUEST, text))
         return
     deleted = await delete_file(context, member.ok_value, file_id)
--- a/src/fescuedock/entry/fleet_status.py
+++ b/src/fescuedock/entry/fleet_status.py
@@ -1,4 +1,4 @@
-"""The fleet as one VM sees it, for the operators' pages and the metrics."""
+"""The state of the fleet as one VM knows it, for operator pages and metrics."""
 
 import math
 
@@ -11,14 +11,14 @@
 
 __all__ = ["STATUS_PATH", "fleet_status"]
 
-# Where an entry and a node's metrics port answer with it.
+# Path on an entry and on a node's metrics port.
 STATUS_PATH = "/admin/status"
 
 _NEVER_MS = -1
 
 
 def fleet_status(view: FleetView, permits: PermitClient) -> FleetStatus:
-    """Return the fleet as ``view`` shows it, with the loads that owners told ``permits``."""
+    """Return the fleet as in ``view``, with the loads that owners reported to ``permits``."""
     suspected, harmful, cleared = view.quarantine.counts()
     return FleetStatus(
         suspected_traits=suspected,
@@ -72,5 +72,5 @@
 
 
 def _integer_ms(interval_ms: float) -> int:
-    """Return whole milliseconds; -1 for "never"."""
+    """Return integer milliseconds; -1 for "never"."""
     return int(interval_ms) if math.isfinite(interval_ms) else _NEVER_MS
--- a/src/fescuedock/entry/job_acceptance.py
+++ b/src/fescuedock/entry/job_acceptance.py
@@ -1,7 +1,7 @@
-"""Accepts a batch job: checks, copies on disk, record, index, and only then the acknowledgement.
+"""Accepts a batch job: validation, copies on disk, record, index, and then the acknowledgement.
 
-Every step may be repeated, by a resend through any entry at the same time: the job's identity
-follows from the request, so all of them end at the same record.
+Every step may be repeated by a concurrent resend through any entry: the job's identity is derived
+from the request, so all of them arrive at the same record.
 """
 
 from collections.abc import Sequence
@@ -34,7 +34,7 @@
 async def accept_job(
     context: EntryContext, request: JobRequest, file: FileRecord
 ) -> Result[JobRecord, Fault]:
-    """Return the record of the accepted job, which may be there already; or why there is none."""
+    """Return the record of the accepted job, which may exist already, or why it is not accepted."""
     found = await read_stored(context, job_identity(request))
     if isinstance(found, Err):
         return found
@@ -55,9 +55,9 @@
 async def find_accepted(
     context: EntryContext, request: JobRequest, file_id: str
 ) -> Result[JobRecord | None, Fault]:
-    """Return the job accepted before under the idempotency key, when its file is gone since.
+    """Return the job that was accepted under the idempotency key and whose file was deleted since.
 
-    ``Ok(None)`` when there is none; ``KEY_REUSED`` when the job was another one.
+    Return ``Ok(None)`` if there is none, and ``KEY_REUSED`` if the job was a different one.
     """
     found = await read_stored(context, job_identity(request))
     if isinstance(found, Err) or found.ok_value is None:
@@ -68,7 +68,7 @@
 
 
 async def push_job(context: EntryContext, record: JobRecord, *, cancelled: bool = False) -> None:
-    """Tell the runners that own the job or should; what gets lost is found by the scanners."""
+    """Notify the runners that own or should own the job; scanners make up for lost messages."""
     runners = context.view.live_vms(Program.BATCH)
     chosen = chosen_runner(record.job_id, runners)
     owner_id = RunnerName.parse(record.owner).vm_id
@@ -122,9 +122,9 @@
 async def _ensure_copies(
     context: EntryContext, segments: Sequence[SegmentRef]
 ) -> Result[None, Fault]:
-    """Make sure that enough failure domains have the input on disk now, not when it was uploaded.
+    """Ensure that enough failure domains have the input on disk now, not only at its upload.
 
-    Their retention counts from now.
+    The retention of the copies restarts now.
     """
     needed = context.settings.batch.min_copies
     holders = await context.stores.have_segments(segments, renew=True)
--- a/src/fescuedock/entry/job_objects.py
+++ b/src/fescuedock/entry/job_objects.py
@@ -1,4 +1,4 @@
-"""Batch jobs as callers see them, in the shape of OpenAI's batch object."""
+"""Batch jobs as callers see them, in the format of OpenAI's batch object."""
 
 import msgspec
 
@@ -18,7 +18,7 @@
 
 
 class RequestCounts(msgspec.Struct):
-    """Items with a committed result; the counts never go down."""
+    """Numbers of items: all, and those with a committed result, which never decrease."""
 
     total: int
     completed: int
@@ -26,7 +26,7 @@
 
 
 class BatchObject(msgspec.Struct):
-    """A batch job.  Times are Unix time; ``forecast`` is set when the deadline will be missed."""
+    """A batch job.  Times are Unix times; ``forecast`` is set if the deadline will be missed."""
 
     id: str
     endpoint: str
@@ -48,7 +48,7 @@
 
 
 def batch_object(record: JobRecord) -> BatchObject:
-    """Return the job as callers see it; its files are named once they are whole."""
+    """Return the job as callers see it, with its result files once they are complete."""
     final = is_final(record)
     completed = record.state is JobState.COMPLETED
     cancelled = record.state is JobState.CANCELLED
--- a/src/fescuedock/entry/job_records.py
+++ b/src/fescuedock/entry/job_records.py
@@ -1,7 +1,7 @@
 """Reads and writes the records of batch jobs in the key-value service, for an entry.
 
-The record alone says that a job is accepted.  An acknowledgement also waits for the key in the
-index of open jobs, by which scanners find a job that was pushed to nobody.
+A job is accepted once its record exists.  The acknowledgement also waits for the key in the index
+of open jobs, through which scanners find a job of which no runner was notified.
 """
 
 import msgspec
@@ -41,21 +41,21 @@
 
 
 class StoredJob(msgspec.Struct, frozen=True):
-    """A record and the revision under which it was read."""
+    """A record and the revision at which it was read."""
 
     record: JobRecord
     revision: int
 
 
 class JobPage(msgspec.Struct, frozen=True):
-    """Jobs of one member, youngest first; ``more`` says that there are older ones."""
+    """Jobs of one member, youngest first; ``more`` says that older ones follow."""
 
     records: list[JobRecord]
     more: bool
 
 
 async def read_stored(context: EntryContext, job_id: str) -> Result[StoredJob | None, Fault]:
-    """Return the job, whoever's it is; ``Ok(None)`` when there is none."""
+    """Return the job of any member; ``Ok(None)`` if it does not exist."""
     found = await context.kv.get(job_key(_prefix(context), job_id))
     if isinstance(found, Err):
         return found
@@ -66,7 +66,7 @@
 
 
 async def read_job(context: EntryContext, member: str, job_id: str) -> Result[StoredJob, Fault]:
-    """Return the member's job; ``NOT_FOUND`` also for a job of another member."""
+    """Return the member's job; a job of another member is ``NOT_FOUND`` too."""
     found = await read_stored(context, job_id)
     if isinstance(found, Err):
         return found
@@ -76,7 +76,7 @@
 
 
 async def create_job(context: EntryContext, record: JobRecord) -> Result[JobRecord, Fault]:
-    """Create the record, or return the one that is there already under this identity."""
+    """Create the record, or return the existing one with this id."""
     key = job_key(_prefix(context), record.job_id)
     value = encode_record(record)
     written = await put_resolved(context.kv, key, value, 0, lambda found: found == value)
@@ -88,15 +88,15 @@
     if isinstance(found, Err):
         return found
     if found.ok_value is None:
-        return Err(_unknown(f"batch {record.job_id} was there and is gone"))
+        return Err(_unknown(f"batch {record.job_id} existed and disappeared"))
     return Ok(found.ok_value.record)
 
 
 async def ensure_listed(context: EntryContext, record: JobRecord) -> Result[None, Fault]:
-    """Put the job into the index of open jobs and into its member's list.
+    """Add the job to the index of open jobs and to its member's list.
 
-    Must follow the record, and precede the acknowledgement.  ``KV_UNKNOWN`` on any failure: the
-    record is there, so the job may run.
+    Call this after the record exists and before the acknowledgement.  Any failure is
+    ``KV_UNKNOWN``: the record exists, so the job may run.
     """
     prefix = _prefix(context)
     keys = [member_job_key(prefix, record.member, record.created_at_s, record.job_id)]
@@ -112,7 +112,7 @@
 async def list_jobs(
     context: EntryContext, member: str, after: JobRecord | None, limit: int
 ) -> Result[JobPage, Fault]:
-    """Return up to ``limit`` jobs of the member, those older than ``after``."""
+    """Return up to ``limit`` jobs of the member that are older than ``after``."""
     prefix = member_job_prefix(_prefix(context), member)
     start = ""
     if after is not None:
@@ -133,7 +133,7 @@
 async def request_cancel(
     context: EntryContext, member: str, job_id: str
 ) -> Result[JobRecord, Fault]:
-    """Record the cancel; returns the record with it, or the final one that it came too late for."""
+    """Record the cancellation; return the updated record, or the final one if it came too late."""
     for _ in range(_ATTEMPTS):
         found = await read_job(context, member, job_id)
         if isinstance(found, Err):
@@ -157,10 +157,10 @@
 
 
 async def _renew_key(context: EntryContext, key: str) -> Result[None, Fault]:
-    """Make sure that the key was written after now, whoever writes it.
+    """Ensure that the key is written after this call starts, by any writer.
 
-    Somebody may have found an older one before the record existed and be about to delete it under
-    the revision that it had.
+    A scanner may have read an older key before the record existed, and may be about to delete it at
+    the revision that it read.
     """
     seen_revision = 0
     for _ in range(_ATTEMPTS):
--- a/src/fescuedock/entry/jobs.py
+++ b/src/fescuedock/entry/jobs.py
@@ -1,7 +1,7 @@
-"""Batch jobs: ``/v1/batches`` as OpenAI's interface has it.
+"""Batch jobs: ``/v1/batches``, compatible with OpenAI's interface.
 
-``completion_window`` may be any time such as ``24h``, ``90m`` or ``3600s``, and a request may carry
-an ``Idempotency-Key``.  Without one its content stands in for the key.
+``completion_window`` may be any duration such as ``24h``, ``90m`` or ``3600s``, and a request may
+have an ``Idempotency-Key``.  Without one its content serves as the key.
 """
 
 from typing import Any
@@ -90,7 +90,7 @@
 
 
 class _CreateRequest(msgspec.Struct, frozen=True):
-    """A creation as creation for; the request lacks the hash of the input yet."""
+    """A parsed request to create a job; the input hash of ``request`` is not set yet."""
 
     file_id: str
     request: JobRequest
@@ -126,7 +126,7 @@
     longest = max((len(text) for item in metadata.items() for text in item), default=0)
     if len(metadata) <= _MAX_METADATA and longest <= _MAX_METADATA_CHARS:
         return Ok(metadata)
-    text = f"metadata takes {_MAX_METADATA} entries of up to {_MAX_METADATA_CHARS} characters"
+    text = f"metadata is limited to {_MAX_METADATA} entries of {_MAX_METADATA_CHARS} characters"
     return Err(Fault(ResultCode.BAD_REQUEST, text))
 
 
@@ -154,7 +154,7 @@
 
 
 async def _cancel(context: EntryContext, request: Request, job_id: str) -> Result[JobRecord, Fault]:
-    """Record the cancel, then push it to the owner; the record alone is what counts."""
+    """Record the cancellation, then notify the owner; only the record is authoritative."""
     member = find_member(context, request.headers)
     if isinstance(member, Err):
         return member
--- a/src/fescuedock/entry/main.py
+++ b/src/fescuedock/entry/main.py
@@ -1,4 +1,4 @@
-"""The entry: HTTP for callers and operators, on every VM."""
+"""The entry program: serves HTTP to callers and operators, on every VM."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """The state of the program itself."""
+    """The state of the entry program."""
 
     settings: Settings
     server: HttpServer = field(init=False)
@@ -54,7 +54,7 @@
 
     @property
     def joined(self) -> bool:
-        """Whether the fleet and its configuration are known."""
+        """Whether this entry knows the fleet and its configuration."""
         return self.view is not None and self.view.version > 0
 
     @property
@@ -62,18 +62,18 @@
         return self.joined and not self.leaving
 
     async def serve(self, address: Address, *, task_status: trio.TaskStatus[Address]) -> None:
-        """Serve on ``address`` until the server is stopped and its last request is done."""
+        """Serve on ``address`` until the server is stopped and its last request has ended."""
         await self.server.serve(address, task_status=task_status)
         self.served.set()
 
     def refusal(self) -> Fault | None:
-        """Return why new work is refused; a leaving entry takes it until it closes."""
+        """Return why new work is refused; a leaving entry accepts it until it closes."""
         if self.leaving:
             return None
         return self.availability.refusal(self.view.config_version, now_ms())
 
     async def follow_listing(self) -> None:
-        """Note for ever whether this VM's agent lets the fleet name this entry."""
+        """Track forever whether this VM's agent lists this entry in the fleet."""
         version = 0
         while True:
             own = self.view.vms.get(self.settings.vm.vm_id)
@@ -101,10 +101,10 @@
     *,
     task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve callers until ``stop`` and the graceful shutdown after it.
+    """Serve callers until ``stop`` and the graceful shutdown that follows.
 
-    Reports its address once it takes requests.  It needs the sections [entry], [agent] and
-    [batch]: the agent is this VM's own, and jobs are accepted under the batch settings.
+    Report the bound address once requests are accepted.  The settings need the sections [entry],
+    [agent] (the agent of the same VM) and [batch] (jobs are accepted under these settings).
     """
     entry = _Entry(settings)
     address = Address(settings.vm.host, settings.entry.port)
@@ -147,10 +147,10 @@
 
 
 async def _leave(entry: _Entry, agent: AgentLink) -> None:
-    """Shut down without cutting off anybody, within ``vm.stop_timeout_ms``.
+    """Shut down without interrupting callers, within ``vm.stop_timeout_ms``.
 
-    First the other VMs must stop naming this entry, then the callers' answers that name it must
-    expire, and the requests in flight end.
+    First the other VMs must stop listing this entry, then the answers that list it must expire, and
+    finally the requests in flight must end.
     """
     settings = entry.settings
     stop_at_ms = now_ms() + settings.vm.stop_timeout_ms
--- a/src/fescuedock/entry/members.py
+++ b/src/fescuedock/entry/members.py
@@ -1,4 +1,4 @@
-"""Finds out which member a request comes from, by its API key."""
+"""Determines the member of a request by its API key."""
 
 from collections.abc import Mapping
 
@@ -12,12 +12,12 @@
 
 __all__ = ["ANONYMOUS", "MemberDirectory", "bearer_key", "find_member"]
 
-# Stands for all callers without a known key, who then share one member's share.
+# The member of all callers without a known key; together they have a single member's share.
 ANONYMOUS = "anonymous"
 
 
 class MemberDirectory:
-    """Members by the digests of their keys, made anew when the configuration changes."""
+    """Members by the digests of their keys, rebuilt when the configuration changes."""
 
     __slots__ = ("_configuration", "_members")
 
@@ -41,7 +41,7 @@
 ) -> Result[str, Fault]:
     """Return the member of a request with ``headers``.
 
-    Callers without a known key are ``ANONYMOUS``, or refused where the settings require a key.
+    Callers without a known key are ``ANONYMOUS``, or refused if the settings require a key.
     """
     key = bearer_key(headers)
     member = directory.member_of(context.view.configuration, key) if key else None
--- a/src/fescuedock/entry/models.py
+++ b/src/fescuedock/entry/models.py
@@ -1,4 +1,4 @@
-"""Lists the models that callers may name, and finds the service that offers one."""
+"""Lists the available models, and finds the service that offers a model."""
 
 from fescuedock.entry.context import EntryContext
 from fescuedock.entry.routes import Route
@@ -11,7 +11,7 @@
 
 
 def service_of_model(configuration: Configuration, model: str) -> str | None:
-    """Return the service that offers ``model`` or an adapter of that name; None when none does."""
+    """Return the service that offers the model or adapter ``model``, or None."""
     for service, spec in configuration.services.items():
         if spec.kind is not ServiceKind.MODEL:
             continue
@@ -44,7 +44,7 @@
 
 
 def _model_objects(configuration: Configuration) -> list[dict[str, object]]:
-    """Return the models and their adapters in OpenAI's shape, each name once."""
+    """Return the models and their adapters in OpenAI's format, each name once."""
     objects: dict[str, dict[str, object]] = {}
     for service, spec in configuration.services.items():
         if spec.kind is not ServiceKind.MODEL:
--- a/src/fescuedock/entry/monitoring.py
+++ b/src/fescuedock/entry/monitoring.py
@@ -1,4 +1,4 @@
-"""What operators and their tools read from an entry: metrics and the state of the fleet."""
+"""Metrics and the state of the fleet, for operators and their tools."""
 
 from result import Ok
 
@@ -58,7 +58,7 @@
 
 
 async def _snapshots(context: EntryContext, *, totals_only: bool = False) -> list[MetricsSnapshot]:
-    """Return this entry's snapshot and that of its VM's batch runner, if it answers."""
+    """Return this entry's snapshot and that of the batch runner on the same VM, if it replies."""
     metrics = context.metrics
     snapshots = [metrics.totals() if totals_only else metrics.snapshot()]
     batch = context.settings.batch
--- a/src/fescuedock/entry/multipart.py
+++ b/src/fescuedock/entry/multipart.py
@@ -1,4 +1,4 @@
-"""Reads ``multipart/form-data`` as it comes, without keeping any part whole."""
+"""Parses ``multipart/form-data`` incrementally, without buffering whole parts."""
 
 import logging
 
@@ -14,19 +14,19 @@
 
 _DISPOSITION = b"content-disposition"
 
-# The library warns of each malformed form, which is the caller's fault and not ours to log.
+# The library logs a warning for each malformed form, which is an error of the caller.
 logging.getLogger("python_multipart").setLevel(logging.CRITICAL)
 
 
 class PartBegin(msgspec.Struct, frozen=True):
-    """A field begins; ``filename`` is None unless it is a file."""
+    """The start of a field; ``filename`` is None unless the field is a file."""
 
     name: str
     filename: str | None
 
 
 class PartData(msgspec.Struct, frozen=True):
-    """Bytes of the field that began last."""
+    """Bytes of the field that started last."""
 
     data: bytes
 
@@ -35,7 +35,7 @@
 
 
 def open_form(content_type: str) -> Result["FormReader", Fault]:
-    """Return a reader for a request of that content type."""
+    """Return a reader for a form of ``content_type``."""
     kind, options = parse_options_header(content_type)
     boundary = options.get(b"boundary")
     if kind != b"multipart/form-data" or not boundary:
@@ -45,7 +45,7 @@
 
 
 class FormReader:
-    """Takes the bytes of one form and gives its events."""
+    """Parses the bytes of one form into events."""
 
     __slots__ = ("_events", "_header_name", "_header_value", "_headers", "_parser", "complete")
 
--- a/src/fescuedock/entry/online.py
+++ b/src/fescuedock/entry/online.py
@@ -1,4 +1,4 @@
-"""Online requests: chat and text completions, streamed and whole."""
+"""Online requests: chat and text completions, streamed and not streamed."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 class _CallerTimes(msgspec.Struct, frozen=True):
-    """What the caller saw; 0 between tokens for an answer in one piece."""
+    """Times as the caller saw them; 0 where there was no token."""
 
     first_token_ms: float = 0.0
     inter_token_ms: float = 0.0
--- a/src/fescuedock/entry/online_attempt.py
+++ b/src/fescuedock/entry/online_attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at an upstream: what its failures mean, and the report to the owner."""
+"""One attempt at an upstream: the classification of its failures, and its report to the owner."""
 
 import msgspec
 import trio
@@ -33,15 +33,15 @@
 
 
 class UpstreamStalledError(Exception):
-    """The upstream keeps its connection open and gives nothing for too long."""
+    """The upstream keeps its connection open but sends nothing for too long."""
 
 
 class ResumeRefusedError(Exception):
-    """The engine does not continue an answer from a resume point."""
+    """The engine rejected a resume point."""
 
 
 class AnswerLostError(Exception):
-    """The answer broke off where no other attempt can go on with it."""
+    """The answer broke off where no other attempt can continue it."""
 
 
 ATTEMPT_ERRORS = (
@@ -56,9 +56,9 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """Why an attempt failed: evidence for the owner, and the fault if it stays at that.
+    """Why an attempt failed: the outcome reported to the owner, and the fault without a retry.
 
-    ``withdrawn`` says that nothing was sent and nothing is known against the upstream.
+    ``withdrawn`` says that nothing was sent and that this is no evidence against the upstream.
     """
 
     outcome: AttemptOutcome
@@ -69,9 +69,9 @@
 
 
 class Attempt(msgspec.Struct):
-    """Times of one attempt; ``end`` reports them, whatever happened.
+    """Times and outcome of one attempt; ``end`` reports them after success and failure alike.
 
-    ``check`` is that of its request.
+    ``check`` runs just before its request is sent.
     """
 
     grant: Grant
@@ -96,12 +96,12 @@
 
     @property
     def first_token_ms(self) -> float:
-        """Time from the dispatch to the first token; below 0 when there was none."""
+        """Time from the start of the attempt to the first token; below 0 if there was none."""
         return self.first_token_at_ms - self.started_ms if self.tokens else -1.0
 
     @property
     def inter_token_ms(self) -> float:
-        """Mean time between tokens; below 0 when there were fewer than two."""
+        """Mean time between tokens; below 0 if there were fewer than two."""
         if self.tokens < 2:
             return -1.0
         return (self.last_token_at_ms - self.first_token_at_ms) / (self.tokens - 1)
@@ -150,7 +150,7 @@
             return Failure(AttemptOutcome.TRUNCATED, fault, permanent=True)
         case EngineError():
             return _engine_failure(error)
-    raise TypeError(f"not an attempt's error: {error!r}")
+    raise TypeError(f"not an error of an attempt: {error!r}")
 
 
 def _engine_failure(error: EngineError) -> Failure:
@@ -173,7 +173,7 @@
 
 
 def _engine_message(error: EngineError) -> str:
-    """Return the message within an error body of the OpenAI shape, else the body's beginning."""
+    """Return the message of an error body in OpenAI's format, else the start of the body."""
     try:
         return msgspec.json.decode(error.body, type=_EngineErrorBody).error.message
     except msgspec.MsgspecError:
--- a/src/fescuedock/entry/online_full.py
+++ b/src/fescuedock/entry/online_full.py
@@ -1,8 +1,8 @@
-"""Answers online requests that are not streamed: with the whole answer or an error.
+"""Answers online requests that are not streamed, with the complete answer or an error.
 
-The engine is asked for a stream where that loses nothing: a broken one is continued elsewhere, a
-hung one is noticed early, and the owner learns the times between tokens, by which it keeps batch
-work out of online's way.
+If no content is lost by it, the answer is requested from the engine as a stream: another engine can
+continue a broken stream, a hung engine is detected early, and the owner learns the times between
+tokens, by which it limits batch work that would slow online requests.
 """
 
 import msgspec
@@ -26,7 +26,7 @@
 
 
 class FullAnswer(msgspec.Struct, frozen=True):
-    """The JSON of an answer, and the attempt that ended it."""
+    """The JSON of an answer, and the attempt that completed it."""
 
     body: bytes
     attempt: Attempt
@@ -35,7 +35,7 @@
 async def fetch_full_answer(
     state: OnlineState, request: OnlineRequest
 ) -> Result[FullAnswer, Fault]:
-    """Return the answer; at the deadline the request is given up."""
+    """Return the answer; the request is abandoned at its deadline."""
     stream = StreamState(wants_usage=True)
     with trio.move_on_at(request.deadline_ms / 1000):
         if not can_be_collected(request.body):
@@ -43,7 +43,7 @@
         collected = await _collect(state, request, stream)
         if isinstance(collected, Err) or stream.resumable:
             return collected
-        # The answer has parts that only the engine can put together.
+        # The answer has content that only the engine can assemble.
         return await _fetch_from_engine(state, request, stream)
     return Err(deadline_fault(sent=stream.begun))
 
@@ -64,7 +64,7 @@
 async def _fetch_from_engine(
     state: OnlineState, request: OnlineRequest, stream: StreamState
 ) -> Result[FullAnswer, Fault]:
-    """Let the engine form the answer; a broken attempt starts again from the beginning."""
+    """Let the engine assemble the answer; a retry starts from the beginning."""
     answers: list[bytes] = []
 
     async def run_one(attempt: Attempt, upstream: UpstreamRecord) -> AttemptOutcome:
@@ -76,7 +76,7 @@
                 )
             )
             return AttemptOutcome.COMPLETED
-        raise UpstreamStalledError("the engine did not answer in many times the usual time")
+        raise UpstreamStalledError("the engine did not answer within many times the usual time")
 
     ended = await run_attempts(state, request, run_one)
     return ended.map(lambda attempt: FullAnswer(answers[0], attempt))
--- a/src/fescuedock/entry/online_permits.py
+++ b/src/fescuedock/entry/online_permits.py
@@ -37,30 +37,32 @@
 
 _RETRY_AFTER_MS = 1000
 _NO_REPLY_CODES = (ResultCode.PEER_UNREACHABLE, ResultCode.PEER_UNKNOWN)
-# Answers that say nothing of the room at an upstream.
+# Replies that say nothing about the free capacity of an upstream.
 _NO_LOAD_INFO_CODES = (*_NO_REPLY_CODES, ResultCode.NOT_OWNER)
-# Before the choice is made anew when a node turned out not to own an upstream: views are replaced
-# every 100 ms.  An upstream that leaves has its asks refused so; taken for silence, the node that
-# answered was passed over for a second, with all that it owns.
+# Pause before choosing again when a node turned out not to own an upstream: views are replaced
+# every 100 ms.  Requests for a leaving upstream are refused with this code; when it counted as no
+# reply, the answering node and all its upstreams were skipped for a second.
 _NOT_OWNER_PAUSE_S = 0.02
-# In which nodes hear of an upstream's end from each other.
+# Time within which nodes learn from each other that an upstream ended.
 _CRASH_REPORT_WAIT_S = 0.1
-_VERDICT_CHANGED = Fault(ResultCode.NO_CAPACITY, "more became known of the work", _RETRY_AFTER_MS)
+_VERDICT_CHANGED = Fault(
+    ResultCode.NO_CAPACITY, "more became known about the work", _RETRY_AFTER_MS
+)
 
 
 class OnlineCall(Protocol):
-    """What a permit is asked for: an online request to a model, or a call to a plain service."""
+    """The call that needs a permit: an online request to a model, or a call to a plain service."""
 
     @property
     def request_id(self) -> str: ...
 
     @property
     def work_id(self) -> str:
-        """The identity of the work, the same for each try of it."""
+        """The identity of the work, the same for each attempt and resend."""
 
     @property
     def parts(self) -> tuple[str, ...]:
-        """Identities of the parts that its prompt may share with others."""
+        """Identities of the prompt parts that other calls may share."""
 
     @property
     def service(self) -> str: ...
@@ -88,14 +90,14 @@
         """Return ``PermitAsk.priority`` and ``PermitAsk.waited_ms``."""
 
     def start_left_ms(self) -> float:
-        """Return the time in which a start is still of use to the caller, on time or late."""
+        """Return the time left in which a start, on time or late, is still useful to the caller."""
 
     def target_left_ms(self) -> int:
         """Return ``PermitAsk.target_ms``."""
 
 
 class PermitSearch(Protocol):
-    """What a search for permits keeps and learns between calls."""
+    """The state that searches for permits share, and what they learn from call to call."""
 
     routing: RoutingPolicy
     rng: random.Random
@@ -113,23 +115,23 @@
     def prefill(self, service: str) -> PrefillModel: ...
 
     def new_identity(self) -> str:
-        """Return an identity that nobody can guess."""
+        """Return an unguessable identity."""
 
     def is_connected(self, upstream: UpstreamRecord) -> bool:
-        """Whether an idle connection to ``upstream`` is kept."""
+        """Whether there is an idle connection to ``upstream``."""
 
 
 async def find_permit(
     state: PermitSearch, call: OnlineCall, avoid: Collection[str] = ()
 ) -> Result[Grant, Fault]:
-    """Return a permit on the best upstream that will take the attempt.
+    """Return a permit on the best upstream that accepts the attempt.
 
-    The permit's identity is unguessable and serves as the attempt's.  Upstreams in ``avoid`` are
-    used only when there is no other.  A refusal is given at once when owners refuse; while one of
-    them queues the call, the choice is made anew now and then.
+    The permit's identity is unguessable and also identifies the attempt.  Upstreams in ``avoid``
+    are used only if there is no other.  If all owners refuse, the refusal is returned at once;
+    while an owner queues the call, the choice of upstreams is repeated from time to time.
 
-    ``WORK_HARMFUL`` when upstreams have ended under the work; one under suspicion waits for an
-    upstream of its own.
+    The fault is ``WORK_HARMFUL`` if upstreams crashed while they ran the work; suspected work waits
+    for an upstream on which it runs in isolation.
     """
     while True:
         verdict = state.view.verdict_on(call.work_id, call.parts)
@@ -173,9 +175,9 @@
 async def _request_isolated(
     state: PermitSearch, call: OnlineCall, avoid: Collection[str]
 ) -> "_SearchResult":
-    """Wait for an upstream on which nothing else runs; again when more is known of the work.
+    """Wait for an upstream on which nothing else runs; ``retry`` if the verdict changed.
 
-    All nodes choose the same one for a service, so that suspects never take more than that.
+    All nodes choose the same upstream for a service, so that suspected work occupies only one.
     """
     if avoid and await _wait_until_cleared(state, call):
         return _SearchResult(Err(_VERDICT_CHANGED), retry=True)
@@ -185,7 +187,7 @@
     run_ms = state.admission.times(call.service).run_ms(call.max_tokens, now_ms())
     wait_ms = _slack_ms(call, run_ms)
     if not usable or wait_ms <= 0:
-        why = "no upstream is free for a run alone" if usable else "no upstream can be asked"
+        why = "no upstream is free for an isolated run" if usable else "no upstream is available"
         return _SearchResult(Err(Fault(ResultCode.NO_CAPACITY, why, _RETRY_AFTER_MS)))
     ask = Ask(rank_names(call.service, fresh or usable)[0], wait_ms)
     started_ms = now_ms()
@@ -194,16 +196,16 @@
         return _SearchResult(Err(_VERDICT_CHANGED), retry=True)
     timed_out = now_ms() - started_ms >= wait_ms
     if isinstance(granted, Err) and not timed_out:
-        # Its owner is silent or keeps work from it, which the next choice knows.
+        # Its owner is silent or keeps work away from it; the next choice takes that into account.
         await trio.sleep(_NOT_OWNER_PAUSE_S)
         return _SearchResult(granted, retry=True)
     return _SearchResult(granted)
 
 
 async def _wait_until_cleared(state: PermitSearch, call: OnlineCall) -> bool:
-    """Wait a moment for news of a suspect; return whether it is none any more.
+    """Wait briefly for reports about suspected work; return whether it is no longer suspected.
 
-    An upstream that failed the call may just have ended, under another try of the same work.
+    The upstream that failed the call may just have crashed under another attempt of the same work.
     """
     with trio.move_on_after(_CRASH_REPORT_WAIT_S):
         while state.view.verdict_on(call.work_id, call.parts).standing is Standing.ALONE:
@@ -215,7 +217,7 @@
 async def _request_until_cleared(
     state: PermitSearch, call: OnlineCall, ask: Ask, run_ms: float
 ) -> Result[Grant, Fault] | None:
-    """Ask for a run alone; None when the work is no such suspect any more."""
+    """Request an isolated run; return None once the work is no longer suspected."""
     granted: Result[Grant, Fault] | None = None
     try:
         async with trio.open_nursery() as nursery:
@@ -230,7 +232,7 @@
                 await state.view.wait_quarantine()
             nursery.cancel_scope.cancel()
     except BaseException:
-        # The call was cancelled just when a grant had come, which nobody would ever use.
+        # The call was cancelled just after a grant arrived: return it, as no one else can use it.
         if isinstance(granted, Ok):
             state.permits.give_back(granted.ok_value)
         raise
@@ -258,7 +260,7 @@
 
 
 def _demand_now(call: OnlineCall) -> Demand:
-    """Return the call's demand with the times that are left to it."""
+    """Return the call's demand with its remaining times."""
     demand = call.demand
     return Demand(
         demand.prompt_tokens,
@@ -276,7 +278,7 @@
 
 
 def _became_unusable(state: PermitSearch, upstream_id: str) -> bool:
-    """Whether an upstream that was chosen has begun to leave or has gone since."""
+    """Whether a chosen upstream has started to leave or disappeared since it was chosen."""
     upstream = state.view.upstreams.get(upstream_id)
     return upstream is None or not _is_usable(state, upstream)
 
@@ -289,7 +291,7 @@
     avoided: bool,
     at_ms: float,
 ) -> Candidate:
-    """Return what is known of an upstream by ``at_ms``; it is made for each one with each call."""
+    """Return the candidate for an upstream at ``at_ms``; called for each upstream and call."""
     owner = state.view.owner_of(upstream.upstream_id)
     load = speed = None
     speed_age_ms = 0.0
@@ -317,13 +319,13 @@
 def _check_deadline(
     state: PermitSearch, call: OnlineCall, choices: list[Choice]
 ) -> Result[None, Fault]:
-    """Refuse what cannot be whole in time by the prediction of the whole queue.
+    """Refuse a call that the predicted wait in the full queue would complete too late.
 
-    A call that can still be on time goes ahead of the late ones in the owners' queues, so the
-    length of the whole queue says nothing about it; its own wait for a slot decides.  With the
-    check, calls with a short deadline were refused after 0.1 ms while slots came free all the
-    time: 0 of 87 were served where 775 of 1,296 others were.  Of a customer's late call only the
-    owners know by its share how long it will wait.
+    A call that can still be on time overtakes the late ones in the owners' queues, so the length of
+    the full queue does not apply to it: its own wait for a slot decides.  With the check, calls
+    with a short deadline were refused after 0.1 ms although slots kept coming free: 0 of 87 were
+    served, against 775 of 1,296 others.  How long a customer's late call waits
+    depends on the customer's share, which only the owners know.
     """
     target_left_ms = call.target_left_ms()
     if target_left_ms > 0:
@@ -332,14 +334,14 @@
     first_token_ms = 0.0 if by_share else min(item.queue_ms for item in choices)
     start_left_ms = call.start_left_ms()
     if first_token_ms > start_left_ms:
-        message = f"starts in about {first_token_ms:.0f} ms, of use for {start_left_ms:.0f} ms"
+        message = f"starts in about {first_token_ms:.0f} ms, useful within {start_left_ms:.0f} ms"
         return Err(Fault(ResultCode.DEADLINE_CANNOT_BE_MET, message, int(first_token_ms)))
     run_ms = state.admission.times(call.service).run_ms(call.max_tokens, now_ms())
     return state.admission.check_deadline(call.left_ms(), first_token_ms, run_ms)
 
 
 class _SearchResult(msgspec.Struct, frozen=True):
-    """What came of a round of asks; ``retry`` says that it taught enough for another one."""
+    """The result of a round of permit requests; ``retry`` says that another round may succeed."""
 
     result: Result[Grant, Fault]
     retry: bool = False
@@ -348,9 +350,9 @@
 async def _request_all(
     state: PermitSearch, call: OnlineCall, choices: list[Choice]
 ) -> _SearchResult:
-    """Ask in the planned order; the refusal that comes back soonest stands for all.
+    """Request permits in the planned order; return a grant, or the most informative refusal.
 
-    An owner that turns out to be silent, or one that queued the call in vain, ends the round.
+    An owner that does not reply, or one whose queue timed out, ends the round.
     """
     run_ms = state.admission.times(call.service).run_ms(call.max_tokens, now_ms())
     plan = plan_asks(choices, _slack_ms(call, run_ms), state.routing)
@@ -373,10 +375,11 @@
 async def _request_with_room(
     state: PermitSearch, call: OnlineCall, choices: list[Choice], plan: list[Ask], run_ms: float
 ) -> _SearchResult | None:
-    """Ask the other upstreams that may have free slots; None when none of them grants.
+    """Try the other upstreams that may have free slots; return None if none of them grants.
 
-    A customer above its share is refused by full owners at once, which says nothing of the others.
-    Each answer tells the load, so a node asks an upstream in vain once in ``stale_ms`` at most.
+    Owners of full upstreams refuse a customer above its share at once, which says nothing about the
+    others.  Each reply reports the load, so a node makes at most one futile request to an upstream
+    per ``stale_ms``.
     """
     requested = {ask.upstream_id for ask in plan}
     rest = [
@@ -404,7 +407,7 @@
     choices: Sequence[Choice],
     run_ms: float,
 ) -> _SearchResult:
-    """Ask for slots that are believed to be free, until one is granted."""
+    """Request slots that are believed to be free, one after the other, until one is granted."""
     refusal: Fault | None = None
     for number, ask in enumerate(asks, start=1):
         granted = await _request_permit(state, call, ask, run_ms)
@@ -439,9 +442,9 @@
     choices: Sequence[Choice],
     run_ms: float,
 ) -> Ok[Grant]:
-    """Return ``granted``, of the first of ``asks``, or a permit of one that is much faster now.
+    """Return ``granted``, for the first of ``asks``, or a permit on a now much faster upstream.
 
-    A permit is held until there is another one.
+    A permit is held until its replacement is granted.
     """
     for ask, other in pairwise(asks):
         if not _should_move(state, call, ask, other, choices):
@@ -468,10 +471,10 @@
 async def _queue_at_several(
     state: PermitSearch, call: OnlineCall, asks: Sequence[Ask], run_ms: float
 ) -> _SearchResult:
-    """Wait in several queues at once; the first grant counts and the other asks are withdrawn.
+    """Wait in several queues at once; use the first grant and withdraw the other requests.
 
-    A slot that comes free anywhere then goes to the call that needs it soonest.  In one queue
-    after the other a call missed its target beside upstreams that served late ones.
+    A slot that becomes free anywhere then goes to the call that needs it soonest.  When calls
+    waited in one queue at a time, they missed their target while other upstreams served late calls.
     """
     refusals: list[_SearchResult] = []
     grants: list[Grant] = []
@@ -485,7 +488,7 @@
             if code is ResultCode.NOT_OWNER:
                 await trio.sleep(_NOT_OWNER_PAUSE_S)
             retry = code is ResultCode.NOT_OWNER or (timed_out and code not in _NO_REPLY_CODES)
-            # The refusal of one that leaves says nothing of those that came since the choice.
+            # A leaving upstream's refusal says nothing about upstreams added since the choice.
             retry = retry or _became_unusable(state, ask.upstream_id)
             refusals.append(_SearchResult(granted, retry=retry))
             return
@@ -497,7 +500,7 @@
             for ask in asks:
                 nursery.start_soon(queue_at, ask)
     except BaseException:
-        # The call was cancelled just when a grant had come, which nobody would ever use.
+        # The call was cancelled just after a grant arrived: return it, as no one else can use it.
         for grant in grants:
             state.permits.give_back(grant)
         raise
@@ -509,7 +512,7 @@
 
 
 def _merge_refusals(refusals: Iterable[_SearchResult]) -> _SearchResult:
-    """Return one answer for several refusals: ask again if any owner had queued the call."""
+    """Combine several refusals into one result; ``retry`` if any of them allows it."""
     best: Fault | None = None
     retry = False
     for refusal in refusals:
@@ -519,9 +522,9 @@
 
 
 def _refusal(fault: Fault | None) -> Fault:
-    """Return the caller's answer: nothing was sent, and it may come back."""
+    """Return the fault for the caller: nothing was sent, and a resend may succeed."""
     if fault is None or fault.code in _NO_LOAD_INFO_CODES:
-        why = "no time is left to wait" if fault is None else "no owner answers"
+        why = "no time is left to wait" if fault is None else "no owner replies"
         return Fault(ResultCode.NO_CAPACITY, f"no capacity: {why}", _RETRY_AFTER_MS)
     return msgspec.structs.replace(fault, retry_after_ms=fault.retry_after_ms or _RETRY_AFTER_MS)
 
@@ -583,7 +586,7 @@
 
 
 def _more_informative(first: Fault | None, second: Fault) -> Fault:
-    """Return the refusal that tells more: an owner's before a silence, the sooner before others."""
+    """Return the better refusal: an owner's over a missing reply, else the earlier retry."""
     if first is None or first.code in _NO_LOAD_INFO_CODES:
         return second
     if second.code in _NO_LOAD_INFO_CODES or not second.retry_after_ms:
--- a/src/fescuedock/entry/online_relay.py
+++ b/src/fescuedock/entry/online_relay.py
@@ -1,4 +1,4 @@
-"""Takes a streamed answer from one upstream, or from several after each other."""
+"""Relays a streamed answer from one upstream, or from several in succession."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
@@ -27,7 +27,7 @@
 
 __all__ = ["WriteData", "relay_attempts"]
 
-# Gets the events of the answer, each once and in order, as the engine formed them.
+# Receives the events of the answer, each once and in order, unchanged from the engine.
 WriteData = Callable[[bytes], Awaitable[None]]
 
 
@@ -38,9 +38,9 @@
     write: WriteData,
     on_first_token: Callable[[Attempt], None],
 ) -> Result[Attempt, Fault]:
-    """Pass the events of a whole answer to ``write``; return the attempt that ended it.
+    """Pass the events of a complete answer to ``write``; return the attempt that finished it.
 
-    ``serving`` is told of the first token of each attempt.
+    ``on_first_token`` is called at the first token of each attempt.
     """
 
     async def run_one(attempt: Attempt, upstream: UpstreamRecord) -> AttemptOutcome:
@@ -51,7 +51,7 @@
 
 
 class _StallWatch(msgspec.Struct):
-    """Whether the relay waits for the upstream, and since when."""
+    """Whether the relay is waiting for the upstream, and since when."""
 
     timeout_ms: float
     waiting: bool = True
@@ -60,13 +60,13 @@
     sleep_scope: trio.CancelScope = msgspec.field(default_factory=trio.CancelScope)
 
     def set_timeout(self, timeout_ms: float) -> None:
-        """Look for a stall after ``timeout_ms`` from now on."""
+        """Detect a stall after ``timeout_ms`` from now on."""
         self.timeout_ms = timeout_ms
         self.sleep_scope.cancel()
 
 
 class _Relay(msgspec.Struct):
-    """One attempt's way from the upstream to the caller; ``serving`` is told of its first token."""
+    """Relays one attempt to the caller; calls ``on_first_token`` at its first token."""
 
     state: OnlineState
     request: OnlineRequest
@@ -76,10 +76,10 @@
     on_first_token: Callable[[Attempt], None]
 
     async def run(self, upstream: UpstreamRecord) -> None:
-        """Relay until the answer is whole; raise one of ``ATTEMPT_ERRORS`` if it is not."""
+        """Relay until the answer is complete; raise one of ``ATTEMPT_ERRORS`` if it is not."""
         resume = self.stream.begin(self.attempt.attempt_id, upstream.software_version)
         how = AttemptEnd.BROKEN
-        error: Exception = ResponseLostError("the stream ended without a reason for its end")
+        error: Exception = ResponseLostError("the stream ended without a finish reason")
         try:
             async with (
                 self._stall_watch() as watch,
@@ -104,7 +104,7 @@
             raise self._resume_error(error, resume)
 
     def _prefer_version(self) -> None:
-        """Have the next attempt go to the version that opened the answer, while that serves."""
+        """Restrict the next attempt to the version that opened the answer, while it serves."""
         version = self.stream.software_version
         serving = any(
             item.software_version == version and not item.leaving
@@ -113,7 +113,7 @@
         self.request.software_versions = (version,) if self.stream.opened and serving else None
 
     def _resume_error(self, error: Exception, resume: ResumePoint | None) -> Exception:
-        """Return ``error``, or what it means if an engine refused to go on from ``resume``."""
+        """Return ``error``, or ``ResumeRefusedError`` if the engine rejected ``resume``."""
         if resume is None or not isinstance(error, EngineError) or not error.is_permanent:
             return error
         self.stream.replays = True
@@ -128,7 +128,7 @@
                 self._record_token(attempt, watch, at_ms)
             data = stream.receive(attempt.attempt_id, event)
             if stream.diverged:
-                raise ResponseLostError("another attempt gives another answer")
+                raise ResponseLostError("the attempt gave a different answer")
             if data is not None:
                 watch.waiting = False
                 await self.write(data)
@@ -144,9 +144,9 @@
 
     @asynccontextmanager
     async def _stall_watch(self) -> AsyncIterator[_StallWatch]:
-        """Cut the block off when the upstream stalls; raise its error or ``UpstreamStalledError``.
+        """Cancel the block when the upstream stalls; raise its error or ``UpstreamStalledError``.
 
-        The nursery's group around an error of the block is taken off.
+        An error of the block is raised without the exception group of the nursery.
         """
         usual_ms = self.request.spec.objectives.first_token_ms
         watch = _StallWatch(self.state.stall.timeout_ms(usual_ms))
@@ -161,18 +161,18 @@
         if caught is not None:
             raise caught
         if watch.stalled:
-            raise UpstreamStalledError(f"nothing came for {watch.timeout_ms:.0f} ms")
+            raise UpstreamStalledError(f"the upstream sent nothing for {watch.timeout_ms:.0f} ms")
 
 
 async def _cancel_stalled(watch: _StallWatch, scope: trio.CancelScope) -> None:
-    """Cancel ``scope`` when its relay has waited for the upstream for too long."""
+    """Cancel ``scope`` when its relay has waited too long for the upstream."""
     while True:
         due_ms = watch.since_ms + watch.timeout_ms
         if now_ms() >= due_ms and watch.waiting:
             watch.stalled = True
             scope.cancel()
             return
-        # While the caller is slow the clock stands still: the write has a timeout of its own.
+        # Time spent writing to a slow caller does not count: the write has its own timeout.
         wake_ms = max(due_ms, now_ms() + watch.timeout_ms / 2) if not watch.waiting else due_ms
         with trio.CancelScope(deadline=wake_ms / 1000) as watch.sleep_scope:
             await trio.sleep_forever()
--- a/src/fescuedock/entry/online_request.py
+++ b/src/fescuedock/entry/online_request.py
@@ -1,4 +1,4 @@
-"""Reads an online request: who asks, for what, by when."""
+"""Parses an online request: its member, service, demand and deadline."""
 
 from collections.abc import Collection, Iterator, Mapping
 from hashlib import blake2b
@@ -24,15 +24,15 @@
 
 _MAX_BODY_BYTES = 8 * 1024 * 1024
 _BYTES_PER_TOKEN = 4
-# Prompts that agree so far are taken to share what the prefix cache keeps.
+# Prompts with the same first bytes are assumed to share their prefix cache entry.
 _PREFIX_BYTES = 1024
 _HASH_BYTES = 12
 
 
 class OnlineRequest(msgspec.Struct):
-    """One accepted call; ``deadline_ms`` is on ``clock.now_ms``.
+    """One accepted request; ``deadline_ms`` is a time of ``clock.now_ms``.
 
-    ``software_versions`` are those of upstreams that its next attempt may go to, None for any.
+    ``software_versions`` limits the upstreams of the next attempt, None for any version.
     """
 
     request_id: str
@@ -59,7 +59,7 @@
 
     @property
     def resumable(self) -> bool:
-        """Whether the answer is one text, which another attempt can go on with."""
+        """Whether the answer is a single text, which another attempt can continue."""
         return self.body.get("n") in (None, 1) and not self.body.get("logprobs")
 
     @property
@@ -67,11 +67,11 @@
         return True
 
     def target_left_ms(self) -> int:
-        """No time to the first token is promised to a single call."""
+        """Return 0: single calls have no target for the first token."""
         return 0
 
     def urgency(self) -> tuple[int, int]:
-        """Members of this deployment have shares, and no priorities."""
+        """Return zeros: members of this deployment have shares, not priorities."""
         return 0, 0
 
     def left_ms(self) -> float:
@@ -79,14 +79,14 @@
         return self.deadline_ms - now_ms()
 
     def start_left_ms(self) -> float:
-        """Until the deadline a start is of use."""
+        """Return the time left until the deadline: a start is useful until then."""
         return self.left_ms()
 
 
 async def read_online_request(
     context: EntryContext, request: Request, request_id: str
 ) -> Result[OnlineRequest, Fault]:
-    """Read and check ``request``; the deadline counts from now."""
+    """Read and validate ``request``; its deadline is counted from now."""
     arrived_ms = now_ms()
     member = find_member(context, request.headers)
     if isinstance(member, Err):
@@ -120,7 +120,7 @@
 
 
 def read_deadline_ms(context: EntryContext, headers: Mapping[str, str]) -> Result[int, Fault]:
-    """Return the time that the caller gives, or the default of the settings."""
+    """Return the deadline that the caller sets, or the default of the settings."""
     text = headers.get(DEADLINE_HEADER)
     if text is None:
         return Ok(context.settings.entry.default_deadline_ms)
@@ -160,7 +160,7 @@
 
 
 def _shareable_prefix(body: Mapping[str, Any], text: bytes) -> bytes:
-    """Return what other prompts may begin with too: the first message, or a leading part."""
+    """Return the prefix that other prompts may share: the first message, or the first bytes."""
     messages = body.get("messages")
     if isinstance(messages, list) and len(messages) > 1:
         return next(_texts(body), "").encode()
--- a/src/fescuedock/entry/online_run.py
+++ b/src/fescuedock/entry/online_run.py
@@ -1,4 +1,4 @@
-"""Runs attempts of an online call one after the other until one is whole or none may follow."""
+"""Runs the attempts of an online call until one completes or no retry is allowed."""
 
 from collections.abc import Awaitable, Callable
 
@@ -27,18 +27,18 @@
 
 _RETRY_AFTER_MS = 1000
 
-# Runs one attempt; raises one of ATTEMPT_ERRORS when it fails, else says how the upstream did.
+# Runs one attempt; returns its outcome, or raises one of ATTEMPT_ERRORS if it fails.
 RunAttempt = Callable[[Attempt, UpstreamRecord], Awaitable[AttemptOutcome]]
 
 
 async def run_attempts(
     state: OnlineState, call: OnlineCall, run_one: RunAttempt
 ) -> Result[Attempt, Fault]:
-    """Return the attempt that ended well, or the fault to answer with.
+    """Return the attempt that succeeded, or the fault for the caller.
 
-    An attempt that was withdrawn before it was sent counts for nothing; the deadline bounds those.
-    A fault says "not run" only when nothing was ever sent to an upstream.  A call that may not be
-    repeated gets another attempt only after one that was certainly not sent.
+    An attempt that was withdrawn before sending does not count as a failure; the deadline bounds
+    such attempts.  A fault says "not run" only if nothing was ever sent to an upstream.  A call
+    that may not be repeated is retried only after an attempt that was certainly not sent.
     """
     history = AttemptHistory(state.retry)
     avoid: set[str] = set()
@@ -71,7 +71,7 @@
 async def _run_attempt(
     state: OnlineState, attempt: Attempt, call: OnlineCall, run_one: RunAttempt
 ) -> Failure | None:
-    """Run one attempt and report it to the owner; None when it went well."""
+    """Run one attempt and report it to the owner; return None if it succeeded."""
     upstream = state.context.view.upstreams.get(attempt.grant.upstream_id)
     try:
         if upstream is None:
@@ -120,11 +120,11 @@
 
 
 def deadline_fault(*, sent: bool) -> Fault:
-    """Return the fault of a request given up at its deadline; ``sent`` to an upstream or not."""
+    """Return the fault of a request that reached its deadline, ``sent`` to an upstream or not."""
     if sent:
-        message = "no whole answer came within the deadline"
+        message = "no complete answer arrived within the deadline"
         return Fault(ResultCode.UPSTREAM_TIMEOUT, message, _RETRY_AFTER_MS)
-    message = "no capacity came free within the deadline"
+    message = "no capacity became free within the deadline"
     return Fault(ResultCode.DEADLINE_CANNOT_BE_MET, message, _RETRY_AFTER_MS)
 
 
@@ -134,7 +134,7 @@
 
 
 def _final_fault(fault: Fault, sent: Failure | None) -> Fault:
-    """Return ``fault``, or that of an attempt that was sent where ``fault`` would say "not run"."""
+    """Return ``fault``, or the fault of a sent attempt if ``fault`` would wrongly say "not run"."""
     if fault.outcome is not Outcome.NOT_RUN or sent is None:
         return fault
     message = f"{sent.fault.message}; then: {fault.message}"
--- a/src/fescuedock/entry/online_state.py
+++ b/src/fescuedock/entry/online_state.py
@@ -1,4 +1,4 @@
-"""What the online handlers of one entry keep between requests."""
+"""The state that the online handlers of one entry share between requests."""
 
 import random
 from dataclasses import dataclass, field
@@ -33,8 +33,8 @@
 class OnlineState:
     """Shared by all online requests of one entry.
 
-    ``rng`` makes the attempt identities, so it must be unguessable: ``random.SystemRandom`` but
-    in tests.
+    ``rng`` generates the attempt identities, so it must be unguessable: ``random.SystemRandom``
+    except in tests.
     """
 
     context: EntryContext
@@ -68,14 +68,14 @@
         return self._prefill.setdefault(service, PrefillModel())
 
     def new_identity(self) -> str:
-        """Return an identity that nobody can guess."""
+        """Return an unguessable identity."""
         return f"{self.rng.getrandbits(_IDENTITY_BITS):032x}"
 
     def is_connected(self, upstream: "UpstreamRecord") -> bool:
-        """Whether an idle connection to ``upstream`` is kept."""
+        """Whether there is an idle connection to ``upstream``."""
         return self.context.http.has_idle(Address(upstream.host, upstream.port))
 
     def shares(self) -> dict[str, float]:
-        """Return the members' shares of the configuration in force."""
+        """Return the members' shares in the current configuration."""
         members = self.context.view.configuration.members
         return {name: spec.share for name, spec in members.items()}
--- a/src/fescuedock/entry/online_stream.py
+++ b/src/fescuedock/entry/online_stream.py
@@ -23,11 +23,11 @@
 
 
 class _BrokenAnswerError(Exception):
-    """Ends the caller's response without its end mark, so that it is visibly truncated."""
+    """Ends the caller's response without its terminator, so that the truncation is visible."""
 
 
 class _Caller(msgspec.Struct):
-    """The caller's side: its response is opened by the first bytes for it."""
+    """The caller's response, which is started by the first bytes to write."""
 
     responder: Responder
     request_id: str
@@ -45,10 +45,10 @@
 async def relay_stream(
     state: OnlineState, request: OnlineRequest, responder: Responder
 ) -> Result[Attempt, Fault]:
-    """Answer with a stream; return the last attempt, or the fault that the caller was told.
+    """Answer with a stream; return the last attempt, or the fault that the caller received.
 
-    Before the first token a failure is an ordinary error response.  After it, the fault is sent
-    as an event and the response is left without its end.
+    A failure before the first event is an ordinary error response.  After it, the fault is sent as
+    an event and the response is truncated.
     """
     try:
         async with AsyncExitStack() as stack:
@@ -73,12 +73,12 @@
     with trio.move_on_at(request.deadline_ms / 1000) as scope:
 
         def serving(attempt: Attempt) -> None:
-            # The caller is being served: from here on only the whole answer's time is bounded.
+            # The answer has started: from now on only its total time is bounded.
             end_ms = attempt.started_ms + request.spec.request_timeout_ms
             scope.deadline = max(scope.deadline, end_ms / 1000)
 
         return await relay_attempts(state, request, stream, caller.write, serving)
     if stream.opened:
-        message = f"the answer was not whole after {request.spec.request_timeout_ms} ms"
+        message = f"the answer was incomplete after {request.spec.request_timeout_ms} ms"
         return Err(Fault(ResultCode.TRUNCATED, message))
     return Err(deadline_fault(sent=stream.begun))
--- a/src/fescuedock/entry/operators.py
+++ b/src/fescuedock/entry/operators.py
@@ -1,4 +1,4 @@
-"""Lets only operators use the paths under ``/admin/``, by a key of theirs."""
+"""Restricts the paths under ``/admin/`` to requests with an operator key."""
 
 import hmac
 from collections.abc import Mapping
@@ -19,9 +19,9 @@
 
 
 def operator_refusal(settings: EntrySettings, headers: Mapping[str, str]) -> Fault | None:
-    """Return why a request with ``headers`` may not use an operators' path, None when it may.
+    """Return why a request with ``headers`` may not use an operator path, None if it may.
 
-    ``operator_key_hash`` names the keys that are good; without any, everybody is an operator.
+    ``operator_key_hash`` lists the hashes of valid keys; if it is empty, no key is required.
     """
     hashes = [item.strip() for item in settings.operator_key_hash.split(",") if item.strip()]
     if not hashes:
@@ -30,5 +30,5 @@
     found = sha256(key.encode()).hexdigest()
     if key and any(hmac.compare_digest(found, item) for item in hashes):
         return None
-    message = "the key is no operator's" if key else "an operator's key is required"
+    message = "the key is not an operator key" if key else "an operator key is required"
     return Fault(ResultCode.UNAUTHORIZED, message)
--- a/src/fescuedock/entry/result_files.py
+++ b/src/fescuedock/entry/result_files.py
@@ -1,6 +1,6 @@
-"""The output and error files of batch jobs, put together from the committed groups.
+"""The output and error files of batch jobs, assembled from the committed groups.
 
-Only what is committed is ever read, so each ``custom_id`` stands once in the two files of a job.
+Only committed groups are read, so each ``custom_id`` appears once in the two files of a job.
 """
 
 from enum import StrEnum
@@ -21,26 +21,26 @@
 
 
 class ResultKind(StrEnum):
-    """Which of a job's two files."""
+    """The two result files of a job."""
 
     OUTPUT = "output"
     ERROR = "error"
 
 
 class ResultFile(msgspec.Struct, frozen=True):
-    """The file that an identity names."""
+    """The result file that a file id refers to."""
 
     job_id: str
     kind: ResultKind
 
 
 def result_file_id(job_id: str, kind: ResultKind) -> str:
-    """Return the identity of one of the job's files."""
+    """Return the file id of one of the job's files."""
     return f"file-{kind.value}-{job_id.removeprefix(_JOB_PREFIX)}"
 
 
 def parse_result_file(file_id: str) -> ResultFile | None:
-    """Return what ``file_id`` names; None when it is not a result file."""
+    """Return the result file with the id ``file_id``; None if the id has another form."""
     for kind in ResultKind:
         prefix = f"file-{kind.value}-"
         if file_id.startswith(prefix):
@@ -51,7 +51,7 @@
 async def result_content(
     context: EntryContext, record: JobRecord, kind: ResultKind
 ) -> Result[FileContent, Fault]:
-    """Return the content of a job's file as far as it is committed now."""
+    """Return the currently committed content of a job's file."""
     groups = await committed_groups(context.stores, record)
     if isinstance(groups, Err):
         return groups
@@ -62,7 +62,7 @@
 async def committed_groups(
     stores: StoreClient, record: JobRecord
 ) -> Result[list[CommittedGroup], Fault]:
-    """Return all groups of a job in order, those in manifests included."""
+    """Return all groups of a job in order, including those in manifests."""
     groups: list[CommittedGroup] = []
     for ref in record.manifests:
         body = await stores.get_segment(ref)
--- a/src/fescuedock/entry/routes.py
+++ b/src/fescuedock/entry/routes.py
@@ -1,4 +1,4 @@
-"""Matches a request's method and path to a handler, with truthful 404 and 405 answers."""
+"""Dispatches requests to handlers by method and path, with 404 and 405 responses."""
 
 from collections.abc import Awaitable, Callable, Sequence
 
@@ -12,12 +12,12 @@
 
 ANY_METHOD = "*"
 
-# Gets the request, the responder and the values of the pattern's {names}.
+# Receives the request, the responder and the values of the pattern's {names}.
 RouteHandler = Callable[[Request, Responder, dict[str, str]], Awaitable[None]]
 
 
 class Route(msgspec.Struct, frozen=True):
-    """``pattern`` is a path whose ``{name}`` parts match one segment and ``{name*}`` the rest."""
+    """``pattern`` is a path in which ``{name}`` matches one segment and ``{name*}`` the rest."""
 
     method: str
     pattern: str
--- a/src/fescuedock/entry/service_call.py
+++ b/src/fescuedock/entry/service_call.py
@@ -1,4 +1,4 @@
-"""Reads a call to a plain service, and carries out one attempt of it."""
+"""Parses a call to a plain service, and sends one attempt of it."""
 
 from collections.abc import AsyncIterator, Mapping
 from contextlib import asynccontextmanager
@@ -31,12 +31,12 @@
 _MAX_KEY_CHARACTERS = 255
 _NO_DEMAND = Demand(0, 0, "")
 _TRUE = ("true", "1", "yes")
-# These belong to one connection, or are ours.
+# Headers of a single connection, and headers of this entry.
 _NOT_FORWARDED = HOP_HEADERS | {"content-length", "host", DEADLINE_HEADER, NON_IDEMPOTENT_HEADER}
 
 
 class ServiceCall(msgspec.Struct, frozen=True):
-    """One call; ``target`` is the path and query at the service, ``deadline_ms`` our clock's."""
+    """One call; ``target`` is the path and query at the service, ``deadline_ms`` as ``now_ms``."""
 
     request_id: str
     service: str
@@ -52,13 +52,13 @@
 
     @property
     def work_id(self) -> str:
-        """The identity of the work, the same for each try of it."""
+        """The identity of the work, the same for each attempt and resend."""
         path = f"/services/{self.service}{self.target}"
         return work_identity(self.service, self.method, path, self.member, self.body)
 
     @property
     def parts(self) -> tuple[str, ...]:
-        """A call to a plain service has no prompt."""
+        """Empty: a call to a plain service has no prompt."""
         return ()
 
     @property
@@ -71,15 +71,15 @@
 
     @property
     def software_versions(self) -> None:
-        """A call to a plain service is answered by one run."""
+        """None: a single run answers the call, so any version may."""
         return None
 
     def target_left_ms(self) -> int:
-        """No time to the first token is promised to a single call."""
+        """Return 0: single calls have no target for the first token."""
         return 0
 
     def urgency(self) -> tuple[int, int]:
-        """Members of this deployment have shares, and no priorities."""
+        """Return zeros: members of this deployment have shares, not priorities."""
         return 0, 0
 
     def left_ms(self) -> float:
@@ -87,14 +87,14 @@
         return self.deadline_ms - now_ms()
 
     def start_left_ms(self) -> float:
-        """Until the deadline a start is of use."""
+        """Return the time left until the deadline: a start is useful until then."""
         return self.left_ms()
 
 
 async def read_service_call(
     context: EntryContext, request: Request, values: Mapping[str, str], request_id: str
 ) -> Result[ServiceCall, Fault]:
-    """Read and check a call to ``/services/{service}/{path*}``."""
+    """Read and validate a call to ``/services/{service}/{path*}``."""
     arrived_ms = now_ms()
     member = find_member(context, request.headers)
     if isinstance(member, Err):
@@ -133,11 +133,11 @@
 async def open_attempt(
     http: HttpClient, call: ServiceCall, upstream: UpstreamRecord, check: SendCheck
 ) -> AsyncIterator[ClientResponse]:
-    """Send the call once, if ``check`` still allows it then.
+    """Send the call once, if ``check`` allows it at that moment.
 
-    Raises ``NotSentError``, ``WithdrawnError`` or ``ResponseLostError``.  A call that may not be
-    repeated gets a connection of its own: only on a new one is it certain that nothing was sent
-    when it fails to open.
+    Raise ``NotSentError``, ``WithdrawnError`` or ``ResponseLostError``.  A call that may not be
+    repeated uses a new connection: only if a connection fails to open is it certain that nothing
+    was sent.
     """
     address = Address(upstream.host, upstream.port)
     async with http.request(
@@ -153,7 +153,7 @@
 
 
 def forwarded_headers(headers: Mapping[str, str], request_id: str) -> list[tuple[str, str]]:
-    """Return the service's headers that are the caller's business."""
+    """Return the service's headers to forward to the caller, with the request id."""
     forwarded = [item for item in headers.items() if item[0] not in _NOT_FORWARDED]
     if not any(name == "x-request-id" for name, _ in forwarded):
         forwarded.append(("x-request-id", request_id))
@@ -171,7 +171,7 @@
 def _request_headers(
     headers: Mapping[str, str], member: str, request_id: str
 ) -> list[tuple[str, str]]:
-    """Return what the service gets; a member's key for us is none of its business."""
+    """Return the headers to forward to the service, without a member's API key."""
     forwarded = [item for item in headers.items() if item[0] not in _NOT_FORWARDED]
     if member != ANONYMOUS:
         forwarded = [item for item in forwarded if item[0] != "authorization"]
@@ -181,7 +181,7 @@
 
 
 def _target_at_service(target: str) -> str:
-    """Return ``/path?query`` of a target ``/services/NAME/path?query``, as it was written."""
+    """Return ``/path?query`` of a target ``/services/NAME/path?query``, not decoded."""
     path, mark, query = target.partition("?")
     parts = path.split("/", 3)
     rest = parts[3] if len(parts) > 3 else ""
--- a/src/fescuedock/entry/services.py
+++ b/src/fescuedock/entry/services.py
@@ -1,8 +1,8 @@
 """Calls to plain services: any method under ``/services/{service}/``.
 
-A call that may be repeated is retried under the budget.  One that may not, by the service's
-configuration or its own mark, is sent at most once; with an ``Idempotency-Key`` that holds through
-resends at any entry.
+A repeatable call is retried within the retry budget.  A call that may not be repeated, by the
+service's configuration or its own header, is sent at most once; with an ``Idempotency-Key`` this
+also holds across resends at any entry.
 """
 
 import random
@@ -40,12 +40,12 @@
 _EVENT_STREAM = "text/event-stream"
 _JSON = "application/json"
 
-# Told of an answer before the caller gets it.
+# Receives an answer before the caller does.
 RecordAnswer = Callable[[RecordedAnswer], Awaitable[None]]
 
 
 class _BrokenAnswerError(Exception):
-    """The answer broke off after the caller had got a part of it."""
+    """The answer broke off after the caller had received a part of it."""
 
 
 def routes(context: EntryContext, rng: random.Random | None = None) -> list[Route]:
@@ -89,7 +89,7 @@
 async def _execute(
     state: OnlineState, claims: ClaimManager, call: ServiceCall, responder: Responder
 ) -> Result[None, Fault]:
-    """Answer ``call``; a fault is the caller's answer unless a part of another one went out."""
+    """Answer ``call``; a returned fault is sent to the caller unless a response has started."""
     if not call.idempotency_key:
         return await _run(state, call, responder, _record_nothing)
     return await _run_claimed(state, claims, call, responder)
@@ -105,7 +105,7 @@
     if isinstance(claim, RecordedAnswer):
         await responder.send(claim.status, claim.body, _replay_headers(claim, call))
         return Ok(None)
-    # The call goes on when its caller leaves: a resend finds the answer in the record.
+    # The call continues after its caller disconnects: a resend finds the answer in the record.
     with trio.CancelScope(shield=True):
         outcome = await _run(
             state, call, responder, lambda answer: claims.record_answer(claim, answer)
@@ -118,7 +118,7 @@
 async def _run(
     state: OnlineState, call: ServiceCall, responder: Responder, record_answer: RecordAnswer
 ) -> Result[None, Fault]:
-    """Send the call and its answer on within the deadline."""
+    """Send the call and relay its answer, within the deadline."""
     sent = False
 
     async def run_one(attempt: Attempt, upstream: UpstreamRecord) -> AttemptOutcome:
@@ -130,7 +130,7 @@
                 await _relay(attempt, call, response, responder, record_answer)
                 failed = response.status >= 500
                 return AttemptOutcome.SERVER_ERROR if failed else AttemptOutcome.COMPLETED
-        raise UpstreamStalledError(f"no answer in {call.spec.request_timeout_ms} ms")
+        raise UpstreamStalledError(f"no answer within {call.spec.request_timeout_ms} ms")
 
     try:
         with trio.move_on_at(call.deadline_ms / 1000):
@@ -148,7 +148,7 @@
     responder: Responder,
     record_answer: RecordAnswer,
 ) -> None:
-    """Give the caller the answer: in one piece when it is small, else as it comes."""
+    """Relay the answer to the caller: buffered if it is small, else streamed."""
     chunks = response.chunks()
     streamed = response.headers.get("content-type", "").startswith(_EVENT_STREAM)
     buffered = await _read_buffered(chunks, 0 if streamed else _MAX_BUFFERED_BYTES)
@@ -171,7 +171,7 @@
 
 
 class _BufferedBody(msgspec.Struct, frozen=True):
-    """The beginning of an answer; ``complete`` says that it is all of it."""
+    """The beginning of an answer; ``complete`` says that it is the entire answer."""
 
     body: bytes
     complete: bool
@@ -203,5 +203,5 @@
 def _deadline_fault(call: ServiceCall, *, sent: bool) -> Fault:
     if call.repeatable or not sent:
         return deadline_fault(sent=sent)
-    message = "the call may have run: no answer came within the deadline"
+    message = "the call may have run: no answer arrived within the deadline"
     return Fault(ResultCode.EXECUTION_UNKNOWN, message)
--- a/src/fescuedock/entry/uploads.py
+++ b/src/fescuedock/entry/uploads.py
@@ -1,7 +1,7 @@
-"""Takes an uploaded file in: cut into segments, written to stores and checked on the way.
+"""Receives an uploaded file: splits it into segments, validates it and writes it to the stores.
 
-Memory is bounded by the settings and not by the file: one segment is gathered while the one before
-it is written.
+Memory use is bounded by the settings and not by the file size: one segment is collected while the
+previous one is written.
 """
 
 from hashlib import sha256
@@ -29,7 +29,7 @@
 
 
 class Upload(msgspec.Struct):
-    """A file whose content is on the stores."""
+    """An uploaded file whose content is in the stores."""
 
     filename: str = ""
     purpose: str = ""
@@ -39,7 +39,7 @@
     checker: InputChecker | None = None
 
     def record(self, file_id: str, member: str, now_s: int) -> FileRecord:
-        """Return the record that makes this a file of ``member``."""
+        """Return the record that registers this as a file of ``member``."""
         checker = self.checker
         record = FileRecord(
             file_id=file_id,
@@ -87,9 +87,9 @@
 
 
 class _Receiver:
-    """Follows the form; after the first fault the rest is read and dropped.
+    """Handles the events of the form; after the first fault the rest is read and discarded.
 
-    An answer sent while the caller still sends could be lost with the connection.
+    A response that is sent while the caller still sends could be lost with the connection.
     """
 
     def __init__(self, form: FormReader, content: "_ContentWriter") -> None:
@@ -148,7 +148,7 @@
 
 
 class _ContentWriter:
-    """Cuts, checks and writes the content of one file."""
+    """Splits, validates and writes the content of one file."""
 
     def __init__(self, stores: StoreClient, settings: BatchSettings, chunk_lock: trio.Lock) -> None:
         self._stores = stores
@@ -166,7 +166,7 @@
         return await self._put_all(ready)
 
     async def finish(self, upload: Upload) -> Result[None, Fault]:
-        """Write what is left and put the result into ``upload``."""
+        """Write the remaining content and store the result in ``upload``."""
         ready = self._add_lines(self._reader.finish())
         last = self._cutter.finish()
         result = await self._put_all([*ready, *([last] if last else [])])
@@ -191,7 +191,8 @@
         for number, line in enumerate(lines):
             self._checker.check(line)
             if self._checker.problem is not None:
-                # No input any more, so that it need not be taken apart, however short its lines.
+                # The file cannot be a batch input any more, so the rest is not split into lines,
+                # which could be very short and many.
                 return [*ready, *self._add_unparsed(b"".join(lines[number:]))]
             cut = self._cutter.add(line)
             ready += [cut] if cut else []
--- a/tests/builders/jobs.py
+++ b/tests/builders/jobs.py
@@ -1,5 +1,5 @@
 """Entries for tests of files and batches: real HTTP, channels and stores, an in-memory key-value
-service, and nothing of the online side."""
+service, and no online handlers."""
 
 from collections.abc import AsyncIterator, Callable, Mapping
 from contextlib import asynccontextmanager
@@ -52,12 +52,12 @@
 
 
 def input_file(items: int) -> bytes:
-    """Return an input of ``items`` good lines."""
+    """Return an input file of ``items`` valid lines."""
     return b"".join(input_line(number) + b"\n" for number in range(items))
 
 
 def configuration() -> Configuration:
-    """Return two members, a model service and a plain one."""
+    """Return two members, two model services and a plain one."""
     return Configuration(
         services={
             "admision-llm": ServiceSpec(
@@ -76,7 +76,7 @@
 
 
 class JobEntry:
-    """One entry with its own connection to the common key-value service."""
+    """One entry with its own connection to the shared key-value service."""
 
     def __init__(
         self, context: EntryContext, kv: MemoryKv, server: HttpServer, address: Address
@@ -88,21 +88,21 @@
         self._clients: list[AsyncOpenAI] = []
 
     def client(self, member: str = "manizales", **options: object) -> AsyncOpenAI:
-        """Return the public client, which makes no attempts of its own unless told to."""
+        """Return the public client, without retries unless ``options`` enable them."""
         options = {"max_retries": 0, "timeout": 30.0} | options
         client = AsyncOpenAI(api_key=KEYS[member], base_url=f"http://{self.address}/v1", **options)
         self._clients.append(client)
         return client
 
     async def close(self) -> None:
-        """Close the clients, so that the server need not wait for them."""
+        """Close the clients, so that the server does not wait for them."""
         for client in self._clients:
             await client.close()
         await self.context.http.close()
 
 
 class JobSite:
-    """Stores and entries of one test."""
+    """The stores and entries of one test."""
 
     def __init__(self, fleet: StoreFleet, entries: list[JobEntry]) -> None:
         self.fleet = fleet
@@ -118,7 +118,7 @@
     entries: int = 1,
     batch: BatchSettings | None = None,
 ) -> AsyncIterator[JobSite]:
-    """Run stores at ``sites`` and some entries before them."""
+    """Run stores at ``sites`` and ``entries`` entries that use them."""
     batch = batch or BatchSettings(port=0)
     settings = Settings(
         vm=VmSettings(vm_id="vm-1", host=HOST, region="caldas", failure_domain="chipre"),
--- a/tests/builders/online.py
+++ b/tests/builders/online.py
@@ -1,6 +1,6 @@
 """Builders for online tests: entries over stand-in engines, with a real owner of permits.
 
-The agent is replaced by a fleet view made by hand; everything else is what ships.
+The agent is replaced by a hand-made fleet view; everything else is production code.
 """
 
 import functools
@@ -78,9 +78,9 @@
 
 @dataclass(slots=True)
 class Owner:
-    """The one owner of all upstreams.
+    """The only owner of all upstreams.
 
-    ``silent`` makes it take permit_requests and answer none, ``delay_ms`` answer late.
+    With ``silent`` it accepts permit requests but never replies; ``delay_ms`` delays its replies.
     """
 
     service: PermitService
@@ -92,7 +92,7 @@
 
 @dataclass(slots=True)
 class OnlineFleet:
-    """Entries that share stand-ins and the view."""
+    """Entries that share the stand-ins and the fleet view."""
 
     standins: Standins
     view: FleetView
@@ -107,7 +107,7 @@
         return self.entries[0]
 
     def show(self, *more: UpstreamRecord, leaving: tuple[str, ...] = ()) -> None:
-        """Let the view show every stand-in, those in ``leaving`` as such, and ``more``."""
+        """Replace the view: all stand-ins, those in ``leaving`` as leaving, and ``more``."""
         self._version += 1
         vm = VmRecord("vm1", "local", _DOMAIN, HOST, 1, VmState.ALIVE)
         if self.owner is not None:
@@ -146,7 +146,7 @@
 
 
 def configuration(**plain: object) -> Configuration:
-    """Return a model service and a plain one, changed by ``plain``, and one member."""
+    """Return a model service, a plain service with the fields ``plain``, and one member."""
     plain_fields = {"non_idempotent": ["POST /bookings"], **plain}
     return Configuration(
         services={
@@ -270,7 +270,7 @@
 
 
 def oracle_text(body: dict[str, object]) -> str:
-    """Return the text that the caller of a chat must get."""
+    """Return the expected text of a chat."""
     messages = body["messages"]
     prompt = "".join(f"<{item['role']}>{item['content']}\n" for item in messages)
     return answer_text(prompt, body["max_tokens"])
@@ -289,7 +289,7 @@
 
 
 def read_stream(data: bytes) -> ReadStream:
-    """Read server-sent events; what comes after ``[DONE]`` is an error."""
+    """Parse server-sent events; raise ``ValueError`` for an event after ``[DONE]``."""
     stream = ReadStream()
     for event in data.decode().split("\n\n"):
         if not event:
@@ -317,22 +317,23 @@
 
 
 async def wait_until(condition: Callable[[], bool]) -> None:
-    """Return once ``condition`` holds; the caller's guard bounds the wait."""
+    """Wait until ``condition`` holds; the timeout of ``run`` bounds the wait."""
     while not condition():  # noqa: ASYNC110
         await trio.sleep(0.002)
 
 
 def long_permit_timeout() -> AbstractContextManager[object]:
-    """Let programs wait two seconds for an owner of permits that should answer at once.
+    """Let programs wait two seconds for a permit owner that would normally reply at once.
 
-    All programs of such a test share one loop.  On a busy machine it answers later than an ask
-    waits; the owner then counts as silent, and calls run beside its slots in place of waiting.
+    All programs of such a test share one event loop.  On a busy machine the owner replies later
+    than a permit request waits; it then counts as silent, and calls bypass its slots instead of
+    waiting for them.
     """
     return mock.patch.object(AskTimeout, "timeout_ms", property(lambda _: 2000.0))
 
 
 def with_fleet(**changes: object) -> Callable:
-    """Let an ``async`` test method run with a fleet of its own, opened with ``changes``."""
+    """Run an ``async`` test method with its own fleet, opened with ``changes``."""
 
     def decorate(method: Callable) -> Callable:
         @functools.wraps(method)
@@ -349,7 +350,7 @@
 
 
 def run(body: Callable, guard_s: float = 30.0) -> None:
-    """Run a test's coroutine function; a guard of real time keeps a fault from hanging it."""
+    """Run a test's coroutine function, with a real-time limit against hanging."""
 
     async def guarded() -> None:
         with trio.fail_after(guard_s):
--- a/tests/test_entry_jobs.py
+++ b/tests/test_entry_jobs.py
@@ -1,4 +1,4 @@
-"""Files and batches as the public ``openai`` client sees them, faults of the platform included."""
+"""Files and batches through the public ``openai`` client, including faults of the platform."""
 
 import unittest
 from unittest.mock import patch
@@ -47,7 +47,7 @@
 
 
 async def post_file(entry: JobEntry, content_type: str, body: bytes) -> int:
-    """Send a form as it is; returns the status."""
+    """Send a form unchanged; return the status."""
     headers = [("content-type", content_type)]
     http = entry.context.http
     async with http.request(entry.address, "POST", "/v1/files", headers, body) as response:
@@ -76,7 +76,7 @@
 
 class _SiteTest(unittest.TestCase):
     async def assert_refused(self, call, code: ResultCode, outcome: str = "not_run") -> str:
-        """Check the refusal of an awaitable; returns its message."""
+        """Check that an awaitable is refused; return the message."""
         with self.assertRaises(APIStatusError) as caught:
             await call
         error = caught.exception.response.json()["error"]
@@ -221,7 +221,7 @@
                 message = await self.assert_refused(submit(client, file_id), code)
                 self.assertIn(named, message)
         self.assertEqual(keys(site.entry, "jobs") + keys(site.entry, "open"), [])
-        # A file that cannot be a batch says so before anybody tries.
+        # An invalid batch file reports its error before a job is created from it.
         file = await client.files.retrieve(await upload(client, b"{nonsense"))
         self.assertEqual(file.status, "error")
         self.assertIn("line 1", file.status_details)
@@ -314,7 +314,7 @@
 class PlatformFaultTest(_SiteTest):
     @at_site(entries=2)
     async def test_lost_answer_at_each_write_of_an_acceptance(self, site: JobSite) -> None:
-        """Walks every write: file, record, member's list, index of open jobs."""
+        """Covers every write: file, record, member's list, index of open jobs."""
         first, second = site.entries
         for when in LostAnswer:
             for nth in range(1, 5):
@@ -329,7 +329,7 @@
         writes_before = first.kv.faults.writes_seen
         first.kv.faults.lose_answer(when, nth)
         file_id = await upload(first.client(), input_file(3))
-        # One lost answer is always found out, so the caller never hears of it.
+        # A single lost answer is always resolved, so the caller does not see it.
         batch = await submit(first.client(), file_id, key)
         self.assertGreaterEqual(first.kv.faults.writes_seen - writes_before, nth)
         again = await submit(second.client(), file_id, key)
@@ -495,13 +495,13 @@
             await until(lambda: len(received) == 2)
             nursery.cancel_scope.cancel()
         self.assertEqual([message.job_id for message in received], [batch.id] * 2)
-        # Their order is not promised: a runner reads the record whichever comes first.
+        # The order is not guaranteed: a runner reads the record at each of the messages.
         self.assertCountEqual([message.cancelled for message in received], [False, True])
 
 
 class ResultTest(_SiteTest):
     async def _finish(self, site: JobSite, job_id: str) -> tuple[list[bytes], list[bytes]]:
-        """Commit two items in a manifest, one output and one error after it; return the lines."""
+        """Commit two outputs in a manifest, then one output and one error; return the lines."""
         stores = site.fleet.client
         outputs = [b'{"custom_id":"item-%d"}\n' % number for number in (0, 2, 1)]
         errors = [b'{"custom_id":"item-3"}\n']
@@ -537,9 +537,9 @@
             self.assertEqual((file.bytes, file.purpose), (len(b"".join(lines)), "batch_output"))
             refused = client.files.delete(file_id)
             await self.assert_refused(refused, ResultCode.BAD_REQUEST)
-        # A cancel that comes too late changes nothing.
+        # A late cancellation changes nothing.
         self.assertEqual((await client.batches.cancel(batch.id)).status, "completed")
-        # Nor does a resend put it back among the open ones.
+        # A resend does not add the job to the open jobs again.
         for key in keys(site.entry, "open"):
             site.entry.kv.state.delete_if(key, site.entry.kv.state.get(key).mod_revision)
         file_id = await upload(client, input_file(4))
--- a/tests/test_entry_operators.py
+++ b/tests/test_entry_operators.py
@@ -1,4 +1,4 @@
-"""Who may use the operators' paths."""
+"""Tests which requests may use operator paths."""
 
 import json
 import unittest
--- a/tests/test_online_answers.py
+++ b/tests/test_online_answers.py
@@ -1,4 +1,4 @@
-"""Answers in one piece, put together from events."""
+"""Tests non-streamed answers that are assembled from events."""
 
 import unittest
 
@@ -13,7 +13,7 @@
 
 
 class CollectorTest(unittest.TestCase):
-    """What the caller gets instead of the events."""
+    """The answer that the caller receives instead of the events."""
 
     def answer(self, *events: bytes, chat: bool = True) -> dict:
         collector = AnswerCollector(chat=chat)
--- a/tests/test_online_claiming.py
+++ b/tests/test_online_claiming.py
@@ -1,4 +1,4 @@
-"""Resends of a call at one entry while its claim is still under way: one of them may send it."""
+"""Resends of a call at one entry while its claim is pending: only one of them may send it."""
 
 import random
 import unittest
@@ -22,7 +22,7 @@
 
 
 class LateReplyKv(MemoryKv):
-    """Answers the first write half a second after it took effect."""
+    """Replies to the first write half a second after it took effect."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -56,7 +56,7 @@
 
 class PendingClaimTest(unittest.TestCase):
     def resend(self, first_left_ms: float) -> list[Result[Claim | RecordedAnswer, Fault]]:
-        """Return what a call and its resend, a fifth of a second later, got in their order."""
+        """Return the results of a call and of its resend 0.2 s later."""
         results: dict[int, Result] = {}
 
         async def run() -> None:
--- a/tests/test_online_requests.py
+++ b/tests/test_online_requests.py
@@ -1,6 +1,6 @@
 """Online requests through a full entry: real sockets, stand-in engines, a real owner of permits.
 
-Each caller's text is compared with the oracle's, which knows every token of every prompt.
+Each caller's text is compared with the oracle, which knows every token for every prompt.
 """
 
 import random
@@ -42,7 +42,7 @@
 
 
 async def read_truncated(response: ClientResponse) -> tuple[ReadStream, bool]:
-    """Return what came, and whether the response ended as a complete one."""
+    """Return the received stream, and whether the response ended as a complete one."""
     data = b""
     try:
         async for chunk in response.chunks():
@@ -183,14 +183,14 @@
                 fleet.show(record("big", made[1], UpstreamKind.ENGINE, MODEL_SERVICE))
                 async with streaming(fleet, chat_body()):
                     await gone.wait()
-                # What was not read fits into the sockets' buffers between us.
+                # The unread part fits into the socket buffers.
                 self.assertLess(sent_bytes, 40_000_000)
 
         run(body)
 
 
 class RandomFaultsTest(unittest.TestCase):
-    """Everything at once, at random."""
+    """Random faults of all kinds at once."""
 
     @with_fleet(engines=3)
     async def test_callers_get_their_own_answer_a_visible_truncation_or_a_refusal(
@@ -243,7 +243,7 @@
 
 
 class FullAnswerTest(unittest.TestCase):
-    """Answers in one piece, and errors."""
+    """Non-streamed answers, and errors."""
 
     def check_text(self, data: bytes, body: dict) -> None:
         answer = msgspec.json.decode(data)
@@ -405,7 +405,7 @@
 
 
 class OwnerTest(unittest.TestCase):
-    """Permits from an owner that answers, is silent, or is gone."""
+    """Permits from an owner that replies, is slow, or is silent."""
 
     @with_fleet()
     async def test_silent_owners_do_not_stop_online(self, fleet: OnlineFleet) -> None:
--- a/tests/test_online_services.py
+++ b/tests/test_online_services.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: executions counted at the stand-in, through cuts and resends."""
+"""Calls to plain services: counts executions at the stand-in despite cuts and resends."""
 
 import unittest
 from collections.abc import AsyncIterator
@@ -49,7 +49,7 @@
 
 @asynccontextmanager
 async def resetting_upstream() -> AsyncIterator[Address]:
-    """Give the address of a listener that resets each connection once bytes have come."""
+    """Yield the address of a listener that resets each connection after the first bytes."""
 
     async def reset(stream: trio.SocketStream) -> None:
         await stream.receive_some(1)
@@ -63,7 +63,7 @@
 
 
 class ConnectionCutTest(unittest.TestCase):
-    """Calls that may not be repeated, with the connection cut at each moment."""
+    """Calls that may not be repeated, with the connection cut at each stage."""
 
     def check(self, cut: str, status: int, outcome: str, executed: int, **headers: str) -> None:
         async def body() -> None:
@@ -135,7 +135,7 @@
 
 
 class RepeatableTest(unittest.TestCase):
-    """Calls that may be repeated, and how calls are passed on."""
+    """Calls that may be repeated, and how calls are forwarded."""
 
     @with_fleet()
     async def test_a_lost_answer_is_retried(self, fleet: OnlineFleet) -> None:
@@ -241,7 +241,7 @@
         service.listener.bring_up()
         status = 0
         while status != 200:
-            # The owner keeps work from it until a trial has gone well.
+            # The owner assigns no work to it until a trial has succeeded.
             status, _, data = await fleet.post(BOOKINGS, ORDER, key(), 1)
         self.assertEqual(executions(fleet), 1)
 
@@ -267,8 +267,8 @@
     async def test_a_silent_key_value_service_refuses_by_the_deadline_and_a_resend_runs(
         self, fleet: OnlineFleet
     ) -> None:
-        # The write takes effect 200 ms before the deadline, but its answers are lost, and the read
-        # after it would come 200 ms too late.
+        # The write takes effect 200 ms before the deadline, but its reply is lost, and the read
+        # that follows would return 200 ms too late.
         fleet.standins.kv.faults.lose_answer(LostAnswer.AFTER_EFFECT)
         fleet.standins.kv.faults.delay_ms = 400
         headers = {**key(), "x-deadline-ms": "600"}
--- a/tests/test_online_stop.py
+++ b/tests/test_online_stop.py
@@ -1,4 +1,4 @@
-"""The planned stop of an entry: who came by an answer still valid is served, nobody is cut off."""
+"""The planned stop of an entry: callers with a valid answer are served, none is interrupted."""
 
 import unittest
 from collections.abc import AsyncIterator
@@ -36,13 +36,13 @@
 from tests.builders.ports import free_ports
 
 CHAT = "/v1/chat/completions"
-# Of /v1/entries, from the stop on; the tests' streams are longer or shorter than this.
+# Validity of /v1/entries answers after the stop; some of the streams last longer than this.
 ANSWER_VALID_MS = 400
 
 
 @dataclass(slots=True)
 class StoppingVm:
-    """One VM with an agent and an entry, and how its entry is doing."""
+    """One VM with an agent and an entry, and the state of its entry."""
 
     entry: Address
     http: HttpClient
@@ -103,7 +103,7 @@
 
 
 class PlannedStopTest(unittest.TestCase):
-    """``run_entry`` from the request to stop until it returns."""
+    """``run_entry`` from the stop request until it returns."""
 
     def test_callers_are_served_until_their_answer_expires_and_streams_to_their_end(self) -> None:
         async def body() -> None:
@@ -132,7 +132,7 @@
         run(body)
 
     async def check_not_listed(self, vm: StoppingVm) -> None:
-        """Wait until no answer names the entry, well before it closes."""
+        """Wait until no answer lists the entry, well before it closes."""
         status = 200
         while status == 200:
             status, data = await vm.get("/v1/entries")
