--- a/src/fescuedock/entry/online_permits.py
+++ b/src/fescuedock/entry/online_permits.py
@@ -189,9 +189,9 @@
     if not usable or wait_ms <= 0:
         why = "no upstream is free for an isolated run" if usable else "no upstream is available"
         return _SearchResult(Err(Fault(ResultCode.NO_CAPACITY, why, _RETRY_AFTER_MS)))
-    ask = Ask(rank_names(call.service, fresh or usable)[0], wait_ms)
+    request = Ask(rank_names(call.service, fresh or usable)[0], wait_ms)
     started_ms = now_ms()
-    granted = await _request_until_cleared(state, call, ask, run_ms)
+    granted = await _request_until_cleared(state, call, request, run_ms)
     if granted is None:
         return _SearchResult(Err(_VERDICT_CHANGED), retry=True)
     timed_out = now_ms() - started_ms >= wait_ms
@@ -215,7 +215,7 @@
 
 
 async def _request_until_cleared(
-    state: PermitSearch, call: OnlineCall, ask: Ask, run_ms: float
+    state: PermitSearch, call: OnlineCall, request: Ask, run_ms: float
 ) -> Result[Grant, Fault] | None:
     """Request an isolated run; return None once the work is no longer suspected."""
     granted: Result[Grant, Fault] | None = None
@@ -224,7 +224,7 @@
 
             async def request_isolated() -> None:
                 nonlocal granted
-                granted = await _request_permit(state, call, ask, run_ms, alone=True)
+                granted = await _request_permit(state, call, request, run_ms, isolated=True)
                 nursery.cancel_scope.cancel()
 
             nursery.start_soon(request_isolated)
@@ -357,11 +357,11 @@
     run_ms = state.admission.times(call.service).run_ms(call.max_tokens, now_ms())
     plan = plan_asks(choices, _slack_ms(call, run_ms), state.routing)
     refusal: Fault | None = None
-    for queues, asks in groupby(plan, key=lambda ask: ask.queues):
+    for queues, requests in groupby(plan, key=lambda request: request.queues):
         if queues:
-            answer = await _queue_at_several(state, call, list(asks), run_ms)
+            answer = await _queue_at_several(state, call, list(requests), run_ms)
         else:
-            answer = await _request_in_order(state, call, list(asks), choices, run_ms)
+            answer = await _request_in_order(state, call, list(requests), choices, run_ms)
         if isinstance(answer.result, Ok) or answer.retry:
             return answer
         refusal = _more_informative(refusal, answer.result.err_value)
@@ -381,7 +381,7 @@
     others.  Each reply reports the load, so a node makes at most one futile request to an upstream
     per ``stale_ms``.
     """
-    requested = {ask.upstream_id for ask in plan}
+    requested = {request.upstream_id for request in plan}
     rest = [
         Ask(item.upstream_id)
         for item in choices
@@ -403,17 +403,17 @@
 async def _request_in_order(
     state: PermitSearch,
     call: OnlineCall,
-    asks: Sequence[Ask],
+    requests: Sequence[Ask],
     choices: Sequence[Choice],
     run_ms: float,
 ) -> _SearchResult:
     """Request slots that are believed to be free, one after the other, until one is granted."""
     refusal: Fault | None = None
-    for number, ask in enumerate(asks, start=1):
-        granted = await _request_permit(state, call, ask, run_ms)
+    for number, request in enumerate(requests, start=1):
+        granted = await _request_permit(state, call, request, run_ms)
         if isinstance(granted, Ok):
             return _SearchResult(
-                await _move_to_faster(state, call, granted, asks[number - 1 :], choices, run_ms)
+                await _move_to_faster(state, call, granted, requests[number - 1 :], choices, run_ms)
             )
         if granted.err_value.code in _NO_REPLY_CODES:
             return _SearchResult(granted, retry=True)
@@ -422,11 +422,11 @@
 
 
 def _should_move(
-    state: PermitSearch, call: OnlineCall, ask: Ask, other: Ask, choices: Sequence[Choice]
+    state: PermitSearch, call: OnlineCall, request: Ask, other: Ask, choices: Sequence[Choice]
 ) -> bool:
-    if state.routing.rank is None or ask.local or other.local:
+    if state.routing.rank is None or request.local or other.local:
         return False
-    timed = state.permits.loads.get(ask.upstream_id)
+    timed = state.permits.loads.get(request.upstream_id)
     choice = next(item for item in choices if item.upstream_id == other.upstream_id)
     placing = state.routing.placing
     return timed is not None and is_worth_moving(
@@ -438,16 +438,16 @@
     state: PermitSearch,
     call: OnlineCall,
     granted: Ok[Grant],
-    asks: Sequence[Ask],
+    requests: Sequence[Ask],
     choices: Sequence[Choice],
     run_ms: float,
 ) -> Ok[Grant]:
-    """Return ``granted``, for the first of ``asks``, or a permit on a now much faster upstream.
+    """Return ``granted``, for the first of ``requests``, or a permit on a much faster upstream.
 
     A permit is held until its replacement is granted.
     """
-    for ask, other in pairwise(asks):
-        if not _should_move(state, call, ask, other, choices):
+    for request, other in pairwise(requests):
+        if not _should_move(state, call, request, other, choices):
             return granted
         try:
             moved = await _request_permit(state, call, other, run_ms)
@@ -461,7 +461,7 @@
             "permit_moved",
             routine=True,
             request_id=call.request_id,
-            from_upstream_id=ask.upstream_id,
+            from_upstream_id=request.upstream_id,
             to_upstream_id=other.upstream_id,
         )
         granted = moved
@@ -469,7 +469,7 @@
 
 
 async def _queue_at_several(
-    state: PermitSearch, call: OnlineCall, asks: Sequence[Ask], run_ms: float
+    state: PermitSearch, call: OnlineCall, requests: Sequence[Ask], run_ms: float
 ) -> _SearchResult:
     """Wait in several queues at once; use the first grant and withdraw the other requests.
 
@@ -479,17 +479,17 @@
     refusals: list[_SearchResult] = []
     grants: list[Grant] = []
 
-    async def queue_at(ask: Ask) -> None:
+    async def queue_at(request: Ask) -> None:
         started_ms = now_ms()
-        granted = await _request_permit(state, call, ask, run_ms, queues=len(asks))
+        granted = await _request_permit(state, call, request, run_ms, queues=len(requests))
         if isinstance(granted, Err):
-            timed_out = now_ms() - started_ms >= ask.wait_ms
+            timed_out = now_ms() - started_ms >= request.wait_ms
             code = granted.err_value.code
             if code is ResultCode.NOT_OWNER:
                 await trio.sleep(_NOT_OWNER_PAUSE_S)
             retry = code is ResultCode.NOT_OWNER or (timed_out and code not in _NO_REPLY_CODES)
             # A leaving upstream's refusal says nothing about upstreams added since the choice.
-            retry = retry or _became_unusable(state, ask.upstream_id)
+            retry = retry or _became_unusable(state, request.upstream_id)
             refusals.append(_SearchResult(granted, retry=retry))
             return
         grants.append(granted.ok_value)
@@ -497,8 +497,8 @@
 
     try:
         async with trio.open_nursery() as nursery:
-            for ask in asks:
-                nursery.start_soon(queue_at, ask)
+            for request in requests:
+                nursery.start_soon(queue_at, request)
     except BaseException:
         # The call was cancelled just after a grant arrived: return it, as no one else can use it.
         for grant in grants:
@@ -532,15 +532,15 @@
 async def _request_permit(
     state: PermitSearch,
     call: OnlineCall,
-    ask: Ask,
+    request: Ask,
     run_ms: float,
     queues: int = 1,
     *,
-    alone: bool = False,
+    isolated: bool = False,
 ) -> Result[Grant, Fault]:
     priority, waited_ms = call.urgency()
     message = PermitAsk(
-        upstream_id=ask.upstream_id,
+        upstream_id=request.upstream_id,
         attempt_id=state.new_identity(),
         holder_id=state.permits.holder_id,
         service=call.service,
@@ -550,38 +550,38 @@
         prompt_tokens=call.demand.prompt_tokens,
         max_tokens=call.max_tokens,
         prefix_hash=call.demand.prefix_hash,
-        wait_ms=int(ask.wait_ms),
+        wait_ms=int(request.wait_ms),
         target_ms=call.target_left_ms(),
         queues=queues,
         work_id=call.work_id,
-        alone=alone,
+        alone=isolated,
         priority=priority,
         waited_ms=waited_ms,
     )
-    if ask.local:
+    if request.local:
         return state.permits.ask_local(message, call.parts)
     started_ms = now_ms()
     state.reply_timeout.under_way += 1
     try:
-        timeout_ms = ask.wait_ms + state.reply_timeout.timeout_ms
+        timeout_ms = request.wait_ms + state.reply_timeout.timeout_ms
         granted = await state.permits.ask(message, timeout_ms, call.parts)
     finally:
         state.reply_timeout.under_way -= 1
-    _record_reply(state, ask, granted, now_ms() - started_ms)
+    _record_reply(state, request, granted, now_ms() - started_ms)
     return granted
 
 
 def _record_reply(
-    state: PermitSearch, ask: Ask, granted: Result[Grant, Fault], round_trip_ms: float
+    state: PermitSearch, request: Ask, granted: Result[Grant, Fault], round_trip_ms: float
 ) -> None:
-    owner = state.view.owner_of(ask.upstream_id)
+    owner = state.view.owner_of(request.upstream_id)
     if owner is None:
         return
     if isinstance(granted, Err) and granted.err_value.code in _NO_REPLY_CODES:
         state.silent.note_silent(owner.vm_id, now_ms())
         return
     state.silent.note_answer(owner.vm_id)
-    if not ask.wait_ms:
+    if not request.wait_ms:
         state.latency.observe(owner.failure_domain, round_trip_ms)
 
 
