--- a/src/fescuedock/net/__init__.py
+++ b/src/fescuedock/net/__init__.py
@@ -1,1 +1,1 @@
-"""Transport: HTTP by h11, and messages between our processes by ZeroMQ, both on trio."""
+"""Transport on trio: HTTP with h11, and messages between fescuedock processes with ZeroMQ."""
--- a/src/fescuedock/net/channel.py
+++ b/src/fescuedock/net/channel.py
@@ -1,10 +1,10 @@
-"""Calls and pushes between our processes: ZeroMQ DEALER and ROUTER sockets under trio.
+"""Calls and pushes between fescuedock processes: ZeroMQ DEALER and ROUTER sockets under trio.
 
 A call has one answer, matched by its number; a push has none.  A call that times out may or may
-not have been executed, so every handler must bear being called again.
+not have been executed, so every handler must be idempotent.
 
-ZeroMQ's file descriptor is edge-triggered and stands for both directions: reading its events or
-sending may use up the edge.  So every send is followed by a drain of what can be received.
+ZeroMQ's file descriptor is edge-triggered and covers both directions: reading its events or sending
+may consume the edge.  Therefore every send is followed by receiving all pending messages.
 """
 
 import itertools
@@ -24,22 +24,22 @@
 __all__ = ["CallHandler", "ChannelClient", "Peer", "PushHandler", "serve_channel"]
 
 _HIGH_WATER_MESSAGES = 10000
-# A connection that has gone silent without a reset is given up after 4 s: idle for 2 s, then two
-# questions of the kernel's, a second apart; or 4 s after a byte that was not acknowledged.
-# ZeroMQ's own heartbeats would do as much, but wake both processes for each.
+# A connection that becomes silent without a reset is closed after 4 s: after 2 s of idle time and
+# two TCP keepalive probes one second apart, or 4 s after a byte that was not acknowledged.
+# ZeroMQ's own heartbeats would achieve the same, but wake both processes for each one.
 _KEEPALIVE_IDLE_S = 2
 _KEEPALIVE_INTERVAL_S = 1
 _KEEPALIVE_COUNT = 2
 _UNACKNOWLEDGED_MS = 4000
 _CALL_NUMBER_BYTES = 8
-# A push carries this in place of a call's number.
+# Call number of a push.
 _PUSH_NUMBER = bytes(_CALL_NUMBER_BYTES)
 
 PushHandler = Callable[[msgspec.Struct], None]
 
 
 class Peer:
-    """The far end of a server's connection, by which the server can push later."""
+    """The remote end of a server's connection, to which the server can push messages."""
 
     __slots__ = ("_identity", "_send")
 
@@ -48,7 +48,7 @@
         self._send = send
 
     def push(self, data: bytes) -> bool:
-        """Send encoded ``data`` without an answer; False when the peer has gone."""
+        """Send encoded ``data`` as a push; return False if the peer has disconnected."""
         return self._send([self._identity, _PUSH_NUMBER, data])
 
     def __eq__(self, other: object) -> bool:
@@ -63,7 +63,7 @@
 
 
 class ServerPeer:
-    """What a handler knows of its caller."""
+    """The caller of a handler."""
 
     __slots__ = ("_codec", "_peer")
 
@@ -72,7 +72,7 @@
         self._codec = codec
 
     def push(self, message: msgspec.Struct) -> bool:
-        """Send ``message`` to the caller without waiting; False when it has gone."""
+        """Send ``message`` to the caller without waiting; return False if it has disconnected."""
         return self._peer.push(self._codec.encode(message, _PUSH_NUMBER))
 
     def __eq__(self, other: object) -> bool:
@@ -83,7 +83,7 @@
 
 
 class _PumpedSocket:
-    """A ZeroMQ socket pumped by trio; received messages go to a plain function."""
+    """A ZeroMQ socket driven by trio; received messages are passed to a synchronous function."""
 
     __slots__ = ("_on_message", "_socket")
 
@@ -92,7 +92,7 @@
         self._on_message = on_message
 
     def send(self, frames: list[bytes]) -> bool:
-        """Queue ``frames``; False when the peer is unknown, its queue is full or we closed."""
+        """Queue ``frames``; return False if closed, the peer is unknown or its queue full."""
         if self._socket.closed:
             return False
         try:
@@ -138,11 +138,11 @@
     on_error: Callable[[Exception], None] = lambda error: None,
     task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Answer calls on ``address`` (port 0 takes a free one) until cancelled.
+    """Answer calls on ``address`` (port 0 selects a free one) until cancelled.
 
-    Reports the real ``Address`` through ``task_status``.  Messages that are not ours are dropped.
-    An error that a handler lets through goes to ``on_error`` and leaves its call unanswered, which
-    the caller takes for unknown.
+    Report the bound ``Address`` through ``task_status``.  Messages that cannot be decoded are
+    dropped.  An exception of a handler goes to ``on_error`` and leaves its call unanswered, so that
+    the outcome is unknown to the caller.
     """
     socket = _open_socket(zmq.ROUTER)
     socket.setsockopt(zmq.ROUTER_MANDATORY, 1)
@@ -179,7 +179,7 @@
 
 
 class ChannelClient:
-    """Calls one server.  Make it with ``ChannelClient.open``."""
+    """Calls one server.  Create it with ``ChannelClient.open``."""
 
     __slots__ = ("_codec", "_numbers", "_on_push", "_pending", "_pumped", "address")
 
@@ -195,7 +195,7 @@
     async def open(
         cls, address: Address, codec: Codec, on_push: PushHandler | None = None
     ) -> AsyncIterator["ChannelClient"]:
-        """Connect, and reconnect by itself, until the block is left."""
+        """Connect, and reconnect automatically, until the block exits."""
         client = cls(address, codec, on_push)
         socket = _open_socket(zmq.DEALER)
         client._pumped = _PumpedSocket(socket, client._receive)
@@ -209,13 +209,14 @@
             socket.close()
 
     def push(self, message: msgspec.Struct) -> bool:
-        """Send ``message`` without an answer; False when it could not even be queued."""
+        """Send ``message`` without an answer; return False if it could not be queued."""
         return self._pumped.send([_PUSH_NUMBER, self._codec.encode(message, _PUSH_NUMBER)])
 
     async def call(self, message: msgspec.Struct, timeout_ms: float) -> Result:
         """Return ``Ok(answer)``, or ``Err(Fault)``.
 
-        ``PEER_UNREACHABLE`` when nothing was sent; ``PEER_UNKNOWN`` when no answer came in time.
+        The fault is ``PEER_UNREACHABLE`` if nothing was sent, ``PEER_UNKNOWN`` if no answer arrived
+        within ``timeout_ms``.
         """
         number = next(self._numbers).to_bytes(_CALL_NUMBER_BYTES, "big")
         answered = trio.Event()
@@ -248,7 +249,7 @@
             return
         number, data = frames
         if number != _PUSH_NUMBER:
-            # A late answer finds nobody waiting and is dropped.
+            # A late answer has no pending call and is dropped.
             self._pending.get(number, _drop_late_answer)(data)
         elif self._on_push is not None:
             try:
@@ -258,4 +259,4 @@
 
 
 def _drop_late_answer(_data: bytes) -> None:
-    """Drop an answer that came too late."""
+    """Drop an answer that arrived after its call timed out."""
--- a/src/fescuedock/net/channel_pool.py
+++ b/src/fescuedock/net/channel_pool.py
@@ -1,4 +1,4 @@
-"""One channel client for each address, opened at first use."""
+"""A pool with one channel client for each address, opened at first use."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -13,7 +13,7 @@
 
 
 class ChannelPool:
-    """Open clients by address.  Make it with ``open_channel_pool``."""
+    """Open clients by address.  Create it with ``open_channel_pool``."""
 
     __slots__ = ("_codec", "_lock", "_nursery", "_open")
 
@@ -32,9 +32,9 @@
         return self._open[address][0]
 
     def discard(self, address: Address) -> None:
-        """Close the client of ``address``, dropping what its socket still has queued.
+        """Close the client of ``address`` and drop the messages queued in its socket.
 
-        Large messages to a peer that does not take them would otherwise fill the memory.
+        Large messages to a peer that does not receive them would otherwise fill the memory.
         """
         if address in self._open:
             _, scope = self._open.pop(address)
@@ -54,7 +54,7 @@
 
 @asynccontextmanager
 async def open_channel_pool(codec: Codec) -> AsyncIterator[ChannelPool]:
-    """Give a pool whose clients are closed when the block is left."""
+    """Yield a pool whose clients are closed when the block exits."""
     async with trio.open_nursery() as nursery:
         yield ChannelPool(codec, nursery)
         nursery.cancel_scope.cancel()
--- a/src/fescuedock/net/codec.py
+++ b/src/fescuedock/net/codec.py
@@ -1,7 +1,7 @@
-"""Messages as bytes: MessagePack by type name, under a keyed digest of a shared secret.
+"""Message encoding: type name and MessagePack body, authenticated by a keyed digest.
 
-A frame that fails its digest, names an unknown type or does not decode raises ``BadMessageError``
-and changes nothing.
+A frame with a wrong digest, an unknown type or an invalid body raises ``BadMessageError`` and has
+no effect.
 """
 
 import hashlib
@@ -18,7 +18,7 @@
 
 
 class BadMessageError(Exception):
-    """A message from outside that must be ignored; the text says why."""
+    """A received message that must be ignored; the text says why."""
 
 
 class Key(msgspec.Struct, frozen=True):
@@ -29,7 +29,7 @@
 
 
 def load_keys(path: Path) -> list[Key]:
-    """Read a key file of ``name hex`` lines, newest first; ``ValueError`` names a bad line."""
+    """Read a key file of ``name hex`` lines, newest first; raise ``ValueError`` for a bad line."""
     keys: list[Key] = []
     for number, line in enumerate(path.read_text(encoding="ascii").splitlines(), start=1):
         if not line.strip() or line.startswith("#"):
@@ -47,8 +47,8 @@
 class Codec:
     """Encodes and decodes the message types of the given schema modules.
 
-    It signs with the first key and accepts any, so that keys can be rotated with two in force.
-    Without keys there is no digest.
+    It signs with the first key and accepts every key, so that keys can be rotated while two are
+    valid.  Without keys there is no digest.
     """
 
     def __init__(self, modules: Iterable[ModuleType], keys: Sequence[Key] = ()) -> None:
@@ -60,7 +60,7 @@
             for name, item in vars(module).items()
             if isinstance(item, type) and issubclass(item, msgspec.Struct)
         }
-        # Made with the first message of a type: all of them together are 30 ms of a node's start.
+        # Created at the first message of each type: creating all takes 30 ms of a node's start.
         self._decoders: dict[str, msgspec.msgpack.Decoder] = {}
 
     def encode(self, message: msgspec.Struct, context: bytes = b"") -> bytes:
@@ -71,7 +71,7 @@
         return _digest(self._keys[0], context, body) + body
 
     def decode(self, data: bytes, context: bytes = b"") -> msgspec.Struct:
-        """Return the message in ``data``; raise ``BadMessageError`` for anything not ours."""
+        """Return the message in ``data``; raise ``BadMessageError`` if it is invalid."""
         body = self._verify(data, context)
         try:
             name, raw = msgspec.msgpack.decode(body, type=tuple[str, msgspec.Raw])
--- a/src/fescuedock/net/http_body.py
+++ b/src/fescuedock/net/http_body.py
@@ -1,8 +1,8 @@
-"""The body of an HTTP/1.1 answer, cut out of the bytes behind its head.
+"""Extracts the body of an HTTP/1.1 answer from the bytes after its head.
 
-h11 gives an event for each part of a chunk, which costs more than all else that is done to a small
-event of a stream; here the bytes that came together are given together.  The framing is that of
-RFC 9112, section 6.3; what it leaves open is refused.
+h11 returns an event for each part of a chunk, which costs more than the rest of the processing of a
+small stream event; this reader returns all received body bytes at once.  The framing follows RFC
+9112, section 6.3; anything the RFC leaves open is refused.
 """
 
 import re
@@ -12,19 +12,19 @@
 __all__ = ["BodyReader", "body_reader"]
 
 _CHUNK_SIZE = re.compile(rb"([0-9A-Fa-f]{1,16})[ \t]*(?:;[^\r\n]*)?")
-# Longest line of a chunk's size, and all trailers together.
+# Limits for a line with a chunk size, and for all trailers together.
 _MAX_LINE_BYTES = 4096
 _MAX_TRAILER_BYTES = 65536
 _NO_BODY_STATUS = (204, 304)
-# In place of a chunk's bytes that are left: only the end of its line is missing.
+# Value of the remaining bytes while only the line end after a chunk is missing.
 _AT_LINE_END = -2
 
 
 class BodyReader:
-    """Takes the bytes behind an answer's head; ``rest`` is what lies behind the body's end.
+    """Reads the bytes after an answer's head; ``rest`` holds those after the end of the body.
 
-    ``length_bytes`` is None for a body in chunks, and below 0 for one that its connection's end
-    ends.  ``feed`` and ``close`` raise ``h11.RemoteProtocolError``.
+    ``length_bytes`` is None for a chunked body, and below 0 for one that ends with its connection.
+    ``feed`` and ``close`` raise ``h11.RemoteProtocolError``.
     """
 
     __slots__ = ("_buffer", "_in_trailer", "_remaining_bytes", "_trailer_bytes", "chunked", "ended")
@@ -39,16 +39,16 @@
 
     @property
     def unframed(self) -> bool:
-        """Whether only the end of its connection ends it."""
+        """Whether the body ends only with its connection."""
         return self._remaining_bytes < 0 and not self.chunked
 
     @property
     def rest(self) -> bytes:
-        """What has come behind the end of the body."""
+        """The bytes received after the end of the body."""
         return self._buffer if self.ended else b""
 
     def feed(self, data: bytes) -> bytes:
-        """Take in ``data``; return what it holds of the body."""
+        """Process ``data``; return the body bytes in it."""
         if self.ended:
             self._buffer += data
             return b""
@@ -63,7 +63,7 @@
         return part
 
     def close(self) -> None:
-        """Take the end of the connection; an error unless the body was to end by it."""
+        """Handle the end of the connection; raise an error if the body is incomplete."""
         if not self.ended and (self.chunked or self._remaining_bytes >= 0):
             raise h11.RemoteProtocolError("connection closed within the answer")
         self.ended = True
@@ -92,7 +92,7 @@
             end = data.find(b"\r\n", position)
             if end < 0:
                 if len(data) - position > _MAX_LINE_BYTES:
-                    raise h11.RemoteProtocolError("the line of a chunk's size is too long")
+                    raise h11.RemoteProtocolError("the line with a chunk size is too long")
                 break
             line = data[position:end]
             position = end + 2
@@ -106,7 +106,7 @@
     def _parse_chunk_size(self, line: bytes) -> None:
         found = _CHUNK_SIZE.fullmatch(line)
         if found is None:
-            raise h11.RemoteProtocolError(f"{line[:40]!r} is no size of a chunk")
+            raise h11.RemoteProtocolError(f"{line[:40]!r} is not a chunk size")
         self._remaining_bytes = int(found[1], 16)
         self._in_trailer = not self._remaining_bytes
 
@@ -118,7 +118,7 @@
 
 
 def body_reader(method: str, response: h11.Response) -> BodyReader:
-    """Return the reader of the body that follows ``response``, whose headers h11 has checked."""
+    """Return a reader for the body of ``response``, whose headers h11 has validated."""
     if method == "HEAD" or response.status_code in _NO_BODY_STATUS:
         return BodyReader(0)
     fields = dict(response.headers)
--- a/src/fescuedock/net/http_client.py
+++ b/src/fescuedock/net/http_client.py
@@ -1,10 +1,10 @@
 """An HTTP/1.1 client whose errors say whether the request may have reached the server.
 
-A connection is reused only when its last answer was read to the end and nothing unread waits on
-it: anything else is closed, so that no caller can get the answer to somebody else's request.
+A connection is reused only if its last answer was read to the end and no unread bytes are pending
+on it.  Any other connection is closed, so that no caller can get the answer to another request.
 
-Between a caller's decision to send and the writing lie a connection and whatever else this process
-runs, or does not run when it is paused.  So the decision is asked for again at the writing itself.
+Between a caller's decision to send and the write, time passes for connecting, for other tasks, or
+because the process is paused.  So the decision is checked again immediately before the write.
 """
 
 import enum
@@ -41,25 +41,25 @@
 _RECEIVE_BYTES = 65536
 _MAX_HEADER_BYTES = 65536
 _KEEP_ALIVE_TIMEOUT = re.compile(r"timeout\s*=\s*(\d+)")
-# A request must have arrived before the server closes: more than the slowest way there.
+# A request must arrive before the server closes: longer than the slowest network transit.
 _KEEP_ALIVE_MARGIN_S = 0.25
-# Requests of a kept connection whose late answers may still come; attempts of one call follow each
-# other within seconds, in which a connection carries a few.
+# Number of previous requests on a connection whose late answers may still arrive.  Attempts of one
+# call follow each other within seconds, in which a connection carries only a few requests.
 _MAX_CARRIED_IDENTITIES = 32
-# SO_LINGER switched on with 0 s: a close discards what was not sent or acknowledged, and resets.
+# SO_LINGER with 0 s: closing discards unsent and unacknowledged bytes and resets the connection.
 _DISCARD_UNSENT = struct.pack("ii", 1, 0)
 
-# Returns why a request must not be sent any more, None when it may; neither waits nor does I/O.
+# Returns why a request must no longer be sent, None if it may; must not wait or do I/O.
 SendCheck = Callable[[], enum.Enum | None]
 
 
 class ConnectResult(enum.Enum):
-    """What became of a connection that nothing is sent on."""
+    """The result of connecting without sending anything."""
 
     ACCEPTED = enum.auto()
-    # No process listens there.
+    # No process listens on the port.
     REFUSED = enum.auto()
-    # Nobody answered in time, or there is no way.
+    # No reply within the timeout, or no route.
     UNKNOWN = enum.auto()
 
 
@@ -68,9 +68,9 @@
 
 
 class WithdrawnError(Exception):
-    """No byte of the request was sent, as its caller's check refused it when it was to be written.
+    """No byte of the request was sent, because its check refused it just before the write.
 
-    Says nothing of the server, so it is no ``NotSentError``.
+    It says nothing about the server, so it is not a ``NotSentError``.
     """
 
     def __init__(self, address: Address, refusal: enum.Enum) -> None:
@@ -79,9 +79,9 @@
 
 
 class ResponseLostError(Exception):
-    """The request may have been executed; its answer is missing or ended early.
+    """The request may have been executed; its answer is missing or truncated.
 
-    ``head_received`` tells a truncated answer from one that never began.
+    ``head_received`` distinguishes a truncated answer from a missing one.
     """
 
     def __init__(self, message: str, *, head_received: bool = False) -> None:
@@ -90,13 +90,13 @@
 
 
 class ResponseTooLargeError(Exception):
-    """The answer is longer than the reader's limit."""
+    """The answer exceeds the limit of the reader."""
 
 
 class ClientResponse:
     """The answer to one request; its body can be read once.
 
-    ``header_fields`` has all headers in order; of a repeated one ``headers`` has the last.
+    ``header_fields`` holds all headers in order; ``headers`` has the last value of repeated ones.
     """
 
     __slots__ = ("_connection", "header_fields", "headers", "status")
@@ -110,7 +110,7 @@
         self._connection = connection
 
     def chunks(self) -> AsyncIterator[bytes]:
-        """Iterate over the body as it comes; ``ResponseLostError`` when it ends early."""
+        """Iterate over the body as it arrives; raise ``ResponseLostError`` if it is truncated."""
         return self
 
     def __aiter__(self) -> AsyncIterator[bytes]:
@@ -123,10 +123,10 @@
         return data
 
     async def read_some(self) -> bytes:
-        """Return all that has come of the body, waiting only while nothing has; empty at its end.
+        """Return all received body bytes, waiting only if there are none; empty at the end.
 
-        A stream's events that came together cost one wake-up, not one each.  When the answer breaks
-        off behind something, that is returned, and the next read fails.
+        Stream events that arrived together cost one wake-up, not one each.  If the answer breaks
+        off after some bytes, these are returned, and the next read fails.
         """
         data = self._connection.pop_body()
         while not data and not self.ended:
@@ -134,12 +134,12 @@
         return data
 
     def read_ready(self) -> bytes:
-        """Return what has come of the body by now, without waiting."""
+        """Return the body bytes received so far, without waiting."""
         return self._connection.pop_body() + self._connection.receive_body_now()
 
     @property
     def unframed(self) -> bool:
-        """Whether the body has neither a length nor chunks, and ends with the connection."""
+        """Whether the body has neither a length nor chunks, so that it ends with the connection."""
         return self._connection.body_unframed
 
     @property
@@ -148,7 +148,7 @@
         return self._connection.body_ended
 
     async def read(self, limit_bytes: int = 16 * 1024 * 1024) -> bytes:
-        """Return the whole body; ``ResponseTooLargeError`` over ``limit_bytes``."""
+        """Return the complete body; raise ``ResponseTooLargeError`` over ``limit_bytes``."""
         parts: list[bytes] = []
         size_bytes = 0
         async for part in self.chunks():
@@ -160,17 +160,17 @@
 
 
 def unchecked() -> None:
-    """Allow a request, whatever has become of what its caller knew."""
+    """Allow every request without a check."""
 
 
-# Tells from an answer's headers whether it belongs to the request that was sent.
+# Decides by an answer's headers whether it belongs to the request that was sent.
 IsAnswer = Callable[[Headers], bool]
 
 
 class HttpClient(msgspec.Struct):
-    """Makes requests, keeping a few idle connections for each address.
+    """Makes requests, reusing up to ``max_idle_per_address`` idle connections per address.
 
-    ``on_connect`` is told of each new connection.
+    ``on_connect`` is called for each new connection.
     """
 
     connect_timeout_ms: int = 2000
@@ -194,25 +194,25 @@
         check: SendCheck = unchecked,
         identity: str = "",
     ) -> AsyncIterator[ClientResponse]:
-        """Send one request and give its answer; leaving the block early cuts the connection.
+        """Send one request and yield its answer; leaving the block early closes the connection.
 
-        ``headers`` may name another host than the address.  An answer that ``is_answer`` does not
-        take is a late one to somebody else's request; it is read and dropped, and the next counts.
+        ``headers`` may contain a host that differs from the address.  An answer that ``is_answer``
+        rejects is a late one to another request; it is read and dropped, and the next one is used.
 
         ``answer_timeout_ms`` bounds the time from the connection to the answer's head; after it
-        the answer counts as lost.  The body's time is the reader's to bound.
+        the answer counts as lost.  The reader must bound the time for the body.
 
-        ``fresh`` forces a new connection: a reused one may have been closed by the server just
-        as we wrote to it, and then nobody can say whether the request arrived.
+        ``fresh`` forces a new connection: the server may close a reused one just when the request
+        is written, and then it is unknown whether the request arrived.
 
-        ``check`` is asked right before the first byte is handed to the kernel, with nothing of this
-        process in between; ``WithdrawnError`` when it refuses.
+        ``check`` is called immediately before the first byte is passed to the kernel, without a
+        checkpoint in between; raise ``WithdrawnError`` if it refuses.
 
-        ``identity`` is that of the work, if ``is_answer`` goes by it: no connection carries one
-        twice, as a late answer to the first attempt would pass for that to the second.
+        ``identity`` identifies the work, if ``is_answer`` relies on it: no connection carries the
+        same one twice, since a late answer to the first attempt would match the second one.
         """
-        # On a kept connection the request is written without a checkpoint: a caller that had been
-        # cancelled just before would still have it run.
+        # On a reused connection the request is written without a checkpoint: without this one, a
+        # caller that was cancelled just before would still send it.
         await trio.lowlevel.checkpoint_if_cancelled()
         connection = None if fresh else self._pop_idle(address, identity)
         if connection is None:
@@ -233,7 +233,7 @@
             connection.abort()
 
     async def try_connect(self, address: Address) -> ConnectResult:
-        """Find out whether a server takes new connections, without sending anything."""
+        """Check whether a server accepts new connections, without sending anything."""
         try:
             with trio.fail_after(self.connect_timeout_ms / 1000):
                 stream = await trio.open_tcp_stream(address.host, address.port)
@@ -244,17 +244,17 @@
         return ConnectResult.ACCEPTED
 
     def has_idle(self, address: Address) -> bool:
-        """Whether a connection is kept that its server should still have; costs no system call."""
+        """Whether an idle connection is within its keep-alive time; makes no system call."""
         now_s = trio.current_time()
         return any(item.is_kept_alive(now_s) for item in (self._idle or {}).get(address, ()))
 
     def drop_idle(self, address: Address) -> None:
-        """Close the idle connections to a server that has gone."""
+        """Close the idle connections to a server that no longer exists."""
         for connection in (self._idle or {}).pop(address, ()):
             connection.abort()
 
     async def close(self) -> None:
-        """Close the idle connections; never waits, so it works while being cancelled too."""
+        """Close the idle connections; it never waits, so it also works while cancelled."""
         for connections in (self._idle or {}).values():
             for connection in connections:
                 connection.abort()
@@ -294,7 +294,7 @@
 
 
 def _is_refused(error: Exception) -> bool:
-    """Whether a connection was refused; trio gives the reason as the cause, or in a group."""
+    """Whether a connection was refused; trio sets the reason as the cause, or in its group."""
     causes = [error, error.__cause__]
     if isinstance(error.__cause__, BaseExceptionGroup):
         causes += error.__cause__.exceptions
@@ -303,7 +303,7 @@
 
 @asynccontextmanager
 async def open_http_client(connect_timeout_ms: int = 2000) -> AsyncIterator[HttpClient]:
-    """Give a client whose idle connections are closed with the block."""
+    """Yield a client whose idle connections are closed when the block exits."""
     client = HttpClient(connect_timeout_ms)
     try:
         yield client
@@ -317,11 +317,11 @@
         with trio.fail_after(timeout_ms / 1000):
             yield
     except trio.TooSlowError as error:
-        raise ResponseLostError(f"{address} did not answer in {timeout_ms:g} ms") from error
+        raise ResponseLostError(f"{address} did not answer within {timeout_ms:g} ms") from error
 
 
 class _Message(msgspec.Struct, frozen=True):
-    """A request as it goes out."""
+    """A request to send."""
 
     method: str
     target: str
@@ -353,15 +353,15 @@
     )
 
     def __init__(self, stream: trio.SocketStream) -> None:
-        # Identities of the newest requests.
+        # Identities of the latest requests.
         self.carried: deque[str] = deque(maxlen=_MAX_CARRIED_IDENTITIES)
         self._protocol = h11.Connection(h11.CLIENT, _MAX_HEADER_BYTES)
         self._stream = stream
         self._is_partly_sent = False
-        # A request was written, and its answer has not begun.
+        # A request was written, and its answer has not started.
         self._is_unanswered = False
         self._idle_until_s = math.inf
-        # Of the answer that is being read: its body, and what came of it with the head.
+        # The body of the current answer, and its bytes that arrived together with the head.
         self._body = BodyReader(0)
         self._unread_body = b""
 
@@ -385,9 +385,9 @@
         return ClientResponse(response.status_code, fields, self)
 
     async def _send(self, address: Address, data: bytes, check: SendCheck) -> None:
-        """Send a request; an answer that comes before all of it has gone ends the sending.
+        """Send a request; stop sending if an answer arrives before the request is sent entirely.
 
-        A server may answer first and read on later, so waiting for it to read could be for ever.
+        Such a server may never read the rest, so waiting for that could take forever.
         """
         sent_bytes = await self._send_first(address, data, check)
         if sent_bytes == len(data):
@@ -412,10 +412,10 @@
             raise ResponseLostError(f"connection to {address} broke while sending") from error
 
     async def _send_first(self, address: Address, data: bytes, check: SendCheck) -> int:
-        """Hand the kernel the beginning of a request, and usually all, if ``check`` allows it.
+        """Pass the start of a request, usually all of it, to the kernel if ``check`` allows it.
 
-        No checkpoint may come between the check and the writing: what it looks at could change, and
-        a process that is paused there for long goes on with the writing.
+        There must be no checkpoint between the check and the write: the checked state could change
+        in between, and a process that is paused there for long would still write.
         """
         while True:
             refusal = check()
@@ -428,7 +428,7 @@
             await trio.lowlevel.wait_writable(self._stream.socket)
 
     def _send_now(self, address: Address, data: bytes) -> int:
-        """Hand the kernel what it takes without waiting, which is usually all."""
+        """Write as much as the kernel accepts without waiting, usually everything."""
         try:
             return os.write(self._stream.socket.fileno(), data)
         except BlockingIOError:
@@ -445,13 +445,13 @@
         return event
 
     async def _skip_answer(self, address: Address, events: list[h11.Event]) -> None:
-        """Read an answer to another request to its end, and expect that to ours behind it."""
+        """Read an answer to another request to its end; the answer to this one follows."""
         while not self._body.ended:
             await self.receive_body()
         if self._protocol.our_state is not h11.DONE:
             raise ResponseLostError(f"{address} closed after another request's answer")
         rest = self._body.rest
-        # The request has been sent already; only the state has to know of it.
+        # The request was sent already; this only updates the protocol state.
         self._protocol = h11.Connection(h11.CLIENT, _MAX_HEADER_BYTES)
         for sent in events:
             self._protocol.send(sent)
@@ -459,13 +459,13 @@
             self._protocol.receive_data(rest)
 
     def _begin_body(self, method: str, response: h11.Response) -> None:
-        """Take what h11 has received behind the head; from here on it gets no more bytes."""
+        """Take the bytes that h11 received after the head; it receives no more from here on."""
         self._body = body_reader(method, response)
         data, _ = self._protocol.trailing_data
         self._unread_body = self._feed_body(data) if data else b""
 
     async def next_event(self) -> object:
-        """Return h11's next event up to the head of the answer."""
+        """Return h11's next event, up to the head of the answer."""
         while True:
             try:
                 event = self._protocol.next_event()
@@ -477,28 +477,28 @@
 
     @property
     def body_unframed(self) -> bool:
-        """Whether only the end of the connection ends the answer's body."""
+        """Whether the answer's body ends only with the connection."""
         return self._body.unframed
 
     @property
     def body_ended(self) -> bool:
-        """Whether all of the answer's body has come."""
+        """Whether the answer's body was received completely."""
         return self._body.ended
 
     def pop_body(self) -> bytes:
-        """Return what has been received of the body and was not taken yet."""
+        """Return the received body bytes that were not returned yet."""
         unread, self._unread_body = self._unread_body, b""
         return unread
 
     async def receive_body(self) -> bytes:
-        """Wait for more of the answer; return what it holds of the body, which may be nothing."""
+        """Wait for more of the answer; return the body bytes in it, which may be none."""
         try:
             return self._feed_body(await self._receive())
         except OSError as error:
             raise ResponseLostError(str(error), head_received=True) from error
 
     def receive_body_now(self) -> bytes:
-        """Receive what has come of the answer's body, if anything has."""
+        """Return the body bytes that can be received without waiting."""
         if self._body.ended:
             return b""
         try:
@@ -518,7 +518,7 @@
         return b""
 
     async def _receive(self) -> bytes:
-        """Wait for bytes first and read then: a stream's next token is seldom there already."""
+        """Wait before reading: the next token of a stream has rarely arrived already."""
         while True:
             await trio.lowlevel.wait_readable(self._stream.socket)
             try:
@@ -527,8 +527,9 @@
                 continue
 
     def reusable(self) -> bool:
-        """Make ready for another request; False when the answer was not read to its end."""
-        # h11 saw the heads of both, so its own side is done only where neither is to be the last.
+        """Prepare for another request; return False if the connection cannot be reused."""
+        # h11 saw the heads of request and answer, so its state is DONE only if neither of them
+        # closes the connection.
         if not self._body.ended or self._body.rest or self._unread_body or self._is_partly_sent:
             return False
         if self._protocol.our_state is not h11.DONE:
@@ -537,28 +538,28 @@
         return True
 
     def is_kept_alive(self, now_s: float) -> bool:
-        """Whether the server said that it keeps the idle connection for longer."""
+        """Whether the keep-alive time that the server announced has not passed yet."""
         return now_s < self._idle_until_s
 
     def is_usable(self) -> bool:
-        """Whether the server keeps the idle connection for sure, and nothing unread waits on it."""
+        """Whether the connection is within its keep-alive time and has no unread bytes."""
         if not self.is_kept_alive(trio.current_time()):
             return False
         return not self._stream.socket.is_readable()
 
     def abort(self) -> None:
-        """Close at once, without a checkpoint: what the attempt failed by stays its error.
+        """Close at once, without a checkpoint, so that the attempt keeps its original error.
 
-        A plain close lets the kernel go on sending what it holds.  When a way that was cut comes
-        back, a request would arrive that was given up long before; so an unanswered one is
-        discarded, as far as the server's kernel has not taken it.
+        After a plain close the kernel continues to send its buffered bytes.  When a broken network
+        path recovers, a request that was abandoned long before would arrive.  Therefore an
+        unanswered request is discarded, except for bytes that the server's kernel has accepted.
         """
         if self._is_unanswered:
             self._stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _DISCARD_UNSENT)
         self._stream.socket.close()
 
     def _record_keep_alive(self, text: str) -> None:
-        """Take the time for which the server keeps the connection, counted from its answer."""
+        """Record how long the server keeps the connection open after its answer."""
         found = _KEEP_ALIVE_TIMEOUT.search(text)
         if found is None:
             self._idle_until_s = math.inf
--- a/src/fescuedock/net/http_connection.py
+++ b/src/fescuedock/net/http_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection to the HTTP server: the h11 state and the socket."""
+"""A caller's connection to the HTTP server: the h11 state, the socket and its send buffer."""
 
 import os
 import socket
@@ -28,28 +28,28 @@
 LINGER_S = 1
 _RECEIVE_BYTES = 65536
 _LINGER_READS = 64
-# The line that h11 adds to the head of an answer without a length, in lower case.
+# Header that h11 adds to a response without a length, in lower case.
 _CHUNKED_LINE = b"\r\ntransfer-encoding: chunked\r\n"
 
-# SO_LINGER switched on with 0 s: a close discards what was not sent, and resets.
+# SO_LINGER with 0 s: closing discards unsent bytes and resets the connection.
 _DISCARD_UNSENT = struct.pack("ii", 1, 0)
 
 
 class DroppedConnectionError(Exception):
-    """The caller has left or takes nothing more, or a handler drops it; nothing is answered.
+    """The caller disconnected or stopped reading, or a handler drops it; there is no response.
 
-    Of its own kind, so that a socket error of a handler's other work is not taken for it.
+    A separate class, so that a socket error of a handler's other work is not mistaken for it.
     """
 
 
 class RequestTimeoutError(Exception):
-    """The request's head or body did not come in time."""
+    """The request's head or body did not arrive in time."""
 
 
 class HttpLimits(msgspec.Struct, frozen=True):
-    """Bounds of one connection.
+    """Limits of one connection.
 
-    ``header_timeout_ms`` runs from a head's first bytes to its end.
+    ``header_timeout_ms`` counts from the first bytes of a head to its end.
     """
 
     max_header_bytes: int = 32768
@@ -60,7 +60,7 @@
 
 
 class CutOff(msgspec.Struct, frozen=True):
-    """Why a slow caller was cut off, and what was held for it; ``total_bytes`` for all callers."""
+    """Why a slow caller was cut off; the bytes buffered for it, and for all callers together."""
 
     reason: str
     held_bytes: int
@@ -70,9 +70,9 @@
 class HttpConnection:
     """One caller's connection: the h11 state and the socket.
 
-    What the kernel does not take of a response is held here and sent as the caller reads.  ``held``
-    counts it for all connections of the process, together with what has come of requests, and says
-    who is cut off when it becomes too much.
+    Response bytes that the kernel does not accept are buffered and sent as the caller reads.
+    ``held`` counts them for all connections of the process, together with received request bytes,
+    and selects the callers to cut off when there are too many.
     """
 
     __slots__ = (
@@ -105,7 +105,7 @@
         held: HeldBytes | None = None,
         on_cut_off: Callable[[CutOff], None] = lambda cut_off: None,
     ) -> None:
-        """``limits_of`` gives the bounds now in force; ``is_closing`` asks for the last answer."""
+        """``limits_of`` returns the current limits, ``is_closing`` whether to close soon."""
         self.protocol = h11.Connection(h11.SERVER, limits_of().max_header_bytes)
         self._stream = stream
         self._limits_of = limits_of
@@ -114,38 +114,38 @@
         self._peer_closed = False
         self._held = held or HeldBytes(HeldBounds())
         self._on_cut_off = on_cut_off
-        # Why the connection takes nothing more; empty while it does.
+        # Why the caller was cut off; empty while it is served.
         self._cut_off = ""
-        # What the kernel has not taken; None as long as it has always taken all.
+        # Bytes that the kernel has not accepted; None until there are any.
         self._unsent: UnsentBytes | None = None
         self._is_waiting = False
-        # Set while a task sends what is held, and replaced at each progress.
+        # Set while a task sends buffered bytes; the event is replaced at each progress.
         self._drain_scope: trio.CancelScope | None = None
         self._progress = trio.Event()
-        # That of the request's handler.
+        # The nursery of the request's handler.
         self._nursery: trio.Nursery | None = None
-        # Of the request's body: what has come, what of it counts as held, the wait for more.
+        # The request's body: received bytes, those counted as held, and the wait for more.
         self._body_bytes = 0
         self._body_held_bytes = 0
         self._upload_scope: trio.CancelScope | None = None
         self._refusal = ""
-        # Whether the body of the answer that has begun goes out in chunks.
+        # Whether the body of the current response is chunked.
         self._in_chunks = False
 
     @property
     def body_read(self) -> bool:
-        """Whether the request was taken to its end."""
+        """Whether the request was read to its end."""
         return self._body_read.is_set()
 
     @property
     def closing(self) -> bool:
-        """Whether the next answer is to be the connection's last."""
+        """Whether the connection closes after the next response."""
         return self._is_closing()
 
     async def next_head(self) -> object | None:
-        """Wait for a request's head; None when the connection stays idle for too long.
+        """Wait for a request's head; return None if the connection is idle for too long.
 
-        ``RequestTimeoutError`` when a head that has begun is not whole in time.
+        Raise ``RequestTimeoutError`` if a head is incomplete after its timeout.
         """
         event = self.protocol.next_event()
         if event is not h11.NEED_DATA:
@@ -157,10 +157,10 @@
             with trio.fail_after(limit_ms / 1000):
                 return await self.next_event()
         except trio.TooSlowError as error:
-            raise RequestTimeoutError(f"the head was not whole in {limit_ms:g} ms") from error
+            raise RequestTimeoutError(f"the head was incomplete after {limit_ms:g} ms") from error
 
     async def _wait_first_bytes(self) -> bool:
-        """Receive once; False after the idle timeout, which may change while waiting."""
+        """Receive once; return False after the idle timeout, which may change while waiting."""
         since_s = trio.current_time()
         while (due_s := since_s + self._limits_of().idle_timeout_ms / 1000) > trio.current_time():
             with trio.move_on_at(due_s):
@@ -188,9 +188,9 @@
     # --- the response ----------------------------------------------------------------------------
 
     async def send_events(self, *events: h11.Event) -> None:
-        """Serialise and send; ``DroppedConnectionError`` when the caller takes nothing.
+        """Serialise and send; raise ``DroppedConnectionError`` if the caller reads nothing.
 
-        Waits like ``send_part``, but not behind the end of a response, which ``flush`` waits for.
+        It waits like ``send_part``, but not after the end of a response, for which ``flush`` waits.
         """
         data = b"".join(self.protocol.send(event) or b"" for event in events)
         if isinstance(events[0], h11.Response):
@@ -199,29 +199,29 @@
             await self._wait_room(is_end=isinstance(events[-1], h11.EndOfMessage))
 
     async def send_part(self, data: bytes) -> None:
-        """Send the next part of a streamed body, waiting while too much of it is held."""
+        """Send the next part of a streamed body, waiting while too much of it is buffered."""
         if not self.put_part(data):
             await self.wait_room()
 
     def put_part(self, data: bytes) -> bool:
-        """Send or hold the next part of a streamed body; False when ``wait_room`` must follow.
+        """Send or buffer the next part of a streamed body; False if ``wait_room`` must follow.
 
-        In chunks h11 need only know of its end.
+        Chunks are written here: h11 only needs to know the end of a chunked body.
         """
         if not self._in_chunks:
             return self._put(self.protocol.send(h11.Data(data=data)) or b"")
         return not data or self._put(b"%x\r\n%b\r\n" % (len(data), data))
 
     async def wait_room(self) -> None:
-        """Wait until the caller has taken enough; ``DroppedConnectionError`` when it does not."""
+        """Wait for buffer space; raise ``DroppedConnectionError`` if the caller reads nothing."""
         await self._wait_room(is_end=False)
 
     def _put(self, data: bytes) -> bool:
-        """Hand the kernel what it takes, and hold the rest; whether no wait need follow."""
+        """Write what the kernel accepts and buffer the rest; return True if no wait must follow."""
         if self._is_waiting:
             raise trio.BusyResourceError("two tasks answer one request")
         if self._cut_off:
-            # Bytes before these are gone; its handler is cancelled at its next checkpoint only.
+            # Earlier bytes were dropped, but the handler runs until its next checkpoint.
             self._check_open()
         if self._unsent is not None and self._unsent.size_bytes:
             self._buffer(memoryview(data))
@@ -232,10 +232,10 @@
         return self._has_room() and self._drain_scope is not None
 
     def _send_now(self, data: bytes) -> int:
-        """Hand the kernel what it takes without waiting, the usual case by far.
+        """Write as much as the kernel accepts without waiting, nearly always everything.
 
-        Saves a checkpoint and a cancel scope for each streamed token; fairness is kept by the
-        caller's own reads.
+        It saves a checkpoint and a cancel scope for each streamed token; the reads of the code that
+        calls this are the checkpoints that keep scheduling fair.
         """
         try:
             return os.write(self._stream.socket.fileno(), data)
@@ -249,7 +249,7 @@
 
     def _buffer(self, data: memoryview) -> None:
         if self._unsent is None:
-            # Imported at the first slow caller, which a start need not wait for.
+            # Imported at the first slow caller, so that it does not delay the start.
             from fescuedock.net.unsent import UnsentBytes
 
             self._unsent = UnsentBytes()
@@ -261,7 +261,7 @@
         return self._unsent_bytes() <= self._held.bounds.call_bytes
 
     async def _wait_room(self, *, is_end: bool) -> None:
-        """Have what is held sent; wait for it as far as the bound of one response asks for."""
+        """Start sending buffered bytes; wait until they are within the limit of one response."""
         self._check_open()
         if self._nursery is None or not self._held.bounds.call_bytes:
             await self.flush()
@@ -280,9 +280,9 @@
         self._check_open()
 
     async def flush(self) -> None:
-        """Wait until the caller has taken all that is held for it.
+        """Wait until the caller has received all buffered bytes.
 
-        ``DroppedConnectionError`` when it takes nothing for the write timeout or is cut off.
+        Raise ``DroppedConnectionError`` if it reads nothing for the write timeout or is cut off.
         """
         self._is_waiting = True
         try:
@@ -296,15 +296,15 @@
         self._check_open()
 
     async def _drain_in_background(self, scope: trio.CancelScope) -> None:
-        """Send what is held beside the handler, and cancel that when the caller takes nothing."""
+        """Send buffered bytes while the handler runs; cancel it if the caller reads nothing."""
         try:
             await self._drain(scope)
         except DroppedConnectionError:
-            # What the handler would get from its next write.
+            # The handler's next write would raise this error.
             self._nursery.cancel_scope.cancel()
 
     async def _drain(self, scope: trio.CancelScope) -> None:
-        """Send what is held as the caller reads; ``scope`` ends it when the caller is cut off."""
+        """Send buffered bytes as the caller reads; ``scope`` is cancelled at a cut-off."""
         try:
             with scope:
                 scope.deadline = self._write_deadline_s()
@@ -312,8 +312,8 @@
                     await trio.lowlevel.wait_writable(self._stream.socket)
                     self._send_unsent()
                     if self._held.bounds.call_bytes:
-                        # Where a producer waits for each part, the time is that of the part: the
-                        # kernel's buffers grow, and a caller that reads nothing would get on.
+                        # Not if a producer waits for each part: then the timeout applies to the
+                        # part, since growing kernel buffers make progress without any reads.
                         scope.deadline = self._write_deadline_s()
             if scope.cancelled_caught and not self._cut_off:
                 self.cut_off("takes nothing")
@@ -341,10 +341,10 @@
     # --- cutting off -----------------------------------------------------------------------------
 
     def cut_off(self, reason: str) -> None:
-        """Give up a slow caller: free what is held for it, and end what goes on for it.
+        """Cut off a slow caller: free its buffered bytes and cancel its handler.
 
-        Its response is never made to look complete: the connection is reset, also where the kernel
-        holds the rest of the response.  A request that has not come whole is still refused.
+        The response never looks complete: the connection is reset, even if the kernel holds the
+        rest of the response.  An incomplete request is refused with an error response instead.
         """
         held_bytes = self._unsent_bytes() or self._body_bytes
         self._free()
@@ -380,7 +380,7 @@
         return _RequestBody(self)
 
     async def next_body_part(self) -> bytes | None:
-        """Return the next bytes of the request's body, None after its end."""
+        """Return the next bytes of the request's body, or None at its end."""
         if self._body_read.is_set():
             return None
         event = self.protocol.next_event()
@@ -396,7 +396,7 @@
         return None
 
     async def _wait_body(self) -> object:
-        """Wait for more of a body; what has come of it counts as held meanwhile."""
+        """Wait for more of a body; its received bytes count as held in the meantime."""
         limit_ms = self._limits_of().read_timeout_ms
         event: object = None
         with trio.move_on_after(limit_ms / 1000) as scope:
@@ -407,7 +407,7 @@
             finally:
                 self._upload_scope = None
         if event is None:
-            message = f"nothing of the body came for {limit_ms:g} ms"
+            message = f"no bytes of the body arrived for {limit_ms:g} ms"
             raise RequestTimeoutError(self._refusal or message)
         return event
 
@@ -418,11 +418,11 @@
             self._cut_off_slowest(self._held.note_received(self, new_bytes, now_ms()))
 
     def set_handler_nursery(self, nursery: trio.Nursery) -> None:
-        """Run what is done beside the request's handler in ``nursery``, which is the handler's."""
+        """Run tasks that accompany the request's handler in ``nursery``, which is the handler's."""
         self._nursery = nursery
 
     def begin_body(self, head: h11.Request) -> None:
-        """Take the end of a request without a body, so that watching can begin at once."""
+        """Handle the end of a request without a body, so that disconnects are watched at once."""
         self._body_bytes = self._body_held_bytes = 0
         names = {bytes(name) for name, _ in head.headers}
         if not names & {b"content-length", b"transfer-encoding"}:
@@ -430,17 +430,17 @@
             self._body_read.set()
 
     async def watch_disconnect(self, handler_scope: trio.CancelScope) -> None:
-        """Cancel ``handler_scope`` when the caller closes before its answer is complete."""
+        """Cancel ``handler_scope`` if the caller disconnects before its response is complete."""
         await self._body_read.wait()
         while not self._peer_closed:
             if self.protocol.trailing_data[0]:
-                # A pipelined request: stop reading, so that the caller cannot fill our memory.
+                # A pipelined request: stop reading, so that the caller cannot fill the memory.
                 return
             await self._receive()
         handler_scope.cancel()
 
     async def prepare_next(self) -> bool:
-        """Make ready for the next request on this connection; False when there can be none."""
+        """Prepare for the next request on this connection; return False if there can be none."""
         self._nursery = None
         if self._cut_off or self._unsent_bytes():
             return False
@@ -451,9 +451,9 @@
         return True
 
     async def close(self) -> None:
-        """Close, first reading a little of what the caller still sends.
+        """Close, after reading some of the bytes that the caller still sends.
 
-        Closing with unread bytes resets the connection, which can destroy our answer on its way.
+        Closing with unread bytes resets the connection, which can destroy a response in transit.
         """
         self._free()
         if not self.body_read and not self._peer_closed and not self._cut_off:
@@ -471,7 +471,7 @@
 
 
 class _RequestBody:
-    """Iterates over a request's body; unlike a generator it may be left at any point."""
+    """Iterates over a request's body; unlike a generator it needs no close if left early."""
 
     __slots__ = ("_connection",)
 
--- a/src/fescuedock/net/http_messages.py
+++ b/src/fescuedock/net/http_messages.py
@@ -1,4 +1,4 @@
-"""What an HTTP handler works with: the request, the responder, and the body of an error."""
+"""The interface of HTTP handlers: the request, the responder, and the body of an error."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable, Mapping, Sequence
 from contextlib import asynccontextmanager
@@ -22,7 +22,7 @@
 
 Headers = Sequence[tuple[str, str]]
 _JSON_TYPE = ("content-type", "application/json")
-# Concern one connection only, and are not passed on (RFC 9110, section 7.6.1).
+# Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1).
 HOP_HEADERS = frozenset(
     {
         "connection",
@@ -40,13 +40,13 @@
 
 
 class BodyTooLargeError(Exception):
-    """The request's body is over the limit the reader gave."""
+    """The request's body exceeds the limit of the reader."""
 
 
 class Request(msgspec.Struct):
-    """One request.  Header names are lower case; of a repeated header the last counts.
+    """One request.  Header names are lower case; ``headers`` has the last value of repeated ones.
 
-    ``header_fields`` has all of them in order, for who passes the request on.
+    ``header_fields`` holds all headers in order, for code that forwards the request.
     """
 
     method: str
@@ -58,9 +58,9 @@
     header_fields: Headers = ()
 
     async def read(self, limit_bytes: int) -> bytes:
-        """Return the whole body; ``BodyTooLargeError`` when it is over ``limit_bytes``."""
+        """Return the complete body; raise ``BodyTooLargeError`` if it is over ``limit_bytes``."""
         first = b""
-        # Of a body that trickles in each part would cost far more than its bytes.
+        # One buffer, as a bytes object for each part of a slow body would cost far more memory.
         more = bytearray()
         async for part in self.body:
             if len(first) + len(more) + len(part) > limit_bytes:
@@ -73,7 +73,7 @@
 
 
 class Responder:
-    """Sends the one response of a request, whole or as a stream."""
+    """Sends the single response of a request, complete or as a stream."""
 
     __slots__ = ("_connection", "started")
 
@@ -82,20 +82,20 @@
         self.started = False
 
     def answer_as_http_1_0(self) -> None:
-        """Have a streamed response end with its connection instead of in chunks."""
+        """Make a streamed response end with its connection instead of using chunks."""
         self._connection.protocol.their_http_version = b"1.0"
 
     async def send(self, status: int, body: bytes = b"", headers: Headers = ()) -> None:
-        """Send a whole response; a body without a content type is JSON."""
+        """Send a complete response; a body without a content type is JSON."""
         fields = list(headers)
         if not any(name.lower() == "content-type" for name, _ in fields):
             fields.append(_JSON_TYPE)
         fields.append(("content-length", str(len(body))))
         if not self._connection.body_read or self._connection.closing:
-            # The rest of the body is in the way of the next request.
+            # Unread bytes of the body precede the next request.
             fields.append(("connection", "close"))
         self.started = True
-        # One write for head and body: two small ones would wait for each other's ACK.
+        # A single write for head and body: of two small ones, the second would wait for an ACK.
         await self._connection.send_events(
             h11.Response(status_code=status, headers=fields),
             h11.Data(data=body),
@@ -106,7 +106,7 @@
         await self.send(status, msgspec.json.encode(value), headers)
 
     async def send_fault(self, fault: Fault, headers: Headers = ()) -> None:
-        """Send ``fault`` in the OpenAI error shape with code, name and outcome."""
+        """Send ``fault`` in OpenAI's error format, with code, name and outcome."""
         fields = list(headers)
         if fault.retry_after_ms:
             fields.append(("retry-after", str(max(1, -(-fault.retry_after_ms // 1000)))))
@@ -115,18 +115,18 @@
 
     @asynccontextmanager
     async def stream(self, status: int, headers: Headers) -> AsyncIterator["ResponseStream"]:
-        """Open a streamed response; leaving the block normally ends it as whole.
+        """Start a streamed response; leaving the block normally ends it as complete.
 
         Leaving it by an exception breaks the connection, so that the caller sees a truncated
-        answer and never takes it for a whole one.
+        response and cannot mistake it for a complete one.
         """
         yield await self.begin(status, headers)
         await self.end()
 
     async def begin(self, status: int, headers: Headers, first: bytes = b"") -> "ResponseStream":
-        """Begin a streamed response; without ``end`` the caller sees a truncated answer.
+        """Start a streamed response; without ``end`` the caller sees a truncated response.
 
-        ``first`` goes out in one write with the head.
+        ``first`` is sent in one write with the head.
         """
         self.started = True
         fields = list(headers)
@@ -137,7 +137,7 @@
         return ResponseStream(self._connection)
 
     async def end(self) -> None:
-        """End a streamed response as whole."""
+        """End a streamed response as complete."""
         await self._connection.send_events(h11.EndOfMessage())
 
 
@@ -150,15 +150,15 @@
         self._connection = connection
 
     async def write(self, data: bytes) -> None:
-        """Send ``data``, waiting while the caller is slow and too much is held for it."""
+        """Send ``data``, waiting while the caller is slow and too much is buffered for it."""
         await self._connection.send_part(data)
 
     def put(self, data: bytes) -> bool:
-        """Send or hold ``data`` without waiting; False when ``wait_room`` must follow."""
+        """Send or buffer ``data`` without waiting; return False if ``wait_room`` must follow."""
         return self._connection.put_part(data)
 
     async def wait_room(self) -> None:
-        """Wait until the caller has taken enough of what is held for it."""
+        """Wait until there is room in the buffer for the caller."""
         await self._connection.wait_room()
 
 
@@ -166,7 +166,7 @@
 
 
 def fault_body(fault: Fault) -> bytes:
-    """Return ``fault`` as the JSON error body that callers get."""
+    """Return ``fault`` as a JSON error body."""
     error = {
         "message": fault.message,
         "type": "invalid_request_error" if fault.http_status < 500 else "server_error",
--- a/src/fescuedock/net/http_server.py
+++ b/src/fescuedock/net/http_server.py
@@ -1,7 +1,7 @@
 """An HTTP/1.1 server: h11 for the protocol, trio for the sockets.
 
-A handler gets the request and a responder.  It is cancelled when its caller disconnects, so
-whatever it must finish regardless it shields itself.
+A handler receives the request and a responder.  It is cancelled when its caller disconnects, so it
+must shield any work that it has to finish regardless.
 """
 
 import socket
@@ -54,18 +54,18 @@
 class HttpServer(msgspec.Struct):
     """Serves one handler on one listening address until it is stopped.
 
-    ``limits`` may be replaced at any time and holds for open connections too.  While ``draining``
-    each answer is the last one of its connection.
+    ``limits`` may be replaced at any time and also applies to open connections.  While
+    ``draining``, each connection closes after its next response.
     """
 
     handler: Handler
     limits: HttpLimits = msgspec.field(default_factory=HttpLimits)
     draining: bool = False
-    # Told of errors that a handler let through, which are faults of ours.
+    # Called with unexpected exceptions of a handler.
     on_error: Callable[[Exception], None] = lambda error: None
-    # Send buffer of the kernel for each connection; 0 leaves its size to the kernel.
+    # Size of the kernel's send buffer for each connection; 0 for the kernel's default.
     send_buffer_bytes: int = 0
-    # What is held for slow callers, here and at whatever else of this process shares it.
+    # Bytes buffered for slow callers, here and in other users of the same object.
     held: HeldBytes = msgspec.field(default_factory=lambda: HeldBytes(HeldBounds()))
     on_cut_off: Callable[[CutOff], None] = lambda cut_off: None
     in_flight: int = 0
@@ -75,16 +75,16 @@
     async def serve(
         self, address: Address, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Listen on ``address`` (port 0 takes a free one) until ``stop`` and the last request.
+        """Listen on ``address`` (port 0 selects a free one) until ``stop`` and the last request.
 
-        Reports the real ``Address`` through ``task_status``.
+        Report the bound ``Address`` through ``task_status``.
         """
         with naming_address(address):
             listeners = await trio.open_tcp_listeners(
                 address.port, host=address.host, backlog=_BACKLOG
             )
         if self.send_buffer_bytes:
-            # Accepted connections inherit it, which costs no call for each.
+            # Accepted connections inherit it without a system call for each.
             for listener in listeners:
                 listener.socket.setsockopt(
                     socket.SOL_SOCKET, socket.SO_SNDBUF, self.send_buffer_bytes
@@ -107,7 +107,7 @@
                 scope.cancel()
 
     def stop(self) -> None:
-        """Accept no more connections, close idle ones, and let requests in flight finish."""
+        """Stop accepting connections, close idle ones, and let requests in flight finish."""
         self._stopping.set()
 
     @property
@@ -132,7 +132,7 @@
                 await connection.close()
 
     async def _serve_request(self, connection: HttpConnection) -> bool:
-        """Serve one request; return whether the connection can carry another."""
+        """Serve one request; return whether the connection can be used for another one."""
         try:
             head = await self._next_head(connection)
         except h11.RemoteProtocolError as error:
@@ -154,7 +154,7 @@
         return not self.stopping and await connection.prepare_next()
 
     async def _next_head(self, connection: HttpConnection) -> h11.Request | None:
-        """Wait for a request's head; None when the caller left, idled out or we are stopping."""
+        """Wait for a request's head; None after a disconnect or idle timeout, or while stopping."""
         if self.stopping:
             return None
         with trio.CancelScope() as scope:
@@ -180,7 +180,7 @@
     async def _run_handler(
         self, connection: HttpConnection, request: Request, responder: Responder
     ) -> None:
-        """Run the handler; none of its errors may end the server or another caller's request."""
+        """Run the handler; its errors must not end the server or another caller's request."""
         try:
             await self.handler(request, responder)
         except DroppedConnectionError:
@@ -193,7 +193,7 @@
             try:
                 await _send_protocol_fault(connection, error)
             except DroppedConnectionError:
-                # It left in the middle of its request; raised on, this would end the whole server.
+                # The caller disconnected within its request; raising would end the entire server.
                 return
         except Exception as error:
             if _is_only_disconnect(error):
@@ -203,7 +203,7 @@
 
 
 async def _flush(connection: HttpConnection) -> None:
-    """Wait until a slow caller has the rest; one that leaves cancels this like its handler."""
+    """Wait until a slow caller has received the rest; a disconnect cancels this wait too."""
     try:
         await connection.flush()
     except DroppedConnectionError:
@@ -211,12 +211,12 @@
 
 
 def _is_only_disconnect(error: Exception) -> bool:
-    """Whether a handler's nursery raised nothing but its caller's disconnect."""
+    """Whether a handler's nursery raised nothing but the disconnect of its caller."""
     return isinstance(error, ExceptionGroup) and error.split(DroppedConnectionError)[1] is None
 
 
 async def _fail(responder: Responder, fault: Fault) -> None:
-    """Answer with ``fault`` unless an answer has begun, which then stays visibly truncated."""
+    """Send ``fault`` unless a response has started, which then is visibly truncated."""
     if responder.started:
         return
     try:
@@ -242,7 +242,7 @@
 
 
 def _is_ambiguous(head: h11.Request) -> bool:
-    """Whether a request has two lengths, by which others may see another request behind it."""
+    """Whether a request has two lengths, which servers may read differently (smuggling)."""
     names = {bytes(name) for name, _ in head.headers}
     return {b"content-length", b"transfer-encoding"} <= names
 
--- a/src/fescuedock/net/udp.py
+++ b/src/fescuedock/net/udp.py
@@ -1,4 +1,4 @@
-"""Datagrams under trio."""
+"""UDP sockets under trio."""
 
 import errno
 import socket
@@ -16,7 +16,7 @@
 
 
 class UdpSocket:
-    """A bound socket; make it with ``open_udp``."""
+    """A bound socket; create it with ``open_udp``."""
 
     __slots__ = ("_socket", "address")
 
@@ -26,16 +26,16 @@
         self.address = Address(host, port)
 
     def send(self, data: bytes, address: Address) -> bool:
-        """Send one datagram without waiting; False when the system would not take it."""
+        """Send one datagram without waiting; return False if the system does not accept it."""
         try:
             self._socket.sendto(data, (address.host, address.port))
         except OSError:
-            # A full buffer, or a host that the network says is unreachable: as good as lost.
+            # The buffer is full or the host unreachable: treated like a lost datagram.
             return False
         return True
 
     async def receive(self) -> list[tuple[bytes, Address]]:
-        """Wait for a datagram; return all that are there, with their senders' addresses."""
+        """Wait for a datagram; return all pending ones, with the addresses of their senders."""
         while True:
             await trio.lowlevel.wait_readable(self._socket)
             received = self._drain()
@@ -50,7 +50,7 @@
             except BlockingIOError:
                 return received
             except OSError as error:
-                # The answer of an earlier datagram's host, which says nothing about this socket.
+                # The ICMP reply to an earlier datagram, which says nothing about this socket.
                 if error.errno != errno.ECONNREFUSED:
                     raise
                 continue
@@ -59,7 +59,7 @@
 
 @contextmanager
 def open_udp(address: Address) -> Iterator[UdpSocket]:
-    """Bind ``address`` (port 0 takes a free one); ``OSError`` when that is impossible."""
+    """Bind ``address`` (port 0 selects a free one); raise ``OSError`` if that fails."""
     family = socket.AF_INET6 if ":" in address.host else socket.AF_INET
     with socket.socket(family, socket.SOCK_DGRAM) as bound:
         bound.setblocking(False)
--- a/src/fescuedock/net/unsent.py
+++ b/src/fescuedock/net/unsent.py
@@ -1,16 +1,16 @@
-"""Bytes of a response that the kernel has not taken yet."""
+"""Buffer for the bytes of a response that the kernel has not accepted yet."""
 
 import os
 from collections import deque
 
 __all__ = ["UnsentBytes"]
 
-# Small parts are joined up to this size; a larger part is split, so that what has gone is freed.
+# Small writes are joined up to this size and larger ones split, so that sent chunks are freed.
 _CHUNK_BYTES = 65536
 
 
 class UnsentBytes:
-    """A queue of bytes in pieces, each freed once it has gone."""
+    """A queue of bytes in chunks, each freed once it was sent."""
 
     __slots__ = ("_chunks", "_sent_of_first_bytes", "size_bytes")
 
@@ -20,7 +20,7 @@
         self.size_bytes = 0
 
     def append(self, data: memoryview) -> None:
-        """Copy ``data`` to the end."""
+        """Append a copy of ``data``."""
         self.size_bytes += len(data)
         while data:
             if not self._chunks or len(self._chunks[-1]) >= _CHUNK_BYTES:
@@ -30,9 +30,9 @@
             data = data[room_bytes:]
 
     def write_to(self, fileno: int) -> int:
-        """Hand the kernel what it takes without waiting; return how many bytes.
+        """Write as much as the kernel accepts without waiting; return the number of bytes.
 
-        Errors of the socket are passed on.
+        Socket errors are raised.
         """
         total_bytes = 0
         while self._chunks:
--- a/tests/builders/net.py
+++ b/tests/builders/net.py
@@ -1,4 +1,4 @@
-"""Builders for transport tests: a served handler, a raw socket peer, codecs."""
+"""Builders for transport tests: a served handler, keys and codecs."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -21,7 +21,7 @@
 ) -> AsyncIterator[tuple[HttpServer, Address]]:
     """Serve ``handler`` on a free port of the loopback address while the block runs.
 
-    ``fields`` are further ones of the server.
+    ``fields`` are further fields of the server.
     """
     server = HttpServer(handler, limits or HttpLimits(), **fields)
     async with trio.open_nursery() as nursery:
@@ -36,10 +36,10 @@
 
 
 def key(name: str = "first") -> Key:
-    """Return a key whose secret depends on its name alone."""
+    """Return a key whose secret is derived from its name."""
     return Key(name, name.encode().ljust(16, b"."))
 
 
 def signed_codec(*keys: Key) -> Codec:
-    """Return a codec of a few message types under ``keys`` (one key by default)."""
+    """Return a codec of a few message types with ``keys`` (one key by default)."""
     return Codec([permits, view], keys or (key(),))
--- a/tests/test_net_abandoned_requests.py
+++ b/tests/test_net_abandoned_requests.py
@@ -1,14 +1,10 @@
-"""A request that was given up unanswered is not delivered later, as far as that can be helped.
+"""A request that was abandoned unanswered is not delivered later, as far as possible.
 
-What callers saw: a server ran work long after it had been given up and run elsewhere.
-
-What happened: the way to a server is cut, or it does not read, while requests are written to it.
-Their bytes wait in the kernel of the sender.  The attempts are given up and their connections
-closed; a plain close lets the kernel deliver what it holds as soon as the way is there again.
-
-What proved it: the receiver of the first test, which reads only after the request was given up, got
-five times what its kernel had taken by then.  That much is out of the sender's reach, and is still
-delivered.
+Guards against a server that runs work long after it was abandoned and run elsewhere.  It happens if
+the network path to the server breaks, or the server does not read, while requests are written.
+Their bytes wait in the sender's kernel, and after a plain close the kernel delivers them once the
+path is back.  Bytes that the receiver's kernel has accepted are out of the sender's reach and are
+still delivered; without the reset the receiver of the first test got five times as many.
 """
 
 import array
@@ -26,16 +22,16 @@
 from fescuedock.net.http_client import HttpClient, open_http_client
 from tests.builders.standins import run_async
 
-# Far more than the receiver's buffer takes, and less than the sender's.
+# Much larger than the receiver's buffer, and smaller than the sender's.
 BODY = b"x" * 400_000
 ABANDON_AFTER_S = 0.3
-# For what the sender's kernel would still deliver.
+# Time for bytes that the sender's kernel would still deliver.
 DELIVERY_S = 0.5
 
 
 @contextmanager
 def slow_receiver() -> Iterator[tuple[socket.socket, Address]]:
-    """Give a listening socket whose connections take a few kilobytes until they are read."""
+    """Yield a listening socket whose connections accept a few kilobytes until they are read."""
     with socket.socket() as listener:
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
         listener.bind(("127.0.0.1", 0))
@@ -44,14 +40,14 @@
 
 
 def kernel_received_bytes(connection: socket.socket) -> int:
-    """Return how many bytes the kernel has received that nobody has read."""
+    """Return the number of bytes that the kernel has received and that are unread."""
     count = array.array("i", [0])
     fcntl.ioctl(connection.fileno(), termios.FIONREAD, count)
     return count[0]
 
 
 async def read_to_end(connection: socket.socket) -> tuple[int, bool]:
-    """Read until nothing more comes; return the bytes, and whether the connection was reset."""
+    """Read until no more bytes arrive; return their number, and whether it ended by a reset."""
     connection.setblocking(False)
     size_bytes = 0
     deadline_s = trio.current_time() + DELIVERY_S
@@ -72,7 +68,7 @@
 async def abandon_request(http: HttpClient, address: Address) -> None:
     with trio.move_on_after(ABANDON_AFTER_S):
         async with http.request(address, "POST", "/", (), BODY):
-            raise AssertionError("nobody answers")
+            raise AssertionError("no server answers")
 
 
 class AbandonedRequestTest(unittest.TestCase):
@@ -91,13 +87,13 @@
         run_async(test)
 
     def test_a_small_request_that_the_receiver_accepted_is_still_delivered(self) -> None:
-        # Out of the sender's reach; the reset behind it is all that the receiver can notice.
+        # Out of the sender's reach; the receiver can only notice the reset that follows.
         async def test() -> None:
             with slow_receiver() as (listener, address):
                 async with open_http_client() as http:
                     with trio.move_on_after(ABANDON_AFTER_S):
                         async with http.request(address, "POST", "/", (), b"small"):
-                            raise AssertionError("nobody answers")
+                            raise AssertionError("no server answers")
                     with listener.accept()[0] as connection:
                         kernel_bytes = kernel_received_bytes(connection)
                         received_bytes, reset = await read_to_end(connection)
--- a/tests/test_net_channel.py
+++ b/tests/test_net_channel.py
@@ -1,4 +1,4 @@
-"""Messages between our processes: digests, key rotation, matching of answers, strangers."""
+"""Messages between processes: digests, key rotation, matching of answers, unknown keys."""
 
 import functools
 import socket
@@ -22,17 +22,17 @@
 from tests.builders.net import LOOPBACK, key, signed_codec
 
 GUARD_S = 20
-# Of the column "tr" of /proc/net/tcp, and its state of an established connection.
+# Values in /proc/net/tcp: column "tr" for a keepalive timer, state of an established connection.
 KEEPALIVE_TIMER = "02"
 ESTABLISHED = "01"
-# Of this machine, and used by no other test.
+# A loopback address that no other test uses.
 OTHER_HOST = "127.77.0.1"
 
 
 def connection_timers(address: Address) -> list[str]:
-    """Return the kernel's timer of both ends of each connection to ``address``.
+    """Return the kernel's timers of both ends of each connection to ``address``.
 
-    Programs at other addresses of this machine may serve at the same port.
+    The host is compared too: programs at other loopback addresses may use the same port.
     """
     rows = [line.split() for line in Path("/proc/net/tcp").read_text().splitlines()[1:]]
     host = int.from_bytes(socket.inet_aton(address.host), sys.byteorder)
@@ -41,7 +41,7 @@
 
 
 class CodecTest(unittest.TestCase):
-    """What decodes, and what must change nothing."""
+    """Messages that decode, and messages that must be rejected."""
 
     @given(st.text(), st.binary(max_size=8))
     def test_a_message_survives_the_round_trip(self, reason: str, context: bytes) -> None:
@@ -158,7 +158,7 @@
                 self.assertTrue((await client.call(LeaveRequest(), 10_000)).is_ok())
                 with socket.create_server(other) as server, socket.create_connection(other):
                     accepted, _ = server.accept()
-                    # What was just sent is acknowledged by then, and its own timer off.
+                    # By then the sent bytes are acknowledged and their retransmission timer is off.
                     await trio.sleep(0.3)
                     timers = connection_timers(address)
                     accepted.close()
@@ -203,7 +203,7 @@
 
         async def answer(message, _peer) -> Acknowledgement:
             if message.reason == "fail":
-                raise RuntimeError("a fault of ours")
+                raise RuntimeError("handler failure")
             return Acknowledgement()
 
         async def test(nursery: trio.Nursery) -> None:
--- a/tests/test_net_disconnected_callers.py
+++ b/tests/test_net_disconnected_callers.py
@@ -1,4 +1,4 @@
-"""Callers that leave in the middle of a request must not end the server."""
+"""A caller that disconnects within its request must not end the server."""
 
 import unittest
 from unittest import mock
@@ -12,8 +12,8 @@
 
 class DisconnectedCallerTest(unittest.TestCase):
     def test_a_refusal_to_a_disconnected_caller_does_not_end_the_server(self) -> None:
-        """A client sent half of a body and closed; the refusal met a broken pipe, and the server
-        of a stand-in ended with it for all its callers.
+        """Guards against the end of a server for all callers: a client sent half of a body and
+        closed, and the error response to it failed with a broken pipe.
         """
 
         async def handler(_request: Request, _responder: Responder) -> None:
--- a/tests/test_net_forwarding.py
+++ b/tests/test_net_forwarding.py
@@ -1,4 +1,4 @@
-"""What the HTTP transport needs for passing calls on: foreign answers, early ones, time limits."""
+"""The HTTP transport as used for forwarding: late answers, early answers, time limits."""
 
 import socket
 import struct
@@ -17,7 +17,7 @@
 
 
 class RawServer:
-    """Answers each connection with fixed bytes once a request's first bytes have come."""
+    """Answers each request on a connection with fixed bytes once its first bytes arrive."""
 
     def __init__(
         self,
@@ -26,7 +26,7 @@
         keep_open: bool = True,
         orderly: bool = False,
     ) -> None:
-        """``orderly`` ends a connection by its close, otherwise it is reset."""
+        """With ``orderly`` a connection is closed normally, otherwise it is reset."""
         self.answers = list(answers)
         self.orderly = orderly
         self.read_bytes = read_bytes
@@ -52,7 +52,7 @@
             return
         finally:
             if not self.orderly:
-                # With no time to linger, closing resets the connection.
+                # With a linger time of 0, closing resets the connection.
                 no_linger = struct.pack("ii", 1, 0)
                 stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, no_linger)
             await trio.aclose_forcefully(stream)
--- a/tests/test_net_http.py
+++ b/tests/test_net_http.py
@@ -1,4 +1,4 @@
-"""The HTTP transport: whole answers, truthful errors, disconnects, graceful stops."""
+"""The HTTP transport: complete answers, error classification, disconnects, graceful stops."""
 
 import unittest
 
@@ -161,12 +161,12 @@
             async with open_http_client() as client:
                 with self.assertRaises(NotSentError):
                     async with client.request(Address("127.0.0.1", port), "GET", "/"):
-                        self.fail("nobody listens there")
+                        self.fail("no process listens there")
 
         self.run_guarded(test)
 
     def test_a_connection_with_unread_bytes_is_never_reused(self) -> None:
-        """A server that sends a second, unasked answer must not have it taken for the next one."""
+        """A second, unsolicited answer of a server must not be used for the next request."""
         answer = b"HTTP/1.1 200 OK\r\ncontent-length: 3\r\n\r\n"
 
         async def serve_twice(stream: trio.SocketStream) -> None:
@@ -245,12 +245,12 @@
 
         async def fail_or_echo(request: Request, responder: Responder) -> None:
             if request.path == "/fail":
-                raise RuntimeError("a fault of ours")
+                raise RuntimeError("handler failure")
             if request.path == "/fail-elsewhere":
                 raise trio.TooSlowError("another socket, not the caller's")
             if request.path == "/fail-late":
                 async with responder.stream(200, []):
-                    raise RuntimeError("a late fault of ours")
+                    raise RuntimeError("late handler failure")
             await echo_body(request, responder)
 
         async def test() -> None:
--- a/tests/test_net_http_body.py
+++ b/tests/test_net_http_body.py
@@ -1,4 +1,4 @@
-"""The body of an answer as it is cut out of the bytes behind its head."""
+"""Tests the extraction of an answer's body from the bytes after its head."""
 
 import unittest
 from itertools import pairwise
@@ -14,7 +14,7 @@
 
 
 def feed_split(reader: BodyReader, data: bytes, positions: list[int]) -> bytes:
-    """Feed ``data`` in the chunks that ``positions`` make of it; return what came of the body."""
+    """Feed ``data`` split at ``positions``; return the body bytes."""
     boundaries = sorted({min(cut, len(data)) for cut in positions} | {0, len(data)})
     chunks = [data[first:last] for first, last in pairwise(boundaries)]
     return b"".join(reader.feed(piece) for piece in chunks)
@@ -26,7 +26,7 @@
 
 
 def h11_body(data: bytes) -> bytes | None:
-    """Return the body that h11 reads out of an answer in chunks; None for an error."""
+    """Return the body that h11 reads from a chunked answer; None for an error."""
     connection = h11.Connection(h11.CLIENT)
     connection.send(h11.Request(method="GET", target="/", headers=[("host", "x")]))
     connection.send(h11.EndOfMessage())
--- a/tests/test_net_slow_readers.py
+++ b/tests/test_net_slow_readers.py
@@ -1,4 +1,4 @@
-"""The HTTP server before callers that read or send slowly, over sockets with small buffers."""
+"""The HTTP server with callers that read or send slowly, over sockets with small buffers."""
 
 import contextlib
 import os
@@ -29,7 +29,7 @@
 
 GUARD_S = 20
 CHUNKED_END = b"0\r\n\r\n"
-# The largest of the deployments.
+# The size of the largest response body of the deployments.
 BODY_END = b"end of body"
 BODY = b"x" * 870_000 + BODY_END
 
@@ -39,7 +39,7 @@
 
 
 class SlowCallersCase(unittest.TestCase):
-    """Runs a server with small buffers and its slow callers."""
+    """Base class: runs a server with small buffers and its slow callers."""
 
     def run_guarded(self, test) -> None:
         async def guarded() -> None:
@@ -49,7 +49,7 @@
         run_async(guarded)
 
     def serve(self, handler, bounds: HeldBounds, limits: HttpLimits | None = None):
-        """Serve ``handler`` on connections with small buffers; ``self.cuts`` gets the cuts."""
+        """Serve ``handler`` with small connection buffers; ``self.cuts`` records the cut-offs."""
         self.held = HeldBytes(bounds)
         self.cuts: list[CutOff] = []
         fields = {"send_buffer_bytes": SMALL_BUFFER_BYTES, "held": self.held}
@@ -57,7 +57,7 @@
 
     @asynccontextmanager
     async def requesting_clients(self, address, count: int, body: bytes = b"", **fields: str):
-        """Give clients that have sent their requests."""
+        """Yield clients that have sent their requests."""
         async with AsyncExitStack() as stack:
             clients = []
             for _ in range(count):
@@ -70,7 +70,7 @@
 
 class SlowReadersTest(SlowCallersCase):
     def test_memory_for_large_bodies_is_bounded_and_cut_off_ones_are_truncated(self) -> None:
-        """Guards against 105 MB for 40 readers, as a body was kept three times."""
+        """Guards against 105 MB for 40 readers, when each body was stored three times."""
         bounds = HeldBounds(65536, 4_000_000)
 
         async def test() -> None:
@@ -100,7 +100,7 @@
     def test_any_read_pattern_gives_a_prefix_within_the_memory_bound(
         self, streams, reads, bounds: tuple[int, int]
     ) -> None:
-        """A caller gets the complete response or a visible break, and memory stays bounded."""
+        """A caller gets a complete or a visibly truncated response, and memory stays bounded."""
         max_bytes = 0
 
         async def answer(request: Request, responder: Responder) -> None:
@@ -189,7 +189,7 @@
         self.run_guarded(test)
 
     def test_nothing_is_sent_after_dropped_bytes(self) -> None:
-        """Guards against a response with a hole: a handler that was cut off still runs a while."""
+        """Guards against missing bytes within a response: a cut-off handler still runs briefly."""
         refused: list[str] = []
         clients: list[SlowClient] = []
 
@@ -198,7 +198,7 @@
             out = await responder.begin(200, [("transfer-encoding", "chunked")])
             out.put(b"x" * 100_000)
             responder._connection.cut_off("for this test")
-            # The kernel would read_body more now.
+            # Now the kernel would accept more bytes.
             read_now(clients[0])
             try:
                 out.put(b"behind")
@@ -236,10 +236,10 @@
 
 
 class SlowSendersTest(SlowCallersCase):
-    """Requests that trickle in."""
+    """Requests whose bodies arrive slowly."""
 
     def test_memory_for_incomplete_bodies_is_bounded(self) -> None:
-        """Whoever is cut off is told that nothing has run; who goes on sending is served."""
+        """Callers that are cut off receive "not run"; a caller that continues to send is served."""
         served_bytes: list[int] = []
 
         async def read_body(request: Request, responder: Responder) -> None:
@@ -271,7 +271,7 @@
         self.run_guarded(test)
 
     def test_a_body_in_tiny_parts_needs_little_more_memory_than_its_bytes(self) -> None:
-        """Guards against an object for each part, 40 bytes and more."""
+        """Guards against one object for each part, of 40 bytes or more."""
 
         async def parts():
             for number in range(100_000):
@@ -292,7 +292,7 @@
 
 
 def read_now(client: SlowClient) -> None:
-    """Read all that comes within a moment, while no other task runs."""
+    """Read everything that arrives within 0.1 s, without letting other tasks run."""
     until_s = time.monotonic() + 0.1
     while time.monotonic() < until_s:
         with contextlib.suppress(BlockingIOError):
@@ -300,7 +300,7 @@
 
 
 async def read_some(client: SlowClient, size_bytes: int) -> bytes:
-    """Read once what comes within a moment."""
+    """Read once, for at most 10 ms."""
     with trio.move_on_after(0.01):
         try:
             return await client.stream.receive_some(size_bytes)
