--- a/src/fescuedock/core/entry_choice.py
+++ b/src/fescuedock/core/entry_choice.py
@@ -8,7 +8,7 @@
 
 from fescuedock.schema.view import Program, VmRecord, VmState
 
-__all__ = ["CallerPlace", "eligible_entries", "recommended_vms", "rank_entries"]
+__all__ = ["CallerPlace", "eligible_entries", "rank_entries", "recommended_vms"]
 
 # Costs are exponents of two: an entry in another domain is 1/8 as likely to be the first choice.
 _OTHER_DOMAIN_COST = 3
--- a/src/fescuedock/core/forwarding/calls.py
+++ b/src/fescuedock/core/forwarding/calls.py
@@ -18,7 +18,7 @@
     # Number of the last event that the client received of an earlier answer; below 0 for none.
     last_event: int = -1
     # Request id of the attempt that delivered the stream's first event; empty if not stated.
-    resumes: str = ""
+    resumed_request_id: str = ""
 
     @property
     def shared_parts(self) -> tuple[tuple[str, int], ...]:
--- a/src/fescuedock/core/forwarding/progress.py
+++ b/src/fescuedock/core/forwarding/progress.py
@@ -53,7 +53,7 @@
     """The attempts of one call so far.
 
     ``last_event`` is the number of the last event that was sent to the client, below 0 for none.
-    ``answer_begun`` says that the client received the beginning of an answer without events.
+    ``answer_started`` says that the client received the beginning of an answer without events.
     """
 
     idempotent: bool
@@ -61,7 +61,7 @@
     last_event: int = -1
     runs: int = 0
     attempts: int = 0
-    answer_begun: bool = False
+    answer_started: bool = False
     _consecutive_refusals: int = 0
 
     @property
@@ -107,7 +107,7 @@
 
     def may_retry(self) -> bool:
         """Whether another attempt may be made."""
-        if self.answer_begun:
+        if self.answer_started:
             # No other run can continue the answer; it would occupy an upstream in vain.
             return False
         if not self.may_have_run:
--- a/src/fescuedock/core/streams.py
+++ b/src/fescuedock/core/streams.py
@@ -101,7 +101,7 @@
     incomplete without it.  ``resumable`` is False for an answer of several texts.  With
     ``replays``, further attempts start from the beginning and must repeat the delivered text; it
     is set once an engine rejects a resume point.  An attempt at a software version other than the
-    one that wrote the delivered text starts from the beginning in the same way.  ``begun`` says
+    one that wrote the delivered text starts from the beginning in the same way.  ``started`` says
     that there was an attempt.
     """
 
@@ -112,7 +112,7 @@
     tokens: int = 0
     finished: bool = False
     ended: bool = False
-    begun: bool = False
+    started: bool = False
     # Version of the upstream that opened the answer.
     software_version: str = ""
     _current_version: str = ""
@@ -144,7 +144,7 @@
         """Make ``attempt_id`` the current attempt; return its resume point, None for the start."""
         self.attempt_id = attempt_id
         self._current_version = software_version
-        self.begun = True
+        self.started = True
         self._first_event = True
         self._resumed = self._opened
         replays = self.replays or (self._opened and software_version != self.software_version)
--- a/src/fescuedock/entry/online_full.py
+++ b/src/fescuedock/entry/online_full.py
@@ -45,7 +45,7 @@
             return collected
         # The answer has content that only the engine can assemble.
         return await _fetch_from_engine(state, request, stream)
-    return Err(deadline_fault(sent=stream.begun))
+    return Err(deadline_fault(sent=stream.started))
 
 
 async def _collect(
--- a/src/fescuedock/entry/online_permits.py
+++ b/src/fescuedock/entry/online_permits.py
@@ -104,7 +104,7 @@
     admission: Admission
     latency: DomainLatency
     reply_timeout: AskTimeout
-    silent: SilentOwners
+    silent_owners: SilentOwners
 
     @property
     def view(self) -> FleetView: ...
@@ -307,7 +307,7 @@
         upstream.upstream_id,
         state.latency.one_way_ms(upstream.failure_domain),
         load,
-        owner is None or state.silent.is_silent(owner.vm_id, at_ms),
+        owner is None or state.silent_owners.is_silent(owner.vm_id, at_ms),
         avoided,
         state.is_connected(upstream),
         speed,
@@ -578,9 +578,9 @@
     if owner is None:
         return
     if isinstance(granted, Err) and granted.err_value.code in _NO_REPLY_CODES:
-        state.silent.note_silent(owner.vm_id, now_ms())
+        state.silent_owners.note_silent(owner.vm_id, now_ms())
         return
-    state.silent.note_answer(owner.vm_id)
+    state.silent_owners.note_answer(owner.vm_id)
     if not request.wait_ms:
         state.latency.observe(owner.failure_domain, round_trip_ms)
 
--- a/src/fescuedock/entry/online_state.py
+++ b/src/fescuedock/entry/online_state.py
@@ -48,13 +48,13 @@
     reply_timeout: AskTimeout = field(default_factory=AskTimeout)
     engines: EngineClient = field(init=False)
     budget: RetryBudget = field(init=False)
-    silent: SilentOwners = field(init=False)
+    silent_owners: SilentOwners = field(init=False)
     _prefill: dict[str, PrefillModel] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.engines = EngineClient(self.context.http)
         self.budget = RetryBudget(self.retry)
-        self.silent = SilentOwners(self.routing)
+        self.silent_owners = SilentOwners(self.routing)
 
     @property
     def view(self) -> "FleetView":
--- a/src/fescuedock/entry/online_stream.py
+++ b/src/fescuedock/entry/online_stream.py
@@ -81,4 +81,4 @@
     if stream.opened:
         message = f"the answer was incomplete after {request.spec.request_timeout_ms} ms"
         return Err(Fault(ResultCode.TRUNCATED, message))
-    return Err(deadline_fault(sent=stream.begun))
+    return Err(deadline_fault(sent=stream.started))
--- a/src/fescuedock/node/online.py
+++ b/src/fescuedock/node/online.py
@@ -63,7 +63,7 @@
         "retry_after_ms",
         "rng",
         "routing",
-        "silent",
+        "silent_owners",
         "stalls",
         "view",
     )
@@ -99,7 +99,7 @@
         self.stalls = StallLimits()
         # What an upstream takes to a first event: a step, a prompt and the way; learned.
         self.first_event_ms = _FIRST_EVENT_MS
-        self.silent = SilentOwners(self.routing)
+        self.silent_owners = SilentOwners(self.routing)
         self._prefill: dict[str, PrefillModel] = {}
 
     def customers(self) -> CustomerIndex:
--- a/src/fescuedock/node/online_call.py
+++ b/src/fescuedock/node/online_call.py
@@ -123,7 +123,7 @@
         self.work_id = work_identity(request.method, host, request.target, self.customer, body)
         # Of the upstreams that the stream goes on at; None while the client has nothing of it.
         self.software_version: str | None = None
-        begun_by = self.head.resumes if self.head.last_event >= 0 else ""
+        begun_by = self.head.resumed_request_id if self.head.last_event >= 0 else ""
         self.stream_key = stream_key(begun_by or self.head.request_id, self.work_id)
         parts = self.head.shared_parts
         self.parts = part_identities(name for name, _ in parts)
@@ -235,12 +235,12 @@
 
         Returns why it cannot go on here.
         """
-        key = self.stream_key if self.head.resumes else None
+        key = self.stream_key if self.head.resumed_request_id else None
         found = await self.shared.origin_of(key, self.route)
         log_event(
             "stream_taken_up",
             request_id=self.request_id,
-            resumes=self.head.resumes,
+            resumes=self.head.resumed_request_id,
             last_event=self.head.last_event,
             software_version=found.ok_value.software_version if isinstance(found, Ok) else "",
             outcome="known" if isinstance(found, Ok) else found.err_value.message,
@@ -394,7 +394,7 @@
             parts.append(part)
             held_bytes += len(part)
             if held_bytes > _HELD_BYTES:
-                self.progress.answer_begun = True
+                self.progress.answer_started = True
                 self.out = self.out or await self.responder.begin(answer.head.status, headers)
                 await self.out.write(b"".join(parts))
                 parts, held_bytes = [], 0
--- a/src/fescuedock/platform/calls.py
+++ b/src/fescuedock/platform/calls.py
@@ -63,7 +63,7 @@
         max_tokens=max_tokens,
         prompt_parts=tuple(_prompt_parts(fields.get(_PROMPT_PARTS, ""))),
         last_event=_whole_number(fields.get(_LAST_EVENT, "")),
-        resumes=fields.get(_RESUMES, "").strip(),
+        resumed_request_id=fields.get(_RESUMES, "").strip(),
     )
 
 
--- a/tests/builders/jobs.py
+++ b/tests/builders/jobs.py
@@ -137,7 +137,7 @@
         nursery.cancel_scope.cancel()
 
 
-def at_site(**options: object) -> Callable:
+def with_job_site(**options: object) -> Callable:
     """Run the decorated async method of a test case with a ``JobSite`` made with ``options``."""
 
     def decorate(test: Callable) -> Callable:
--- a/tests/builders/load_player.py
+++ b/tests/builders/load_player.py
@@ -217,10 +217,10 @@
     admission: Admission = field(default_factory=Admission)
     latency: DomainLatency = field(default_factory=DomainLatency)
     reply_timeout: AskTimeout = field(default_factory=AskTimeout)
-    silent: SilentOwners = field(init=False)
+    silent_owners: SilentOwners = field(init=False)
 
     def __post_init__(self) -> None:
-        self.silent = SilentOwners(self.routing)
+        self.silent_owners = SilentOwners(self.routing)
 
     def prefill(self, _service: str) -> PrefillModel:
         return PrefillModel()
--- a/tests/builders/online.py
+++ b/tests/builders/online.py
@@ -106,7 +106,7 @@
     def entry(self) -> Address:
         return self.entries[0]
 
-    def show(self, *more: UpstreamRecord, leaving: tuple[str, ...] = ()) -> None:
+    def update_view(self, *more: UpstreamRecord, leaving: tuple[str, ...] = ()) -> None:
         """Replace the view: all stand-ins, those in ``leaving`` as leaving, and ``more``."""
         self._version += 1
         vm = VmRecord("vm1", "local", _DOMAIN, HOST, 1, VmState.ALIVE)
@@ -189,9 +189,9 @@
         view = FleetView("vm1")
         fleet = OnlineFleet(standins, view)
         view.replace_configuration(1, 1, configuration(**(plain_changes or {})), 0.0)
-        fleet.show()
+        fleet.update_view()
         fleet.owner = await nursery.start(_serve_owner, settings, view)
-        fleet.show()
+        fleet.update_view()
         for number in range(entries):
             await nursery.start(_serve_entry, settings, fleet, number)
         try:
--- a/tests/builders/origin_strategies.py
+++ b/tests/builders/origin_strategies.py
@@ -66,12 +66,12 @@
     return lambda key, domains: rank_holders(key, domains)[:count]
 
 
-def _owner_of_one(key: str, domains: Mapping[str, str]) -> list[str]:
+def _owner_of_one_upstream(key: str, domains: Mapping[str, str]) -> list[str]:
     upstream = random.Random(key).randrange(_UPSTREAMS)
     return [choose_name(f"i-{upstream}", domains)]
 
 
-def _owners(_key: str, domains: Mapping[str, str]) -> list[str]:
+def _owners_of_upstreams(_key: str, domains: Mapping[str, str]) -> list[str]:
     return list({choose_name(f"i-{number}", domains) for number in range(_UPSTREAMS)})
 
 
@@ -82,7 +82,7 @@
     "holders, always notified": Strategy(_NOTIFIED, _QUERIED, single_by_record=False),
     "one holder": Strategy(_first(1), _QUERIED),
     "three holders": Strategy(_first(3), _QUERIED),
-    "owners of upstreams": Strategy(_owner_of_one, _owners),
+    "owners of upstreams": Strategy(_owner_of_one_upstream, _owners_of_upstreams),
     "none notified, all queried": Strategy(_no_node, _every_node),
     "all notified": Strategy(_every_node, _no_node),
     "record only": Strategy(_no_node, _no_node),
@@ -136,20 +136,20 @@
     for number in range(streams):
         key = f"{seed}-{number}"
         origin = StreamOrigin(_SERVICE, rng.choice(used))
-        starter, resumer = rng.choice(names), rng.choice(reached)
-        holders = {starter}
+        first_node, second_node = rng.choice(names), rng.choice(reached)
+        holders = {first_node}
         if versions > 1 or not strategy.single_by_record:
-            notified = [name for name in strategy.notified(key, domains) if name != starter]
+            notified = [name for name in strategy.notified(key, domains) if name != first_node]
             outcome.notifications += 2 * len(notified)
             holders.update(notified)
-        knowing = {name for name in holders if name in reached and name not in lost}
+        known_by = {name for name in holders if name in reached and name not in lost}
         outcome.resumed += 1
-        kept = [origin] if resumer in knowing else []
-        if not kept:
-            queried = [name for name in strategy.queried(key, domains) if name != resumer]
+        reported = [origin] if second_node in known_by else []
+        if not reported:
+            queried = [name for name in strategy.queried(key, domains) if name != second_node]
             outcome.queries += 2 * len(queried)
-            kept = [origin] if knowing & set(queried) else []
-        decided = decide_origin(kept, record if strategy.single_by_record else None)
+            reported = [origin] if known_by & set(queried) else []
+        decided = decide_origin(reported, record if strategy.single_by_record else None)
         outcome.continued += decided.is_ok()
         outcome.wrong_version += decided.is_ok() and decided.ok_value != origin
     return outcome
--- a/tests/test_entry_jobs.py
+++ b/tests/test_entry_jobs.py
@@ -23,7 +23,7 @@
 )
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.settings import BatchSettings
-from tests.builders.jobs import ENDPOINT, JobEntry, JobSite, at_site, input_file, input_line
+from tests.builders.jobs import ENDPOINT, JobEntry, JobSite, input_file, input_line, with_job_site
 from tests.builders.kv import LostAnswer
 from tests.builders.store import HOST, until
 
@@ -86,7 +86,7 @@
 
 
 class FileTest(_SiteTest):
-    @at_site()
+    @with_job_site()
     async def test_a_file_is_stored_returned_listed_and_deleted(self, site: JobSite) -> None:
         client = site.entry.client()
         content = input_file(3000)
@@ -100,7 +100,7 @@
         await self.assert_refused(client.files.retrieve(file_id), ResultCode.NOT_FOUND)
         await self.assert_refused(client.files.delete(file_id), ResultCode.NOT_FOUND)
 
-    @at_site(batch=SMALL)
+    @with_job_site(batch=SMALL)
     async def test_any_content_is_returned_unchanged(self, site: JobSite) -> None:
         client = site.entry.client()
         short_lines = b"a\n" * 200_000
@@ -112,14 +112,14 @@
         found = [stored_file(site.entry, key) for key in keys(site.entry, "files")]
         self.assertLess(max(len(file.segments) for file in found), 20)
 
-    @at_site()
+    @with_job_site()
     async def test_files_are_listed_in_pages(self, site: JobSite) -> None:
         client = site.entry.client()
         wanted = {await upload(client, input_file(number)) for number in range(1, 6)}
         found = [item.id async for item in client.files.list(limit=2)]
         self.assertEqual((len(found), set(found)), (5, wanted))
 
-    @at_site()
+    @with_job_site()
     async def test_malformed_forms_are_refused(self, site: JobSite) -> None:
         form = "multipart/form-data; boundary=b"
         head = b'--b\r\ncontent-disposition: form-data; name="%b"\r\n\r\n'
@@ -139,11 +139,11 @@
         for content_type, body in cases:
             with self.subTest(content_type=content_type, body=body):
                 self.assertEqual(await post_file(site.entry, content_type, body), 400)
-        whole = file + purpose + b"--b--\r\n"
-        self.assertEqual(await post_file(site.entry, form, whole), 200)
+        complete_form = file + purpose + b"--b--\r\n"
+        self.assertEqual(await post_file(site.entry, form, complete_form), 200)
         self.assertEqual(len(keys(site.entry, "files")), 1)
 
-    @at_site()
+    @with_job_site()
     async def test_full_disks_are_reported_and_leave_no_file(self, site: JobSite) -> None:
         client = site.entry.client()
         for node in site.fleet.nodes.values():
@@ -152,7 +152,7 @@
         self.assertEqual(keys(site.entry, "files"), [])
 
     @patch("fescuedock.entry.files._SLOT_WAIT_MS", 50)
-    @at_site()
+    @with_job_site()
     async def test_uploads_over_the_limit_are_refused_and_finished_ones_make_room(
         self, site: JobSite
     ) -> None:
@@ -170,7 +170,7 @@
         await until(lambda: site.entry.server.in_flight == 0)
         await upload(client, GOOD)
 
-    @at_site()
+    @with_job_site()
     async def test_lost_answers_during_a_deletion_are_resolved(self, site: JobSite) -> None:
         client = site.entry.client()
         for when in LostAnswer:
@@ -181,7 +181,7 @@
 
 
 class AcceptanceTest(_SiteTest):
-    @at_site(batch=SMALL)
+    @with_job_site(batch=SMALL)
     async def test_invalid_lines_are_reported_by_number_and_nothing_is_accepted(
         self, site: JobSite
     ) -> None:
@@ -226,7 +226,7 @@
         self.assertEqual(file.status, "error")
         self.assertIn("line 1", file.status_details)
 
-    @at_site()
+    @with_job_site()
     async def test_invalid_requests_are_refused(self, site: JobSite) -> None:
         client = site.entry.client()
         file_id = await upload(client, GOOD)
@@ -244,7 +244,7 @@
             batch = await submit(client, file_id, completion_window=window)
             self.assertEqual(batch.expires_at - batch.created_at, seconds)
 
-    @at_site()
+    @with_job_site()
     async def test_calls_of_plain_services_are_marked_when_they_may_not_be_repeated(
         self, site: JobSite
     ) -> None:
@@ -260,7 +260,7 @@
         refused = submit(client, file_id, endpoint=url)
         await self.assert_refused(refused, ResultCode.UNKNOWN_SERVICE)
 
-    @at_site(entries=2)
+    @with_job_site(entries=2)
     async def test_resends_through_two_entries_at_once_give_one_job(self, site: JobSite) -> None:
         file_id = await upload(site.entry.client(), input_file(50))
         found: set[str] = set()
@@ -276,7 +276,7 @@
         for kind in ("jobs", "open", "member-jobs"):
             self.assertEqual(len(keys(site.entry, kind)), 1)
 
-    @at_site()
+    @with_job_site()
     async def test_identity_comes_from_the_key_or_else_from_the_content(
         self, site: JobSite
     ) -> None:
@@ -299,7 +299,7 @@
         ids |= {(await submit(theirs, their_file, "key")).id}
         self.assertEqual(len(ids), 4)
 
-    @at_site()
+    @with_job_site()
     async def test_job_outlives_its_file(self, site: JobSite) -> None:
         client = site.entry.client()
         file_id = await upload(client, input_file(3))
@@ -312,7 +312,7 @@
 
 
 class PlatformFaultTest(_SiteTest):
-    @at_site(entries=2)
+    @with_job_site(entries=2)
     async def test_lost_answer_at_each_write_of_an_acceptance(self, site: JobSite) -> None:
         """Covers every write: file, record, member's list, index of open jobs."""
         first, second = site.entries
@@ -341,7 +341,7 @@
         self.assertEqual(stored(first, again.id).item_count, 3)
         self.assertEqual((await submit(second.client(), file_id, key)).id, again.id)
 
-    @at_site()
+    @with_job_site()
     async def test_a_key_value_outage_is_reported_and_nothing_is_accepted(
         self, site: JobSite
     ) -> None:
@@ -354,7 +354,7 @@
         self.assertEqual(keys(site.entry, "jobs"), [])
         self.assertEqual((await submit(client, file_id, "k")).status, "in_progress")
 
-    @at_site()
+    @with_job_site()
     async def test_a_key_value_outage_after_the_record_leaves_the_outcome_unknown(
         self, site: JobSite
     ) -> None:
@@ -375,7 +375,7 @@
         batch = await submit(client, file_id, "k")
         self.assertTrue(any(name.endswith(batch.id) for name in keys(site.entry, "open")))
 
-    @at_site()
+    @with_job_site()
     async def test_input_survives_two_stores_lost_after_the_acknowledgement(
         self, site: JobSite
     ) -> None:
@@ -390,7 +390,7 @@
             ]
             self.assertEqual(b"".join(bodies), content)
 
-    @at_site()
+    @with_job_site()
     async def test_copies_are_checked_when_a_job_is_accepted(self, site: JobSite) -> None:
         client = site.entry.client()
         file_id = await upload(client, input_file(3))
@@ -406,7 +406,7 @@
 
 
 class MemberTest(_SiteTest):
-    @at_site()
+    @with_job_site()
     async def test_a_member_cannot_see_files_and_jobs_of_another(self, site: JobSite) -> None:
         ours, theirs = site.entry.client(), site.entry.client("vandenbroucke")
         file_id = await upload(ours, input_file(3))
@@ -429,7 +429,7 @@
 
 
 class CancelTest(_SiteTest):
-    @at_site()
+    @with_job_site()
     async def test_cancel_is_recorded_without_an_owner_and_can_be_repeated(
         self, site: JobSite
     ) -> None:
@@ -439,7 +439,7 @@
             self.assertEqual((await client.batches.cancel(batch.id)).status, "cancelling")
         self.assertEqual(stored(site.entry, batch.id).state, JobState.CANCELLING)
 
-    @at_site()
+    @with_job_site()
     async def test_cancel_preserves_a_concurrent_commit_of_the_owner(self, site: JobSite) -> None:
         client = site.entry.client()
         batch = await submit(client, await upload(client, input_file(3)))
@@ -458,7 +458,7 @@
         record = stored(site.entry, batch.id)
         self.assertEqual((record.state, record.succeeded), (JobState.CANCELLING, 1))
 
-    @at_site()
+    @with_job_site()
     async def test_lost_answers_and_outages_during_a_cancel_are_reported_correctly(
         self, site: JobSite
     ) -> None:
@@ -478,7 +478,7 @@
 
 
 class PushTest(_SiteTest):
-    @at_site()
+    @with_job_site()
     async def test_runners_are_notified_of_new_and_cancelled_jobs(self, site: JobSite) -> None:
         received: list[JobPush] = []
 
@@ -521,7 +521,7 @@
         ref = (await site.fleet.client.put_segment(b"".join(lines), 1)).unwrap()
         return CommittedGroup(outputs=[ref], ranges=[[number, number + 1]], succeeded=1)
 
-    @at_site()
+    @with_job_site()
     async def test_results_are_the_committed_groups_in_order(self, site: JobSite) -> None:
         client = site.entry.client()
         batch = await submit(client, await upload(client, input_file(4)))
@@ -546,7 +546,7 @@
         self.assertEqual((await submit(client, file_id)).status, "completed")
         self.assertEqual(keys(site.entry, "open"), [])
 
-    @at_site()
+    @with_job_site()
     async def test_a_lost_segment_never_looks_like_the_end_of_the_file(self, site: JobSite) -> None:
         client = site.entry.client()
         batch = await submit(client, await upload(client, input_file(4)))
@@ -558,7 +558,7 @@
         with self.assertRaises(APIError):
             await client.files.content(batch.output_file_id)
 
-    @at_site()
+    @with_job_site()
     async def test_jobs_are_listed_youngest_first_in_pages(self, site: JobSite) -> None:
         client = site.entry.client()
         file_id = await upload(client, GOOD)
--- a/tests/test_online_requests.py
+++ b/tests/test_online_requests.py
@@ -180,7 +180,7 @@
         async def body() -> None:
             entry = {"write_timeout_ms": 300}
             async with open_fleet(engines=0, entry_changes=entry) as fleet, served(produce) as made:
-                fleet.show(record("big", made[1], UpstreamKind.ENGINE, MODEL_SERVICE))
+                fleet.update_view(record("big", made[1], UpstreamKind.ENGINE, MODEL_SERVICE))
                 async with streaming(fleet, chat_body()):
                     await gone.wait()
                 # The unread part fits into the socket buffers.
@@ -220,7 +220,7 @@
                     engine.faults.fail_with.append(500)
                 case 3:
                     fleet.owner.silent = not fleet.owner.silent
-                    fleet.show(leaving=(engine.upstream_id,) if rng.random() < 0.3 else ())
+                    fleet.update_view(leaving=(engine.upstream_id,) if rng.random() < 0.3 else ())
             await trio.sleep(rng.uniform(0, 0.05))
 
     async def send_chat(self, fleet: OnlineFleet, text: str, outcomes: set[str]) -> None:
@@ -309,7 +309,7 @@
 
         async def body() -> None:
             async with open_fleet(engines=0) as fleet, served(answer) as made:
-                fleet.show(record("e", made[1], UpstreamKind.ENGINE, MODEL_SERVICE))
+                fleet.update_view(record("e", made[1], UpstreamKind.ENGINE, MODEL_SERVICE))
                 status, _, data = await fleet.post(CHAT, chat_body(stream=False))
                 self.assertEqual((status, data), (200, complete))
 
@@ -442,7 +442,7 @@
             data = await anext(chunks)
             name = serving_engine(fleet)
             engine = fleet.standins.engines[name]
-            fleet.show(leaving=(name,))
+            fleet.update_view(leaving=(name,))
             for _ in range(10):
                 status, _, _ = await fleet.post(CHAT, chat_body())
                 self.assertEqual(status, 200)
@@ -456,7 +456,7 @@
         self, fleet: OnlineFleet
     ) -> None:
         fleet.owner.silent = True
-        fleet.show(leaving=("engine-1",))
+        fleet.update_view(leaving=("engine-1",))
         for _ in range(6):
             status, _, _ = await fleet.post(CHAT, chat_body())
             self.assertEqual(status, 200)
--- a/tests/test_online_services.py
+++ b/tests/test_online_services.py
@@ -101,7 +101,7 @@
     def test_a_reset_while_sending_is_unknown(self) -> None:
         async def body() -> None:
             async with open_fleet(plain_services=0) as fleet, resetting_upstream() as address:
-                fleet.show(record("reset", address, UpstreamKind.PLAIN, PLAIN_SERVICE))
+                fleet.update_view(record("reset", address, UpstreamKind.PLAIN, PLAIN_SERVICE))
                 _, _, data = await fleet.post(BOOKINGS, ORDER * 500_000)
                 self.assertEqual(fault_of(data)["name"], "EXECUTION_UNKNOWN")
 
@@ -153,7 +153,7 @@
                 await responder.send(418, b"short", [("x-kind", "teapot")])
 
             async with open_fleet(plain_services=0) as fleet, served(answer) as made:
-                fleet.show(record("p", made[1], UpstreamKind.PLAIN, PLAIN_SERVICE))
+                fleet.update_view(record("p", made[1], UpstreamKind.PLAIN, PLAIN_SERVICE))
                 headers = [("authorization", "Bearer key-of-escuela"), ("x-own", "1")]
                 target = "/services/demo-plain/a%2Fb?x=1&y=%20"
                 async with fleet.http.request(
@@ -176,7 +176,7 @@
 
         async def body() -> None:
             async with open_fleet(plain_services=0) as fleet, served(produce) as made:
-                fleet.show(record("p", made[1], UpstreamKind.PLAIN, PLAIN_SERVICE))
+                fleet.update_view(record("p", made[1], UpstreamKind.PLAIN, PLAIN_SERVICE))
                 with self.assertRaises(ResponseLostError):
                     await fleet.post(QUERIES, b"")
 
--- a/tests/test_overtaken_sends.py
+++ b/tests/test_overtaken_sends.py
@@ -196,7 +196,7 @@
         names = self.addresses(fleet)
 
         async def leave(address: Address) -> None:
-            fleet.show(leaving=(names[address],))
+            fleet.update_view(leaving=(names[address],))
 
         with meanwhile(list(names), leave) as connected:
             status, _, _ = await fleet.post(path, body)
--- a/tests/test_permit_search.py
+++ b/tests/test_permit_search.py
@@ -67,7 +67,7 @@
         self.admission = Admission()
         self.latency = DomainLatency()
         self.reply_timeout = AskTimeout()
-        self.silent = SilentOwners(self.routing)
+        self.silent_owners = SilentOwners(self.routing)
 
     def prefill(self, _service: str) -> PrefillModel:
         return PrefillModel()
@@ -146,7 +146,7 @@
             state.view.replace(2, [owner], list(state.view.upstreams.values()), 0.0)
             state.permits = MovedPermits(code, refusals=3)
             result = await find_permit(state, StubCall(target_ms=500))
-            found.append((state, result, state.silent.is_silent("node-2", now_ms())))
+            found.append((state, result, state.silent_owners.is_silent("node-2", now_ms())))
 
         run_async(run)
         return found[0]
