--- a/src/fescuedock/entry/online_permits.py
+++ b/src/fescuedock/entry/online_permits.py
@@ -179,7 +179,7 @@
 
     All nodes choose the same upstream for a service, so that suspected work occupies only one.
     """
-    if avoid and await _wait_until_cleared(state, call):
+    if avoid and await _wait_for_verdict_change(state, call):
         return _SearchResult(Err(_VERDICT_CHANGED), retry=True)
     choices = _choose(state, call, avoid)
     usable = [item.upstream_id for item in choices if item.accepting and not item.owner_silent]
@@ -191,7 +191,7 @@
         return _SearchResult(Err(Fault(ResultCode.NO_CAPACITY, why, _RETRY_AFTER_MS)))
     request = Ask(rank_names(call.service, fresh or usable)[0], wait_ms)
     started_ms = now_ms()
-    granted = await _request_until_cleared(state, call, request, run_ms)
+    granted = await _request_until_verdict_change(state, call, request, run_ms)
     if granted is None:
         return _SearchResult(Err(_VERDICT_CHANGED), retry=True)
     timed_out = now_ms() - started_ms >= wait_ms
@@ -202,7 +202,7 @@
     return _SearchResult(granted)
 
 
-async def _wait_until_cleared(state: PermitSearch, call: OnlineCall) -> bool:
+async def _wait_for_verdict_change(state: PermitSearch, call: OnlineCall) -> bool:
     """Wait briefly for reports about suspected work; return whether it is no longer suspected.
 
     The upstream that failed the call may just have crashed under another attempt of the same work.
@@ -214,7 +214,7 @@
     return False
 
 
-async def _request_until_cleared(
+async def _request_until_verdict_change(
     state: PermitSearch, call: OnlineCall, request: Ask, run_ms: float
 ) -> Result[Grant, Fault] | None:
     """Request an isolated run; return None once the work is no longer suspected."""
--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -384,26 +384,26 @@
         self.assertAlmostEqual(times.run_ms(0, 4000.0), times.run_ms(0, 0.0) / 4)
 
 
-class StandingTest(unittest.TestCase):
+class EntryAvailabilityTest(unittest.TestCase):
     """When an entry that cannot confirm its configuration stops taking work."""
 
-    def test_work_is_taken_while_answers_that_name_the_entry_live(self) -> None:
-        standing = EntryAvailability(grace_ms=100)
-        standing.record_listing(True, 0.0)
-        self.assertIsNone(standing.refusal(1, 1e9))
-        standing.record_listing(False, 1000.0)
-        standing.record_listing(False, 1050.0)
-        self.assertIsNone(standing.refusal(1, 1100.0))
-        fault = standing.refusal(1, 1101.0)
+    def test_work_is_accepted_while_answers_that_list_the_entry_are_valid(self) -> None:
+        availability = EntryAvailability(grace_ms=100)
+        availability.record_listing(True, 0.0)
+        self.assertIsNone(availability.refusal(1, 1e9))
+        availability.record_listing(False, 1000.0)
+        availability.record_listing(False, 1050.0)
+        self.assertIsNone(availability.refusal(1, 1100.0))
+        fault = availability.refusal(1, 1101.0)
         self.assertIs(fault.code, ResultCode.CONFIG_UNCONFIRMED)
         self.assertGreater(fault.retry_after_ms, 0)
-        standing.record_listing(True, 2000.0)
-        self.assertIsNone(standing.refusal(1, 2000.0))
-
-    def test_without_a_configuration_nothing_is_taken_until_it_is_confirmed(self) -> None:
-        standing = EntryAvailability(grace_ms=100)
-        self.assertIsNotNone(standing.refusal(0, 0.0))
-        standing.record_listing(True, 0.0)
-        self.assertIsNone(standing.refusal(0, 0.0))
-        standing.record_listing(False, 0.0)
-        self.assertIsNotNone(standing.refusal(0, 1.0))
+        availability.record_listing(True, 2000.0)
+        self.assertIsNone(availability.refusal(1, 2000.0))
+
+    def test_without_a_configuration_work_is_refused_until_the_entry_is_listed(self) -> None:
+        availability = EntryAvailability(grace_ms=100)
+        self.assertIsNotNone(availability.refusal(0, 0.0))
+        availability.record_listing(True, 0.0)
+        self.assertIsNone(availability.refusal(0, 0.0))
+        availability.record_listing(False, 0.0)
+        self.assertIsNotNone(availability.refusal(0, 1.0))
