--- a/src/fescuedock/entry/online_permits.py
+++ b/src/fescuedock/entry/online_permits.py
@@ -203,7 +203,7 @@
 
 
 async def _wait_for_verdict_change(state: PermitSearch, call: OnlineCall) -> bool:
-    """Wait briefly for reports about suspected work; return whether it is no longer suspected.
+    """Wait briefly for reports about suspected work; return whether its verdict changed.
 
     The upstream that failed the call may just have crashed under another attempt of the same work.
     """
@@ -217,7 +217,7 @@
 async def _request_until_verdict_change(
     state: PermitSearch, call: OnlineCall, request: Ask, run_ms: float
 ) -> Result[Grant, Fault] | None:
-    """Request an isolated run; return None once the work is no longer suspected."""
+    """Request an isolated run; return None once the verdict no longer demands isolation."""
     granted: Result[Grant, Fault] | None = None
     try:
         async with trio.open_nursery() as nursery:
@@ -324,8 +324,8 @@
     A call that can still be on time overtakes the late ones in the owners' queues, so the length of
     the full queue does not apply to it: its own wait for a slot decides.  With the check, calls
     with a short deadline were refused after 0.1 ms although slots kept coming free: 0 of 87 were
-    served, against 775 of 1,296 others.  How long a customer's late call waits
-    depends on the customer's share, which only the owners know.
+    served, against 775 of 1,296 others.  How long a customer's late call waits depends on the
+    customer's share, which only the owners know.
     """
     target_left_ms = call.target_left_ms()
     if target_left_ms > 0:
--- a/tests/test_online_decisions.py
+++ b/tests/test_online_decisions.py
@@ -385,7 +385,7 @@
 
 
 class EntryAvailabilityTest(unittest.TestCase):
-    """When an entry that cannot confirm its configuration stops taking work."""
+    """When an entry that cannot confirm its configuration refuses work."""
 
     def test_work_is_accepted_while_answers_that_list_the_entry_are_valid(self) -> None:
         availability = EntryAvailability(grace_ms=100)
