--- a/src/fescuedock/agent/crash_service.py
+++ b/src/fescuedock/agent/crash_service.py
@@ -25,7 +25,7 @@
 from fescuedock.log import log_event
 from fescuedock.net.channel import CallHandler, ServerPeer
 from fescuedock.net.channel_pool import ChannelPool
-from fescuedock.net.http_client import Acceptance, HttpClient
+from fescuedock.net.http_client import ConnectResult, HttpClient
 from fescuedock.pauses import GrowingPauses
 from fescuedock.schema.crashes import (
     BrokenRun,
@@ -230,10 +230,10 @@
             started_ms = now_ms()
             if broken_runs.needs_probe(started_ms):
                 acceptance = await self._connect_twice(Address(upstream.host, upstream.port))
-                if acceptance is Acceptance.REFUSED:
+                if acceptance is ConnectResult.REFUSED:
                     await self._report_end(upstream_id, refused=True)
                     return
-                if acceptance is Acceptance.ACCEPTED:
+                if acceptance is ConnectResult.ACCEPTED:
                     broken_runs.record_up(started_ms)
             for run in broken_runs.drain_complete(now_ms()):
                 self._record_completed_run(run)
@@ -270,10 +270,10 @@
         ended_ms = self._ended_ms.get(upstream_id, float("-inf"))
         return now_ms() - ended_ms <= _SAME_END_WINDOW_MS
 
-    async def _connect_twice(self, address: Address) -> Acceptance:
+    async def _connect_twice(self, address: Address) -> ConnectResult:
         """Return whether a server accepts connections, and still does a little later."""
         acceptance = await self._http.try_connect(address)
-        if acceptance is Acceptance.ACCEPTED:
+        if acceptance is ConnectResult.ACCEPTED:
             await trio.sleep(_SECOND_CONNECT_DELAY_S)
             acceptance = await self._http.try_connect(address)
         return acceptance
--- a/src/fescuedock/agent/permit_client.py
+++ b/src/fescuedock/agent/permit_client.py
@@ -25,7 +25,7 @@
 from fescuedock.core.route_learning import UnansweredRequests
 from fescuedock.faults import Fault
 from fescuedock.log import log_event
-from fescuedock.net.channel import CallHandler, ChannelClient, Push
+from fescuedock.net.channel import CallHandler, ChannelClient, PushHandler
 from fescuedock.net.codec import Codec
 from fescuedock.schema.crashes import BrokenRun, WholeRun
 from fescuedock.schema.permits import (
@@ -179,7 +179,7 @@
 class _LocalPeer(msgspec.Struct, frozen=True):
     """The caller as seen by an owner in the same process."""
 
-    handle_push: Push
+    handle_push: PushHandler
 
     def push(self, message: msgspec.Struct) -> bool:
         self.handle_push(message)
--- a/src/fescuedock/core/forwarding/stalls.py
+++ b/src/fescuedock/core/forwarding/stalls.py
@@ -1,4 +1,4 @@
-"""How long a silent upstream is waited for before a stream goes on at another one."""
+"""How long to wait for a silent upstream before another one continues the stream."""
 
 import msgspec
 
@@ -8,24 +8,24 @@
 
 
 class StallLimits(msgspec.Struct, frozen=True):
-    """Shares of the route's own targets, and bounds for routes that name none or odd ones.
+    """Waits as a share of the route's targets, bounded for routes without or with extreme targets.
 
-    Too early runs a request twice that was only slow; too late costs the target.  At half of it
-    the other upstream still has the other half.
+    A short wait runs a request twice that was only slow; a long one misses the target.  The default
+    share leaves the other upstream the remaining 40% of the target.
     """
 
-    share: float = 0.6
-    least_ms: float = 100.0
-    most_ms: float = 2000.0
+    target_share: float = 0.6
+    min_ms: float = 100.0
+    max_ms: float = 2000.0
 
-    def first_ms(self, route: Route) -> float:
+    def first_event_ms(self, route: Route) -> float:
         """Return the longest wait for the answer's first event."""
-        return self._bounded(self.share * route.target_latency_ms)
+        return self._bounded(self.target_share * route.target_latency_ms)
 
     def gap_ms(self, route: Route) -> float:
         """Return the longest wait between two events."""
         gap_ms = route.gap_target_ms or route.target_latency_ms
-        return self._bounded(self.share * gap_ms)
+        return self._bounded(self.target_share * gap_ms)
 
     def _bounded(self, wait_ms: float) -> float:
-        return min(max(wait_ms, self.least_ms), self.most_ms)
+        return min(max(wait_ms, self.min_ms), self.max_ms)
--- a/src/fescuedock/entry/claiming.py
+++ b/src/fescuedock/entry/claiming.py
@@ -1,4 +1,4 @@
-"""Makes and keeps the claims of calls with an ``Idempotency-Key``, and removes old ones."""
+"""Creates and updates the claims of calls with an ``Idempotency-Key``, and deletes expired ones."""
 
 import random
 from collections import OrderedDict
@@ -28,35 +28,36 @@
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.view import Program
 
-__all__ = ["ClaimDesk", "sweep_claims", "sweep_claims_forever"]
+__all__ = ["ClaimManager", "sweep_claims", "sweep_claims_forever"]
 
 _TOKEN_BITS = 128
 _PUT_ATTEMPTS = 3
-# The caller waits for the record of its answer, but not through an outage.
-_KEEP_TIMEOUT_S = 0.5
+# The caller waits while its answer is recorded, but not during an outage.
+_RECORD_TIMEOUT_S = 0.5
 _MAX_UNSENT = 1024
 _RETRY_AFTER_MS = 1000
-_SWEEPER = "claims"
-_PAGE = 200
-# Deletions take a small part of what the key-value service can write.
+_SWEEPER_KEY = "claims"
+_PAGE_SIZE = 200
+# Limits deletions to a small part of the write capacity of the key-value service.
 _DELETE_PAUSE_S = 0.02
 
 
-class ClaimDesk:
-    """Makes the claims of one entry."""
+class ClaimManager:
+    """Creates and updates the claims of one entry."""
 
     __slots__ = ("_context", "_rng", "_unsent")
 
     def __init__(self, context: EntryContext, rng: random.Random) -> None:
         self._context = context
         self._rng = rng
-        # Tokens of claims that may stand although nothing was sent under them.
+        # Tokens of claims that may be stored although nothing was sent under them.
         self._unsent: OrderedDict[str, None] = OrderedDict()
 
-    async def make_claim(self, call: ServiceCall) -> Result[Claim | RecordedAnswer, Fault]:
-        """Return a claim under which ``call`` may be sent once, or the answer it had before.
+    async def claim_call(self, call: ServiceCall) -> Result[Claim | RecordedAnswer, Fault]:
+        """Return a claim under which ``call`` may be sent once, or its recorded answer.
 
-        ``CLAIM_UNAVAILABLE``, ``ALREADY_CLAIMED`` or ``KEY_REUSED`` when it must not be sent.
+        The fault is ``CLAIM_UNAVAILABLE``, ``ALREADY_CLAIMED`` or ``KEY_REUSED`` if the call must
+        not be sent.
         """
         prefix = self._context.settings.platform.key_prefix
         claim = Claim(
@@ -66,29 +67,29 @@
             created_at_s=self._context.unix_clock(),
             unsent_tokens=self._unsent.keys(),
         )
-        is_ours = False
+        is_granted = False
         try:
             with trio.move_on_at(call.deadline_ms / 1000):
-                made = await self._carry_on(claim)
-                is_ours = isinstance(made, Ok) and made.ok_value is claim
+                made = await self._run_steps(claim)
+                is_granted = isinstance(made, Ok) and made.ok_value is claim
                 return made
         finally:
-            # Only now: while the answer to its write is on the way, this claim may still be the
-            # one that sends, and a resend that took it over would send the call as well.
-            if not is_ours:
-                self._note_unsent(claim.token)
+            # Not earlier: until the reply to its write arrives, this claim may still be granted,
+            # and a resend that takes it over would send the call a second time.
+            if not is_granted:
+                self._record_unsent(claim.token)
         message = "the call's claim could not be made within the deadline"
         return Err(Fault(ResultCode.CLAIM_UNAVAILABLE, message, _RETRY_AFTER_MS))
 
-    async def keep(self, claim: Claim, answer: RecordedAnswer) -> None:
-        """Record the answer for resends, which else learn only that the call may have run."""
+    async def record_answer(self, claim: Claim, answer: RecordedAnswer) -> None:
+        """Record the answer for resends; without it they learn only that the call may have run."""
         await self._put_once(claim.record_answer(answer))
 
     async def release(self, claim: Claim) -> None:
         """Record that nothing was sent, so that a resend can run the call."""
         await self._put_once(claim.record_not_sent())
 
-    async def _carry_on(self, claim: Claim) -> Result[Claim | RecordedAnswer, Fault]:
+    async def _run_steps(self, claim: Claim) -> Result[Claim | RecordedAnswer, Fault]:
         step = claim.start()
         while True:
             match step:
@@ -114,40 +115,40 @@
         )
 
     async def _put_once(self, step: PutRecord) -> None:
-        """Write without following up: both outcomes of a lost answer are truthful."""
+        """Write without resolving a lost reply: the stored record is true in either case."""
         value = msgspec.json.encode(step.record)
-        with trio.move_on_after(_KEEP_TIMEOUT_S):
+        with trio.move_on_after(_RECORD_TIMEOUT_S):
             written = await self._context.kv.put_if(step.key, value, step.expected_revision)
             if isinstance(written, Ok):
                 return
         log_event("claim_not_updated", key=step.key, state=step.record.state.value)
 
-    def _note_unsent(self, token: str) -> None:
+    def _record_unsent(self, token: str) -> None:
         self._unsent[token] = None
         if len(self._unsent) > _MAX_UNSENT:
             self._unsent.popitem(last=False)
 
 
 async def sweep_claims_forever(context: EntryContext) -> None:
-    """Remove old claims now and then, if this entry is the one that does it for the fleet."""
+    """Delete expired claims periodically while this entry is the one chosen by the fleet."""
     while True:
         await trio.sleep(context.settings.entry.claim_sweep_interval_ms / 1000)
         entries = [vm.vm_id for vm in context.view.live_vms(Program.ENTRY)]
-        if choose_name(_SWEEPER, entries) == context.settings.vm.vm_id:
+        if choose_name(_SWEEPER_KEY, entries) == context.settings.vm.vm_id:
             await sweep_claims(context)
 
 
 async def sweep_claims(context: EntryContext) -> int:
-    """Delete the claims that are older than the retention; return how many.
+    """Delete the claims that are older than the retention; return how many were deleted.
 
-    Two sweepers at once do no harm: each deletes only the revision that it read.
+    Two concurrent sweeps are safe: each deletes only the revision that it read.
     """
     prefix = f"{context.settings.platform.key_prefix}claims/"
     retention_s = context.settings.entry.claim_retention_s
     start_after = ""
     deleted = 0
     while True:
-        page = await context.kv.get_range(prefix, start_after=start_after, limit=_PAGE)
+        page = await context.kv.get_range(prefix, start_after=start_after, limit=_PAGE_SIZE)
         if isinstance(page, Err):
             log_event("claim_sweep_broken_off", reason=str(page.err_value))
             return deleted
--- a/src/fescuedock/entry/fleet_status.py
+++ b/src/fescuedock/entry/fleet_status.py
@@ -1,4 +1,4 @@
-"""The fleet as one VM sees it, for the operators' pages and the metrics."""
+"""The state of the fleet as one VM knows it, for operator pages and metrics."""
 
 import math
 
@@ -11,14 +11,14 @@
 
 __all__ = ["STATUS_PATH", "fleet_status"]
 
-# Where an entry and a node's metrics port answer with it.
+# Path on an entry and on a node's metrics port.
 STATUS_PATH = "/admin/status"
 
 _NEVER_MS = -1
 
 
 def fleet_status(view: FleetView, permits: PermitClient) -> FleetStatus:
-    """Return the fleet as ``view`` shows it, with the loads that owners told ``permits``."""
+    """Return the fleet as in ``view``, with the loads that owners reported to ``permits``."""
     suspected, harmful, cleared = view.quarantine.counts()
     return FleetStatus(
         suspected_traits=suspected,
@@ -26,8 +26,8 @@
         cleared_traits=cleared,
         vm_id=view.vm_id,
         config_version=view.config_version,
-        config_age_ms=_whole_ms(view.config_age_ms),
-        membership_age_ms=_whole_ms(view.membership_age_ms),
+        config_age_ms=_integer_ms(view.config_age_ms),
+        membership_age_ms=_integer_ms(view.membership_age_ms),
         vms=[_vm_status(vm) for _, vm in sorted(view.vms.items())],
         upstreams=[
             _upstream_status(view, permits, item) for _, item in sorted(view.upstreams.items())
@@ -67,10 +67,10 @@
         status.in_flight_online = timed.load.in_flight_online
         status.in_flight_batch = timed.load.in_flight_batch
         status.limit = timed.load.limit
-        status.load_age_ms = _whole_ms(now_ms() - timed.at_ms)
+        status.load_age_ms = _integer_ms(now_ms() - timed.at_ms)
     return status
 
 
-def _whole_ms(interval_ms: float) -> int:
-    """Return whole milliseconds; -1 for "never"."""
+def _integer_ms(interval_ms: float) -> int:
+    """Return integer milliseconds; -1 for "never"."""
     return int(interval_ms) if math.isfinite(interval_ms) else _NEVER_MS
--- a/src/fescuedock/entry/jobs.py
+++ b/src/fescuedock/entry/jobs.py
@@ -1,7 +1,7 @@
-"""Batch jobs: ``/v1/batches`` as OpenAI's interface has it.
+"""Batch jobs: ``/v1/batches``, compatible with OpenAI's interface.
 
-``completion_window`` may be any time such as ``24h``, ``90m`` or ``3600s``, and a request may carry
-an ``Idempotency-Key``.  Without one its content stands in for the key.
+``completion_window`` may be any duration such as ``24h``, ``90m`` or ``3600s``, and a request may
+have an ``Idempotency-Key``.  Without one its content serves as the key.
 """
 
 from typing import Any
@@ -48,10 +48,10 @@
     """Return the routes under ``/v1/batches``."""
 
     async def create(request: Request, responder: Responder, _values: dict[str, str]) -> None:
-        await _answer(responder, await _create(context, request))
+        await _send_result(responder, await _create(context, request))
 
     async def get(request: Request, responder: Responder, values: dict[str, str]) -> None:
-        await _answer(responder, await _get(context, request, values["job_id"]))
+        await _send_result(responder, await _get(context, request, values["job_id"]))
 
     async def list_all(request: Request, responder: Responder, _values: dict[str, str]) -> None:
         page = await _list(context, request)
@@ -61,7 +61,7 @@
         await responder.send_json(200, _list_body(page.ok_value))
 
     async def cancel(request: Request, responder: Responder, values: dict[str, str]) -> None:
-        await _answer(responder, await _cancel(context, request, values["job_id"]))
+        await _send_result(responder, await _cancel(context, request, values["job_id"]))
 
     return [
         Route("POST", "/v1/batches", create),
@@ -75,10 +75,10 @@
     member = find_member(context, request.headers)
     if isinstance(member, Err):
         return member
-    asked = _read_body(await request.read(_MAX_BODY_BYTES), request, member.ok_value)
-    if isinstance(asked, Err):
-        return asked
-    file_id, wanted = asked.ok_value.file_id, asked.ok_value.request
+    creation = _read_body(await request.read(_MAX_BODY_BYTES), request, member.ok_value)
+    if isinstance(creation, Err):
+        return creation
+    file_id, wanted = creation.ok_value.file_id, creation.ok_value.request
     file = await read_file(context, member.ok_value, file_id)
     if isinstance(file, Ok):
         wanted = msgspec.structs.replace(wanted, input_hash=file.ok_value.content_hash)
@@ -89,14 +89,14 @@
     return file
 
 
-class _Asked(msgspec.Struct, frozen=True):
-    """A creation as asked for; the request lacks the hash of the input yet."""
+class _CreateRequest(msgspec.Struct, frozen=True):
+    """A parsed request to create a job; the input hash of ``request`` is not set yet."""
 
     file_id: str
     request: JobRequest
 
 
-def _read_body(data: bytes, request: Request, member: str) -> Result[_Asked, Fault]:
+def _read_body(data: bytes, request: Request, member: str) -> Result[_CreateRequest, Fault]:
     try:
         body = msgspec.json.decode(data, type=_CreateBody)
     except msgspec.MsgspecError as error:
@@ -119,14 +119,14 @@
         metadata=metadata.ok_value,
         input_hash="",
     )
-    return Ok(_Asked(body.input_file_id, wanted))
+    return Ok(_CreateRequest(body.input_file_id, wanted))
 
 
 def _checked_metadata(metadata: dict[str, str]) -> Result[dict[str, str], Fault]:
     longest = max((len(text) for item in metadata.items() for text in item), default=0)
     if len(metadata) <= _MAX_METADATA and longest <= _MAX_METADATA_CHARS:
         return Ok(metadata)
-    text = f"metadata takes {_MAX_METADATA} entries of up to {_MAX_METADATA_CHARS} characters"
+    text = f"metadata is limited to {_MAX_METADATA} entries of {_MAX_METADATA_CHARS} characters"
     return Err(Fault(ResultCode.BAD_REQUEST, text))
 
 
@@ -154,7 +154,7 @@
 
 
 async def _cancel(context: EntryContext, request: Request, job_id: str) -> Result[JobRecord, Fault]:
-    """Record the cancel, then push it to the owner; the record alone is what counts."""
+    """Record the cancellation, then notify the owner; only the record is authoritative."""
     member = find_member(context, request.headers)
     if isinstance(member, Err):
         return member
@@ -164,7 +164,7 @@
     return record
 
 
-async def _answer(responder: Responder, result: Result[JobRecord, Fault]) -> None:
+async def _send_result(responder: Responder, result: Result[JobRecord, Fault]) -> None:
     if isinstance(result, Err):
         await responder.send_fault(result.err_value)
         return
--- a/src/fescuedock/entry/main.py
+++ b/src/fescuedock/entry/main.py
@@ -1,4 +1,4 @@
-"""The entry: HTTP for callers and operators, on every VM."""
+"""The entry program: serves HTTP to callers and operators, on every VM."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -13,7 +13,7 @@
 from fescuedock.agent.permit_client import open_permit_client
 from fescuedock.backing.etcd import EtcdKv
 from fescuedock.clock import now_ms, unix_clock
-from fescuedock.core.entry_standing import EntryStanding
+from fescuedock.core.entry_availability import EntryAvailability
 from fescuedock.daemon import Stop, run_program
 from fescuedock.entry.app import entry_handler
 from fescuedock.entry.claiming import sweep_claims_forever
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class _Entry:
-    """The state of the program itself."""
+    """The state of the entry program."""
 
     settings: Settings
     server: HttpServer = field(init=False)
@@ -45,16 +45,16 @@
     view: FleetView | None = None
     leaving: bool = False
     served: trio.Event = field(default_factory=trio.Event)
-    standing: EntryStanding = field(init=False)
+    availability: EntryAvailability = field(init=False)
 
     def __post_init__(self) -> None:
         settings = self.settings.entry
         self.server = HttpServer(self.handle, _limits(settings))
-        self.standing = EntryStanding(settings.leave_spread_ms + settings.answer_valid_ms)
+        self.availability = EntryAvailability(settings.leave_spread_ms + settings.answer_valid_ms)
 
     @property
     def joined(self) -> bool:
-        """Whether the fleet and its configuration are known."""
+        """Whether this entry knows the fleet and its configuration."""
         return self.view is not None and self.view.version > 0
 
     @property
@@ -62,22 +62,24 @@
         return self.joined and not self.leaving
 
     async def serve(self, address: Address, *, task_status: trio.TaskStatus[Address]) -> None:
-        """Serve on ``address`` until the server is stopped and its last request is done."""
+        """Serve on ``address`` until the server is stopped and its last request has ended."""
         await self.server.serve(address, task_status=task_status)
         self.served.set()
 
     def refusal(self) -> Fault | None:
-        """Return why new work is refused; a leaving entry takes it until it closes."""
+        """Return why new work is refused; a leaving entry accepts it until it closes."""
         if self.leaving:
             return None
-        return self.standing.refusal(self.view.config_version, now_ms())
+        return self.availability.refusal(self.view.config_version, now_ms())
 
-    async def follow_standing(self) -> None:
-        """Note for ever whether this VM's agent lets the fleet name this entry."""
+    async def follow_listing(self) -> None:
+        """Track forever whether this VM's agent lists this entry in the fleet."""
         version = 0
         while True:
             own = self.view.vms.get(self.settings.vm.vm_id)
-            self.standing.note(own is not None and Program.ENTRY in own.ready, now_ms())
+            self.availability.record_listing(
+                own is not None and Program.ENTRY in own.ready, now_ms()
+            )
             version = await self.view.wait_changed(version)
 
     async def handle(self, request: Request, responder: Responder) -> None:
@@ -99,10 +101,10 @@
     *,
     task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve callers until ``stop`` and the graceful shutdown after it.
+    """Serve callers until ``stop`` and the graceful shutdown that follows.
 
-    Reports its address once it takes requests.  It needs the sections [entry], [agent] and
-    [batch]: the agent is this VM's own, and jobs are accepted under the batch settings.
+    Report the bound address once requests are accepted.  The settings need the sections [entry],
+    [agent] (the agent of the same VM) and [batch] (jobs are accepted under these settings).
     """
     entry = _Entry(settings)
     address = Address(settings.vm.host, settings.entry.port)
@@ -111,7 +113,7 @@
         async with _open_context(entry, bound) as context:
             entry.view = context.view
             entry.handler = entry_handler(context, entry.refusal)
-            nursery.start_soon(entry.follow_standing)
+            nursery.start_soon(entry.follow_listing)
             nursery.start_soon(sweep_claims_forever, context)
             task_status.started(bound)
             await stop.wait()
@@ -145,17 +147,17 @@
 
 
 async def _leave(entry: _Entry, agent: AgentLink) -> None:
-    """Shut down without cutting off anybody, within ``vm.stop_timeout_ms``.
+    """Shut down without interrupting callers, within ``vm.stop_timeout_ms``.
 
-    First the other VMs must stop naming this entry, then the callers' answers that name it must
-    expire, and the requests in flight end.
+    First the other VMs must stop listing this entry, then the answers that list it must expire, and
+    finally the requests in flight must end.
     """
     settings = entry.settings
     stop_at_ms = now_ms() + settings.vm.stop_timeout_ms
     entry.leaving = True
     with trio.move_on_at(stop_at_ms / 1000):
-        told = await agent.hello()
-        log_event("entry_leaving", agent_told=told, in_flight=entry.server.in_flight)
+        notified = await agent.hello()
+        log_event("entry_leaving", agent_told=notified, in_flight=entry.server.in_flight)
         await trio.sleep((settings.entry.leave_spread_ms + settings.entry.answer_valid_ms) / 1000)
     entry.server.stop()
     with trio.move_on_at(stop_at_ms / 1000):
--- a/src/fescuedock/entry/online_permits.py
+++ b/src/fescuedock/entry/online_permits.py
@@ -36,31 +36,33 @@
 __all__ = ["OnlineCall", "PermitSearch", "find_permit"]
 
 _RETRY_AFTER_MS = 1000
-_SILENCE = (ResultCode.PEER_UNREACHABLE, ResultCode.PEER_UNKNOWN)
-# Answers that say nothing of the room at an upstream.
-_NO_OWNER = (*_SILENCE, ResultCode.NOT_OWNER)
-# Before the choice is made anew when a node turned out not to own an upstream: views are replaced
-# every 100 ms.  An upstream that leaves has its asks refused so; taken for silence, the node that
-# answered was passed over for a second, with all that it owns.
+_NO_REPLY_CODES = (ResultCode.PEER_UNREACHABLE, ResultCode.PEER_UNKNOWN)
+# Replies that say nothing about the free capacity of an upstream.
+_NO_LOAD_INFO_CODES = (*_NO_REPLY_CODES, ResultCode.NOT_OWNER)
+# Pause before choosing again when a node turned out not to own an upstream: views are replaced
+# every 100 ms.  Requests for a leaving upstream are refused with this code; when it counted as no
+# reply, the answering node and all its upstreams were skipped for a second.
 _NOT_OWNER_PAUSE_S = 0.02
-# In which nodes hear of an upstream's end from each other.
-_NEWS_S = 0.1
-_NOTHING_KNOWN = Fault(ResultCode.NO_CAPACITY, "more became known of the work", _RETRY_AFTER_MS)
+# Time within which nodes learn from each other that an upstream ended.
+_CRASH_REPORT_WAIT_S = 0.1
+_VERDICT_CHANGED = Fault(
+    ResultCode.NO_CAPACITY, "more became known about the work", _RETRY_AFTER_MS
+)
 
 
 class OnlineCall(Protocol):
-    """What a permit is asked for: an online request to a model, or a call to a plain service."""
+    """The call that needs a permit: an online request to a model, or a call to a plain service."""
 
     @property
     def request_id(self) -> str: ...
 
     @property
     def work_id(self) -> str:
-        """The identity of the work, the same for each try of it."""
+        """The identity of the work, the same for each attempt and resend."""
 
     @property
     def parts(self) -> tuple[str, ...]:
-        """Identities of the parts that its prompt may share with others."""
+        """Identities of the prompt parts that other calls may share."""
 
     @property
     def service(self) -> str: ...
@@ -88,21 +90,21 @@
         """Return ``PermitAsk.priority`` and ``PermitAsk.waited_ms``."""
 
     def start_left_ms(self) -> float:
-        """Return the time in which a start is still of use to the caller, on time or late."""
+        """Return the time left in which a start, on time or late, is still useful to the caller."""
 
     def target_left_ms(self) -> int:
         """Return ``PermitAsk.target_ms``."""
 
 
 class PermitSearch(Protocol):
-    """What a search for permits keeps and learns between calls."""
+    """The state that searches for permits share, and what they learn from call to call."""
 
     routing: RoutingPolicy
     rng: random.Random
     admission: Admission
     latency: DomainLatency
-    ask_timeout: RequestTimeout
-    silent: SilentOwners
+    reply_timeout: RequestTimeout
+    silent_owners: SilentOwners
 
     @property
     def view(self) -> FleetView: ...
@@ -113,120 +115,124 @@
     def prefill(self, service: str) -> PrefillModel: ...
 
     def new_identity(self) -> str:
-        """Return an identity that nobody can guess."""
+        """Return an unguessable identity."""
 
     def is_connected(self, upstream: UpstreamRecord) -> bool:
-        """Whether an idle connection to ``upstream`` is kept."""
+        """Whether there is an idle connection to ``upstream``."""
 
 
 async def find_permit(
     state: PermitSearch, call: OnlineCall, avoid: Collection[str] = ()
 ) -> Result[Grant, Fault]:
-    """Return a permit on the best upstream that will take the attempt.
+    """Return a permit on the best upstream that accepts the attempt.
 
-    The permit's identity is unguessable and serves as the attempt's.  Upstreams in ``avoid`` are
-    used only when there is no other.  A refusal is given at once when owners refuse; while one of
-    them queues the call, the choice is made anew now and then.
+    The permit's identity is unguessable and also identifies the attempt.  Upstreams in ``avoid``
+    are used only if there is no other.  If all owners refuse, the refusal is returned at once;
+    while an owner queues the call, the choice of upstreams is repeated from time to time.
 
-    ``WORK_HARMFUL`` when upstreams have ended under the work; one under suspicion waits for an
-    upstream of its own.
+    The fault is ``WORK_HARMFUL`` if upstreams crashed while they ran the work; suspected work waits
+    for an upstream on which it runs in isolation.
     """
     while True:
         verdict = state.view.verdict_on(call.work_id, call.parts)
         if verdict.restriction is Restriction.REFUSED:
-            return Err(_harmful(verdict))
+            return Err(_harmful_fault(verdict))
         if verdict.restriction is Restriction.UNSETTLED:
             with trio.move_on_after(verdict.retry_after_ms / 1000):
                 await state.view.wait_quarantine_changed()
             continue
         if verdict.restriction is Restriction.ALONE:
-            answer = await _ask_alone(state, call, avoid)
-            if not answer.again:
+            answer = await _request_isolated(state, call, avoid)
+            if not answer.retry:
                 return answer.result
             continue
         choices = _choose(state, call, avoid)
         if not choices:
-            return Err(Fault(ResultCode.NO_UPSTREAM, _why_none(state, call), _RETRY_AFTER_MS))
+            return Err(
+                Fault(ResultCode.NO_UPSTREAM, _no_upstream_message(state, call), _RETRY_AFTER_MS)
+            )
         in_time = _check_deadline(state, call, choices)
         if isinstance(in_time, Err):
             return in_time
-        answer = await _ask_all(state, call, choices)
-        if not answer.again:
+        answer = await _request_all(state, call, choices)
+        if not answer.retry:
             return answer.result
 
 
-def _why_none(state: PermitSearch, call: OnlineCall) -> str:
+def _no_upstream_message(state: PermitSearch, call: OnlineCall) -> str:
     message = f"no live upstream serves {call.service!r}"
     if any(_is_usable(state, item) for item in state.view.upstreams_of(call.service)):
         message += f" at software version {' or '.join(sorted(call.software_versions))}"
     return message
 
 
-def _harmful(verdict: Verdict) -> Fault:
-    what = "requests with a part of its prompt" if is_part(verdict.trait) else "this request"
-    message = f"{verdict.crashes} upstreams ended while they ran {what} ({verdict.trait})"
+def _harmful_fault(verdict: Verdict) -> Fault:
+    subject = "requests with a part of its prompt" if is_part(verdict.trait) else "this request"
+    message = f"{verdict.crashes} upstreams ended while they ran {subject} ({verdict.trait})"
     return Fault(ResultCode.WORK_HARMFUL, message, int(verdict.retry_after_ms))
 
 
-async def _ask_alone(state: PermitSearch, call: OnlineCall, avoid: Collection[str]) -> "_Answer":
-    """Wait for an upstream on which nothing else runs; again when more is known of the work.
+async def _request_isolated(
+    state: PermitSearch, call: OnlineCall, avoid: Collection[str]
+) -> "_SearchResult":
+    """Wait for an upstream on which nothing else runs; ``retry`` if the verdict changed.
 
-    All nodes choose the same one for a service, so that suspects never take more than that.
+    All nodes choose the same upstream for a service, so that suspected work occupies only one.
     """
-    if avoid and await _is_settled(state, call):
-        return _Answer(Err(_NOTHING_KNOWN), again=True)
+    if avoid and await _wait_for_verdict_change(state, call):
+        return _SearchResult(Err(_VERDICT_CHANGED), retry=True)
     choices = _choose(state, call, avoid)
     usable = [item.upstream_id for item in choices if item.accepting and not item.owner_silent]
     fresh = [name for name in usable if name not in avoid]
     run_ms = state.admission.times(call.service).run_ms(call.max_tokens, now_ms())
     wait_ms = _slack_ms(call, run_ms)
     if not usable or wait_ms <= 0:
-        why = "no upstream is free for a run alone" if usable else "no upstream can be asked"
-        return _Answer(Err(Fault(ResultCode.NO_CAPACITY, why, _RETRY_AFTER_MS)))
-    ask = PlannedRequest(rank_names(call.service, fresh or usable)[0], wait_ms)
+        why = "no upstream is free for an isolated run" if usable else "no upstream is available"
+        return _SearchResult(Err(Fault(ResultCode.NO_CAPACITY, why, _RETRY_AFTER_MS)))
+    request = PlannedRequest(rank_names(call.service, fresh or usable)[0], wait_ms)
     started_ms = now_ms()
-    granted = await _ask_until_news(state, call, ask, run_ms)
+    granted = await _request_until_verdict_change(state, call, request, run_ms)
     if granted is None:
-        return _Answer(Err(_NOTHING_KNOWN), again=True)
-    in_vain = now_ms() - started_ms >= wait_ms
-    if isinstance(granted, Err) and not in_vain:
-        # Its owner is silent or keeps work from it, which the next choice knows.
+        return _SearchResult(Err(_VERDICT_CHANGED), retry=True)
+    timed_out = now_ms() - started_ms >= wait_ms
+    if isinstance(granted, Err) and not timed_out:
+        # Its owner is silent or keeps work away from it; the next choice takes that into account.
         await trio.sleep(_NOT_OWNER_PAUSE_S)
-        return _Answer(granted, again=True)
-    return _Answer(granted)
+        return _SearchResult(granted, retry=True)
+    return _SearchResult(granted)
 
 
-async def _is_settled(state: PermitSearch, call: OnlineCall) -> bool:
-    """Wait a moment for news of a suspect; return whether it is none any more.
+async def _wait_for_verdict_change(state: PermitSearch, call: OnlineCall) -> bool:
+    """Wait briefly for reports about suspected work; return whether its verdict changed.
 
-    An upstream that failed the call may just have ended, under another try of the same work.
+    The upstream that failed the call may just have crashed under another attempt of the same work.
     """
-    with trio.move_on_after(_NEWS_S):
+    with trio.move_on_after(_CRASH_REPORT_WAIT_S):
         while state.view.verdict_on(call.work_id, call.parts).restriction is Restriction.ALONE:
             await state.view.wait_quarantine_changed()
         return True
     return False
 
 
-async def _ask_until_news(
-    state: PermitSearch, call: OnlineCall, ask: PlannedRequest, run_ms: float
+async def _request_until_verdict_change(
+    state: PermitSearch, call: OnlineCall, request: PlannedRequest, run_ms: float
 ) -> Result[Grant, Fault] | None:
-    """Ask for a run alone; None when the work is no such suspect any more."""
+    """Request an isolated run; return None once the verdict no longer demands isolation."""
     granted: Result[Grant, Fault] | None = None
     try:
         async with trio.open_nursery() as nursery:
 
-            async def ask_alone() -> None:
+            async def request_isolated() -> None:
                 nonlocal granted
-                granted = await _ask(state, call, ask, run_ms, alone=True)
+                granted = await _request_permit(state, call, request, run_ms, isolated=True)
                 nursery.cancel_scope.cancel()
 
-            nursery.start_soon(ask_alone)
+            nursery.start_soon(request_isolated)
             while state.view.verdict_on(call.work_id, call.parts).restriction is Restriction.ALONE:
                 await state.view.wait_quarantine_changed()
             nursery.cancel_scope.cancel()
     except BaseException:
-        # The call was cancelled just when a grant had come, which nobody would ever use.
+        # The call was cancelled just after a grant arrived: return it, as no one else can use it.
         if isinstance(granted, Ok):
             state.permits.return_unused(granted.ok_value)
         raise
@@ -254,7 +260,7 @@
 
 
 def _demand_now(call: OnlineCall) -> Demand:
-    """Return the call's demand with the times that are left to it."""
+    """Return the call's demand with its remaining times."""
     demand = call.demand
     return Demand(
         demand.prompt_tokens,
@@ -271,8 +277,8 @@
     return not upstream.leaving and not (policy is not None and policy.drain)
 
 
-def _is_overtaken(state: PermitSearch, upstream_id: str) -> bool:
-    """Whether an upstream that was chosen has begun to leave or has gone since."""
+def _became_unusable(state: PermitSearch, upstream_id: str) -> bool:
+    """Whether a chosen upstream has started to leave or disappeared since it was chosen."""
     upstream = state.view.upstreams.get(upstream_id)
     return upstream is None or not _is_usable(state, upstream)
 
@@ -285,7 +291,7 @@
     avoided: bool,
     at_ms: float,
 ) -> Candidate:
-    """Return what is known of an upstream by ``at_ms``; it is made for each one with each call."""
+    """Return the candidate for an upstream at ``at_ms``; called for each upstream and call."""
     owner = state.view.owner_of(upstream.upstream_id)
     load = speed = None
     speed_age_ms = 0.0
@@ -301,7 +307,7 @@
         upstream.upstream_id,
         state.latency.one_way_ms(upstream.failure_domain),
         load,
-        owner is None or state.silent.is_silent(owner.vm_id, at_ms),
+        owner is None or state.silent_owners.is_silent(owner.vm_id, at_ms),
         avoided,
         state.is_connected(upstream),
         speed,
@@ -313,13 +319,13 @@
 def _check_deadline(
     state: PermitSearch, call: OnlineCall, choices: list[Choice]
 ) -> Result[None, Fault]:
-    """Refuse what cannot be whole in time by the prediction of the whole queue.
+    """Refuse a call that the predicted wait in the full queue would complete too late.
 
-    A call that can still be on time goes ahead of the late ones in the owners' queues, so the
-    length of the whole queue says nothing about it; its own wait for a slot decides.  With the
-    check, calls with a short deadline were refused after 0.1 ms while slots came free all the
-    time: 0 of 87 were served where 775 of 1,296 others were.  Of a customer's late call only the
-    owners know by its share how long it will wait.
+    A call that can still be on time overtakes the late ones in the owners' queues, so the length of
+    the full queue does not apply to it: its own wait for a slot decides.  With the check, calls
+    with a short deadline were refused after 0.1 ms although slots kept coming free: 0 of 87 were
+    served, against 775 of 1,296 others.  How long a customer's late call waits depends on the
+    customer's share, which only the owners know.
     """
     target_left_ms = call.target_left_ms()
     if target_left_ms > 0:
@@ -328,66 +334,69 @@
     first_token_ms = 0.0 if by_share else min(item.queue_ms for item in choices)
     start_left_ms = call.start_left_ms()
     if first_token_ms > start_left_ms:
-        message = f"starts in about {first_token_ms:.0f} ms, of use for {start_left_ms:.0f} ms"
+        message = f"starts in about {first_token_ms:.0f} ms, useful within {start_left_ms:.0f} ms"
         return Err(Fault(ResultCode.DEADLINE_CANNOT_BE_MET, message, int(first_token_ms)))
     run_ms = state.admission.times(call.service).run_ms(call.max_tokens, now_ms())
     return state.admission.check_deadline(call.left_ms(), first_token_ms, run_ms)
 
 
-class _Answer(msgspec.Struct, frozen=True):
-    """What came of a round of asks; ``again`` says that it taught enough for another one."""
+class _SearchResult(msgspec.Struct, frozen=True):
+    """The result of a round of permit requests; ``retry`` says that another round may succeed."""
 
     result: Result[Grant, Fault]
-    again: bool = False
+    retry: bool = False
 
 
-async def _ask_all(state: PermitSearch, call: OnlineCall, choices: list[Choice]) -> _Answer:
-    """Ask in the planned order; the refusal that comes back soonest stands for all.
+async def _request_all(
+    state: PermitSearch, call: OnlineCall, choices: list[Choice]
+) -> _SearchResult:
+    """Request permits in the planned order; return a grant, or the most informative refusal.
 
-    An owner that turns out to be silent, or one that queued the call in vain, ends the round.
+    An owner that does not reply, or one whose queue timed out, ends the round.
     """
     run_ms = state.admission.times(call.service).run_ms(call.max_tokens, now_ms())
     plan = plan_requests(choices, _slack_ms(call, run_ms), state.routing)
     refusal: Fault | None = None
-    for queues, asks in groupby(plan, key=lambda ask: ask.may_queue):
+    for queues, requests in groupby(plan, key=lambda request: request.may_queue):
         if queues:
-            answer = await _queue_at_several(state, call, list(asks), run_ms)
+            answer = await _queue_at_several(state, call, list(requests), run_ms)
         else:
-            answer = await _ask_in_turn(state, call, list(asks), choices, run_ms)
-        if isinstance(answer.result, Ok) or answer.again:
+            answer = await _request_in_order(state, call, list(requests), choices, run_ms)
+        if isinstance(answer.result, Ok) or answer.retry:
             return answer
-        refusal = _kinder(refusal, answer.result.err_value)
+        refusal = _more_informative(refusal, answer.result.err_value)
     if call.member:
-        granted = await _ask_with_room(state, call, choices, plan, run_ms)
+        granted = await _request_with_room(state, call, choices, plan, run_ms)
         if granted is not None:
             return granted
-    return _Answer(Err(_refusal(refusal)))
+    return _SearchResult(Err(_refusal(refusal)))
 
 
-async def _ask_with_room(
+async def _request_with_room(
     state: PermitSearch,
     call: OnlineCall,
     choices: list[Choice],
     plan: list[PlannedRequest],
     run_ms: float,
-) -> _Answer | None:
-    """Ask the other upstreams that may have free slots; None when none of them grants.
+) -> _SearchResult | None:
+    """Try the other upstreams that may have free slots; return None if none of them grants.
 
-    A customer above its share is refused by full owners at once, which says nothing of the others.
-    Each answer tells the load, so a node asks an upstream in vain once in ``stale_ms`` at most.
+    Owners of full upstreams refuse a customer above its share at once, which says nothing about the
+    others.  Each reply reports the load, so a node makes at most one futile request to an upstream
+    per ``stale_ms``.
     """
-    asked = {ask.upstream_id for ask in plan}
+    requested = {request.upstream_id for request in plan}
     rest = [
         PlannedRequest(item.upstream_id)
         for item in choices
         if item.has_room
         and item.accepting
         and not item.owner_silent
-        and item.upstream_id not in asked
+        and item.upstream_id not in requested
     ]
     if not rest:
         return None
-    answer = await _ask_in_turn(state, call, rest, choices, run_ms)
+    answer = await _request_in_order(state, call, rest, choices, run_ms)
     return answer if isinstance(answer.result, Ok) else None
 
 
@@ -395,57 +404,55 @@
     return min(call.left_ms() - run_ms, call.start_left_ms())
 
 
-async def _ask_in_turn(
+async def _request_in_order(
     state: PermitSearch,
     call: OnlineCall,
-    asks: Sequence[PlannedRequest],
+    requests: Sequence[PlannedRequest],
     choices: Sequence[Choice],
     run_ms: float,
-) -> _Answer:
-    """Ask for slots that are believed to be free, until one is granted."""
+) -> _SearchResult:
+    """Request slots that are believed to be free, one after the other, until one is granted."""
     refusal: Fault | None = None
-    for number, ask in enumerate(asks, start=1):
-        granted = await _ask(state, call, ask, run_ms)
+    for number, request in enumerate(requests, start=1):
+        granted = await _request_permit(state, call, request, run_ms)
         if isinstance(granted, Ok):
-            return _Answer(await _better(state, call, granted, asks[number - 1 :], choices, run_ms))
-        if granted.err_value.code in _SILENCE:
-            return _Answer(granted, again=True)
-        refusal = _kinder(refusal, granted.err_value)
-    return _Answer(Err(refusal))
+            return _SearchResult(
+                await _move_to_faster(state, call, granted, requests[number - 1 :], choices, run_ms)
+            )
+        if granted.err_value.code in _NO_REPLY_CODES:
+            return _SearchResult(granted, retry=True)
+        refusal = _more_informative(refusal, granted.err_value)
+    return _SearchResult(Err(refusal))
 
 
 def _should_move(
-    state: PermitSearch,
-    call: OnlineCall,
-    ask: PlannedRequest,
-    other: PlannedRequest,
-    choices: Sequence[Choice],
+    state: PermitSearch, call: OnlineCall, request: PlannedRequest, other: PlannedRequest, choices: Sequence[Choice]
 ) -> bool:
-    if state.routing.rank is None or ask.local or other.local:
+    if state.routing.rank is None or request.local or other.local:
         return False
-    timed = state.permits.loads.get(ask.upstream_id)
+    timed = state.permits.loads.get(request.upstream_id)
     choice = next(item for item in choices if item.upstream_id == other.upstream_id)
     placing = state.routing.placement
     return timed is not None and should_move(timed.load, choice, call.demand.prompt_tokens, placing)
 
 
-async def _better(
+async def _move_to_faster(
     state: PermitSearch,
     call: OnlineCall,
     granted: Ok[Grant],
-    asks: Sequence[PlannedRequest],
+    requests: Sequence[PlannedRequest],
     choices: Sequence[Choice],
     run_ms: float,
 ) -> Ok[Grant]:
-    """Return ``granted``, of the first of ``asks``, or a permit of one that is much faster now.
+    """Return ``granted``, for the first of ``requests``, or a permit on a much faster upstream.
 
-    A permit is held until there is another one.
+    A permit is held until its replacement is granted.
     """
-    for ask, other in pairwise(asks):
-        if not _should_move(state, call, ask, other, choices):
+    for request, other in pairwise(requests):
+        if not _should_move(state, call, request, other, choices):
             return granted
         try:
-            moved = await _ask(state, call, other, run_ms)
+            moved = await _request_permit(state, call, other, run_ms)
         except BaseException:
             state.permits.return_unused(granted.ok_value)
             raise
@@ -456,7 +463,7 @@
             "permit_moved",
             routine=True,
             request_id=call.request_id,
-            from_upstream_id=ask.upstream_id,
+            from_upstream_id=request.upstream_id,
             to_upstream_id=other.upstream_id,
         )
         granted = moved
@@ -464,78 +471,78 @@
 
 
 async def _queue_at_several(
-    state: PermitSearch, call: OnlineCall, asks: Sequence[PlannedRequest], run_ms: float
-) -> _Answer:
-    """Wait in several queues at once; the first grant counts and the other asks are withdrawn.
+    state: PermitSearch, call: OnlineCall, requests: Sequence[PlannedRequest], run_ms: float
+) -> _SearchResult:
+    """Wait in several queues at once; use the first grant and withdraw the other requests.
 
-    A slot that comes free anywhere then goes to the call that needs it soonest.  In one queue
-    after the other a call missed its target beside upstreams that served late ones.
+    A slot that becomes free anywhere then goes to the call that needs it soonest.  When calls
+    waited in one queue at a time, they missed their target while other upstreams served late calls.
     """
-    refusals: list[_Answer] = []
+    refusals: list[_SearchResult] = []
     grants: list[Grant] = []
 
-    async def queue_at(ask: PlannedRequest) -> None:
+    async def queue_at(request: PlannedRequest) -> None:
         started_ms = now_ms()
-        granted = await _ask(state, call, ask, run_ms, queues=len(asks))
+        granted = await _request_permit(state, call, request, run_ms, queues=len(requests))
         if isinstance(granted, Err):
-            in_vain = now_ms() - started_ms >= ask.wait_ms
+            timed_out = now_ms() - started_ms >= request.wait_ms
             code = granted.err_value.code
             if code is ResultCode.NOT_OWNER:
                 await trio.sleep(_NOT_OWNER_PAUSE_S)
-            again = code is ResultCode.NOT_OWNER or (in_vain and code not in _SILENCE)
-            # The refusal of one that leaves says nothing of those that came since the choice.
-            again = again or _is_overtaken(state, ask.upstream_id)
-            refusals.append(_Answer(granted, again=again))
+            retry = code is ResultCode.NOT_OWNER or (timed_out and code not in _NO_REPLY_CODES)
+            # A leaving upstream's refusal says nothing about upstreams added since the choice.
+            retry = retry or _became_unusable(state, request.upstream_id)
+            refusals.append(_SearchResult(granted, retry=retry))
             return
         grants.append(granted.ok_value)
         nursery.cancel_scope.cancel()
 
     try:
         async with trio.open_nursery() as nursery:
-            for ask in asks:
-                nursery.start_soon(queue_at, ask)
+            for request in requests:
+                nursery.start_soon(queue_at, request)
     except BaseException:
-        # The call was cancelled just when a grant had come, which nobody would ever use.
+        # The call was cancelled just after a grant arrived: return it, as no one else can use it.
         for grant in grants:
             state.permits.return_unused(grant)
         raise
     for grant in grants[1:]:
         state.permits.return_unused(grant)
     if grants:
-        return _Answer(Ok(grants[0]))
-    return _sum_up(refusals)
+        return _SearchResult(Ok(grants[0]))
+    return _merge_refusals(refusals)
 
 
-def _sum_up(refusals: Iterable[_Answer]) -> _Answer:
-    """Return one answer for several refusals: ask again if any owner had queued the call."""
-    kindest: Fault | None = None
-    again = False
+def _merge_refusals(refusals: Iterable[_SearchResult]) -> _SearchResult:
+    """Combine several refusals into one result; ``retry`` if any of them allows it."""
+    best: Fault | None = None
+    retry = False
     for refusal in refusals:
-        kindest = _kinder(kindest, refusal.result.err_value)
-        again = again or refusal.again
-    return _Answer(Err(kindest), again)
+        best = _more_informative(best, refusal.result.err_value)
+        retry = retry or refusal.retry
+    return _SearchResult(Err(best), retry)
 
 
 def _refusal(fault: Fault | None) -> Fault:
-    """Return the caller's answer: nothing was sent, and it may come back."""
-    if fault is None or fault.code in _NO_OWNER:
-        why = "no time is left to wait" if fault is None else "no owner answers"
+    """Return the fault for the caller: nothing was sent, and a resend may succeed."""
+    if fault is None or fault.code in _NO_LOAD_INFO_CODES:
+        why = "no time is left to wait" if fault is None else "no owner replies"
         return Fault(ResultCode.NO_CAPACITY, f"no capacity: {why}", _RETRY_AFTER_MS)
     return msgspec.structs.replace(fault, retry_after_ms=fault.retry_after_ms or _RETRY_AFTER_MS)
 
 
-async def _ask(
+async def _request_permit(
     state: PermitSearch,
     call: OnlineCall,
-    ask: PlannedRequest,
+    request: PlannedRequest,
     run_ms: float,
     queues: int = 1,
     *,
-    alone: bool = False,
+    isolated: bool = False,
 ) -> Result[Grant, Fault]:
     priority, waited_ms = call.urgency()
     message = PermitAsk(
-        upstream_id=ask.upstream_id,
+        upstream_id=request.upstream_id,
         attempt_id=state.new_identity(),
         holder_id=state.permits.holder_id,
         service=call.service,
@@ -545,45 +552,45 @@
         prompt_tokens=call.demand.prompt_tokens,
         max_tokens=call.max_tokens,
         prefix_hash=call.demand.prefix_hash,
-        wait_ms=int(ask.wait_ms),
+        wait_ms=int(request.wait_ms),
         target_ms=call.target_left_ms(),
         queues=queues,
         work_id=call.work_id,
-        alone=alone,
+        alone=isolated,
         priority=priority,
         waited_ms=waited_ms,
     )
-    if ask.local:
+    if request.local:
         return state.permits.request_local(message, call.parts)
     started_ms = now_ms()
-    state.ask_timeout.in_flight += 1
+    state.reply_timeout.in_flight += 1
     try:
-        timeout_ms = ask.wait_ms + state.ask_timeout.timeout_ms
+        timeout_ms = request.wait_ms + state.reply_timeout.timeout_ms
         granted = await state.permits.request(message, timeout_ms, call.parts)
     finally:
-        state.ask_timeout.in_flight -= 1
-    _note_answer(state, ask, granted, now_ms() - started_ms)
+        state.reply_timeout.in_flight -= 1
+    _record_reply(state, request, granted, now_ms() - started_ms)
     return granted
 
 
-def _note_answer(
-    state: PermitSearch, ask: PlannedRequest, granted: Result[Grant, Fault], round_trip_ms: float
+def _record_reply(
+    state: PermitSearch, request: PlannedRequest, granted: Result[Grant, Fault], round_trip_ms: float
 ) -> None:
-    owner = state.view.owner_of(ask.upstream_id)
+    owner = state.view.owner_of(request.upstream_id)
     if owner is None:
         return
-    if isinstance(granted, Err) and granted.err_value.code in _SILENCE:
-        state.silent.record_silence(owner.vm_id, now_ms())
+    if isinstance(granted, Err) and granted.err_value.code in _NO_REPLY_CODES:
+        state.silent_owners.record_silence(owner.vm_id, now_ms())
         return
-    state.silent.record_answer(owner.vm_id)
-    if not ask.wait_ms:
+    state.silent_owners.record_answer(owner.vm_id)
+    if not request.wait_ms:
         state.latency.observe(owner.failure_domain, round_trip_ms)
 
 
-def _kinder(first: Fault | None, second: Fault) -> Fault:
-    """Return the refusal that tells more: an owner's before a silence, the sooner before others."""
-    if first is None or first.code in _NO_OWNER:
+def _more_informative(first: Fault | None, second: Fault) -> Fault:
+    """Return the better refusal: an owner's over a missing reply, else the earlier retry."""
+    if first is None or first.code in _NO_LOAD_INFO_CODES:
         return second
-    if second.code in _NO_OWNER or not second.retry_after_ms:
+    if second.code in _NO_LOAD_INFO_CODES or not second.retry_after_ms:
         return first
     return second if second.retry_after_ms < (first.retry_after_ms or 10**9) else first
--- a/src/fescuedock/entry/online_state.py
+++ b/src/fescuedock/entry/online_state.py
@@ -1,4 +1,4 @@
-"""What the online handlers of one entry keep between requests."""
+"""The state that the online handlers of one entry share between requests."""
 
 import random
 from dataclasses import dataclass, field
@@ -33,8 +33,8 @@
 class OnlineState:
     """Shared by all online requests of one entry.
 
-    ``rng`` makes the attempt identities, so it must be unguessable: ``random.SystemRandom`` but
-    in tests.
+    ``rng`` generates the attempt identities, so it must be unguessable: ``random.SystemRandom``
+    except in tests.
     """
 
     context: EntryContext
@@ -45,16 +45,16 @@
     admission: Admission = field(default_factory=Admission)
     latency: DomainLatency = field(default_factory=DomainLatency)
     prefixes: PrefixMemory = field(default_factory=PrefixMemory)
-    ask_timeout: RequestTimeout = field(default_factory=RequestTimeout)
+    reply_timeout: RequestTimeout = field(default_factory=RequestTimeout)
     engines: EngineClient = field(init=False)
     budget: RetryBudget = field(init=False)
-    silent: SilentOwners = field(init=False)
+    silent_owners: SilentOwners = field(init=False)
     _prefill: dict[str, PrefillModel] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.engines = EngineClient(self.context.http)
         self.budget = RetryBudget(self.retry)
-        self.silent = SilentOwners(self.routing)
+        self.silent_owners = SilentOwners(self.routing)
 
     @property
     def view(self) -> "FleetView":
@@ -68,14 +68,14 @@
         return self._prefill.setdefault(service, PrefillModel())
 
     def new_identity(self) -> str:
-        """Return an identity that nobody can guess."""
+        """Return an unguessable identity."""
         return f"{self.rng.getrandbits(_IDENTITY_BITS):032x}"
 
     def is_connected(self, upstream: "UpstreamRecord") -> bool:
-        """Whether an idle connection to ``upstream`` is kept."""
+        """Whether there is an idle connection to ``upstream``."""
         return self.context.http.has_idle(Address(upstream.host, upstream.port))
 
     def shares(self) -> dict[str, float]:
-        """Return the members' shares of the configuration in force."""
+        """Return the members' shares in the current configuration."""
         members = self.context.view.configuration.members
         return {name: spec.share for name, spec in members.items()}
--- a/src/fescuedock/node/online.py
+++ b/src/fescuedock/node/online.py
@@ -55,17 +55,17 @@
         "_prefill",
         "_routes",
         "admission",
-        "ask_timeout",
         "first_event_ms",
         "http",
         "latency",
         "metrics",
         "origins",
         "permits",
+        "reply_timeout",
         "retry_after_ms",
         "rng",
         "routing",
-        "silent",
+        "silent_owners",
         "stalls",
         "view",
     )
@@ -97,11 +97,11 @@
         self.routing = routing
         self.admission = Admission()
         self.latency = DomainLatency()
-        self.ask_timeout = RequestTimeout()
+        self.reply_timeout = RequestTimeout()
         self.stalls = StallLimits()
         # What an upstream takes to a first event: a step, a prompt and the way; learned.
         self.first_event_ms = _FIRST_EVENT_MS
-        self.silent = SilentOwners(self.routing)
+        self.silent_owners = SilentOwners(self.routing)
         self._prefill: dict[str, PrefillModel] = {}
 
     def customers(self) -> CustomerIndex:
--- a/tests/builders/load_player.py
+++ b/tests/builders/load_player.py
@@ -216,11 +216,11 @@
     routing: RoutingPolicy
     admission: Admission = field(default_factory=Admission)
     latency: DomainLatency = field(default_factory=DomainLatency)
-    ask_timeout: RequestTimeout = field(default_factory=RequestTimeout)
-    silent: SilentOwners = field(init=False)
+    reply_timeout: RequestTimeout = field(default_factory=RequestTimeout)
+    silent_owners: SilentOwners = field(init=False)
 
     def __post_init__(self) -> None:
-        self.silent = SilentOwners(self.routing)
+        self.silent_owners = SilentOwners(self.routing)
 
     def prefill(self, _service: str) -> PrefillModel:
         return PrefillModel()
--- a/tests/test_entry_jobs.py
+++ b/tests/test_entry_jobs.py
@@ -1,4 +1,4 @@
-"""Files and batches as the public ``openai`` client sees them, faults of the platform included."""
+"""Files and batches through the public ``openai`` client, including faults of the platform."""
 
 import unittest
 from unittest.mock import patch
@@ -23,7 +23,7 @@
 )
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.settings import BatchSettings
-from tests.builders.jobs import ENDPOINT, JobEntry, JobSite, at_site, input_file, input_line
+from tests.builders.jobs import ENDPOINT, JobEntry, JobSite, input_file, input_line, with_job_site
 from tests.builders.kv import LostAnswer
 from tests.builders.store import HOST, until
 
@@ -47,7 +47,7 @@
 
 
 async def post_file(entry: JobEntry, content_type: str, body: bytes) -> int:
-    """Send a form as it is; returns the status."""
+    """Send a form unchanged; return the status."""
     headers = [("content-type", content_type)]
     http = entry.context.http
     async with http.request(entry.address, "POST", "/v1/files", headers, body) as response:
@@ -76,7 +76,7 @@
 
 class _SiteTest(unittest.TestCase):
     async def assert_refused(self, call, code: ResultCode, outcome: str = "not_run") -> str:
-        """Check the refusal of an awaitable; returns its message."""
+        """Check that an awaitable is refused; return the message."""
         with self.assertRaises(APIStatusError) as caught:
             await call
         error = caught.exception.response.json()["error"]
@@ -86,8 +86,8 @@
 
 
 class FileTest(_SiteTest):
-    @at_site()
-    async def test_file_is_kept_given_back_listed_and_deleted(self, site: JobSite) -> None:
+    @with_job_site()
+    async def test_a_file_is_stored_returned_listed_and_deleted(self, site: JobSite) -> None:
         client = site.entry.client()
         content = input_file(3000)
         file_id = await upload(client, content)
@@ -100,8 +100,8 @@
         await self.assert_refused(client.files.retrieve(file_id), ResultCode.NOT_FOUND)
         await self.assert_refused(client.files.delete(file_id), ResultCode.NOT_FOUND)
 
-    @at_site(batch=SMALL)
-    async def test_any_bytes_come_back_as_they_were(self, site: JobSite) -> None:
+    @with_job_site(batch=SMALL)
+    async def test_any_content_is_returned_unchanged(self, site: JobSite) -> None:
         client = site.entry.client()
         short_lines = b"a\n" * 200_000
         contents = (b"", b"\n\n", b"\r\nx", bytes(range(256)) * 40, b"z" * 5000, short_lines)
@@ -112,15 +112,15 @@
         found = [stored_file(site.entry, key) for key in keys(site.entry, "files")]
         self.assertLess(max(len(file.segments) for file in found), 20)
 
-    @at_site()
-    async def test_list_goes_page_by_page(self, site: JobSite) -> None:
+    @with_job_site()
+    async def test_files_are_listed_in_pages(self, site: JobSite) -> None:
         client = site.entry.client()
         wanted = {await upload(client, input_file(number)) for number in range(1, 6)}
         found = [item.id async for item in client.files.list(limit=2)]
         self.assertEqual((len(found), set(found)), (5, wanted))
 
-    @at_site()
-    async def test_uploads_that_are_no_form_are_refused(self, site: JobSite) -> None:
+    @with_job_site()
+    async def test_malformed_forms_are_refused(self, site: JobSite) -> None:
         form = "multipart/form-data; boundary=b"
         head = b'--b\r\ncontent-disposition: form-data; name="%b"\r\n\r\n'
         purpose = head % b"purpose" + b"batch\r\n"
@@ -139,12 +139,12 @@
         for content_type, body in cases:
             with self.subTest(content_type=content_type, body=body):
                 self.assertEqual(await post_file(site.entry, content_type, body), 400)
-        whole = file + purpose + b"--b--\r\n"
-        self.assertEqual(await post_file(site.entry, form, whole), 200)
+        complete_form = file + purpose + b"--b--\r\n"
+        self.assertEqual(await post_file(site.entry, form, complete_form), 200)
         self.assertEqual(len(keys(site.entry, "files")), 1)
 
-    @at_site()
-    async def test_full_disks_are_said_and_leave_no_file(self, site: JobSite) -> None:
+    @with_job_site()
+    async def test_full_disks_are_reported_and_leave_no_file(self, site: JobSite) -> None:
         client = site.entry.client()
         for node in site.fleet.nodes.values():
             node.usage.max_bytes = 1000
@@ -152,7 +152,7 @@
         self.assertEqual(keys(site.entry, "files"), [])
 
     @patch("fescuedock.entry.files._SLOT_WAIT_MS", 50)
-    @at_site()
+    @with_job_site()
     async def test_uploads_over_the_limit_are_refused_and_finished_ones_make_room(
         self, site: JobSite
     ) -> None:
@@ -170,8 +170,8 @@
         await until(lambda: site.entry.server.in_flight == 0)
         await upload(client, GOOD)
 
-    @at_site()
-    async def test_lost_answers_during_a_deletion_are_told_truly(self, site: JobSite) -> None:
+    @with_job_site()
+    async def test_lost_answers_during_a_deletion_are_resolved(self, site: JobSite) -> None:
         client = site.entry.client()
         for when in LostAnswer:
             file_id = await upload(client, GOOD)
@@ -181,8 +181,10 @@
 
 
 class AcceptanceTest(_SiteTest):
-    @at_site(batch=SMALL)
-    async def test_wrong_lines_are_named_and_nothing_is_accepted(self, site: JobSite) -> None:
+    @with_job_site(batch=SMALL)
+    async def test_invalid_lines_are_reported_by_number_and_nothing_is_accepted(
+        self, site: JobSite
+    ) -> None:
         cases = [
             (b"", ResultCode.EMPTY_INPUT, ""),
             (b"\n \n", ResultCode.EMPTY_INPUT, ""),
@@ -219,13 +221,13 @@
                 message = await self.assert_refused(submit(client, file_id), code)
                 self.assertIn(named, message)
         self.assertEqual(keys(site.entry, "jobs") + keys(site.entry, "open"), [])
-        # A file that cannot be a batch says so before anybody tries.
+        # An invalid batch file reports its error before a job is created from it.
         file = await client.files.retrieve(await upload(client, b"{nonsense"))
         self.assertEqual(file.status, "error")
         self.assertIn("line 1", file.status_details)
 
-    @at_site()
-    async def test_requests_that_cannot_be_read_are_refused(self, site: JobSite) -> None:
+    @with_job_site()
+    async def test_invalid_requests_are_refused(self, site: JobSite) -> None:
         client = site.entry.client()
         file_id = await upload(client, GOOD)
         bad = ResultCode.BAD_REQUEST
@@ -242,7 +244,7 @@
             batch = await submit(client, file_id, completion_window=window)
             self.assertEqual(batch.expires_at - batch.created_at, seconds)
 
-    @at_site()
+    @with_job_site()
     async def test_calls_of_plain_services_are_marked_when_they_may_not_be_repeated(
         self, site: JobSite
     ) -> None:
@@ -258,7 +260,7 @@
         refused = submit(client, file_id, endpoint=url)
         await self.assert_refused(refused, ResultCode.UNKNOWN_SERVICE)
 
-    @at_site(entries=2)
+    @with_job_site(entries=2)
     async def test_resends_through_two_entries_at_once_give_one_job(self, site: JobSite) -> None:
         file_id = await upload(site.entry.client(), input_file(50))
         found: set[str] = set()
@@ -274,7 +276,7 @@
         for kind in ("jobs", "open", "member-jobs"):
             self.assertEqual(len(keys(site.entry, kind)), 1)
 
-    @at_site()
+    @with_job_site()
     async def test_identity_comes_from_the_key_or_else_from_the_content(
         self, site: JobSite
     ) -> None:
@@ -297,7 +299,7 @@
         ids |= {(await submit(theirs, their_file, "key")).id}
         self.assertEqual(len(ids), 4)
 
-    @at_site()
+    @with_job_site()
     async def test_job_outlives_its_file(self, site: JobSite) -> None:
         client = site.entry.client()
         file_id = await upload(client, input_file(3))
@@ -310,9 +312,9 @@
 
 
 class PlatformFaultTest(_SiteTest):
-    @at_site(entries=2)
+    @with_job_site(entries=2)
     async def test_lost_answer_at_each_write_of_an_acceptance(self, site: JobSite) -> None:
-        """Walks every write: file, record, member's list, index of open jobs."""
+        """Covers every write: file, record, member's list, index of open jobs."""
         first, second = site.entries
         for when in LostAnswer:
             for nth in range(1, 5):
@@ -327,7 +329,7 @@
         writes_before = first.kv.faults.writes_seen
         first.kv.faults.lose_answer(when, nth)
         file_id = await upload(first.client(), input_file(3))
-        # One lost answer is always found out, so the caller never hears of it.
+        # A single lost answer is always resolved, so the caller does not see it.
         batch = await submit(first.client(), file_id, key)
         self.assertGreaterEqual(first.kv.faults.writes_seen - writes_before, nth)
         again = await submit(second.client(), file_id, key)
@@ -339,8 +341,8 @@
         self.assertEqual(stored(first, again.id).item_count, 3)
         self.assertEqual((await submit(second.client(), file_id, key)).id, again.id)
 
-    @at_site()
-    async def test_service_that_is_down_is_said_and_nothing_is_accepted(
+    @with_job_site()
+    async def test_a_key_value_outage_is_reported_and_nothing_is_accepted(
         self, site: JobSite
     ) -> None:
         client = site.entry.client()
@@ -352,8 +354,8 @@
         self.assertEqual(keys(site.entry, "jobs"), [])
         self.assertEqual((await submit(client, file_id, "k")).status, "in_progress")
 
-    @at_site()
-    async def test_service_that_goes_down_after_the_record_leaves_the_outcome_unknown(
+    @with_job_site()
+    async def test_a_key_value_outage_after_the_record_leaves_the_outcome_unknown(
         self, site: JobSite
     ) -> None:
         client = site.entry.client()
@@ -373,7 +375,7 @@
         batch = await submit(client, file_id, "k")
         self.assertTrue(any(name.endswith(batch.id) for name in keys(site.entry, "open")))
 
-    @at_site()
+    @with_job_site()
     async def test_input_survives_two_stores_lost_after_the_acknowledgement(
         self, site: JobSite
     ) -> None:
@@ -388,10 +390,8 @@
             ]
             self.assertEqual(b"".join(bodies), content)
 
-    @at_site()
-    async def test_copies_are_there_when_a_job_is_accepted_not_only_at_the_upload(
-        self, site: JobSite
-    ) -> None:
+    @with_job_site()
+    async def test_copies_are_checked_when_a_job_is_accepted(self, site: JobSite) -> None:
         client = site.entry.client()
         file_id = await upload(client, input_file(3))
         for vm_id in ("vm-1", "vm-2"):
@@ -406,8 +406,8 @@
 
 
 class MemberTest(_SiteTest):
-    @at_site()
-    async def test_nobody_sees_the_files_and_jobs_of_another_member(self, site: JobSite) -> None:
+    @with_job_site()
+    async def test_a_member_cannot_see_files_and_jobs_of_another(self, site: JobSite) -> None:
         ours, theirs = site.entry.client(), site.entry.client("vandenbroucke")
         file_id = await upload(ours, input_file(3))
         batch = await submit(ours, file_id)
@@ -429,7 +429,7 @@
 
 
 class CancelTest(_SiteTest):
-    @at_site()
+    @with_job_site()
     async def test_cancel_is_recorded_without_an_owner_and_can_be_repeated(
         self, site: JobSite
     ) -> None:
@@ -439,10 +439,8 @@
             self.assertEqual((await client.batches.cancel(batch.id)).status, "cancelling")
         self.assertEqual(stored(site.entry, batch.id).state, JobState.CANCELLING)
 
-    @at_site()
-    async def test_cancel_keeps_what_the_owner_commits_at_the_same_time(
-        self, site: JobSite
-    ) -> None:
+    @with_job_site()
+    async def test_cancel_preserves_a_concurrent_commit_of_the_owner(self, site: JobSite) -> None:
         client = site.entry.client()
         batch = await submit(client, await upload(client, input_file(3)))
         group = CommittedGroup(ranges=[[0, 1]], succeeded=1)
@@ -460,8 +458,8 @@
         record = stored(site.entry, batch.id)
         self.assertEqual((record.state, record.succeeded), (JobState.CANCELLING, 1))
 
-    @at_site()
-    async def test_lost_answers_and_outages_during_a_cancel_are_told_truly(
+    @with_job_site()
+    async def test_lost_answers_and_outages_during_a_cancel_are_reported_correctly(
         self, site: JobSite
     ) -> None:
         client = site.entry.client()
@@ -480,30 +478,30 @@
 
 
 class PushTest(_SiteTest):
-    @at_site()
-    async def test_runner_is_told_of_new_and_cancelled_jobs(self, site: JobSite) -> None:
-        told: list[JobPush] = []
+    @with_job_site()
+    async def test_runners_are_notified_of_new_and_cancelled_jobs(self, site: JobSite) -> None:
+        received: list[JobPush] = []
 
-        async def take(message: JobPush, _peer: ServerPeer) -> None:
-            told.append(message)
+        async def record_push(message: JobPush, _peer: ServerPeer) -> None:
+            received.append(message)
 
         async with trio.open_nursery() as nursery:
             codec = site.fleet.codec
-            address = await nursery.start(serve_channel, Address(HOST, 0), codec, take)
+            address = await nursery.start(serve_channel, Address(HOST, 0), codec, record_push)
             site.fleet.add_runner("vm-2", address.port)
             client = site.entry.client()
             batch = await submit(client, await upload(client, input_file(3)))
             await client.batches.cancel(batch.id)
-            await until(lambda: len(told) == 2)
+            await until(lambda: len(received) == 2)
             nursery.cancel_scope.cancel()
-        self.assertEqual([message.job_id for message in told], [batch.id] * 2)
-        # Their order is not promised: a runner reads the record whichever comes first.
-        self.assertCountEqual([message.cancelled for message in told], [False, True])
+        self.assertEqual([message.job_id for message in received], [batch.id] * 2)
+        # The order is not guaranteed: a runner reads the record at each of the messages.
+        self.assertCountEqual([message.cancelled for message in received], [False, True])
 
 
 class ResultTest(_SiteTest):
     async def _finish(self, site: JobSite, job_id: str) -> tuple[list[bytes], list[bytes]]:
-        """Commit two items in a manifest, one output and one error after it; return the lines."""
+        """Commit two outputs in a manifest, then one output and one error; return the lines."""
         stores = site.fleet.client
         outputs = [b'{"custom_id":"item-%d"}\n' % number for number in (0, 2, 1)]
         errors = [b'{"custom_id":"item-3"}\n']
@@ -524,7 +522,7 @@
         ref = (await site.fleet.client.put_segment(b"".join(lines), 1)).unwrap()
         return CommittedGroup(outputs=[ref], ranges=[[number, number + 1]], succeeded=1)
 
-    @at_site()
+    @with_job_site()
     async def test_results_are_the_committed_groups_in_order(self, site: JobSite) -> None:
         client = site.entry.client()
         batch = await submit(client, await upload(client, input_file(4)))
@@ -540,17 +538,17 @@
             self.assertEqual((file.bytes, file.purpose), (len(b"".join(lines)), "batch_output"))
             refused = client.files.delete(file_id)
             await self.assert_refused(refused, ResultCode.BAD_REQUEST)
-        # A cancel that comes too late changes nothing.
+        # A late cancellation changes nothing.
         self.assertEqual((await client.batches.cancel(batch.id)).status, "completed")
-        # Nor does a resend put it back among the open ones.
+        # A resend does not add the job to the open jobs again.
         for key in keys(site.entry, "open"):
             site.entry.kv.state.delete_if(key, site.entry.kv.state.get(key).mod_revision)
         file_id = await upload(client, input_file(4))
         self.assertEqual((await submit(client, file_id)).status, "completed")
         self.assertEqual(keys(site.entry, "open"), [])
 
-    @at_site()
-    async def test_lost_segment_is_never_passed_off_as_the_end(self, site: JobSite) -> None:
+    @with_job_site()
+    async def test_a_lost_segment_never_looks_like_the_end_of_the_file(self, site: JobSite) -> None:
         client = site.entry.client()
         batch = await submit(client, await upload(client, input_file(4)))
         await self._finish(site, batch.id)
@@ -561,8 +559,8 @@
         with self.assertRaises(APIError):
             await client.files.content(batch.output_file_id)
 
-    @at_site()
-    async def test_jobs_are_listed_youngest_first_page_by_page(self, site: JobSite) -> None:
+    @with_job_site()
+    async def test_jobs_are_listed_youngest_first_in_pages(self, site: JobSite) -> None:
         client = site.entry.client()
         file_id = await upload(client, GOOD)
         wanted = {(await submit(client, file_id, str(number))).id for number in range(5)}
--- a/tests/test_online_stop.py
+++ b/tests/test_online_stop.py
@@ -1,4 +1,4 @@
-"""The planned stop of an entry: who came by an answer still valid is served, nobody is cut off."""
+"""The planned stop of an entry: callers with a valid answer are served, none is interrupted."""
 
 import unittest
 from collections.abc import AsyncIterator
@@ -36,13 +36,13 @@
 from tests.builders.ports import free_ports
 
 CHAT = "/v1/chat/completions"
-# Of /v1/entries, from the stop on; the tests' streams are longer or shorter than this.
+# Validity of /v1/entries answers after the stop; some of the streams last longer than this.
 ANSWER_VALID_MS = 400
 
 
 @dataclass(slots=True)
-class Stopping:
-    """One VM with an agent and an entry, and how its entry is doing."""
+class StoppingVm:
+    """One VM with an agent and an entry, and the state of its entry."""
 
     entry: Address
     http: HttpClient
@@ -61,7 +61,7 @@
 
 
 @asynccontextmanager
-async def one_vm(stop_timeout_ms: int) -> AsyncIterator[Stopping]:
+async def one_vm(stop_timeout_ms: int) -> AsyncIterator[StoppingVm]:
     [agent_port] = free_ports(1, HOST)
     async with trio.open_nursery() as nursery:
         standins = await nursery.start(run_standins, StandinSettings(engines=1, step_ms=5))
@@ -76,7 +76,7 @@
         standins.add_system_vm("vm1", "hall-a", Address(HOST, agent_port))
         await nursery.start(run_agent, settings, Stop())
         engine = standins.engines["engine-1"]
-        vm = Stopping(Address(HOST, 0), HttpClient(), engine, Stop(), trio.Event())
+        vm = StoppingVm(Address(HOST, 0), HttpClient(), engine, Stop(), trio.Event())
 
         async def serve(*, task_status: trio.TaskStatus[Address]) -> None:
             await run_entry(settings, vm.stop, task_status=task_status)
@@ -91,7 +91,7 @@
             nursery.cancel_scope.cancel()
 
 
-async def _configure(vm: Stopping) -> None:
+async def _configure(vm: StoppingVm) -> None:
     patch = msgspec.to_builtins(configuration())
     request = {"base_version": 0, "patch_id": "first", "patch": patch}
     status = 0
@@ -103,7 +103,7 @@
 
 
 class PlannedStopTest(unittest.TestCase):
-    """``run_entry`` from the request to stop until it returns."""
+    """``run_entry`` from the stop request until it returns."""
 
     def test_callers_are_served_until_their_answer_expires_and_streams_to_their_end(self) -> None:
         async def body() -> None:
@@ -118,7 +118,7 @@
                     nursery.start_soon(stream)
                     started = trio.current_time()
                     vm.stop.request()
-                    await self.check_not_named(vm)
+                    await self.check_not_listed(vm)
                     status, data = await vm.post(CHAT, chat_body())
                     self.assertEqual(status, 200)
                     self.assertEqual(read_stream(data).text, oracle_text(chat_body()))
@@ -131,14 +131,14 @@
 
         run(body)
 
-    async def check_not_named(self, vm: Stopping) -> None:
-        """Wait until no answer names the entry, well before it closes."""
+    async def check_not_listed(self, vm: StoppingVm) -> None:
+        """Wait until no answer lists the entry, well before it closes."""
         status = 200
         while status == 200:
             status, data = await vm.get("/v1/entries")
         self.assertEqual(msgspec.json.decode(data)["error"]["name"], "NO_CAPACITY")
 
-    def test_the_stop_timeout_bounds_it(self) -> None:
+    def test_the_stop_timeout_bounds_the_stop(self) -> None:
         async def body() -> None:
             async with one_vm(stop_timeout_ms=600) as vm:
 
