--- a/src/fescuedock/node/attempt.py
+++ b/src/fescuedock/node/attempt.py
@@ -19,7 +19,7 @@
 __all__ = ["AttemptRecord", "UpstreamAnswer", "send_attempt"]
 
 # What a pause between events moves the recent mean by: the last four or so count.
-_RECENT_GAIN = 0.4
+_RECENT_PAUSE_GAIN = 0.4
 # What each end of an attempt says of the upstream's health.
 _OUTCOMES = {
     AttemptEnd.NOT_SENT: AttemptOutcome.CONNECT_REFUSED,
@@ -50,26 +50,26 @@
     last_event_ms: float = 0.0
     events: int = 0
     # Moving mean of the latest pauses between events; below 0 before the first.
-    recent_ms: float = -1.0
+    recent_pause_ms: float = -1.0
     # The head of an answer has come.
     answered: bool = False
 
-    def note_answer(self, answer: UpstreamAnswer) -> None:
+    def record_answer(self, answer: UpstreamAnswer) -> None:
         """Note that the head of an answer has come."""
         self.answered = True
         if answer.response.unframed:
             self.grant.note_unframed()
 
-    def note_events(self, count: int) -> None:
+    def record_events(self, count: int) -> None:
         """Note that ``count`` events came just now."""
         at_ms = now_ms()
         if self.first_event_ms < 0:
             self.first_event_ms = at_ms - self.started_ms
-        elif self.recent_ms < 0:
-            self.recent_ms = (at_ms - self.last_event_ms) / count
+        elif self.recent_pause_ms < 0:
+            self.recent_pause_ms = (at_ms - self.last_event_ms) / count
         else:
             pause_ms = (at_ms - self.last_event_ms) / count
-            self.recent_ms += _RECENT_GAIN * (pause_ms - self.recent_ms)
+            self.recent_pause_ms += _RECENT_PAUSE_GAIN * (pause_ms - self.recent_pause_ms)
         self.last_event_ms = at_ms
         self.events += count
         self.grant.count_tokens(count)
@@ -91,14 +91,14 @@
                 outcome=outcome,
                 work_class=self.work_class,
                 first_token_ms=self.first_event_ms,
-                inter_token_ms=self.pause_ms(),
+                inter_token_ms=self.mean_pause_ms(),
                 prompt_tokens=self.prompt_tokens,
                 generated_tokens=self.events,
-                recent_token_ms=self.recent_ms,
+                recent_token_ms=self.recent_pause_ms,
             )
         )
 
-    def pause_ms(self) -> float:
+    def mean_pause_ms(self) -> float:
         """Return the mean time between two events; below 0 where there were not two."""
         if self.events < 2:
             return -1.0
--- a/src/fescuedock/node/configuration.py
+++ b/src/fescuedock/node/configuration.py
@@ -16,7 +16,7 @@
 __all__ = ["NodeConfiguration", "ReadRoutes", "derived_configuration"]
 
 # A version that was not confirmed for longer than this is doubted; watches are held for less.
-_UNCONFIRMED_MS = 15000.0
+_UNCONFIRMED_AFTER_MS = 15000.0
 # Where no route of a service declares a pause between events.
 _DEFAULT_GAP_MS = 1000.0
 
@@ -61,7 +61,7 @@
 
     @property
     def unconfirmed(self) -> bool:
-        return self.confirmed_age_ms > _UNCONFIRMED_MS
+        return self.confirmed_age_ms > _UNCONFIRMED_AFTER_MS
 
     @property
     def serving(self) -> bool:
--- a/src/fescuedock/node/fleet.py
+++ b/src/fescuedock/node/fleet.py
@@ -22,8 +22,8 @@
 
 # How long changes of the replicas are waited for: the end of a grace period is none.  Looking every
 # 50 ms instead was a tenth of the wake-ups of a node without work (20 of 220 a second).
-_LOOK_INTERVAL_S = 0.4
-_RETRY_S = 0.5
+_POLL_INTERVAL_S = 0.4
+_RETRY_INTERVAL_S = 0.5
 _RENEWALS_PER_TTL = 4
 
 # Waits until the replicas have another version than the one given, and returns it.
@@ -63,10 +63,10 @@
         self._wait_changed = wait_changed
         # Upstreams are read by what the configuration says of their services.
         self._config_version = config_version
-        self._heard_version = -1
+        self._replicas_version = -1
         self._listing = UpstreamListing()
-        self._last = ListedFleet()
-        self._seen: tuple[int, int, int, bool] | None = None
+        self._current = ListedFleet()
+        self._seen_versions: tuple[int, int, int, bool] | None = None
         # By key, its revision and the node that it names; None where it cannot be read.
         self._decoded: dict[str, tuple[int, ListedVm | None]] = {}
 
@@ -77,26 +77,26 @@
         in_grace = self._contact.in_grace(now_ms())
         versions = (self._nodes.version, self._upstreams.version, self._config_version())
         seen = (*versions, in_grace)
-        if seen != self._seen:
-            self._seen = seen
-            self._take(in_grace)
-        return Ok(self._last)
+        if seen != self._seen_versions:
+            self._seen_versions = seen
+            self._update(in_grace)
+        return Ok(self._current)
 
     async def wait_due(self) -> None:
         """Wait for a change of the replicas, or a short while."""
-        with trio.move_on_after(_LOOK_INTERVAL_S):
-            self._heard_version = await self._wait_changed(self._heard_version)
+        with trio.move_on_after(_POLL_INTERVAL_S):
+            self._replicas_version = await self._wait_changed(self._replicas_version)
 
-    def _take(self, in_grace: bool) -> None:
-        before = {item.upstream_id: item for item in self._last.listed_upstreams}
+    def _update(self, in_grace: bool) -> None:
+        before = {item.upstream_id: item for item in self._current.listed_upstreams}
         self._listing.take(self._read_upstreams(self._upstreams), in_grace=in_grace)
         upstreams = tuple(self._listing.upstreams())
         self._log_changes(before, upstreams)
         listed = ListedFleet(vms=self._listed_nodes(), listed_upstreams=upstreams)
         # Most changes are heartbeats, which say nothing new: a new list makes a new fleet view,
         # which every part of the node then goes through.
-        if listed != self._last:
-            self._last = listed
+        if listed != self._current:
+            self._current = listed
 
     def _log_changes(
         self, before: Mapping[str, UpstreamRecord], upstreams: tuple[UpstreamRecord, ...]
@@ -165,7 +165,7 @@
         """Write the record, and again whenever it was lost; never returns."""
         while True:
             held = await self._renew() if self._lease_id else await self._write()
-            wait_s = self._ttl_s / _RENEWALS_PER_TTL if held else _RETRY_S
+            wait_s = self._ttl_s / _RENEWALS_PER_TTL if held else _RETRY_INTERVAL_S
             await trio.sleep(wait_s)
 
     async def leave(self) -> None:
--- a/src/fescuedock/node/front.py
+++ b/src/fescuedock/node/front.py
@@ -39,9 +39,9 @@
 _STARTING_WAIT_S = 1.0
 # A route or key that this node lacks may be in a newer version, while its own may be older than
 # this; a watch that brings changes makes it 2.1 s at the most when all is well.
-_DOUBTED_MS = 2400.0
+_MAX_VERSION_AGE_MS = 2400.0
 # Stands for "never" in logs.
-_LONG_AGO_MS = 1e9
+_MAX_LOGGED_AGE_MS = 1e9
 # The slack beyond the configured idle time: clients count it from an answer's arrival.
 _IDLE_SLACK_MS = 1000
 
@@ -51,7 +51,7 @@
 
     __slots__ = (
         "_has_started",
-        "_knows_work",
+        "_knows_restrictions",
         "configuration",
         "cut_off_callers",
         "held",
@@ -72,7 +72,7 @@
         configuration: NodeConfiguration,
         view: FleetView,
         on_error: Callable[[Exception], None],
-        knows_work: Callable[[], bool] = lambda: True,
+        knows_restrictions: Callable[[], bool] = lambda: True,
     ) -> None:
         self.settings = settings
         self.own_address = own_address
@@ -83,7 +83,7 @@
         self.quotas: Quotas | None = None
         self.leaving = False
         self._has_started = False
-        self._knows_work = knows_work
+        self._knows_restrictions = knows_restrictions
         bounds = HeldBounds(settings.held_call_bytes, settings.held_process_bytes)
         self.held = HeldBytes(bounds)
         self.cut_off_callers = 0
@@ -93,7 +93,7 @@
             on_error=on_error,
             send_buffer_bytes=settings.client_buffer_bytes,
             held=self.held,
-            on_cut_off=self._note_cut_off,
+            on_cut_off=self._log_cut_off,
         )
 
     @property
@@ -108,7 +108,7 @@
         Once only: a node whose last upstream goes still ends jobs and reads them.
         """
         if not self._has_started:
-            is_known = self.configuration.is_known and self._knows_work()
+            is_known = self.configuration.is_known and self._knows_restrictions()
             self._has_started = is_known and bool(self.view.upstreams)
         return self._has_started
 
@@ -125,7 +125,7 @@
         """Take the limits of the configuration in force, for open connections too."""
         self.server.limits = http_limits(self.configuration.routes.limits)
 
-    def _note_cut_off(self, cut_off: CutOff) -> None:
+    def _log_cut_off(self, cut_off: CutOff) -> None:
         self.cut_off_callers += 1
         log_event(
             "caller_cut_off",
@@ -210,7 +210,7 @@
     async def _refuse_unknown(self, request: Request, responder: Responder, fault: Fault) -> None:
         """Refuse what this node's version lacks, for good only where that is the newest."""
         age_ms = now_ms() - self.configuration.as_of_ms
-        if age_ms > _DOUBTED_MS:
+        if age_ms > _MAX_VERSION_AGE_MS:
             text = f"{fault.message}, by a version that may be {age_ms:.0f} ms old"
             fault = Fault(ResultCode.CONFIG_UNCONFIRMED, text, _STARTING_RETRY_MS)
         await self._refuse(request, responder, fault)
@@ -222,7 +222,7 @@
             code=fault.code.name,
             reason=fault.message,
             config_version=self.configuration.current_version,
-            config_age_ms=round(min(self.configuration.confirmed_age_ms, _LONG_AGO_MS)),
+            config_age_ms=round(min(self.configuration.confirmed_age_ms, _MAX_LOGGED_AGE_MS)),
         )
         headers = calls.refusal_headers(fault)
         await responder.send(fault.http_status, fault_body(fault), headers)
--- a/src/fescuedock/node/spread.py
+++ b/src/fescuedock/node/group_broadcast.py
@@ -7,11 +7,11 @@
 from fescuedock.core.watch_duty import WatchDuty
 from fescuedock.net.channel_pool import ChannelPool
 
-__all__ = ["GroupSpread"]
+__all__ = ["GroupBroadcaster"]
 
 
-class GroupSpread:
-    """See ``Spread``.  Who watches follows from the fleet view, so it changes with membership."""
+class GroupBroadcaster:
+    """See ``UpdateBroadcaster``.  Who watches follows from the fleet view and its membership."""
 
     def __init__(self, view: FleetView, duty: WatchDuty, pool: ChannelPool) -> None:
         self._view = view
@@ -29,7 +29,7 @@
     def watches(self, prefix: str) -> bool:
         return self._duty.watches(prefix, self._view.vms.values())
 
-    async def tell(self, message: msgspec.Struct) -> None:
+    async def broadcast(self, message: msgspec.Struct) -> None:
         for vm in self._duty.audience(self._view.vms.values()):
             client = await self._pool.client(Address(vm.host, vm.agent_port))
             client.push(message)
--- a/src/fescuedock/node/health_probe.py
+++ b/src/fescuedock/node/health_probe.py
@@ -28,13 +28,13 @@
         terms = configuration.routes.services.get(upstream.service)
         path = terms.health_path if terms is not None else "/health"
         with trio.move_on_after(_TIMEOUT_S):
-            return await _ask(http, upstream, path)
+            return await _request_health(http, upstream, path)
         return AttemptOutcome.RESPONSE_TIMEOUT
 
     return probe
 
 
-async def _ask(http: HttpClient, upstream: UpstreamRecord, path: str) -> AttemptOutcome:
+async def _request_health(http: HttpClient, upstream: UpstreamRecord, path: str) -> AttemptOutcome:
     address = Address(upstream.host, upstream.port)
     try:
         async with http.request(address, "GET", path) as answer:
--- a/src/fescuedock/node/item_asking.py
+++ b/src/fescuedock/node/item_permits.py
@@ -22,19 +22,19 @@
 from fescuedock.schema.stored_jobs import StoredJobRecord
 from fescuedock.schema.view import UpstreamRecord
 
-__all__ = ["ItemAsker"]
+__all__ = ["ItemPermitRequester"]
 
 # An ask may be answered this much later than the time that it may stay queued.
-_ASK_MARGIN_MS = 300.0
+_REPLY_MARGIN_MS = 300.0
 # After a refusal that names no time: about the length of a call, by which slots come free.
-_REFUSED_PAUSE_MS = 60.0
+_REFUSAL_BACKOFF_MS = 60.0
 # Between two lines about asks of which none was granted.
-_VAIN_MS = 5000.0
+_REFUSAL_LOG_INTERVAL_MS = 5000.0
 # A load that is older says nothing, as for online calls.
-_LOAD_FRESH_MS = RoutingPolicy().stale_ms
+_MAX_LOAD_AGE_MS = RoutingPolicy().stale_ms
 
 
-class ItemAsker:
+class ItemPermitRequester:
     """Asks for permits and hands each one to ``use``, which gives it back when nothing waits.
 
     ``waiting`` counts the items that could start now, by the service they need; ``choose`` returns
@@ -51,7 +51,7 @@
         rng: random.Random,
         waiting: Callable[[], Mapping[str, int]],
         choose: Callable[[UpstreamRecord, int], ItemChoice | None],
-        use: Callable[[str, Grant], None],
+        use_grant: Callable[[str, Grant], None],
         choose_overdue: Callable[[UpstreamRecord], ItemChoice | None] = lambda _upstream: None,
         any_overdue: Callable[[], bool] = lambda: False,
         priority: Callable[[StoredJobRecord], int] = lambda _record: 0,
@@ -63,35 +63,35 @@
         self._rng = rng
         self._waiting = waiting
         self._choose = choose
-        self._use = use
+        self._use_grant = use_grant
         self._choose_overdue = choose_overdue
         self._any_overdue = any_overdue
         self._priority = priority
         self._policy = policy or AskPolicy()
         # The upstreams that are being asked, with their services.
-        self._asking: dict[str, str] = {}
+        self._requested: dict[str, str] = {}
         # The services of which overdue items are asked for.
-        self._asking_overdue: set[str] = set()
-        self._work = trio.Event()
+        self._overdue_requested: set[str] = set()
+        self._wakeup = trio.Event()
         # Since the last grant, or the last line about it: the answers that were none.
-        self._refused: Counter[str] = Counter()
-        self._refused_since_ms = 0.0
+        self._refusals: Counter[str] = Counter()
+        self._refusals_since_ms = 0.0
 
     def wake(self) -> None:
         """Look again at what waits."""
-        self._work.set()
-        self._work = trio.Event()
+        self._wakeup.set()
+        self._wakeup = trio.Event()
 
-    async def run(self, longest_wait_s: Callable[[], float]) -> None:
+    async def run(self, max_wait_s: Callable[[], float]) -> None:
         """Ask until cancelled; look again after ``longest_wait_s`` at the latest."""
         async with trio.open_nursery() as nursery:
             while True:
-                self._open_asks(nursery)
-                with trio.move_on_after(longest_wait_s()):
-                    await self._work.wait()
+                self._open_requests(nursery)
+                with trio.move_on_after(max_wait_s()):
+                    await self._wakeup.wait()
 
-    def _open_asks(self, nursery: trio.Nursery) -> None:
-        open_asks = Counter(self._asking.values())
+    def _open_requests(self, nursery: trio.Nursery) -> None:
+        open_requests = Counter(self._requested.values())
         own = self._view.vms.get(self._view.vm_id)
         own_domain = "" if own is None else own.failure_domain
         for service, count in self._waiting().items():
@@ -104,17 +104,17 @@
                 )
                 for item in self._view.upstreams_of(service)
                 if not item.leaving
-                and item.upstream_id not in self._asking
-                and self._is_wanted(item, versions)
+                and item.upstream_id not in self._requested
+                and self._can_start_item(item, versions)
             ]
-            chosen = choose_asks(count, open_asks[service], candidates, self._policy, self._rng)
-            for number, upstream_id in enumerate(chosen, start=open_asks[service]):
-                self._asking[upstream_id] = service
-                nursery.start_soon(self._ask, upstream_id, number // self._policy.per_item)
-            if count and service not in self._asking_overdue and self._any_overdue():
-                self._ask_overdue_of(service, nursery)
-
-    def _ask_overdue_of(self, service: str, nursery: trio.Nursery) -> None:
+            chosen = choose_asks(count, open_requests[service], candidates, self._policy, self._rng)
+            for number, upstream_id in enumerate(chosen, start=open_requests[service]):
+                self._requested[upstream_id] = service
+                nursery.start_soon(self._request, upstream_id, number // self._policy.per_item)
+            if count and service not in self._overdue_requested and self._any_overdue():
+                self._open_overdue_request(service, nursery)
+
+    def _open_overdue_request(self, service: str, nursery: trio.Nursery) -> None:
         """Ask one owner beside the other asks, which are all for items that can be on time."""
         upstreams = {
             item.upstream_id: item for item in self._view.upstreams_of(service) if not item.leaving
@@ -124,68 +124,70 @@
         # Looking for an item is dear: mostly the first upstream may run one.
         for upstream_id in choose_asks(1, 0, candidates, policy, self._rng):
             if self._choose_overdue(upstreams[upstream_id]) is not None:
-                self._asking_overdue.add(service)
-                nursery.start_soon(self._ask_overdue, upstream_id, service)
+                self._overdue_requested.add(service)
+                nursery.start_soon(self._request_overdue, upstream_id, service)
                 return
 
-    def _is_wanted(self, upstream: UpstreamRecord, versions: Collection[str]) -> bool:
+    def _can_start_item(self, upstream: UpstreamRecord, versions: Collection[str]) -> bool:
         """Whether an item could start at an upstream; one that has begun waits for its version."""
         return len(versions) == 1 or self._choose(upstream, 0) is not None
 
     def _free_slots(self, upstream_id: str) -> int | None:
         timed = self._permits.loads.get(upstream_id)
-        if timed is None or now_ms() - timed.at_ms > _LOAD_FRESH_MS:
+        if timed is None or now_ms() - timed.at_ms > _MAX_LOAD_AGE_MS:
             return None
         return free_slots(timed.load)
 
-    async def _ask(self, upstream_id: str, position: int) -> None:
+    async def _request(self, upstream_id: str, position: int) -> None:
         """Ask once, for the item at ``position``; a refusing upstream is left alone for a while."""
         try:
-            await self._ask_once(upstream_id, lambda upstream: self._choose(upstream, position))
+            await self._request_once(upstream_id, lambda upstream: self._choose(upstream, position))
         finally:
-            self._asking.pop(upstream_id, None)
+            self._requested.pop(upstream_id, None)
             self.wake()
 
-    async def _ask_overdue(self, upstream_id: str, service: str) -> None:
+    async def _request_overdue(self, upstream_id: str, service: str) -> None:
         try:
-            await self._ask_once(upstream_id, self._choose_overdue)
+            await self._request_once(upstream_id, self._choose_overdue)
         finally:
-            self._asking_overdue.discard(service)
+            self._overdue_requested.discard(service)
             self.wake()
 
-    async def _ask_once(
+    async def _request_once(
         self, upstream_id: str, choose: Callable[[UpstreamRecord], ItemChoice | None]
     ) -> None:
         """Ask, and use what is granted; return a while after a refusal."""
         upstream = self._view.upstreams.get(upstream_id)
         if upstream is None:
             return
-        timeout_ms = self._settings.ask_wait_ms + _ASK_MARGIN_MS
-        granted = await self._permits.ask(self._new_ask(upstream, choose(upstream)), timeout_ms)
+        timeout_ms = self._settings.ask_wait_ms + _REPLY_MARGIN_MS
+        granted = await self._permits.ask(
+            self._permit_request(upstream, choose(upstream)), timeout_ms
+        )
         if isinstance(granted, Ok):
-            self._refused.clear()
-            self._use(upstream_id, granted.ok_value)
+            self._refusals.clear()
+            self._use_grant(upstream_id, granted.ok_value)
             return
-        self._note_refused(granted.err_value.code)
-        pause_ms = max(granted.err_value.retry_after_ms, _REFUSED_PAUSE_MS)
+        self._record_refusal(granted.err_value.code)
+        pause_ms = max(granted.err_value.retry_after_ms, _REFUSAL_BACKOFF_MS)
         await trio.sleep(pause_ms * self._rng.uniform(0.5, 1.5) / 1000)
 
-    def _note_refused(self, code: ResultCode) -> None:
+    def _record_refusal(self, code: ResultCode) -> None:
         """Log now and then that items wait and no owner grants any ask, with their reasons."""
-        if not self._refused:
-            self._refused_since_ms = now_ms()
-        self._refused[code.name] += 1
-        if now_ms() - self._refused_since_ms < _VAIN_MS:
+        if not self._refusals:
+            self._refusals_since_ms = now_ms()
+        self._refusals[code.name] += 1
+        if now_ms() - self._refusals_since_ms < _REFUSAL_LOG_INTERVAL_MS:
             return
         waiting = sum(self._waiting().values())
         if waiting:
-            since_ms = round(now_ms() - self._refused_since_ms)
-            reasons = dict(self._refused)
+            since_ms = round(now_ms() - self._refusals_since_ms)
+            reasons = dict(self._refusals)
             log_event("items_not_granted", waiting=waiting, since_ms=since_ms, reasons=reasons)
-        self._refused.clear()
+        self._refusals.clear()
 
-    def _new_ask(self, upstream: UpstreamRecord, choice: ItemChoice | None) -> PermitAsk:
-        ask = PermitAsk(
+    def _permit_request(self, upstream: UpstreamRecord, choice: ItemChoice | None) -> PermitAsk:
+        request = PermitAsk(
             upstream_id=upstream.upstream_id,
             attempt_id=token_hex(16),
             holder_id=self._permits.holder_id,
@@ -196,11 +198,11 @@
             wait_ms=self._settings.ask_wait_ms,
         )
         if choice is None:
-            return ask
+            return request
         record = choice.job.record
         priority = self._priority(record)
         return structs.replace(
-            ask,
+            request,
             member=record.customer or "",
             priority=priority,
             waited_ms=int(choice.waited_ms) if priority else 0,
--- a/src/fescuedock/node/item_run.py
+++ b/src/fescuedock/node/item_run.py
@@ -24,18 +24,18 @@
 from fescuedock.schema.stored_jobs import StoredJobRecord
 from fescuedock.schema.view import UpstreamRecord
 
-__all__ = ["KnownAtBegin", "run_item"]
+__all__ = ["StartState", "run_item"]
 
 _IMPOSSIBLE_STATUS = 422
 _FAILED_STATUS = 500
 # Silence after which a run goes on elsewhere: several times the longest step of an engine.
-_STALL_MS = 1500.0
+_STALL_TIMEOUT_MS = 1500.0
 # Between two reads of an item's events: a job's client sees its result only when it is whole, and
 # an engine writes an event about every 30 ms, each a wake-up of its own if read at once.
-_READ_PAUSE_MS = 100.0
+_READ_INTERVAL_MS = 100.0
 
 
-class KnownAtBegin(msgspec.Struct, frozen=True):
+class StartState(msgspec.Struct, frozen=True):
     """The revision of a job's record that a run rests on, and the age of that knowledge.
 
     ``waited_ms`` is the time since the item last ran, or since its job came.
@@ -53,7 +53,7 @@
     upstream: UpstreamRecord,
     grant: Grant,
     stopped: trio.Event,
-    known: KnownAtBegin,
+    start: StartState,
     check: SendCheck,
 ) -> ItemEnd:
     """Run an item until it is whole, the run fails, or ``grant`` or the job is taken back.
@@ -74,7 +74,7 @@
             if grant.revoked.is_set() or stopped.is_set():
                 # The tasks that look for it run only once the request has been written.
                 nursery.cancel_scope.cancel()
-            end, attempt_end, reason = await _run(http, job, item, upstream, record, check)
+            end, attempt_end, reason = await _send(http, job, item, upstream, record, check)
             nursery.cancel_scope.cancel()
     finally:
         record.finish(attempt_end)
@@ -95,9 +95,9 @@
         last_event=item.last_event,
         interruptions=item.interruptions,
         barren_runs=item.barren_runs,
-        waited_ms=round(known.waited_ms),
-        revision=known.revision,
-        records_age_ms=known.age_ms,
+        waited_ms=round(start.waited_ms),
+        revision=start.revision,
+        records_age_ms=start.age_ms,
         took_ms=round(now_ms() - record.started_ms, 1),
     )
     return end
@@ -108,7 +108,7 @@
     scope.cancel()
 
 
-async def _run(
+async def _send(
     http: HttpClient,
     job: StoredJobRecord,
     item: ItemRun,
@@ -126,7 +126,7 @@
     headers.insert(0, ("host", job.host))
     try:
         with trio.CancelScope() as stall:
-            stall.deadline = trio.current_time() + _STALL_MS / 1000
+            stall.deadline = trio.current_time() + _STALL_TIMEOUT_MS / 1000
             async with send_attempt(
                 http,
                 upstream,
@@ -137,8 +137,8 @@
                 item.item.body,
                 check,
             ) as answer:
-                return await _take(answer, item, upstream.software_version, record, stall)
-        return ItemEnd.INTERRUPTED, AttemptEnd.STALLED, f"silent for {_STALL_MS:g} ms"
+                return await _read_answer(answer, item, upstream.software_version, record, stall)
+        return ItemEnd.INTERRUPTED, AttemptEnd.STALLED, f"silent for {_STALL_TIMEOUT_MS:g} ms"
     except WithdrawnError as error:
         return ItemEnd.INTERRUPTED, AttemptEnd.WITHDRAWN, str(error)
     except NotSentError as error:
@@ -147,7 +147,7 @@
         return ItemEnd.INTERRUPTED, AttemptEnd.LOST, str(error)
 
 
-async def _take(
+async def _read_answer(
     answer: UpstreamAnswer,
     item: ItemRun,
     software_version: str,
@@ -155,7 +155,7 @@
     stall: trio.CancelScope,
 ) -> tuple[ItemEnd, AttemptEnd | None, str]:
     head = answer.head
-    record.note_answer(answer)
+    record.record_answer(answer)
     if not head.is_success:
         await answer.response.read()
         return _failure(head.status, not_run=head.not_run)
@@ -165,15 +165,15 @@
     response = answer.response
     try:
         while data := await response.read_some():
-            stall.deadline = trio.current_time() + _STALL_MS / 1000
-            if not _take_events(splitter.feed(data), item, software_version, record):
+            stall.deadline = trio.current_time() + _STALL_TIMEOUT_MS / 1000
+            if not _apply_events(splitter.feed(data), item, software_version, record):
                 return ItemEnd.INTERRUPTED, AttemptEnd.LOST, "an event is missing"
             if not response.ended:
-                await trio.sleep(_READ_PAUSE_MS / 1000)
+                await trio.sleep(_READ_INTERVAL_MS / 1000)
     except trio.Cancelled:
         # What came since the last read need not be run again.
         with suppress(ResponseLostError):
-            _take_events(splitter.feed(response.read_ready()), item, software_version, record)
+            _apply_events(splitter.feed(response.read_ready()), item, software_version, record)
         raise
     if splitter.has_rest:
         return ItemEnd.INTERRUPTED, AttemptEnd.LOST, "the last event is not whole"
@@ -182,12 +182,12 @@
     return ItemEnd.WHOLE, None, ""
 
 
-def _take_events(
+def _apply_events(
     events: list[SplitEvent], item: ItemRun, software_version: str, record: AttemptRecord
 ) -> bool:
     """Take in what came of an item; False when an event is missing."""
     if events:
-        record.note_events(len(events))
+        record.record_events(len(events))
     return item.take(events, software_version)
 
 
--- a/src/fescuedock/node/job_acceptance.py
+++ b/src/fescuedock/node/job_acceptance.py
@@ -21,7 +21,7 @@
 from fescuedock.net.channel import CallHandler, ServerPeer
 from fescuedock.node.job_store import JobStore, VersionedRecord
 from fescuedock.node.replicas import CallNeighbour, Replicas
-from fescuedock.node.spools import Kept, Spools
+from fescuedock.node.spools import SpoolCopies, Spools
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.stored_jobs import AcceptJob, AcceptJobReply, StoredItem, StoredJobRecord
 
@@ -29,13 +29,13 @@
 
 # An answer of the store takes 4 ms and a transaction of a job 20 ms at the most seen; after six
 # times that a neighbour is asked, with most of the usual target of 400 ms still left.
-_NEIGHBOUR_AFTER_S = 0.12
+_NEIGHBOUR_DELAY_S = 0.12
 # How long a neighbour tries, and how many are asked one after the other.
 _NEIGHBOUR_TIMEOUT_MS = 900.0
-_NEIGHBOURS = 3
+_MAX_NEIGHBOURS = 3
 # Half of the usual target of 400 ms; copies on disks take 10 to 20 ms.  While an outage is not yet
 # known, neither way to the store fails for a second.
-_SPOOLS_AFTER_S = 0.2
+_SPOOLS_DELAY_S = 0.2
 
 # Told of a job that this node owns from now on, with its items.
 OnAccepted = Callable[[VersionedRecord, list[StoredItem]], None]
@@ -75,9 +75,9 @@
         try:
             with trio.move_on_after(max(wait_ms, 0.0) / 1000):
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(attempt.by_itself, nursery.cancel_scope)
-                    nursery.start_soon(attempt.by_neighbours, nursery.cancel_scope)
-                    nursery.start_soon(attempt.by_spools, nursery.cancel_scope)
+                    nursery.start_soon(attempt.store_directly, nursery.cancel_scope)
+                    nursery.start_soon(attempt.store_via_neighbours, nursery.cancel_scope)
+                    nursery.start_soon(attempt.copy_to_spools, nursery.cancel_scope)
             return attempt.result()
         finally:
             # Also when the client has left.
@@ -116,55 +116,55 @@
     items: list[StoredItem]
     accepted: bool = False
     # Set once this node's own try has failed for good, so that nobody need wait for it.
-    own_failed: trio.Event = msgspec.field(default_factory=trio.Event)
-    own_fault: Fault | None = None
+    direct_failed: trio.Event = msgspec.field(default_factory=trio.Event)
+    direct_fault: Fault | None = None
     # A neighbour's try may have stored the job, or may do so still.
-    unsure: bool = False
+    neighbour_may_store: bool = False
     # Set once neighbours have failed as well.
     all_failed: trio.Event = msgspec.field(default_factory=trio.Event)
-    kept: Kept = msgspec.field(default_factory=Kept)
+    spool_copies: SpoolCopies = msgspec.field(default_factory=SpoolCopies)
 
-    async def by_itself(self, scope: trio.CancelScope) -> None:
+    async def store_directly(self, scope: trio.CancelScope) -> None:
         if self.shared.replicas.contact.is_away(now_ms()):
-            self.own_fault = Fault(ResultCode.KV_UNAVAILABLE, "the store does not answer")
-            self.own_failed.set()
+            self.direct_fault = Fault(ResultCode.KV_UNAVAILABLE, "the store does not answer")
+            self.direct_failed.set()
             return
         stored = await self.shared.store.accept(self.record, self.items)
         if isinstance(stored, Err):
-            self.own_fault = stored.err_value
+            self.direct_fault = stored.err_value
             if stored.err_value.code is ResultCode.KEY_REUSED:
                 scope.cancel()
-            self.own_failed.set()
+            self.direct_failed.set()
             return
-        self._done(scope)
+        self._succeed(scope)
         self.shared.on_accepted(stored.ok_value, self.items)
 
-    async def by_neighbours(self, scope: trio.CancelScope) -> None:
-        with trio.move_on_after(_NEIGHBOUR_AFTER_S):
-            await self.own_failed.wait()
+    async def store_via_neighbours(self, scope: trio.CancelScope) -> None:
+        with trio.move_on_after(_NEIGHBOUR_DELAY_S):
+            await self.direct_failed.wait()
         addresses = list(self.shared.neighbours())
         self.shared.rng.shuffle(addresses)
-        for address in addresses[:_NEIGHBOURS]:
-            code = await self._ask(address)
+        for address in addresses[:_MAX_NEIGHBOURS]:
+            code = await self._call_neighbour(address)
             if code is ResultCode.OK:
-                self._done(scope)
+                self._succeed(scope)
                 return
             if code is ResultCode.KEY_REUSED:
-                self.own_fault = Fault(code, "a job of this id has other items")
+                self.direct_fault = Fault(code, "a job of this id has other items")
                 scope.cancel()
                 return
-        await self.own_failed.wait()
+        await self.direct_failed.wait()
         self.all_failed.set()
 
-    async def by_spools(self, scope: trio.CancelScope) -> None:
-        with trio.move_on_after(_SPOOLS_AFTER_S):
+    async def copy_to_spools(self, scope: trio.CancelScope) -> None:
+        with trio.move_on_after(_SPOOLS_DELAY_S):
             await self.all_failed.wait()
-        if await self.shared.spools.keep(self.record, self.items, self.kept):
-            self._done(scope)
+        if await self.shared.spools.store_copies(self.record, self.items, self.spool_copies):
+            self._succeed(scope)
 
-    async def _ask(self, address: Address) -> ResultCode:
+    async def _call_neighbour(self, address: Address) -> ResultCode:
         message = AcceptJob(self.record, self.items)
-        was_unsure, self.unsure = self.unsure, True
+        may_store_before, self.neighbour_may_store = self.neighbour_may_store, True
         reply = await self.shared.call_neighbour(address, message, _NEIGHBOUR_TIMEOUT_MS)
         match reply:
             case Ok(AcceptJobReply(code=code)):
@@ -174,7 +174,7 @@
             case _:
                 code = ResultCode.PEER_UNKNOWN
         if code in (ResultCode.KV_UNAVAILABLE, ResultCode.PEER_UNREACHABLE):
-            self.unsure = was_unsure
+            self.neighbour_may_store = may_store_before
         log_event(
             "job_passed_to_neighbour",
             job_id=self.record.job_id,
@@ -183,7 +183,7 @@
         )
         return ResultCode(code)
 
-    def _done(self, scope: trio.CancelScope) -> None:
+    def _succeed(self, scope: trio.CancelScope) -> None:
         self.accepted = True
         scope.cancel()
 
@@ -192,15 +192,19 @@
         """Whether the job may get to the store, or to a disk, after this attempt has ended."""
         if self.accepted:
             return False
-        return self.own_fault is None or self.unsure or self.kept.may_be_stored
+        return (
+            self.direct_fault is None or self.neighbour_may_store or self.spool_copies.may_be_stored
+        )
 
     def result(self) -> Result[None, Fault]:
         """Return what is known once both ways have ended or the time is up."""
         if self.accepted:
             return Ok(None)
-        is_reused = self.own_fault is not None and self.own_fault.code is ResultCode.KEY_REUSED
+        is_reused = (
+            self.direct_fault is not None and self.direct_fault.code is ResultCode.KEY_REUSED
+        )
         if is_reused or not self.may_be_stored_later:
-            return Err(self.own_fault)
+            return Err(self.direct_fault)
         return Err(
             Fault(ResultCode.EXECUTION_UNKNOWN, "nobody could say whether the job is stored")
         )
--- a/src/fescuedock/node/job_calls.py
+++ b/src/fescuedock/node/job_calls.py
@@ -35,7 +35,9 @@
 _ANSWER_MARGIN_MS = 150.0
 _READ_TIMEOUT_MS = 1200.0
 # What is logged of a submission whose client did not wait for the answer.
-_LEFT = Err(Fault(ResultCode.EXECUTION_UNKNOWN, "its client left, and the job may be stored"))
+_CLIENT_GONE = Err(
+    Fault(ResultCode.EXECUTION_UNKNOWN, "its client left, and the job may be stored")
+)
 
 
 class JobCalls(msgspec.Struct):
@@ -65,7 +67,7 @@
         received_ms = now_ms()
         head = calls.call_head(request.header_fields)
         job_id = scoped_job_id(caller, head.request_id) if head.request_id else ""
-        result: Result[None, Fault] = _LEFT
+        result: Result[None, Fault] = _CLIENT_GONE
         try:
             record = self._new_record(request, job_id, route, caller)
             result = await self._accept(record, body, head.patience_ms)
@@ -125,7 +127,7 @@
         due_ms = now_ms() + call.wait_ms
         while True:
             seen = self.replicas.version
-            found = await self._fresh(call.job_id, call.after)
+            found = await self._fresh_results(call.job_id, call.after)
             if isinstance(found, Err):
                 await _refuse(responder, found.err_value)
                 return
@@ -145,16 +147,16 @@
         body = job_calls.encode_results(job.total, call.after, results)
         await responder.send(200, body)
 
-    async def _fresh(self, job_id: str, after: int) -> Result[CachedJob | None, Fault]:
+    async def _fresh_results(self, job_id: str, after: int) -> Result[CachedJob | None, Fault]:
         """Return what is listed of a job; never less than any node has shown before."""
         job = self.cache.get(job_id)
         if job is not None and (len(job.results) > after or job.is_complete):
             return Ok(job)
         with trio.move_on_after(_READ_TIMEOUT_MS / 1000):
-            return await self._read_more(job_id, job, after)
-        return Err(_unsure("the store did not answer in time", self.retry_after_ms))
+            return await self._fetch_results(job_id, job, after)
+        return Err(_unavailable("the store did not answer in time", self.retry_after_ms))
 
-    async def _read_more(
+    async def _fetch_results(
         self, job_id: str, job: CachedJob | None, after: int
     ) -> Result[CachedJob | None, Fault]:
         """Ask the owner for what is listed, and the store where the owner is not sure."""
@@ -167,17 +169,17 @@
                 return Ok(None)
             record = found.ok_value
         known = 0 if job is None else len(job.results)
-        told = await self.owner_reads.read(record, known)
-        if told is not None and (told.group.results or told.current):
+        reply = await self.owner_reads.read(record, known)
+        if reply is not None and (reply.group.results or reply.current):
             job = self.cache.open(record)
-            job.add(told.group)
+            job.add(reply.group)
             self.cache.trim()
-            if told.current or len(job.results) > after:
+            if reply.current or len(job.results) > after:
                 return Ok(job)
             known = len(job.results)
         groups = await self.store.read_groups(job_id, known)
         if isinstance(groups, Err):
-            return Err(_unsure(groups.err_value.message, self.retry_after_ms))
+            return Err(_unavailable(groups.err_value.message, self.retry_after_ms))
         # Fetched anew: others may have changed the cache while the store was read.
         job = self.cache.open(record)
         for group in groups.ok_value:
@@ -190,11 +192,11 @@
         found = await self.store.read_record(job_id)
         if isinstance(found, Ok) and found.ok_value is None:
             if await self.spools.may_hold(job_id):
-                return Err(_unsure("the job may still have to be stored", self.retry_after_ms))
+                return Err(_unavailable("the job may still have to be stored", self.retry_after_ms))
             # It may have been stored, and gone from the disks, since the store was read.
             found = await self.store.read_record(job_id)
         if isinstance(found, Err):
-            return Err(_unsure(found.err_value.message, self.retry_after_ms))
+            return Err(_unavailable(found.err_value.message, self.retry_after_ms))
         return Ok(None if found.ok_value is None else found.ok_value.record)
 
     def _known_record(self, job_id: str) -> StoredJobRecord | None:
@@ -237,11 +239,11 @@
                 return Ok(None)
             items = await self.store.read_items(found.ok_value)
             if isinstance(items, Err):
-                return Err(_unsure(items.err_value.message, self.retry_after_ms))
+                return Err(_unavailable(items.err_value.message, self.retry_after_ms))
             job = self.cache.open(found.ok_value)
             job.set_items(items.ok_value)
             return Ok(job)
-        return Err(_unsure("the store did not answer in time", self.retry_after_ms))
+        return Err(_unavailable("the store did not answer in time", self.retry_after_ms))
 
     async def end(self, responder: Responder, call: job_calls.JobCall) -> None:
         """End a job; answered once it is recorded, so that no node goes on with it."""
@@ -262,7 +264,7 @@
     return Fault(fault.code, fault.message, retry_after_ms)
 
 
-def _unsure(text: str, retry_after_ms: int) -> Fault:
+def _unavailable(text: str, retry_after_ms: int) -> Fault:
     return Fault(ResultCode.KV_UNAVAILABLE, text, retry_after_ms)
 
 
--- a/src/fescuedock/node/job_ends.py
+++ b/src/fescuedock/node/job_ends.py
@@ -29,16 +29,16 @@
 # Between two tries, unless the job's record is heard of before: calls of the store are paid for,
 # and the disk whose silence is waited for may be down for long.
 _FIRST_PAUSE_S = 0.1
-_MOST_PAUSE_S = 2.0
-_TRIES_AT_ONCE = 8
+_MAX_PAUSE_S = 2.0
+_MAX_CONCURRENT_TRIES = 8
 # How often it is looked whether an outage is over.
-_STORE_LOOK_S = 0.1
+_STORE_POLL_S = 0.1
 # After that the store counts as slow, and the disks are told meanwhile; it answers within 20 ms.
-_TELL_SPOOLS_AFTER_S = 0.2
+_NOTIFY_SPOOLS_AFTER_S = 0.2
 # A job lives for its route's retention, which its record says and which may not be readable here.
 # Beyond that: clocks of nodes differ, and results are committed.
-_LEAST_PURSUIT_MS = 600_000.0
-_PURSUIT_MARGIN_MS = 60_000.0
+_MIN_RETRY_PERIOD_MS = 600_000.0
+_RETRY_PERIOD_MARGIN_MS = 60_000.0
 
 
 class JobEnds(msgspec.Struct):
@@ -52,10 +52,10 @@
     wanted: WantedEnds
     unsettled: UnsettledAcceptances
     retry_after_ms: int
-    _pursued: set[str] = msgspec.field(default_factory=set)
+    _retrying: set[str] = msgspec.field(default_factory=set)
     _nursery: trio.Nursery | None = None
-    _tries: trio.CapacityLimiter = msgspec.field(
-        default_factory=lambda: trio.CapacityLimiter(_TRIES_AT_ONCE)
+    _try_limiter: trio.CapacityLimiter = msgspec.field(
+        default_factory=lambda: trio.CapacityLimiter(_MAX_CONCURRENT_TRIES)
     )
 
     async def run(self) -> None:
@@ -71,31 +71,31 @@
     async def end(self, job_id: str) -> Result[VersionedRecord, Fault]:
         """End a job; ``Ok`` once that is recorded.  After ``KV_UNAVAILABLE`` it is pursued here."""
         received_ms = now_ms()
-        if not self.wanted.note(job_id, received_ms + self._pursuit_ms()):
+        if not self.wanted.note(job_id, received_ms + self._max_retry_ms()):
             log_event("job_end_not_kept", job_id=job_id, pending=len(self.wanted))
-        ended = self._unsure("the store did not answer in time")
+        ended = self._unavailable("the store did not answer in time")
         try:
             with trio.move_on_after(_CALL_TIMEOUT_S):
-                ended = await self._end_telling_spools(job_id)
+                ended = await self._end_and_notify_spools(job_id)
         finally:
             # Also when the client has left meanwhile.
             if _is_settled(ended):
                 self.wanted.settle(job_id)
             else:
-                self._begin_pursuit(job_id)
-        await self._tell_and_log(job_id, ended, received_ms, pursued=False)
+                self._start_retrying(job_id)
+        await self._notify_and_log(job_id, ended, received_ms, retried=False)
         return ended
 
-    async def _end_telling_spools(self, job_id: str) -> Result[VersionedRecord, Fault]:
+    async def _end_and_notify_spools(self, job_id: str) -> Result[VersionedRecord, Fault]:
         """End a job in the store, and tell the disks meanwhile if that takes long."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._tell_spools_later, job_id)
+            nursery.start_soon(self._notify_spools_later, job_id)
             ended = await self._end(job_id)
             nursery.cancel_scope.cancel()
         return ended
 
-    async def _tell_spools_later(self, job_id: str) -> None:
-        await trio.sleep(_TELL_SPOOLS_AFTER_S)
+    async def _notify_spools_later(self, job_id: str) -> None:
+        await trio.sleep(_NOTIFY_SPOOLS_AFTER_S)
         await self.spools.end(job_id)
 
     async def _end(self, job_id: str) -> Result[VersionedRecord, Fault]:
@@ -105,25 +105,27 @@
             if isinstance(ended, Err):
                 return ended
             if ended.ok_value is not None:
-                self.replicas.note(self.store.keys.live, ended.ok_value.entry(self.store.keys))
+                self.replicas.record_entry(
+                    self.store.keys.live, ended.ok_value.entry(self.store.keys)
+                )
                 return ended
             if await self.spools.end(job_id) or self.unsettled.may_store(job_id, now_ms()):
-                return self._unsure("the job may still have to be stored")
+                return self._unavailable("the job may still have to be stored")
             # Its writer may be a node that this one knows nothing of.
-            if await self.store.note_ended(job_id):
+            if await self.store.mark_ended(job_id):
                 return Err(Fault(ResultCode.NOT_FOUND, f"there is no job {job_id!r}"))
-        return self._unsure("it is not sure that the job is not stored")
+        return self._unavailable("it is not sure that the job is not stored")
 
     # --- going on --------------------------------------------------------------------------------
 
-    def _begin_pursuit(self, job_id: str) -> None:
-        if self._nursery is None or job_id not in self.wanted or job_id in self._pursued:
+    def _start_retrying(self, job_id: str) -> None:
+        if self._nursery is None or job_id not in self.wanted or job_id in self._retrying:
             return
-        self._pursued.add(job_id)
-        log_event("job_end_pursued", job_id=job_id, pending=len(self._pursued))
-        self._nursery.start_soon(self._pursue, job_id)
+        self._retrying.add(job_id)
+        log_event("job_end_pursued", job_id=job_id, pending=len(self._retrying))
+        self._nursery.start_soon(self._retry_until_settled, job_id)
 
-    async def _pursue(self, job_id: str) -> None:
+    async def _retry_until_settled(self, job_id: str) -> None:
         """Try until the end is recorded, or there is no such job, or it cannot matter any more."""
         began_ms = now_ms()
         pause_s = _FIRST_PAUSE_S
@@ -131,17 +133,17 @@
             while job_id in self.wanted:
                 await self._pause(job_id, pause_s)
                 await self._wait_store(job_id)
-                pause_s = min(pause_s * 2, _MOST_PAUSE_S)
-                async with self._tries:
+                pause_s = min(pause_s * 2, _MAX_PAUSE_S)
+                async with self._try_limiter:
                     ended = await self._try(job_id)
                 if _is_settled(ended):
                     self.wanted.settle(job_id)
-                    await self._tell_and_log(job_id, ended, began_ms, pursued=True)
+                    await self._notify_and_log(job_id, ended, began_ms, retried=True)
                 elif self.wanted.is_over(job_id, now_ms()):
                     self.wanted.settle(job_id)
                     log_event("job_end_given_up", job_id=job_id, reason=ended.err_value.message)
         finally:
-            self._pursued.discard(job_id)
+            self._retrying.discard(job_id)
 
     async def _pause(self, job_id: str, pause_s: float) -> None:
         """Wait, but not much longer than until the job's record is heard of."""
@@ -155,34 +157,34 @@
         """Wait for the end of an outage, which whoever watches the store tells of."""
         contact = self.replicas.contact
         while contact.is_away(now_ms()) and not self.wanted.is_over(job_id, now_ms()):
-            async with self._tries:
+            async with self._try_limiter:
                 await self.spools.end(job_id)
-            with trio.move_on_after(_MOST_PAUSE_S):
+            with trio.move_on_after(_MAX_PAUSE_S):
                 while contact.is_away(now_ms()):  # noqa: ASYNC110
-                    await trio.sleep(_STORE_LOOK_S)
+                    await trio.sleep(_STORE_POLL_S)
 
     async def _try(self, job_id: str) -> Result[VersionedRecord, Fault]:
         with trio.move_on_after(_TRY_TIMEOUT_S):
             return await self._end(job_id)
-        return self._unsure("the store did not answer in time")
+        return self._unavailable("the store did not answer in time")
 
-    def _pursuit_ms(self) -> float:
+    def _max_retry_ms(self) -> float:
         """Return for how long an end may matter: as long as any job lives."""
         retentions_ms = [route.retention_ms for route in self.configuration.routes.routes]
-        return max([_LEAST_PURSUIT_MS, *retentions_ms]) + _PURSUIT_MARGIN_MS
+        return max([_MIN_RETRY_PERIOD_MS, *retentions_ms]) + _RETRY_PERIOD_MARGIN_MS
 
     # --- what came of it -------------------------------------------------------------------------
 
-    async def _tell_and_log(
+    async def _notify_and_log(
         self,
         job_id: str,
         ended: Result[VersionedRecord, Fault],
         began_ms: float,
         *,
-        pursued: bool,
+        retried: bool,
     ) -> None:
-        told = isinstance(ended, Ok) and await self._tell_owner(ended.ok_value)
-        fields = {"job_id": job_id, "took_ms": round(now_ms() - began_ms, 1), "pursued": pursued}
+        notified = isinstance(ended, Ok) and await self._notify_owner(ended.ok_value)
+        fields = {"job_id": job_id, "took_ms": round(now_ms() - began_ms, 1), "pursued": retried}
         if isinstance(ended, Err):
             log_event("job_not_ended", **fields, code=ended.err_value.code.name)
             return
@@ -192,14 +194,14 @@
             "job_ended",
             **fields,
             owner=record.owner_id,
-            owner_told=told,
+            owner_told=notified,
             epoch=record.epoch,
             revision=ended.ok_value.revision,
             listed=record.listed,
             total=record.total,
         )
 
-    async def _tell_owner(self, ended: VersionedRecord) -> bool:
+    async def _notify_owner(self, ended: VersionedRecord) -> bool:
         """Tell the owner of an ended job, which then need not wait for a watch; whether it knows.
 
         An outage of the store may begin before any watch has told of the end.
@@ -211,9 +213,9 @@
         if address is None or not record.ended:
             return False
         keys = self.store.keys
-        return await self.replicas.tell_noted(address, keys.live, ended.entry(keys))
+        return await self.replicas.send_noted(address, keys.live, ended.entry(keys))
 
-    def _unsure(self, text: str) -> Result[VersionedRecord, Fault]:
+    def _unavailable(self, text: str) -> Result[VersionedRecord, Fault]:
         return Err(Fault(ResultCode.KV_UNAVAILABLE, text, self.retry_after_ms))
 
 
--- a/src/fescuedock/node/job_runner.py
+++ b/src/fescuedock/node/job_runner.py
@@ -31,9 +31,9 @@
 from fescuedock.log import log_event
 from fescuedock.net.http_client import HttpClient, SendCheck
 from fescuedock.node.configuration import NodeConfiguration
-from fescuedock.node.item_asking import ItemAsker
-from fescuedock.node.item_isolation import LoneItem, LoneItems
-from fescuedock.node.item_run import KnownAtBegin, run_item
+from fescuedock.node.item_isolation import IsolatedItem, IsolatedRuns
+from fescuedock.node.item_permits import ItemPermitRequester
+from fescuedock.node.item_run import StartState, run_item
 from fescuedock.node.job_store import JobStore, LoadedJob, VersionedRecord, decode_record
 from fescuedock.node.replicas import Replicas
 from fescuedock.platform import calls
@@ -46,19 +46,19 @@
 __all__ = ["JobRunner"]
 
 # How often what waits is looked at when nothing has told of it.
-_IDLE_WAIT_S = 0.25
+_IDLE_POLL_S = 0.25
 # The same while no job is open here.
-_NO_JOBS_WAIT_S = 2.0
-_RECONCILE_S = 0.5
+_NO_JOBS_POLL_S = 2.0
+_RECONCILE_INTERVAL_S = 0.5
 # A route that is missing for so long has been removed, and with it what is left of its jobs.
-_ROUTE_GONE_MS = 2500.0
+_ROUTE_REMOVED_AFTER_MS = 2500.0
 # Beyond the time after which items may be given up: clocks of nodes differ, and may jump.
 _GIVE_UP_MARGIN_MS = 6000.0
 _COMMIT_SHUTDOWN_MS = 1500.0
 # Stands for "never" in logs.
-_LONG_AGO_MS = 1e9
+_MAX_LOGGED_AGE_MS = 1e9
 # A job that is refused for no more than this is taken in, and its items wait.
-_HELD = (None, WorkRefusal.UNCONFIRMED, WorkRefusal.END_WANTED)
+_STARTABLE_REFUSALS = (None, WorkRefusal.UNCONFIRMED, WorkRefusal.END_WANTED)
 # Runs that ended an attempt of an item one way or the other; others go on elsewhere.
 _ITEM_CODES = {
     ItemEnd.WHOLE: ResultCode.OK,
@@ -73,14 +73,14 @@
     run: StoredJob
     versioned: VersionedRecord
     # Set when this node has to let go of the job: what runs of it is cut off.
-    let_go: trio.Event = msgspec.field(default_factory=trio.Event)
+    released: trio.Event = msgspec.field(default_factory=trio.Event)
     changed: trio.Event = msgspec.field(default_factory=trio.Event)
     route_seen_ms: float = msgspec.field(default_factory=now_ms)
     saved_ms: float = msgspec.field(default_factory=now_ms)
 
     @property
     def stopped(self) -> bool:
-        return self.let_go.is_set()
+        return self.released.is_set()
 
     def wake(self) -> None:
         self.changed.set()
@@ -130,21 +130,23 @@
             lambda: view.quarantine.is_empty,
             self._priority,
         )
-        self._asker = ItemAsker(
+        self._permit_requester = ItemPermitRequester(
             settings,
             view,
             permits,
             rng,
-            self._waiting,
+            self._count_waiting,
             self._choose,
-            self._use,
+            self._run_next_item,
             self._choose_overdue,
             lambda: self._pool.any_overdue(now_ms()),
             self._priority,
         )
-        self._lone_items = LoneItems(view, permits, self._lone_item, self._use_alone)
+        self._isolated_runs = IsolatedRuns(
+            view, permits, self._next_isolated_item, self._run_isolated_item
+        )
         # Whether jobs wait for news of their records.
-        self._held = False
+        self._any_unconfirmed = False
         self._nursery: trio.Nursery | None = None
         self.leaving = False
 
@@ -153,19 +155,19 @@
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._reconcile_forever)
-            nursery.start_soon(self._lone_items.run)
-            await self._asker.run(self._next_look_s)
+            nursery.start_soon(self._isolated_runs.run)
+            await self._permit_requester.run(self._next_poll_s)
 
     def accept(self, stored: VersionedRecord, items: list[StoredItem]) -> None:
         """Take in a job that was just stored, and run it if it is new and this node's."""
         record = stored.record
         self._cache.open(record).set_items(items)
         self._cache.trim()
-        self._note(stored)
+        self._record_write(stored)
         if record.job_id not in self._jobs and self._owner.owns(record) and not record.listed:
             self._start(stored, LoadedJob(items, [], []), "submitted")
 
-    def listed_of(self, job_id: str) -> int | None:
+    def listed_count(self, job_id: str) -> int | None:
         """Return how many results are listed of a job that this node runs, as far as it knows."""
         job = self._jobs.get(job_id)
         return None if job is None or job.stopped else job.versioned.record.listed
@@ -176,7 +178,7 @@
         jobs = list(self._jobs.values())
         async with trio.open_nursery() as nursery:
             for job in jobs:
-                nursery.start_soon(self._hand_on, job)
+                nursery.start_soon(self._transfer, job)
 
     # --- which jobs ------------------------------------------------------------------------------
 
@@ -184,63 +186,67 @@
         while True:
             seen = self._replicas.version
             self._reconcile()
-            with trio.move_on_after(_RECONCILE_S):
+            with trio.move_on_after(_RECONCILE_INTERVAL_S):
                 await self._replicas.wait_changed(seen)
 
     def _reconcile(self) -> None:
-        takers = {vm.vm_id for vm in self._view.live_vms(Program.BATCH)}
-        if self._is_taking:
-            takers.add(self._owner.node_id)
+        available_nodes = {vm.vm_id for vm in self._view.live_vms(Program.BATCH)}
+        if self._runs_jobs:
+            available_nodes.add(self._owner.node_id)
         else:
-            takers.discard(self._owner.node_id)
+            available_nodes.discard(self._owner.node_id)
         present = {*self._view.vms, self._owner.node_id}
         self._missing.note(present, now_ms())
         for job in list(self._jobs.values()):
-            self._let_go_if_refused(job)
+            self._drop_if_refused(job)
         for key, entry in list(self._table.entries.items()):
             if key.startswith(self._store.keys.records):
-                self._look_at(decode_record(entry), takers, present)
-        self._note_held()
-        away = self._replicas.contact.is_away(now_ms())
-        if takers and not away and not self._is_taking and not self.leaving:
-            self._give_away()
+                self._claim_if_due(decode_record(entry), available_nodes, present)
+        self._log_unconfirmed()
+        store_unreachable = self._replicas.contact.is_away(now_ms())
+        if available_nodes and not store_unreachable and not self._runs_jobs and not self.leaving:
+            self._transfer_all()
 
     @property
-    def _is_taking(self) -> bool:
+    def _runs_jobs(self) -> bool:
         """Whether this node runs jobs: nothing of any runs where no owner answers it."""
         return not self.leaving and not self._permits.is_unanswered
 
-    def _give_away(self) -> None:
+    def _transfer_all(self) -> None:
         """Hand all jobs on to nodes that owners answer."""
         for job in self._jobs.values():
             if not job.stopped and job.run.job_id not in self._claiming:
                 log_event("job_given_away", job_id=job.run.job_id, reason="no owner answers asks")
-                self._nursery.start_soon(self._hand_on, job)
+                self._nursery.start_soon(self._transfer, job)
 
-    def _look_at(self, found: VersionedRecord, takers: set[str], present: set[str]) -> None:
+    def _claim_if_due(
+        self, found: VersionedRecord, available_nodes: set[str], present: set[str]
+    ) -> None:
         record = found.record
         if record.job_id in self._jobs or not is_open(record):
             return
         gone = self._missing.is_gone(record.owner_id, present, now_ms())
-        duty = duty_of(record, self._owner, takers, owner_gone=gone, leaving=not self._is_taking)
+        duty = duty_of(
+            record, self._owner, available_nodes, owner_gone=gone, leaving=not self._runs_jobs
+        )
         if duty is not Duty.NONE and record.job_id not in self._claiming:
             self._claiming.add(record.job_id)
             self._nursery.start_soon(self._claim, found, duty)
 
-    def _let_go_if_refused(self, job: OwnedJob) -> None:
+    def _drop_if_refused(self, job: OwnedJob) -> None:
         refusal = self._refusal(job.run.job_id)
         # What is all listed goes with its last commit, which counts it.
         if refusal is not None and refusal.is_final and refusal is not WorkRefusal.LISTED:
             self._drop(job, refusal.value)
 
-    def _note_held(self) -> None:
+    def _log_unconfirmed(self) -> None:
         """Log when jobs begin, or cease, to wait for news of their records."""
         known = self._known_records()
         refusals = [self._refusal(job_id, known) for job_id in self._jobs]
         held = refusals.count(WorkRefusal.UNCONFIRMED)
-        if bool(held) == self._held:
+        if bool(held) == self._any_unconfirmed:
             return
-        self._held = bool(held)
+        self._any_unconfirmed = bool(held)
         log_event(
             "work_held" if held else "work_goes_on",
             jobs=held,
@@ -250,7 +256,7 @@
     async def _claim(self, found: VersionedRecord, duty: Duty) -> None:
         try:
             claimed = await (
-                self._still_ours(found) if duty is Duty.RUN else self._take_over(found)
+                self._confirm_ownership(found) if duty is Duty.RUN else self._take_over(found)
             )
             if claimed is None:
                 return
@@ -261,20 +267,20 @@
         finally:
             self._claiming.discard(found.record.job_id)
 
-    async def _still_ours(self, found: VersionedRecord) -> VersionedRecord | None:
+    async def _confirm_ownership(self, found: VersionedRecord) -> VersionedRecord | None:
         """Read a record that names this node as the owner, though it does not run the job."""
-        versioned = await self._read_again(found.record.job_id)
+        versioned = await self._reread_record(found.record.job_id)
         if versioned is None:
             return None
         record = versioned.record
         return versioned if self._owner.owns(record) and is_open(record) else None
 
-    async def _read_again(self, job_id: str) -> VersionedRecord | None:
+    async def _reread_record(self, job_id: str) -> VersionedRecord | None:
         """Read a record and take note of it; None when it cannot be read or is not there."""
         current = await self._store.read_record(job_id)
         versioned = current.ok_value if isinstance(current, Ok) else None
         if versioned is not None:
-            self._note(versioned)
+            self._record_write(versioned)
         return versioned
 
     async def _take_over(self, found: VersionedRecord) -> VersionedRecord | None:
@@ -295,19 +301,19 @@
         if isinstance(result, Err):
             # After a lost answer the record comes back with the next change that is heard of.
             return None
-        self._note(result.ok_value)
+        self._record_write(result.ok_value)
         return result.ok_value
 
-    def _start(self, stored: VersionedRecord, loaded: LoadedJob, way: str) -> None:
+    def _start(self, stored: VersionedRecord, loaded: LoadedJob, trigger: str) -> None:
         record = stored.record
         refusal = self._refusal(record.job_id)
-        if refusal not in _HELD:
-            log_event("job_not_started", job_id=record.job_id, way=way, reason=refusal.value)
+        if refusal not in _STARTABLE_REFUSALS:
+            log_event("job_not_started", job_id=record.job_id, way=trigger, reason=refusal.value)
             return
         log_event(
             "job_started",
             job_id=record.job_id,
-            way=way,
+            way=trigger,
             epoch=record.epoch,
             revision=stored.revision,
             listed=record.listed,
@@ -323,20 +329,20 @@
         began_ms = now_ms() - min(max(age_ms, 0), record.retention_ms or record.due_in_ms)
         # Clocks of nodes differ by any amount, and what is given up stays so.
         absent_ms = self._table.absent_as_of_ms(self._store.keys.record(record.job_id))
-        kept_from_ms = max(began_ms, absent_ms)
+        retained_from_ms = max(began_ms, absent_ms)
         run = StoredJob(
             record,
             loaded.items,
             listed,
             due_ms=began_ms + record.due_in_ms,
-            give_up_ms=kept_from_ms + record.retention_ms + _GIVE_UP_MARGIN_MS,
+            give_up_ms=retained_from_ms + record.retention_ms + _GIVE_UP_MARGIN_MS,
             parts_of=_parts_of,
         )
         run.resume(loaded.progress)
         job = OwnedJob(run, stored)
         self._jobs[record.job_id] = job
         self._nursery.start_soon(self._commit_forever, job)
-        self._asker.wake()
+        self._permit_requester.wake()
 
     def _drop(self, job: OwnedJob, reason: str) -> None:
         """Cancel what runs of a job that is no longer ours."""
@@ -344,12 +350,12 @@
             return
         del self._jobs[job.run.job_id]
         log_event("job_dropped", job_id=job.run.job_id, reason=reason, listed=job.run.listed_count)
-        job.let_go.set()
+        job.released.set()
         job.wake()
 
-    async def _hand_on(self, job: OwnedJob) -> None:
+    async def _transfer(self, job: OwnedJob) -> None:
         """Commit what is done and give the job up, so that another node claims it at once."""
-        job.let_go.set()
+        job.released.set()
         job.wake()
         with trio.move_on_after(_COMMIT_SHUTDOWN_MS / 1000):
             while job.run.has_results and self._jobs.get(job.run.job_id) is job:
@@ -365,7 +371,7 @@
                 outcome="done" if isinstance(result, Ok) else result.err_value.code.name,
             )
             if isinstance(result, Ok):
-                self._note(result.ok_value)
+                self._record_write(result.ok_value)
         self._jobs.pop(job.run.job_id, None)
 
     # --- commits ---------------------------------------------------------------------------------
@@ -377,7 +383,7 @@
             if not job.run.has_results:
                 with trio.move_on_after(interval_s):
                     await job.changed.wait()
-                self._check_end(job)
+                self._abandon_items(job)
                 await self._save_progress(job)
                 continue
             if not job.run.all_run:
@@ -405,7 +411,7 @@
         if isinstance(result, Err):
             if result.err_value.code is ResultCode.KV_CONFLICT:
                 # The record is another by now, which may say that no more is to be run.
-                await self._read_again(job.run.job_id)
+                await self._reread_record(job.run.job_id)
             log_event(
                 "progress_not_saved",
                 job_id=job.run.job_id,
@@ -413,14 +419,14 @@
                 reason=result.err_value.message,
             )
 
-    def _check_end(self, job: OwnedJob) -> None:
+    def _abandon_items(self, job: OwnedJob) -> None:
         """End items whose time is over, or whose route was removed."""
         record = job.versioned.record
         # A node that knows no configuration yet misses every route, and none has been removed.
         if not self._configuration.is_known or self._route_of(record) is not None:
             job.route_seen_ms = now_ms()
         # One that is older than the route lacks it as well, and what is given up stays so.
-        route_gone = self._configuration.as_of_ms - job.route_seen_ms > _ROUTE_GONE_MS
+        route_gone = self._configuration.as_of_ms - job.route_seen_ms > _ROUTE_REMOVED_AFTER_MS
         count = job.run.abandon() if route_gone else job.run.give_up(now_ms())
         if count:
             reason = "its route was removed" if route_gone else "its retention is over"
@@ -449,7 +455,7 @@
         job.run.committed()
         self._cache.open(record).add(group)
         self._cache.trim()
-        self._note(result.ok_value)
+        self._record_write(result.ok_value)
         return True
 
     def _revision_of(self, job_id: str) -> int:
@@ -458,10 +464,10 @@
 
     def _records_age_ms(self) -> float:
         """Return the time since the jobs' records here were certainly all there were."""
-        return round(min(self._table.as_of_age_ms(now_ms()), _LONG_AGO_MS))
+        return round(min(self._table.as_of_age_ms(now_ms()), _MAX_LOGGED_AGE_MS))
 
-    def _note(self, stored: VersionedRecord) -> None:
-        self._replicas.note(self._store.keys.live, stored.entry(self._store.keys))
+    def _record_write(self, stored: VersionedRecord) -> None:
+        self._replicas.record_entry(self._store.keys.live, stored.entry(self._store.keys))
 
     # --- items -----------------------------------------------------------------------------------
 
@@ -491,27 +497,27 @@
         )
 
     def _known_records(self) -> KnownRecords:
-        away = self._replicas.contact.is_away(now_ms())
+        store_unreachable = self._replicas.contact.is_away(now_ms())
         agreed_age_ms = float("inf")
-        if away:
+        if store_unreachable:
             agreed_age_ms = self._replicas.agreed_age_ms(self._store.keys.live)
-        return KnownRecords(self._table.as_of_age_ms(now_ms()), away, agreed_age_ms)
+        return KnownRecords(self._table.as_of_age_ms(now_ms()), store_unreachable, agreed_age_ms)
 
     def _serves(self, record: StoredJobRecord, service: str) -> bool:
         route = self._route_of(record)
         return route is not None and route.allows(service)
 
-    def _waiting(self) -> Mapping[str, int]:
+    def _count_waiting(self) -> Mapping[str, int]:
         """Count the items that could start now, by service."""
         services = {item.service for item in self._view.upstreams.values()}
         return self._pool.waiting(services, now_ms())
 
-    def _next_look_s(self) -> float:
+    def _next_poll_s(self) -> float:
         """Return the time until the next item that pauses may start again, within bounds."""
         if not self._jobs:
-            return _NO_JOBS_WAIT_S
+            return _NO_JOBS_POLL_S
         next_ms = self._pool.next_ready_ms(now_ms())
-        return min(max(next_ms - now_ms(), 0.0) / 1000, _IDLE_WAIT_S)
+        return min(max(next_ms - now_ms(), 0.0) / 1000, _IDLE_POLL_S)
 
     def _choose(
         self, upstream: UpstreamRecord, position: int = 0, customer: str = ""
@@ -538,7 +544,7 @@
         )
         return Site(upstream.software_version, served)
 
-    def _use(self, upstream_id: str, grant: Grant) -> None:
+    def _run_next_item(self, upstream_id: str, grant: Grant) -> None:
         """Run the most urgent item under ``grant``, or give it back when there is none any more.
 
         One that was asked for on behalf of overdue items is used for those.
@@ -554,9 +560,9 @@
         if choice is None:
             self._permits.give_back(grant)
             return
-        self._begin(choice, upstream, grant)
+        self._start_run(choice, upstream, grant)
 
-    def _begin(self, choice: ItemChoice, upstream: UpstreamRecord, grant: Grant) -> None:
+    def _start_run(self, choice: ItemChoice, upstream: UpstreamRecord, grant: Grant) -> None:
         grant.choose(choice.run.work_id, choice.run.parts)
         grant.describe(choice.stage, choice.slack_ms, choice.left_ms, choice.run.barren_runs)
         self._pool.start(choice.run, now_ms())
@@ -566,25 +572,25 @@
             partial(self._run_item, job, choice.run, upstream, grant, waited_ms)
         )
 
-    def _lone_item(self, service: str) -> LoneItem | None:
+    def _next_isolated_item(self, service: str) -> IsolatedItem | None:
         choice = self._pool.choose_alone(service, now_ms())
         if choice is None:
             return None
         record = choice.job.record
-        return LoneItem(record.customer or "", self._priority(record))
+        return IsolatedItem(record.customer or "", self._priority(record))
 
     def _priority(self, record: StoredJobRecord) -> int:
         """Return the priority of a job's items by the version in force."""
         routes = self._configuration.routes
         return routes.priority_of(self._route_of(record), record.customer)
 
-    def _use_alone(self, upstream: UpstreamRecord, grant: Grant) -> None:
+    def _run_isolated_item(self, upstream: UpstreamRecord, grant: Grant) -> None:
         """Run the most urgent item that may only run alone, or give the permit back."""
         choice = self._pool.choose_alone(upstream.service, now_ms())
         if choice is None:
             self._permits.give_back(grant)
             return
-        self._begin(choice, upstream, grant)
+        self._start_run(choice, upstream, grant)
 
     async def _run_item(
         self,
@@ -596,10 +602,10 @@
     ) -> None:
         record = job.run.record
         revision = self._revision_of(record.job_id)
-        known = KnownAtBegin(revision, self._records_age_ms(), waited_ms)
+        known = StartState(revision, self._records_age_ms(), waited_ms)
         check = self._item_check(job, upstream, grant)
         first_event = item.last_event
-        end = await run_item(self._http, record, item, upstream, grant, job.let_go, known, check)
+        end = await run_item(self._http, record, item, upstream, grant, job.released, known, check)
         ran_ms = now_ms() - item.started_ms
         self._metrics.record_run(
             upstream.service, ran_ms, gained=end is ItemEnd.WHOLE or item.last_event > first_event
@@ -611,7 +617,7 @@
         max_failures = route.max_attempts if route is not None else 1
         self._pool.finish(job.run, item, end, upstream.upstream_id, max_failures, now_ms())
         job.wake()
-        self._asker.wake()
+        self._permit_requester.wake()
 
     def _item_check(self, job: OwnedJob, upstream: UpstreamRecord, grant: Grant) -> SendCheck:
         """Return the check of an item's request: that of its job again, and that of any request.
--- a/src/fescuedock/node/job_store.py
+++ b/src/fescuedock/node/job_store.py
@@ -28,7 +28,7 @@
 
 # Between two tries of a write that is to be found out.
 _FIRST_PAUSE_MS = 30.0
-_MOST_PAUSE_MS = 500.0
+_MAX_PAUSE_MS = 500.0
 # Room for MessagePack's framing beside the bytes of a value.
 _VALUE_MARGIN_BYTES = 1024
 # Operations that one transaction may hold.
@@ -95,8 +95,8 @@
             writes[self.keys.items(record.job_id, number)] = part
         key, ended_key = self.keys.record(record.job_id), self.keys.ended(record.job_id)
         transaction = KvTransaction({key: 0, ended_key: 0}, writes=writes)
-        unsure = False
-        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MOST_PAUSE_MS)
+        may_be_stored = False
+        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         while True:
             result = await self._kv.transact(transaction)
             if isinstance(result, Ok):
@@ -109,7 +109,7 @@
                         return Ok(found.ok_value)
                     return Err(Fault(ResultCode.KEY_REUSED, "a job of this id has other items"))
                 if isinstance(found, Ok):
-                    if unsure or not after_end:
+                    if may_be_stored or not after_end:
                         # Writes that are still on their way fail on the same condition.
                         return Err(Fault(ResultCode.KV_UNAVAILABLE, "its client has ended the job"))
                     noted = await self._kv.get(ended_key)
@@ -119,10 +119,10 @@
                         continue
                 else:
                     # It is there, though it cannot be read: a later refusal promises nothing.
-                    unsure = True
+                    may_be_stored = True
             elif fault.code is ResultCode.KV_UNKNOWN:
-                unsure = True
-            elif not unsure:
+                may_be_stored = True
+            elif not may_be_stored:
                 return result
             await pauses.wait()
 
@@ -199,13 +199,13 @@
         ``KV_CONFLICT`` says that the job was ended, or has another owner, and nothing was written.
         Being cancelled means that the change may or may not be there.
         """
-        extra = {}
+        extra_writes = {}
         if group is not None:
-            place = self.keys.group(wanted.job_id, group.first_position)
-            extra[place] = msgspec.msgpack.encode(group)
-        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MOST_PAUSE_MS)
+            key = self.keys.group(wanted.job_id, group.first_position)
+            extra_writes[key] = msgspec.msgpack.encode(group)
+        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         while True:
-            result = await self._write(wanted, revision, extra)
+            result = await self._write(wanted, revision, extra_writes)
             if isinstance(result, Ok):
                 return Ok(VersionedRecord(wanted, result.ok_value))
             if result.err_value.code is ResultCode.KV_CONFLICT:
@@ -230,11 +230,11 @@
 
         ``progress`` is what the next owner may go on from; as much of it as a value holds is kept.
         """
-        extra = {}
+        extra_writes = {}
         if progress:
-            place = self.keys.progress(wanted.job_id)
-            extra[place] = msgspec.msgpack.encode(self._fitting(progress))
-        result = await self._write(wanted, revision, extra)
+            key = self.keys.progress(wanted.job_id)
+            extra_writes[key] = msgspec.msgpack.encode(self._fit_into_value(progress))
+        result = await self._write(wanted, revision, extra_writes)
         return result.map(lambda written: VersionedRecord(wanted, written))
 
     async def save_progress(
@@ -245,7 +245,7 @@
         A hint for the next owner: an older one that lands late does no harm.
         """
         record = stored.record
-        value = msgspec.msgpack.encode(self._fitting(progress))
+        value = msgspec.msgpack.encode(self._fit_into_value(progress))
         return await self._kv.transact(
             KvTransaction(
                 {self.keys.record(record.job_id): stored.revision},
@@ -259,7 +259,7 @@
         A job that is all listed stays as it is.  Runs until the service answers; the caller bounds
         the time.
         """
-        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MOST_PAUSE_MS)
+        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         while True:
             found = await self.read_record(job_id)
             if isinstance(found, Ok):
@@ -272,7 +272,7 @@
                     return Ok(VersionedRecord(ended, written.ok_value))
             await pauses.wait()
 
-    async def note_ended(self, job_id: str) -> bool:
+    async def mark_ended(self, job_id: str) -> bool:
         """Have writes of a job that are still on their way find that its client ended it.
 
         False when the job has been stored meanwhile, or the service did not answer.
@@ -311,13 +311,13 @@
         return Ok(None)
 
     async def _write(
-        self, wanted: StoredJobRecord, revision: int, extra: Mapping[str, bytes]
+        self, wanted: StoredJobRecord, revision: int, extra_writes: Mapping[str, bytes]
     ) -> Result[int, Fault]:
         key = self.keys.record(wanted.job_id)
-        writes = {key: msgspec.msgpack.encode(wanted), **extra}
+        writes = {key: msgspec.msgpack.encode(wanted), **extra_writes}
         return await self._kv.transact(KvTransaction({key: revision}, writes=writes))
 
-    def _fitting(self, progress: list[ItemProgress]) -> list[ItemProgress]:
+    def _fit_into_value(self, progress: list[ItemProgress]) -> list[ItemProgress]:
         """Return as many as fit into one value, those that have got furthest first."""
         kept: list[ItemProgress] = []
         size_bytes = 0
--- a/src/fescuedock/node/main.py
+++ b/src/fescuedock/node/main.py
@@ -42,6 +42,7 @@
 from fescuedock.node.configuration import NodeConfiguration
 from fescuedock.node.fleet import NodeLease, NodeList
 from fescuedock.node.front import Front
+from fescuedock.node.group_broadcast import GroupBroadcaster
 from fescuedock.node.health_probe import health_probe
 from fescuedock.node.job_acceptance import JobAcceptance
 from fescuedock.node.job_calls import JobCalls
@@ -51,10 +52,9 @@
 from fescuedock.node.online import ONLINE_ROUTING, PREDICTED_ROUTING, OnlineCalls
 from fescuedock.node.owner_reads import OwnerReads
 from fescuedock.node.quotas import Quotas
-from fescuedock.node.replicas import Replicas, Watched
+from fescuedock.node.replicas import Replicas, WatchedPrefix
 from fescuedock.node.retirement import Retirement
 from fescuedock.node.spools import Spools
-from fescuedock.node.spread import GroupSpread
 from fescuedock.node.stream_origins import StreamOrigins
 from fescuedock.node.upstream_entries import UpstreamEntries
 from fescuedock.platform import records
@@ -76,9 +76,9 @@
 _STORE_REPORT_S = 10.0
 _SEED_BITS = 128
 # Stands for "never" in logs.
-_LONG_AGO_MS = 1e9
+_MAX_LOGGED_AGE_MS = 1e9
 # Answers to calls in progress at the end of a stop.
-_LAST_ANSWERS_S = 0.6
+_FINAL_ANSWERS_S = 0.6
 
 
 async def run_node(
@@ -149,18 +149,18 @@
         self._replicas = Replicas(
             self._store,
             [
-                Watched(records.OPERATOR_PREFIX, node.watch_wait_ms, 0),
-                Watched(
+                WatchedPrefix(records.OPERATOR_PREFIX, node.watch_wait_ms, 0),
+                WatchedPrefix(
                     records.UPSTREAM_PREFIX,
                     node.watch_wait_ms,
                     node.watch_pause_ms,
                     records.is_heartbeat,
                 ),
-                Watched(self._keys.live, node.watch_wait_ms, node.watch_pause_ms),
+                WatchedPrefix(self._keys.live, node.watch_wait_ms, node.watch_pause_ms),
             ],
             self._call_neighbour,
             self._neighbours,
-            GroupSpread(view, _watch_duty(settings.vm), pool),
+            GroupBroadcaster(view, _watch_duty(settings.vm), pool),
             self._rng,
         )
         self._crashes = CrashService(
@@ -293,7 +293,7 @@
             owner,
             self._call_neighbour,
             self._address_of,
-            self._runner.listed_of,
+            self._runner.listed_count,
         )
         self._ends = JobEnds(
             store,
@@ -353,7 +353,7 @@
         nursery.start_soon(self._announce)
         nursery.start_soon(self._report_store_calls)
         nursery.start_soon(self._log_fleet)
-        nursery.start_soon(self._drop_connections)
+        nursery.start_soon(self._close_stale_connections)
 
     async def serve(self, nursery: trio.Nursery) -> Address:
         """Listen at all addresses; returns that of the front."""
@@ -386,16 +386,16 @@
         log_event("node_leaving", in_flight=self.front.server.in_flight)
         self.front.leaving = True
         self.front.server.draining = True
-        self._note_programs()
+        self._report_readiness()
         self._membership.leave()
-        with trio.move_on_at(began_s + node.stop_timeout_s - _LAST_ANSWERS_S):
+        with trio.move_on_at(began_s + node.stop_timeout_s - _FINAL_ANSWERS_S):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._runner.leave)
                 await trio.sleep(node.directory_leave_ms / 1000)
                 await self._origins.leave()
                 self.front.server.stop()
                 await self._served.wait()
-        with trio.move_on_after(_LAST_ANSWERS_S / 2):
+        with trio.move_on_after(_FINAL_ANSWERS_S / 2):
             await self._lease.leave()
         self._membership.finish()
         log_event("node_left", in_flight=self.front.server.in_flight)
@@ -428,7 +428,7 @@
             seen = self._replicas.version
             if self._configuration.refresh():
                 self.front.apply_limits()
-                self._note_programs()
+                self._report_readiness()
             await self._replicas.wait_changed(seen)
 
     async def _follow_crashes(self) -> None:
@@ -441,7 +441,7 @@
                 self._crashes.take_entries(table.entries.values())
             await self._replicas.wait_changed(self._replicas.version)
 
-    async def _drop_connections(self) -> None:
+    async def _close_stale_connections(self) -> None:
         """Close what is kept to upstreams that have gone, or have started again."""
         known: dict[str, Address] = {}
         version = 0
@@ -462,7 +462,7 @@
             for vm_id in sorted(seen.keys() | states.keys()):
                 state, incarnation = seen.get(vm_id, ("gone", states.get(vm_id, ("", 0))[1]))
                 if states.get(vm_id, ("", 0))[0] != state:
-                    age_ms = min(self._view.membership_age_ms, _LONG_AGO_MS)
+                    age_ms = min(self._view.membership_age_ms, _MAX_LOGGED_AGE_MS)
                     log_event(
                         "vm_state",
                         about=vm_id,
@@ -484,12 +484,12 @@
 
     async def _announce(self) -> None:
         while True:
-            self._note_programs()
+            self._report_readiness()
             version = self._view.version
             with trio.move_on_after(_HELLO_INTERVAL_S):
                 await self._view.wait_changed(version)
 
-    def _note_programs(self) -> None:
+    def _report_readiness(self) -> None:
         """Tell membership what of this node is ready."""
         port = Address.parse(self._settings.node.front_address).port
         for program in (Program.ENTRY, Program.BATCH):
--- a/src/fescuedock/node/online.py
+++ b/src/fescuedock/node/online.py
@@ -110,14 +110,14 @@
         """Return the priority of a customer's calls on ``route`` by the version in force."""
         return self._routes().priority_of(route, customer)
 
-    def startable(self, service: str) -> frozenset[str] | None:
+    def startable_versions(self, service: str) -> frozenset[str] | None:
         """Return the software versions at which streams may begin; None where there is no bound."""
-        return None if self.origins is None else self.origins.startable(service)
+        return None if self.origins is None else self.origins.startable_versions(service)
 
-    async def note_begun(self, key: str, origin: StreamOrigin, route: Route) -> None:
+    async def record_origin(self, key: str, origin: StreamOrigin, route: Route) -> None:
         """Note what begins a stream; see ``StreamOrigins.begun``."""
         if self.origins is not None:
-            await self.origins.begun(key, origin, route)
+            await self.origins.record_start(key, origin, route)
 
     async def origin_of(self, key: str | None, route: Route) -> Result[StreamOrigin, Fault]:
         """Return what began a stream that a client takes up."""
@@ -128,7 +128,7 @@
     def prefill(self, service: str) -> PrefillModel:
         return self._prefill.setdefault(service, PrefillModel())
 
-    def note_first_event(self, took_ms: float) -> None:
+    def record_first_event(self, took_ms: float) -> None:
         """Learn from the time that an attempt took to its first event."""
         self.first_event_ms += _FIRST_EVENT_GAIN * (took_ms - self.first_event_ms)
 
--- a/src/fescuedock/node/online_call.py
+++ b/src/fescuedock/node/online_call.py
@@ -44,12 +44,12 @@
 # Where a client names no deadline and the route no timeout.
 _DEFAULT_PATIENCE_MS = 60000.0
 # Answers that are no streams are held back up to this size, so that a broken one can be repeated.
-_HELD_BYTES = 1024 * 1024
+_MAX_BUFFERED_BYTES = 1024 * 1024
 _SERVER_ERROR = 500
 # Connections that were refused in a row, after which a stream with no other upstream ends.
-_MOST_REFUSED = 3
+_MAX_REFUSED_CONNECTIONS = 3
 # How often the time by which more of a stream must come is moved, which adds as much to it.
-_STALL_MOVE_S = 0.1
+_STALL_DEADLINE_STEP_S = 0.1
 
 
 class Call:
@@ -123,8 +123,8 @@
         self.work_id = work_identity(request.method, host, request.target, self.customer, body)
         # Of the upstreams that the stream goes on at; None while the client has nothing of it.
         self.software_version: str | None = None
-        begun_by = self.head.resumes if self.head.last_event >= 0 else ""
-        self.stream_key = stream_key(begun_by or self.head.request_id, self.work_id)
+        original_request_id = self.head.resumes if self.head.last_event >= 0 else ""
+        self.stream_key = stream_key(original_request_id or self.head.request_id, self.work_id)
         parts = self.head.shared_parts
         self.parts = part_identities(name for name, _ in parts)
         self.demand = Demand(
@@ -163,10 +163,10 @@
     def software_versions(self) -> Collection[str] | None:
         if self.software_version is not None:
             return (self.software_version,)
-        return self.shared.startable(self.service) if self.may_be_taken_up else None
+        return self.shared.startable_versions(self.service) if self.is_resumable else None
 
     @property
-    def may_be_taken_up(self) -> bool:
+    def is_resumable(self) -> bool:
         """Whether a client may go on at another node with the stream that this call is."""
         return self.route.kind is RouteKind.STREAM and self.route.resumable
 
@@ -200,37 +200,37 @@
     async def run(self) -> None:
         """Make attempts until one gives the whole answer or none may follow."""
         if self.route.kind is RouteKind.STREAM and self.head.last_event >= 0:
-            refused = await self._take_up()
+            refused = await self._resume()
             if refused is not None:
-                await self.give_up(self._truthful(refused))
+                await self.give_up(self._accurate_fault(refused))
                 return
         while True:
             if not self.key_holds():
                 text = "the API key was taken away while the call waited"
-                await self.give_up(self._truthful(Fault(ResultCode.UNAUTHORIZED, text)))
+                await self.give_up(self._accurate_fault(Fault(ResultCode.UNAUTHORIZED, text)))
                 return
             granted = await find_permit(self.shared, self, self.avoided)
             if isinstance(granted, Err):
-                await self.give_up(self._truthful(granted.err_value))
+                await self.give_up(self._accurate_fault(granted.err_value))
                 return
             refused = await self._refused_before_send(granted.ok_value)
             if refused is not None:
                 await self.give_up(refused)
                 return
-            end = await self._try(granted.ok_value)
+            end = await self._attempt(granted.ok_value)
             if end is None:
                 self._count(ResultCode.OK)
                 return
             self.progress.note(end)
             if self.failure_passed_on:
-                self._note_failure_passed_on()
+                self._log_failure_passed_on()
                 return
             if not self.progress.may_try_again() or self._has_no_upstream_left():
                 await self.give_up(self._fault_of(end))
                 return
             await trio.sleep(self.progress.pause_ms(end) / 1000)
 
-    async def _take_up(self) -> Fault | None:
+    async def _resume(self) -> Fault | None:
         """Find out what began the stream that the client has the beginning of.
 
         Returns why it cannot go on here.
@@ -257,7 +257,7 @@
 
     def _has_no_upstream_left(self) -> bool:
         """Whether each upstream at which a stream could go on has refused it."""
-        if self.software_version is None or self.progress.refused < _MOST_REFUSED:
+        if self.software_version is None or self.progress.refused < _MAX_REFUSED_CONNECTIONS:
             return False
         return not any(
             item.software_version == self.software_version and item.upstream_id not in self.avoided
@@ -281,7 +281,7 @@
                 record.cancel()
         return None if done else confirmed.err_value
 
-    async def _try(self, grant: Grant) -> AttemptEnd | None:
+    async def _attempt(self, grant: Grant) -> AttemptEnd | None:
         """Make one attempt; None when the client got its answer."""
         upstream = self.shared.view.upstreams.get(grant.upstream_id)
         record = AttemptRecord(grant, WorkClass.ONLINE, now_ms(), self.head.prompt_tokens)
@@ -335,7 +335,7 @@
             key_holds=self.key_holds,
         )
         with trio.CancelScope() as stall:
-            stall.deadline = self._stall_s(first=True)
+            stall.deadline = self._stall_deadline_s(first=True)
             async with send_attempt(
                 self.shared.http,
                 upstream,
@@ -346,10 +346,10 @@
                 self.body,
                 check,
             ) as answer:
-                return await self._take_answer(answer, upstream, record, stall)
+                return await self._handle_answer(answer, upstream, record, stall)
         return AttemptEnd.STALLED
 
-    def _stall_s(self, *, first: bool) -> float:
+    def _stall_deadline_s(self, *, first: bool) -> float:
         """Return the time by which something must come, or the call goes elsewhere."""
         if self.progress.is_last_run():
             return float("inf")
@@ -357,7 +357,7 @@
         wait_ms = limits.first_ms(self.route) if first else limits.gap_ms(self.route)
         return (now_ms() + wait_ms) / 1000
 
-    async def _take_answer(
+    async def _handle_answer(
         self,
         answer: UpstreamAnswer,
         upstream: UpstreamRecord,
@@ -365,7 +365,7 @@
         stall: trio.CancelScope,
     ) -> AttemptEnd | None:
         head = answer.head
-        record.note_answer(answer)
+        record.record_answer(answer)
         if head.not_run:
             await answer.response.read()
             return AttemptEnd.REJECTED
@@ -380,24 +380,24 @@
         if head.status >= _SERVER_ERROR and not self.progress.is_last_run():
             await answer.response.read()
             return AttemptEnd.FAILED
-        return await self._relay_whole(answer, stall)
+        return await self._relay_body(answer, stall)
 
-    async def _relay_whole(
+    async def _relay_body(
         self, answer: UpstreamAnswer, stall: trio.CancelScope
     ) -> AttemptEnd | None:
         """Pass on an answer in one piece; a long one is passed on as it comes."""
         stall.deadline = float("inf")
         parts: list[bytes] = []
-        held_bytes = 0
+        buffered_bytes = 0
         headers = calls.client_headers(answer.response.header_fields)
         async for part in answer.response.chunks():
             parts.append(part)
-            held_bytes += len(part)
-            if held_bytes > _HELD_BYTES:
+            buffered_bytes += len(part)
+            if buffered_bytes > _MAX_BUFFERED_BYTES:
                 self.progress.answer_begun = True
                 self.out = self.out or await self.responder.begin(answer.head.status, headers)
                 await self.out.write(b"".join(parts))
-                parts, held_bytes = [], 0
+                parts, buffered_bytes = [], 0
         if self.out is None:
             await self.responder.send(answer.head.status, b"".join(parts), headers)
         else:
@@ -417,25 +417,25 @@
     ) -> AttemptEnd | None:
         """Pass on whole events as they come, each one once; the head goes with the first."""
         splitter = EventSplitter()
-        moved_s = float("-inf")
+        deadline_set_s = float("-inf")
         while data := await answer.response.read_some():
             # Each move costs the loop; one that is a little early ends nothing that goes on.
-            if trio.current_time() - moved_s >= _STALL_MOVE_S:
-                moved_s = trio.current_time()
-                stall.deadline = self._stall_s(first=False) + _STALL_MOVE_S
+            if trio.current_time() - deadline_set_s >= _STALL_DEADLINE_STEP_S:
+                deadline_set_s = trio.current_time()
+                stall.deadline = self._stall_deadline_s(first=False) + _STALL_DEADLINE_STEP_S
             events = splitter.feed(data)
             if not events:
                 continue
             if self.first_event_ms < 0:
                 self.first_event_ms = now_ms() - self.received_ms
             if record.first_event_ms < 0:
-                self.shared.note_first_event(now_ms() - record.started_ms)
-            record.note_events(len(events))
+                self.shared.record_first_event(now_ms() - record.started_ms)
+            record.record_events(len(events))
             if self.out is None:
                 if self._is_replaced(upstream):
                     return AttemptEnd.LOST
                 # Before events are taken: one that is taken must reach the client.
-                await self._wait_client(stall, self._note_begun(upstream))
+                await self._wait_client(stall, self._record_origin(upstream))
             fresh = self.progress.take_fresh(events)
             if fresh is None:
                 return AttemptEnd.LOST
@@ -443,37 +443,37 @@
                 if not self.out.put(fresh):
                     await self._wait_client(stall, self.out.wait_room())
             elif fresh:
-                await self._wait_client(stall, self._begin(answer, fresh))
+                await self._wait_client(stall, self._begin_response(answer, fresh))
         if splitter.has_rest:
             return AttemptEnd.LOST
         if answer.response.unframed and not record.events and self.progress.last_event < 0:
             # Nothing tells an answer without an event from one that was broken off.
             return AttemptEnd.LOST
         if self.out is None:
-            await self._begin(answer, b"")
+            await self._begin_response(answer, b"")
         await self.responder.end()
-        self.pause_ms = max(record.pause_ms(), 0.0)
+        self.pause_ms = max(record.mean_pause_ms(), 0.0)
         return None
 
     async def _wait_client(self, stall: trio.CancelScope, sending: Awaitable[None]) -> None:
         """Wait for the client to read; meanwhile the upstream does not count as stalled."""
         stall.deadline = float("inf")
         await sending
-        stall.deadline = self._stall_s(first=False) + _STALL_MOVE_S
+        stall.deadline = self._stall_deadline_s(first=False) + _STALL_DEADLINE_STEP_S
 
     def _is_replaced(self, upstream: UpstreamRecord) -> bool:
         """Whether an upstream turned out to have another version than when it was sent to."""
         current = self.shared.view.upstreams.get(upstream.upstream_id)
         return current is not None and current.software_version != upstream.software_version
 
-    async def _note_begun(self, upstream: UpstreamRecord) -> None:
+    async def _record_origin(self, upstream: UpstreamRecord) -> None:
         """Have it known elsewhere what begins the stream."""
         self.software_version = upstream.software_version
-        if self.may_be_taken_up:
+        if self.is_resumable:
             origin = StreamOrigin(self.service, upstream.software_version)
-            await self.shared.note_begun(self.stream_key, origin, self.route)
+            await self.shared.record_origin(self.stream_key, origin, self.route)
 
-    async def _begin(self, answer: UpstreamAnswer, first: bytes) -> None:
+    async def _begin_response(self, answer: UpstreamAnswer, first: bytes) -> None:
         headers = calls.client_headers(answer.response.header_fields)
         self.out = await self.responder.begin(answer.head.status, headers, first)
 
@@ -500,7 +500,7 @@
         headers = calls.refusal_headers(fault)
         await self.responder.send(fault.http_status, fault_body(fault), headers)
 
-    def _note_failure_passed_on(self) -> None:
+    def _log_failure_passed_on(self) -> None:
         log_event(
             "call_failure_passed_on",
             request_id=self.request_id,
@@ -523,7 +523,7 @@
         message = "no slot came free in time"
         return Fault(ResultCode.DEADLINE_CANNOT_BE_MET, message, self.shared.retry_after_ms)
 
-    def _truthful(self, fault: Fault) -> Fault:
+    def _accurate_fault(self, fault: Fault) -> Fault:
         """Return a refusal, unless the call may have run."""
         if self.progress.may_have_run:
             return Fault(ResultCode.UPSTREAM_LOST, f"a run was lost; then: {fault.message}")
--- a/src/fescuedock/node/owner_reads.py
+++ b/src/fescuedock/node/owner_reads.py
@@ -26,9 +26,9 @@
 
 # The most bytes of results in one answer.  An owner that has more sends none: readers may only keep
 # whole groups of results, as the store can be read on from the end of a group and nowhere else.
-_ANSWER_BYTES = 700_000
+_MAX_REPLY_BYTES = 700_000
 # An owner answers in 1 to 7 ms; after that long the store is asked.
-_TIMEOUT_MS = 120.0
+_REPLY_TIMEOUT_MS = 120.0
 
 
 class OwnerReads(msgspec.Struct):
@@ -47,7 +47,7 @@
     owner: OwnerIdentity
     call_neighbour: CallNeighbour
     address_of: Callable[[str], Address | None]
-    listed_of: Callable[[str], int | None]
+    listed_count: Callable[[str], int | None]
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
         """Handlers by message type, to be merged with those of other services."""
@@ -61,7 +61,7 @@
         if address is None:
             return None
         message = ReadResults(record.job_id, known)
-        answer = await self.call_neighbour(address, message, _TIMEOUT_MS)
+        answer = await self.call_neighbour(address, message, _REPLY_TIMEOUT_MS)
         if isinstance(answer, Err):
             log_event(
                 "job_owner_silent",
@@ -80,13 +80,13 @@
         job = self.cache.get(job_id)
         if job is None:
             return ReadResultsReply(ResultGroup(known, []), False)
-        results = job.page(known, _ANSWER_BYTES)
+        results = job.page(known, _MAX_REPLY_BYTES)
         if known + len(results) < len(job.results):
             return ReadResultsReply(ResultGroup(known, []), False)
-        sure = job.is_complete or self._has_all(job_id, job)
-        return ReadResultsReply(ResultGroup(known, results), sure)
+        is_current = job.is_complete or self._has_all_listed(job_id, job)
+        return ReadResultsReply(ResultGroup(known, results), is_current)
 
-    def _has_all(self, job_id: str, job: CachedJob) -> bool:
+    def _has_all_listed(self, job_id: str, job: CachedJob) -> bool:
         """Whether the cache holds all that is listed of a job that this node still owns."""
-        age_ms = self.replicas.heard_age_ms(self.live_prefix)
-        return age_ms <= VOUCH_AGE_MS and self.listed_of(job_id) == len(job.results)
+        age_ms = self.replicas.update_age_ms(self.live_prefix)
+        return age_ms <= VOUCH_AGE_MS and self.listed_count(job_id) == len(job.results)
--- a/src/fescuedock/node/quotas.py
+++ b/src/fescuedock/node/quotas.py
@@ -36,14 +36,14 @@
 Confirm = Callable[[], Awaitable[Result[None, Fault]]]
 
 # An owner answers in 1 to 4 ms; a process that is busy itself reads answers later.
-_ASK_TIMEOUT_MS = 60.0
+_REPLY_TIMEOUT_MS = 60.0
 # How long after its start a node waits for others that keep shares, and how often it asks them.
-_YOUNG_MS = 3000.0
-_PATIENCE_MS = 1000.0
-_ASK_AGAIN_S = 0.1
+_STARTUP_MS = 3000.0
+_MAX_STARTUP_WAIT_MS = 1000.0
+_STARTUP_RETRY_S = 0.1
 # Between two looks at which nodes are registered: while calls come, and at all times.
-_LEAST_LOOK_MS = 200.0
-_LOOK_INTERVAL_S = 1.0
+_MIN_ROSTER_INTERVAL_MS = 200.0
+_ROSTER_INTERVAL_S = 1.0
 # Another node may let the call in at once.
 _UNKNOWN_RETRY_MS = 100
 
@@ -81,44 +81,44 @@
         self._registered = registered
         self._since_previous_ms = since_previous_ms
         self._rng = rng
-        self._noted_ms = float("-inf")
-        self._noted_version = -1
+        self._roster_updated_ms = float("-inf")
+        self._roster_version = -1
 
     async def run(self) -> None:
         """Follow which nodes are registered, also while nobody calls; never returns."""
         while True:
-            self._note_fleet()
-            await trio.sleep(_LOOK_INTERVAL_S)
+            self._update_roster()
+            await trio.sleep(_ROSTER_INTERVAL_S)
 
-    def _note_fleet(self) -> None:
+    def _update_roster(self) -> None:
         now = now_ms()
-        is_stale = now - self._noted_ms >= self._route.roster.keep_ms / 4
-        is_news = self._live.version != self._noted_version
+        is_stale = now - self._roster_updated_ms >= self._route.roster.keep_ms / 4
+        has_changed = self._live.version != self._roster_version
         if not self._live.is_known or not (
-            is_stale or (is_news and now - self._noted_ms >= _LEAST_LOOK_MS)
+            is_stale or (has_changed and now - self._roster_updated_ms >= _MIN_ROSTER_INTERVAL_MS)
         ):
             return
-        self._noted_ms, self._noted_version = now, self._live.version
+        self._roster_updated_ms, self._roster_version = now, self._live.version
         self._route.note(self._registered(), now)
 
-    def keepers(self, customer: Customer) -> list[str | None]:
+    def share_owners(self, customer: Customer) -> list[str | None]:
         """Return the node that keeps each share of a limit."""
-        self._note_fleet()
+        self._update_roster()
         count = self.policy.share_count(customer)
         return [self._route.keeper(customer.name, number) for number in range(count)]
 
-    def order(self, keepers: list[str | None], last: int | None) -> list[int]:
+    def order(self, owners: list[str | None], last: int | None) -> list[int]:
         """Return the shares in the order in which to ask; the ``last`` grant came from one."""
-        return ask_order(keepers, self._vm_id, self._rng, last)
+        return ask_order(owners, self._vm_id, self._rng, last)
 
     def answer(self, customer: Customer, ask: QuotaAsk) -> QuotaReply:
-        self._note_fleet()
-        kept = self._route.kept(customer.name, ask.share)
-        if kept is None or not 0 <= ask.share < self.policy.share_count(customer):
+        self._update_roster()
+        share_state = self._route.kept(customer.name, ask.share)
+        if share_state is None or not 0 <= ask.share < self.policy.share_count(customer):
             return QuotaReply(ResultCode.NOT_OWNER)
         retry_ms = self._owner.ask(
             customer,
-            kept,
+            share_state,
             now_ms(),
             may_start=self.policy.may_start(self._since_previous_ms()),
             waited_ms=ask.waited_ms,
@@ -154,16 +154,16 @@
         self._call_neighbour = call_neighbour
         self._shares = _ShareLimits(settings, view.vm_id, live, registered, since_previous_ms, rng)
         # How long after its ask a call may be sent without another one.
-        self._unsent_ms = self._shares.policy.unsent_ms
-        self._silent = SilentOwners()
-        self._use: dict[str, CustomerUse] = {}
-        self._followed: CustomerIndex | None = None
+        self._max_unsent_ms = self._shares.policy.unsent_ms
+        self._silent_nodes = SilentOwners()
+        self._usage: dict[str, CustomerUse] = {}
+        self._last_index: CustomerIndex | None = None
         self._nodes: dict[str, VmRecord] = {}
         self._nodes_version = -1
         self._record_address = record_address
         self._started_ms = now_ms()
         # Nodes that membership has shown since this process started.
-        self._met: set[str] = set()
+        self._seen_members: set[str] = set()
 
     async def run(self) -> None:
         """Follow the fleet until cancelled."""
@@ -171,11 +171,11 @@
 
     def status(self) -> list[CustomerStatus]:
         """Return the customers in force, with their use at this node."""
-        index = self._follow()
+        index = self._current_index()
         return [self._status_of(customer) for customer in index.by_name.values()]
 
     def _status_of(self, customer: Customer) -> CustomerStatus:
-        use = self._use.get(customer.name, CustomerUse())
+        use = self._usage.get(customer.name, CustomerUse())
         return CustomerStatus(
             customer.name,
             customer.rate_per_s,
@@ -189,7 +189,7 @@
         """Return the nodes that keep shares of the customer's limit."""
         if customer.rate_per_s <= 0:
             return ""
-        return " ".join(sorted({name for name in self._shares.keepers(customer) if name}))
+        return " ".join(sorted({name for name in self._shares.share_owners(customer) if name}))
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
         """Handlers by message type, to be merged with those of other services."""
@@ -200,43 +200,43 @@
 
         ``Ok`` holds what has to be called before the call is sent, where that is needed.
         """
-        index = self._follow()
+        index = self._current_index()
         customer = index.by_name.get(name)
         if customer is None:
             return Ok(None)
-        use = self._use.setdefault(name, CustomerUse())
+        use = self._usage.setdefault(name, CustomerUse())
         if customer.rate_per_s <= 0:
             use.admitted += 1
             return Ok(None)
-        asked_ms = now_ms()
-        granted = await self._ask(customer)
+        requested_ms = now_ms()
+        granted = await self._request_call(customer)
         if isinstance(granted, Err):
             use.refused += 1
             return granted
         use.admitted += 1
-        return Ok(self._confirmation(name, asked_ms, granted.ok_value))
+        return Ok(self._confirmation(name, requested_ms, granted.ok_value))
 
-    def _confirmation(self, name: str, asked_ms: float, share: int | None) -> Confirm:
+    def _confirmation(self, name: str, requested_ms: float, share: int | None) -> Confirm:
         """Return what asks anew for a call that waited, since it counts when it is sent."""
         granted_ms = now_ms()
 
         async def confirm() -> Result[None, Fault]:
-            nonlocal asked_ms, granted_ms, share
-            customer = self._follow().by_name.get(name)
+            nonlocal requested_ms, granted_ms, share
+            customer = self._current_index().by_name.get(name)
             began_ms = now_ms()
-            if began_ms - asked_ms <= self._unsent_ms or customer is None:
+            if began_ms - requested_ms <= self._max_unsent_ms or customer is None:
                 return Ok(None)
-            confirmed = await self._ask(customer, began_ms - granted_ms, share)
-            asked_ms, granted_ms = began_ms, now_ms()
+            confirmed = await self._request_call(customer, began_ms - granted_ms, share)
+            requested_ms, granted_ms = began_ms, now_ms()
             if isinstance(confirmed, Err):
-                self._use.setdefault(name, CustomerUse()).refused += 1
+                self._usage.setdefault(name, CustomerUse()).refused += 1
                 return confirmed
             share = confirmed.ok_value
             return Ok(None)
 
         return confirm
 
-    async def _ask(
+    async def _request_call(
         self, customer: Customer, waited_ms: float = 0.0, share: int | None = None
     ) -> Result[int | None, Fault]:
         """Ask for one call; returns the share that it is granted from.
@@ -245,34 +245,34 @@
         """
         if customer.rate_per_s <= 0:
             return Ok(None)
-        return await self._ask_shares_until_known(customer, waited_ms, share)
+        return await self._request_until_known(customer, waited_ms, share)
 
-    async def _ask_shares_until_known(
+    async def _request_until_known(
         self, customer: Customer, waited_ms: float, share: int | None
     ) -> Result[int | None, Fault]:
         """Ask again for a while where this node has just started, as others may have as well."""
         began_ms = now_ms()
         while True:
-            granted = await self._ask_shares(customer, waited_ms, share)
+            granted = await self._request_from_shares(customer, waited_ms, share)
             is_known = granted.is_ok() or granted.err_value.code != ResultCode.QUOTA_UNKNOWN
-            has_waited = now_ms() - began_ms >= _PATIENCE_MS
-            if is_known or has_waited or not self._is_young():
+            has_waited = now_ms() - began_ms >= _MAX_STARTUP_WAIT_MS
+            if is_known or has_waited or not self._is_starting():
                 return granted
-            await trio.sleep(_ASK_AGAIN_S)
+            await trio.sleep(_STARTUP_RETRY_S)
 
-    def _is_young(self) -> bool:
-        return now_ms() - self._started_ms < _YOUNG_MS
+    def _is_starting(self) -> bool:
+        return now_ms() - self._started_ms < _STARTUP_MS
 
-    async def _ask_shares(
+    async def _request_from_shares(
         self, customer: Customer, waited_ms: float, last: int | None
     ) -> Result[int | None, Fault]:
         """Ask the keepers of shares until one grants the call."""
-        keepers = self._shares.keepers(customer)
+        owners = self._shares.share_owners(customer)
         refused: list[int] = []
-        for share in self._shares.order(keepers, last):
-            moved_ms = waited_ms if share == last else 0.0
-            ask = QuotaAsk(customer.name, False, moved_ms, self._view.vm_id, share)
-            reply = await self._ask_node(keepers[share], ask)
+        for share in self._shares.order(owners, last):
+            unused_ms = waited_ms if share == last else 0.0
+            ask = QuotaAsk(customer.name, False, unused_ms, self._view.vm_id, share)
+            reply = await self._request_from_node(owners[share], ask)
             if reply is None or reply.code == ResultCode.NOT_OWNER:
                 continue
             if reply.code == ResultCode.OK:
@@ -280,21 +280,21 @@
             refused.append(reply.retry_after_ms)
         # Others may be on their way back while this node is young; else a token of the shares
         # that are reached comes sooner than another node that reaches more can be found.
-        needed = len(keepers) // 2 + 1 if self._is_young() else 1
+        needed = len(owners) // 2 + 1 if self._is_starting() else 1
         if len(refused) < needed:
             return _unknown_use(customer.name)
         return _over_limit(customer.name, min(refused))
 
-    async def _ask_node(self, vm_id: str | None, ask: QuotaAsk) -> QuotaReply | None:
+    async def _request_from_node(self, vm_id: str | None, ask: QuotaAsk) -> QuotaReply | None:
         """Return a node's answer; None when it is not there, or was silent of late."""
         if vm_id == self._view.vm_id:
             return await self._answer(ask)
         address = self._address_of(vm_id)
-        if address is None or self._silent.is_silent(vm_id, now_ms()):
+        if address is None or self._silent_nodes.is_silent(vm_id, now_ms()):
             return None
-        called = await self._call_neighbour(address, ask, _ASK_TIMEOUT_MS)
+        called = await self._call_neighbour(address, ask, _REPLY_TIMEOUT_MS)
         if isinstance(called, Err):
-            self._silent.note_silent(vm_id, now_ms())
+            self._silent_nodes.note_silent(vm_id, now_ms())
             log_event("quota_owner_silent", customer=ask.customer, about=vm_id)
             return None
         return called.ok_value
@@ -307,14 +307,14 @@
         vm = self._live_nodes().get(vm_id)
         if vm is not None:
             return Address(vm.host, vm.agent_port)
-        return None if vm_id is None or vm_id in self._met else self._record_address(vm_id)
+        return None if vm_id is None or vm_id in self._seen_members else self._record_address(vm_id)
 
     async def _on_ask(self, ask: QuotaAsk, _peer: ServerPeer) -> QuotaReply:
-        self._silent.note_answer(ask.node)
+        self._silent_nodes.note_answer(ask.node)
         return await self._answer(ask)
 
     async def _answer(self, ask: QuotaAsk) -> QuotaReply:
-        customer = self._follow().by_name.get(ask.customer)
+        customer = self._current_index().by_name.get(ask.customer)
         if customer is None:
             return QuotaReply(ResultCode.NOT_OWNER)
         if customer.rate_per_s <= 0:
@@ -326,19 +326,19 @@
             self._nodes_version = self._view.version
             before = self._nodes
             self._nodes = {vm.vm_id: vm for vm in self._view.live_vms() if vm.agent_port}
-            self._met.update(self._nodes)
+            self._seen_members.update(self._nodes)
             for name in self._nodes.keys() - before.keys():
-                self._silent.note_answer(name)
+                self._silent_nodes.note_answer(name)
         return self._nodes
 
-    def _follow(self) -> CustomerIndex:
+    def _current_index(self) -> CustomerIndex:
         """Return the customers of the version in force, forgetting those that are in it no more."""
         index = self._customers()
-        if index is not self._followed:
-            self._followed = index
+        if index is not self._last_index:
+            self._last_index = index
             names = index.by_name.keys()
             self._shares.keep(names)
-            self._use = {name: use for name, use in self._use.items() if name in names}
+            self._usage = {name: use for name, use in self._usage.items() if name in names}
         return index
 
 
--- a/src/fescuedock/node/replicas.py
+++ b/src/fescuedock/node/replicas.py
@@ -34,30 +34,30 @@
 )
 from fescuedock.schema.result_codes import ResultCode
 
-__all__ = ["CallNeighbour", "Replicas", "Spread", "StoreReader", "Watched"]
+__all__ = ["CallNeighbour", "Replicas", "StoreReader", "UpdateBroadcaster", "WatchedPrefix"]
 
 # A table so much older than a watch is held is asked of a neighbour: longer than a node goes
 # without news when all is well (a pause of 300 ms and the way), and early enough for two neighbours
 # to answer before work stops for want of news.
-_STALE_MS = 700.0
+_STALE_MARGIN_MS = 700.0
 _NEIGHBOUR_INTERVAL_S = 0.4
 _NEIGHBOUR_TIMEOUT_MS = 400.0
 # A node answers in 1 to 7 ms.  So long, at the most, a client waits for one that does not.
-_TELL_TIMEOUT_MS = 100.0
+_SEND_TIMEOUT_MS = 100.0
 # Asked at once: while the store turns half of the nodes away, one alone would be such a node as
 # well every other time, and its word that it knows nothing newer worth nothing.
-_NEIGHBOURS = 3
+_NEIGHBOURS_PER_QUERY = 3
 # Between two looks at least, however soon a table may become stale.
-_LEAST_LOOK_S = 0.1
+_MIN_POLL_INTERVAL_S = 0.1
 _MAX_AGE_MS = 2**31 - 1
 # Of the name by which others tell this process from its former ones.
 _SENDER_BITS = 64
 # What news may take beyond the watch that they come from: two of its usual answers and the way.
-_NEWS_MARGIN_MS = 250.0
+_UPDATE_MARGIN_MS = 250.0
 # How often a node that waits for news looks whether it has become the one that watches; one that
 # hears nothing asks by itself soon after.  Every 0.4 s was a sixth of an idle node's 41 wake-ups a
 # second.
-_DUTY_LOOK_S = 1.0
+_DUTY_POLL_S = 1.0
 
 # Calls a neighbour: its address, the message, the timeout in milliseconds.
 CallNeighbour = Callable[[Address, msgspec.Struct, float], Awaitable[Result[msgspec.Struct, Fault]]]
@@ -67,7 +67,7 @@
     """A key-value service that can be read whole and asked for changes."""
 
 
-class Watched(msgspec.Struct, frozen=True):
+class WatchedPrefix(msgspec.Struct, frozen=True):
     """A prefix, how long a watch of it is held, and the pause between two watches.
 
     Those that ``is_heartbeat`` knows wake nobody and are not told to others.
@@ -79,20 +79,20 @@
     is_heartbeat: IsHeartbeat = no_heartbeat
 
     @property
-    def patience_ms(self) -> float:
+    def update_timeout_ms(self) -> float:
         """Return how long to wait for news before asking by oneself."""
-        return self.wait_ms + self.pause_ms + _NEWS_MARGIN_MS
+        return self.wait_ms + self.pause_ms + _UPDATE_MARGIN_MS
 
     @property
-    def certain_ms(self) -> float:
+    def max_certain_age_ms(self) -> float:
         """Return how old a table may be for certain before asking by oneself, news or not.
 
         Changes at the end of one watch count from its beginning until the end of the next.
         """
-        return self.wait_ms + self.patience_ms
+        return self.wait_ms + self.update_timeout_ms
 
 
-class Spread(Protocol):
+class UpdateBroadcaster(Protocol):
     """How news go to the nodes of this group."""
 
     @property
@@ -105,7 +105,7 @@
     def watches(self, prefix: str) -> bool:
         """Whether this node asks the service for them."""
 
-    async def tell(self, message: msgspec.Struct) -> None:
+    async def broadcast(self, message: msgspec.Struct) -> None:
         """Send ``message`` to the others, without an answer."""
 
 
@@ -118,10 +118,10 @@
     def __init__(
         self,
         store: StoreReader,
-        watched: Collection[Watched],
+        watched: Collection[WatchedPrefix],
         call_neighbour: CallNeighbour,
         neighbours: Callable[[], Collection[Address]],
-        spread: Spread,
+        broadcaster: UpdateBroadcaster,
         rng: random.Random,
     ) -> None:
         self.tables: Mapping[str, ReplicaTable] = {
@@ -132,21 +132,21 @@
         self._watched = watched
         self._call_neighbour = call_neighbour
         self._neighbours = neighbours
-        self._spread = spread
+        self._broadcaster = broadcaster
         self._rng = rng
         self._changed = trio.Event()
         # By prefix, set when news of it come.
-        self._news = {item.prefix: trio.Event() for item in watched}
+        self._update_events = {item.prefix: trio.Event() for item in watched}
         # Prefixes of which news came that do not follow on from what is known.
-        self._behind: set[str] = set()
+        self._gaps: set[str] = set()
         # By prefix, when it was last heard of but for news of any age: their sender's clock is not
         # known.
-        self._dated_ms = dict.fromkeys(self.tables, float("-inf"))
-        self._sender = f"{spread.vm_id}/{rng.getrandbits(_SENDER_BITS):x}"
+        self._last_update_ms = dict.fromkeys(self.tables, float("-inf"))
+        self._sender = f"{broadcaster.vm_id}/{rng.getrandbits(_SENDER_BITS):x}"
         self._clocks = SenderClocks()
         # Senders of news whose clocks are to be compared, and what is set when there is one more.
         self._unknown_clocks: set[str] = set()
-        self._clock_wanted = trio.Event()
+        self._clock_needed = trio.Event()
         # By prefix, when last a neighbour was asked that knew as much as this node, or more.
         self._agreed_ms = dict.fromkeys(self.tables, float("-inf"))
 
@@ -154,7 +154,7 @@
         """Handlers by message type, to be merged with those of other services."""
         return {
             ReplicaRequest: self._on_request,
-            ReplicaNews: self._on_news,
+            ReplicaNews: self._on_update,
             ReplicaSnapshot: self._on_snapshot,
             ReplicaNoted: self._on_noted,
         }
@@ -170,14 +170,14 @@
             await self._changed.wait()
         return self.version
 
-    def heard_age_ms(self, prefix: str) -> float:
+    def update_age_ms(self, prefix: str) -> float:
         """Return the time since a prefix was heard of, not counting news of unknown age."""
-        return now_ms() - self._dated_ms[prefix]
+        return now_ms() - self._last_update_ms[prefix]
 
-    def _note_heard(self, prefix: str, heard_ms: float) -> None:
-        self._dated_ms[prefix] = max(self._dated_ms[prefix], heard_ms)
+    def _record_update_time(self, prefix: str, received_ms: float) -> None:
+        self._last_update_ms[prefix] = max(self._last_update_ms[prefix], received_ms)
 
-    def note(self, prefix: str, entry: KvEntry) -> None:
+    def record_entry(self, prefix: str, entry: KvEntry) -> None:
         """Take a key that this node has itself written or read."""
         self.tables[prefix].note(entry)
         self._wake()
@@ -187,57 +187,57 @@
         async with trio.open_nursery() as nursery:
             for item in self._watched:
                 nursery.start_soon(self._follow, item)
-            nursery.start_soon(self._ask_neighbours)
+            nursery.start_soon(self._query_neighbours)
             nursery.start_soon(self._compare_clocks)
 
     # --- the service ---------------------------------------------------------------------------
 
-    async def _follow(self, watched: Watched) -> None:
+    async def _follow(self, watched: WatchedPrefix) -> None:
         table = self.tables[watched.prefix]
-        read_whole = True
+        must_read_all = True
         while True:
-            if not read_whole and await self._hears(watched):
+            if not must_read_all and await self._wait_update(watched):
                 continue
-            if read_whole:
-                fault = await self._read_whole(table)
+            if must_read_all:
+                fault = await self._read_all(table)
             else:
                 fault = await self._read_changes(table, watched)
             if fault is None:
-                read_whole = False
-                self._note_answer()
+                must_read_all = False
+                self._record_store_answer()
                 await trio.sleep(watched.pause_ms / 1000)
             elif fault.code is ResultCode.KV_COMPACTED:
                 # The history is gone, and with it changes that were not heard of.
                 log_event("history_lost", prefix=table.prefix, revision=table.revision)
-                read_whole = True
-                self._note_answer()
+                must_read_all = True
+                self._record_store_answer()
             else:
                 # What came while the service was away may be more than its history keeps.
-                self._note_failure(fault, table.prefix)
+                self._record_store_failure(fault, table.prefix)
                 await trio.sleep(self._rng.uniform(0.7, 1.3) * self.contact.pause_ms() / 1000)
 
-    async def _hears(self, watched: Watched) -> bool:
+    async def _wait_update(self, watched: WatchedPrefix) -> bool:
         """Wait for news from the node that watches; False when this node has to ask itself."""
         table = self.tables[watched.prefix]
-        while not self._spread.watches(watched.prefix):
-            heard_ms = table.confirmed_ms
+        while not self._broadcaster.watches(watched.prefix):
+            received_ms = table.confirmed_ms
             left_ms = min(
-                watched.patience_ms - table.age_ms(now_ms()),
-                watched.certain_ms - table.as_of_age_ms(now_ms()),
+                watched.update_timeout_ms - table.age_ms(now_ms()),
+                watched.max_certain_age_ms - table.as_of_age_ms(now_ms()),
             )
-            if left_ms <= 0 or table.prefix in self._behind:
-                self._behind.discard(table.prefix)
+            if left_ms <= 0 or table.prefix in self._gaps:
+                self._gaps.discard(table.prefix)
                 return False
-            with trio.move_on_after(min(left_ms / 1000, _DUTY_LOOK_S)):
-                await self._news[watched.prefix].wait()
-            if table.confirmed_ms > heard_ms:
+            with trio.move_on_after(min(left_ms / 1000, _DUTY_POLL_S)):
+                await self._update_events[watched.prefix].wait()
+            if table.confirmed_ms > received_ms:
                 return True
         return False
 
-    async def _read_whole(self, table: ReplicaTable) -> Fault | None:
+    async def _read_all(self, table: ReplicaTable) -> Fault | None:
         entries: list[KvEntry] = []
         revision: int | None = None
-        asked_ms = now_ms()
+        requested_ms = now_ms()
         start_after = ""
         while True:
             result = await self._store.get_range(table.prefix, start_after=start_after)
@@ -251,16 +251,16 @@
                 break
             start_after = page.entries[-1].key
         before = table.version
-        table.replace(entries, revision, asked_ms)
-        self._note_heard(table.prefix, asked_ms)
+        table.replace(entries, revision, requested_ms)
+        self._record_update_time(table.prefix, requested_ms)
         self._wake_if(table.version != before)
-        if self._spread.watches(table.prefix):
-            await self._spread.tell(self._snapshot(table))
+        if self._broadcaster.watches(table.prefix):
+            await self._broadcaster.broadcast(self._snapshot(table))
         return None
 
-    async def _read_changes(self, table: ReplicaTable, watched: Watched) -> Fault | None:
+    async def _read_changes(self, table: ReplicaTable, watched: WatchedPrefix) -> Fault | None:
         before = table.version
-        asked_ms = now_ms()
+        requested_ms = now_ms()
         result = await self._store.changes(table.prefix, table.revision, watched.wait_ms)
         if isinstance(result, Err):
             return result.err_value
@@ -269,22 +269,22 @@
         # An answer may have been read long after it was given, by a process that stood still for
         # one.  Without changes the store has held the watch for its whole time; with some it may
         # have answered at once.
-        as_of_ms = asked_ms if changes.events else min(asked_ms + watched.wait_ms, now_ms())
+        as_of_ms = requested_ms if changes.events else min(requested_ms + watched.wait_ms, now_ms())
         events = table.apply(changes.events, changes.revision, now_ms(), as_of_ms)
-        self._note_heard(table.prefix, now_ms())
+        self._record_update_time(table.prefix, now_ms())
         self._wake_if(table.version != before)
-        if self._spread.watches(table.prefix):
+        if self._broadcaster.watches(table.prefix):
             # Also when nothing has changed: others ask by themselves when they hear nothing, and
             # owners vouch for results only while they hear.
-            news = self._news_of(table, from_revision, changes.revision, events)
-            await self._spread.tell(news)
+            update = self._update_message(table, from_revision, changes.revision, events)
+            await self._broadcaster.broadcast(update)
         return None
 
-    def _note_answer(self) -> None:
+    def _record_store_answer(self) -> None:
         if self.contact.answered(now_ms()):
             log_event("store_reached")
 
-    def _note_failure(self, fault: Fault, prefix: str) -> None:
+    def _record_store_failure(self, fault: Fault, prefix: str) -> None:
         if self.contact.failed(now_ms()):
             log_event("store_lost", prefix=prefix, reason=fault.message)
 
@@ -298,14 +298,14 @@
 
     # --- news ------------------------------------------------------------------------------------
 
-    async def _on_news(self, message: ReplicaNews, _peer: ServerPeer) -> None:
+    async def _on_update(self, message: ReplicaNews, _peer: ServerPeer) -> None:
         self.contact.heard_of(now_ms())
         table = self.tables.get(message.prefix)
         if table is None or not table.is_known:
             return
-        self._note_news(message.prefix)
+        self._signal_update(message.prefix)
         if message.from_revision > table.revision:
-            self._behind.add(message.prefix)
+            self._gaps.add(message.prefix)
             return
         before = table.version
         if message.revision < table.revision:
@@ -313,10 +313,10 @@
             table.apply(_events_of(message), message.revision, float("-inf"))
         else:
             sent_ms = self._sent_ms(message)
-            heard_ms = now_ms() if sent_ms == float("-inf") else sent_ms
-            self._note_heard(message.prefix, sent_ms)
+            received_ms = now_ms() if sent_ms == float("-inf") else sent_ms
+            self._record_update_time(message.prefix, sent_ms)
             as_of_ms = sent_ms - message.as_of_age_ms
-            table.apply(_events_of(message), message.revision, heard_ms, as_of_ms)
+            table.apply(_events_of(message), message.revision, received_ms, as_of_ms)
         self._wake_if(table.version != before)
 
     def _sent_ms(self, message: ReplicaNews | ReplicaSnapshot) -> float:
@@ -326,48 +326,54 @@
         """
         if not self._clocks.is_known(message.sender, now_ms()):
             self._unknown_clocks.add(message.sender)
-            self._clock_wanted.set()
+            self._clock_needed.set()
         return self._clocks.sent_ms(message.sender, message.sent_ms, now_ms())
 
     async def _compare_clocks(self) -> None:
         """Ask senders whose clocks are not known, so that the age of their news becomes known."""
         while True:
-            await self._clock_wanted.wait()
-            self._clock_wanted = trio.Event()
+            await self._clock_needed.wait()
+            self._clock_needed = trio.Event()
             senders, self._unknown_clocks = self._unknown_clocks, set()
             async with trio.open_nursery() as nursery:
                 for sender in senders:
-                    address = self._spread.address_of(sender.partition("/")[0])
+                    address = self._broadcaster.address_of(sender.partition("/")[0])
                     if address is not None:
-                        nursery.start_soon(self._call, address, ReplicaRequest({}))
+                        nursery.start_soon(self._exchange, address, ReplicaRequest({}))
 
     async def _on_snapshot(self, message: ReplicaSnapshot, _peer: ServerPeer) -> None:
         self.contact.heard_of(now_ms())
         sent_ms = self._sent_ms(message)
-        self._take(message, None, sent_ms, now_ms() if sent_ms == float("-inf") else sent_ms)
-        if message.prefix in self._news:
-            self._note_news(message.prefix)
+        self._apply_snapshot(
+            message, None, sent_ms, now_ms() if sent_ms == float("-inf") else sent_ms
+        )
+        if message.prefix in self._update_events:
+            self._signal_update(message.prefix)
 
-    def _note_news(self, prefix: str) -> None:
-        self._news[prefix].set()
-        self._news[prefix] = trio.Event()
+    def _signal_update(self, prefix: str) -> None:
+        self._update_events[prefix].set()
+        self._update_events[prefix] = trio.Event()
 
     # --- neighbours ----------------------------------------------------------------------------
 
-    async def _ask_neighbours(self) -> None:
+    async def _query_neighbours(self) -> None:
         while True:
             addresses = list(self._neighbours())
-            if self._fresh_ms() <= 0 and addresses:
+            if self._time_to_stale_ms() <= 0 and addresses:
                 async with trio.open_nursery() as nursery:
-                    for address in self._rng.sample(addresses, min(_NEIGHBOURS, len(addresses))):
-                        nursery.start_soon(self._ask, address)
-            fresh_s = self._fresh_ms() / 1000
-            await trio.sleep(_NEIGHBOUR_INTERVAL_S if fresh_s <= 0 else max(fresh_s, _LEAST_LOOK_S))
+                    for address in self._rng.sample(
+                        addresses, min(_NEIGHBOURS_PER_QUERY, len(addresses))
+                    ):
+                        nursery.start_soon(self._query, address)
+            fresh_s = self._time_to_stale_ms() / 1000
+            await trio.sleep(
+                _NEIGHBOUR_INTERVAL_S if fresh_s <= 0 else max(fresh_s, _MIN_POLL_INTERVAL_S)
+            )
 
-    def _fresh_ms(self) -> float:
+    def _time_to_stale_ms(self) -> float:
         """Return the time until a table becomes stale; 0 or less when one is."""
         return min(
-            item.wait_ms + _STALE_MS - self.tables[item.prefix].age_ms(now_ms())
+            item.wait_ms + _STALE_MARGIN_MS - self.tables[item.prefix].age_ms(now_ms())
             for item in self._watched
         )
 
@@ -378,33 +384,33 @@
         """
         return now_ms() - self._agreed_ms[prefix] if self._neighbours() else 0.0
 
-    async def _ask(self, address: Address) -> None:
+    async def _query(self, address: Address) -> None:
         request = ReplicaRequest({name: table.revision for name, table in self.tables.items()})
-        asked_ms = now_ms()
+        requested_ms = now_ms()
         # One that knows less, or nothing yet, has nothing newer to tell and can vouch for nothing.
-        for prefix in await self._call(address, request):
-            self._agreed_ms[prefix] = asked_ms
+        for prefix in await self._exchange(address, request):
+            self._agreed_ms[prefix] = requested_ms
 
-    async def _call(self, address: Address, request: ReplicaRequest) -> set[str]:
+    async def _exchange(self, address: Address, request: ReplicaRequest) -> set[str]:
         """Ask a node and take what it answers; return the prefixes of which it knew as much."""
-        asked_ms = now_ms()
+        requested_ms = now_ms()
         match await self._call_neighbour(address, request, _NEIGHBOUR_TIMEOUT_MS):
             case Ok(ReplicaReply() as reply):
-                self._clocks.note_answer(reply.sender, asked_ms, reply.sent_ms)
+                self._clocks.note_answer(reply.sender, requested_ms, reply.sent_ms)
                 for snapshot in reply.snapshots:
-                    self._take(snapshot, address, asked_ms, asked_ms)
+                    self._apply_snapshot(snapshot, address, requested_ms, requested_ms)
                 for noted in reply.noted:
-                    self._take_noted(noted)
+                    self._apply_noted(noted)
                 for prefix, age_ms in reply.ages_ms.items():
                     if prefix in self.tables:
-                        self.tables[prefix].confirm(asked_ms - age_ms)
-                        self._note_heard(prefix, asked_ms - age_ms)
+                        self.tables[prefix].confirm(requested_ms - age_ms)
+                        self._record_update_time(prefix, requested_ms - age_ms)
                 known = {*reply.ages_ms, *(snapshot.prefix for snapshot in reply.snapshots)}
                 return known & self.tables.keys()
         return set()
 
-    def _take(
-        self, snapshot: ReplicaSnapshot, source: Address | None, sent_ms: float, heard_ms: float
+    def _apply_snapshot(
+        self, snapshot: ReplicaSnapshot, source: Address | None, sent_ms: float, received_ms: float
     ) -> None:
         """Take a snapshot that was sent no earlier than ``sent_ms``, heard of at ``heard_ms``."""
         table = self.tables.get(snapshot.prefix)
@@ -413,8 +419,8 @@
         before = table.version
         entries = [KvEntry(item.key, item.value, item.revision) for item in snapshot.entries]
         table.replace(entries, snapshot.revision, sent_ms - snapshot.as_of_age_ms)
-        table.confirmed_ms = max(table.confirmed_ms, heard_ms - snapshot.age_ms)
-        self._note_heard(table.prefix, sent_ms - snapshot.age_ms)
+        table.confirmed_ms = max(table.confirmed_ms, received_ms - snapshot.age_ms)
+        self._record_update_time(table.prefix, sent_ms - snapshot.age_ms)
         if table.version != before:
             log_event(
                 "replica_from_neighbour",
@@ -426,57 +432,57 @@
             self._wake()
 
     async def _on_request(self, message: ReplicaRequest, _peer: ServerPeer) -> ReplicaReply:
-        asked = [
+        requested = [
             (table, revision)
             for name, revision in message.revisions.items()
             if (table := self.tables.get(name)) is not None and table.is_known
         ]
         return ReplicaReply(
-            [self._snapshot(table) for table, revision in asked if table.revision > revision],
+            [self._snapshot(table) for table, revision in requested if table.revision > revision],
             {
-                table.prefix: _whole_ms(table.as_of_age_ms(now_ms()))
-                for table, revision in asked
+                table.prefix: _rounded_up_ms(table.as_of_age_ms(now_ms()))
+                for table, revision in requested
                 if table.revision == revision
             },
             # Whoever wrote a key knows more than its table's revision says: an outage may have
             # begun before any watch told of it.
             noted=[
                 ReplicaNoted(table.prefix, _entries_of(noted))
-                for table, _ in asked
+                for table, _ in requested
                 if (noted := table.noted())
             ],
             sender=self._sender,
             sent_ms=int(now_ms()),
         )
 
-    async def tell_noted(self, address: Address, prefix: str, entry: KvEntry) -> bool:
+    async def send_noted(self, address: Address, prefix: str, entry: KvEntry) -> bool:
         """Tell one node of a key that this node has written; return whether it has answered."""
         message = ReplicaNoted(prefix, _entries_of([entry]))
-        return (await self._call_neighbour(address, message, _TELL_TIMEOUT_MS)).is_ok()
+        return (await self._call_neighbour(address, message, _SEND_TIMEOUT_MS)).is_ok()
 
     async def _on_noted(self, message: ReplicaNoted, _peer: ServerPeer) -> ReplicaNotedReply:
-        self._take_noted(message)
+        self._apply_noted(message)
         return ReplicaNotedReply()
 
-    def _take_noted(self, message: ReplicaNoted) -> None:
+    def _apply_noted(self, message: ReplicaNoted) -> None:
         if message.prefix not in self.tables:
             return
         for item in message.entries:
-            self.note(message.prefix, KvEntry(item.key, item.value, item.revision))
+            self.record_entry(message.prefix, KvEntry(item.key, item.value, item.revision))
 
     def _snapshot(self, table: ReplicaTable) -> ReplicaSnapshot:
         entries = _entries_of(table.entries.values())
         return ReplicaSnapshot(
             table.prefix,
             table.revision,
-            _whole_ms(table.age_ms(now_ms())),
-            as_of_age_ms=_whole_ms(table.as_of_age_ms(now_ms())),
+            _rounded_up_ms(table.age_ms(now_ms())),
+            as_of_age_ms=_rounded_up_ms(table.as_of_age_ms(now_ms())),
             entries=entries,
             sender=self._sender,
             sent_ms=int(now_ms()),
         )
 
-    def _news_of(
+    def _update_message(
         self, table: ReplicaTable, from_revision: int, revision: int, events: Collection[KvEvent]
     ) -> ReplicaNews:
         entries = _entries_of(event.entry for event in events if event.entry is not None)
@@ -486,13 +492,13 @@
             revision,
             entries,
             removed={event.key: event.revision for event in events if event.entry is None},
-            as_of_age_ms=_whole_ms(table.as_of_age_ms(now_ms())),
+            as_of_age_ms=_rounded_up_ms(table.as_of_age_ms(now_ms())),
             sender=self._sender,
             sent_ms=int(now_ms()),
         )
 
 
-def _whole_ms(age_ms: float) -> int:
+def _rounded_up_ms(age_ms: float) -> int:
     """Return an age for a message, rounded up."""
     return math.ceil(min(age_ms, _MAX_AGE_MS))
 
--- a/src/fescuedock/node/retirement.py
+++ b/src/fescuedock/node/retirement.py
@@ -19,7 +19,7 @@
 
 __all__ = ["Retirement"]
 
-_RETRY_S = 0.5
+_RETRY_INTERVAL_S = 0.5
 
 
 class Retirement:
@@ -42,14 +42,14 @@
                 node = records.retired_node(key)
                 if node is not None and self._answered.get(key) != entry.mod_revision:
                     await self._answer(key, node, entry.mod_revision)
-            with trio.move_on_after(_RETRY_S):
+            with trio.move_on_after(_RETRY_INTERVAL_S):
                 await self._replicas.wait_changed(seen)
 
     async def _answer(self, key: str, node: str, revision: int) -> None:
         chosen = choose_name(node, [vm.vm_id for vm in self._view.live_vms(Program.BATCH)])
         if chosen != self._view.vm_id:
             return
-        pending = await self._spools.pending_at(node)
+        pending = await self._spools.drain(node)
         is_empty = pending == 0
         value = records.encode_emptied() if is_empty else records.encode_emptying()
         log_event("machine_emptying", node=node, pending=pending)
@@ -77,13 +77,13 @@
             return False
         if found.ok_value is not None and found.ok_value.value == value:
             return True
-        if found.ok_value is not None and _says_empty(found.ok_value, revision):
+        if found.ok_value is not None and _reports_empty(found.ok_value, revision):
             return False
         before = found.ok_value.mod_revision if found.ok_value else 0
         written = await self._kv.put_if(key, value, before)
         return isinstance(written, Ok)
 
 
-def _says_empty(status: KvEntry, revision: int) -> bool:
+def _reports_empty(status: KvEntry, revision: int) -> bool:
     """Whether a status answers the request of ``revision`` for good."""
     return status.value == records.encode_emptied() and status.mod_revision > revision
--- a/src/fescuedock/node/spools.py
+++ b/src/fescuedock/node/spools.py
@@ -28,43 +28,47 @@
     StoredJobRecord,
 )
 
-__all__ = ["Kept", "Spools"]
+__all__ = ["SpoolCopies", "Spools"]
 
 # A copy takes a round trip of 3 ms and two syncs of 2 ms; 15 times that leaves time for another
 # disk within the usual target of 400 ms.
-_KEEP_TIMEOUT_MS = 100.0
-_ASK_TIMEOUT_MS = 250.0
+_COPY_TIMEOUT_MS = 100.0
+_QUERY_TIMEOUT_MS = 250.0
 
 _CallSpool = Callable[[Address, msgspec.Struct, float], Awaitable[Result[msgspec.Struct, Fault]]]
 
 
-class Kept:
+class SpoolCopies:
     """What became of the copies of one job."""
 
-    __slots__ = ("copies", "unanswered")
+    __slots__ = ("confirmed", "unanswered")
 
     def __init__(self) -> None:
-        self.copies = 0
+        self.confirmed = 0
         # Disks that were asked and have not said for sure whether they have a copy; one that is
         # there will be stored.
         self.unanswered = 0
 
     @property
     def may_be_stored(self) -> bool:
-        return self.copies > 0 or self.unanswered > 0
+        return self.confirmed > 0 or self.unanswered > 0
 
 
 class Spools:
     """Asks the spools that ``table`` lists below ``prefix``; ``copies`` make a job accepted."""
 
-    def __init__(self, table: ReplicaTable, prefix: str, copies: int, call: _CallSpool) -> None:
+    def __init__(
+        self, table: ReplicaTable, prefix: str, required_copies: int, call: _CallSpool
+    ) -> None:
         self._table = table
         self._prefix = prefix
-        self._copies = copies
+        self._required_copies = required_copies
         self._call = call
-        self._known = KnownSpools()
+        self._known_spools = KnownSpools()
 
-    async def keep(self, record: StoredJobRecord, items: list[StoredItem], kept: Kept) -> bool:
+    async def store_copies(
+        self, record: StoredJobRecord, items: list[StoredItem], copies: SpoolCopies
+    ) -> bool:
         """Have a job kept on enough disks; ``kept`` tells at any time what may be there.
 
         As many disks are asked at once as copies are missing, then others for those that failed.
@@ -72,26 +76,26 @@
         message = SpoolJob(record, items)
         waiting = choose_spools(record.job_id, self._listed())
         # Disks that answer are asked before those that were silent the last time.
-        waiting.sort(key=lambda spool: self._known.is_silent(spool.vm_id))
-        if len(waiting) < self._copies:
+        waiting.sort(key=lambda spool: self._known_spools.is_silent(spool.vm_id))
+        if len(waiting) < self._required_copies:
             return False
-        while kept.copies < self._copies and waiting:
-            missing = self._copies - kept.copies
-            asked, waiting = waiting[:missing], waiting[missing:]
+        while copies.confirmed < self._required_copies and waiting:
+            missing = self._required_copies - copies.confirmed
+            batch, waiting = waiting[:missing], waiting[missing:]
             async with trio.open_nursery() as nursery:
-                for spool in asked:
-                    nursery.start_soon(self._keep_one, spool, message, kept)
-        return kept.copies >= self._copies
+                for spool in batch:
+                    nursery.start_soon(self._store_copy, spool, message, copies)
+        return copies.confirmed >= self._required_copies
 
     async def may_hold(self, job_id: str) -> bool:
         """Whether a job that is not in the store may be waiting to get there."""
-        return await self._ask_all(FindSpooled(job_id))
+        return await self._query_all(FindSpooled(job_id))
 
     async def end(self, job_id: str) -> bool:
         """Have copies of a job enter the store as ended; whether there may be any."""
-        return await self._ask_all(EndSpooled(job_id))
+        return await self._query_all(EndSpooled(job_id))
 
-    async def _ask_all(self, message: FindSpooled | EndSpooled) -> bool:
+    async def _query_all(self, message: FindSpooled | EndSpooled) -> bool:
         """Send all spools a message about a job; False once each has said that it holds none."""
         if not self._table.is_known:
             # Their records were not read yet, so nobody knows whom to ask.
@@ -99,17 +103,17 @@
         spools = self._listed()
         denied: set[str] = set()
 
-        async def ask(spool: NodeRecord) -> None:
-            reply = await self._send(spool, message, _ASK_TIMEOUT_MS)
+        async def query(spool: NodeRecord) -> None:
+            reply = await self._send(spool, message, _QUERY_TIMEOUT_MS)
             if isinstance(reply, FindSpooledReply | EndSpooledReply) and not reply.held:
                 denied.add(spool.vm_id)
 
         async with trio.open_nursery() as nursery:
             for spool in spools:
-                nursery.start_soon(ask, spool)
-        return self._known.may_hold([spool.vm_id for spool in spools], denied, now_ms())
+                nursery.start_soon(query, spool)
+        return self._known_spools.may_hold([spool.vm_id for spool in spools], denied, now_ms())
 
-    async def pending_at(self, vm_id: str) -> int | None:
+    async def drain(self, vm_id: str) -> int | None:
         """Have a spool take nothing more, and return how many jobs it has still to store.
 
         0 for a VM that is no spool; None when it does not answer, or when it is not known yet
@@ -121,7 +125,7 @@
         if entry is None:
             return 0
         record = msgspec.msgpack.decode(entry.value, type=NodeRecord)
-        reply = await self._send(record, EmptySpool("the operator wants it"), _ASK_TIMEOUT_MS)
+        reply = await self._send(record, EmptySpool("the operator wants it"), _QUERY_TIMEOUT_MS)
         is_sure = isinstance(reply, EmptySpoolReply) and reply.code == ResultCode.OK
         return reply.pending if is_sure else None
 
@@ -129,14 +133,14 @@
         """Return the record of a spool as it lies in the store; None for a VM that is none."""
         return self._table.entries.get(self._prefix + vm_id)
 
-    async def _keep_one(self, spool: NodeRecord, message: SpoolJob, kept: Kept) -> None:
-        kept.unanswered += 1
-        reply = await self._send(spool, message, _KEEP_TIMEOUT_MS)
+    async def _store_copy(self, spool: NodeRecord, message: SpoolJob, copies: SpoolCopies) -> None:
+        copies.unanswered += 1
+        reply = await self._send(spool, message, _COPY_TIMEOUT_MS)
         answered = isinstance(reply, SpoolJobReply)
         done = answered and reply.code == ResultCode.OK
-        kept.copies += done
+        copies.confirmed += done
         # A disk that failed midway may have a copy all the same.
-        kept.unanswered -= answered and _is_sure(reply.code)
+        copies.unanswered -= answered and _is_sure(reply.code)
         log_event(
             "job_copy",
             routine=done,
@@ -150,9 +154,9 @@
     ) -> msgspec.Struct | None:
         reply = await self._call(Address(spool.host, spool.port), message, timeout_ms)
         if isinstance(reply, Ok):
-            self._known.note_answer(spool.vm_id)
+            self._known_spools.note_answer(spool.vm_id)
             return reply.ok_value
-        self._known.note_silence(spool.vm_id, now_ms())
+        self._known_spools.note_silence(spool.vm_id, now_ms())
         return None
 
     def _listed(self) -> Iterable[NodeRecord]:
--- a/src/fescuedock/node/stream_origins.py
+++ b/src/fescuedock/node/stream_origins.py
@@ -45,20 +45,20 @@
 __all__ = ["StreamOrigins"]
 
 # A neighbour answers in 1 to 7 ms.
-_TELL_TIMEOUT_MS = 60.0
+_SEND_TIMEOUT_MS = 60.0
 _FIND_TIMEOUT_MS = 150.0
 # How long a stream's first event waits for a node to say that it keeps the origin.
-_FIRST_ACK_S = 0.03
-_TELL_ROUNDS = 3
+_ACK_TIMEOUT_S = 0.03
+_SEND_ROUNDS = 3
 # Bounds a read of a service's record while a client waits.
-_READ_S = 0.3
+_READ_TIMEOUT_S = 0.3
 # How old knowledge of a record may be where the record cannot be read.
-_MOST_AGE_MS = 2400.0
-_LOOK_INTERVAL_S = 1.0
+_MAX_RECORD_AGE_MS = 2400.0
+_POLL_INTERVAL_S = 1.0
 # By which a node that ranks lower leaves the write of a record to those before it.
-_RANK_PAUSE_S = 0.15
-_MOST_RANK = 8
-_PER_MESSAGE = 512
+_PAUSE_PER_RANK_S = 0.15
+_MAX_RANK = 8
+_MAX_STREAMS_PER_MESSAGE = 512
 # Another node may know.
 _UNKNOWN_RETRY_MS = 100
 
@@ -107,29 +107,29 @@
         """Keep the records of services, and tell others what they need, until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
-            nursery.start_soon(self._keep_records)
-            nursery.start_soon(self._tell_untold)
+            nursery.start_soon(self._maintain_records)
+            nursery.start_soon(self._send_unsent)
 
-    async def _tell_untold(self) -> None:
+    async def _send_unsent(self) -> None:
         """Tell others of streams that began while no other node had to know of them."""
-        told_ms = float("-inf")
+        sent_ms = float("-inf")
         while True:
             seen = self._replicas.version
             if not self._is_needed_elsewhere():
-                told_ms = float("-inf")
-            elif now_ms() - told_ms >= _LOOK_INTERVAL_S * 1000:
-                told_ms = now_ms()
-                await self._tell_all(self.memory.untold(told_ms))
-            with trio.move_on_after(_LOOK_INTERVAL_S):
+                sent_ms = float("-inf")
+            elif now_ms() - sent_ms >= _POLL_INTERVAL_S * 1000:
+                sent_ms = now_ms()
+                await self._send_all(self.memory.untold(sent_ms))
+            with trio.move_on_after(_POLL_INTERVAL_S):
                 await self._replicas.wait_changed(seen)
 
     # --- streams that begin ----------------------------------------------------------------------
 
-    def startable(self, service: str) -> frozenset[str] | None:
+    def startable_versions(self, service: str) -> frozenset[str] | None:
         """Return the versions at which a stream may begin; None where there is no bound."""
         return self._registered(service)
 
-    async def begun(self, key: str, origin: StreamOrigin, route: Route) -> None:
+    async def record_start(self, key: str, origin: StreamOrigin, route: Route) -> None:
         """Note what begins a stream, before its client gets the first event.
 
         While others may need it, returns once another node keeps it, or after a short while: a
@@ -139,52 +139,52 @@
         is_uncertain = len(route.services) > 1 or self._is_uncertain(origin.service)
         if not is_uncertain or self._nursery is None:
             return
-        ranked = self._keepers(key, live_only=True)
-        disks = self._disks(key)[: self._policy.told_disks]
-        for first in range(0, _TELL_ROUNDS * self._policy.told, self._policy.told):
-            told = ranked[first : first + self._policy.told] + (disks if not first else [])
-            if not told:
+        ranked = self._origin_nodes(key, live_only=True)
+        spools = self._origin_spools(key)[: self._policy.told_disks]
+        for first in range(0, _SEND_ROUNDS * self._policy.told, self._policy.told):
+            receivers = ranked[first : first + self._policy.told] + (spools if not first else [])
+            if not receivers:
                 return
-            kept = trio.Event()
-            for name in told:
-                self._nursery.start_soon(self._tell, name, {key: origin}, kept)
-            with trio.move_on_after(_FIRST_ACK_S):
-                await kept.wait()
+            acknowledged = trio.Event()
+            for name in receivers:
+                self._nursery.start_soon(self._send, name, {key: origin}, acknowledged)
+            with trio.move_on_after(_ACK_TIMEOUT_S):
+                await acknowledged.wait()
                 return
         log_event("origin_not_told", stream_key=key)
 
-    async def _tell(
+    async def _send(
         self,
         name: str,
         origins: Mapping[str, StreamOrigin],
-        kept: trio.Event | None = None,
+        acknowledged: trio.Event | None = None,
     ) -> None:
         streams = [KnownStream(key, origin) for key, origin in origins.items()]
-        reply = await self._call(name, KeepOrigins(streams), _TELL_TIMEOUT_MS)
+        reply = await self._call(name, KeepOrigins(streams), _SEND_TIMEOUT_MS)
         if not isinstance(reply, KeepOriginsReply) or reply.code != ResultCode.OK:
             return
         self.memory.note_told(origins)
-        if kept is not None:
-            kept.set()
+        if acknowledged is not None:
+            acknowledged.set()
 
-    async def _tell_all(self, origins: Mapping[str, StreamOrigin]) -> None:
+    async def _send_all(self, origins: Mapping[str, StreamOrigin]) -> None:
         """Tell the keepers of each stream, with one message for many."""
-        by_keeper: defaultdict[str, dict[str, StreamOrigin]] = defaultdict(dict)
+        by_receiver: defaultdict[str, dict[str, StreamOrigin]] = defaultdict(dict)
         for key, origin in origins.items():
-            told = self._keepers(key, live_only=True)[: self._policy.told]
-            for name in told + self._disks(key)[: self._policy.told_disks]:
-                by_keeper[name][key] = origin
+            receivers = self._origin_nodes(key, live_only=True)[: self._policy.told]
+            for name in receivers + self._origin_spools(key)[: self._policy.told_disks]:
+                by_receiver[name][key] = origin
         async with trio.open_nursery() as nursery:
-            for name, rows in by_keeper.items():
+            for name, rows in by_receiver.items():
                 pairs = list(rows.items())
-                for first in range(0, len(pairs), _PER_MESSAGE):
-                    part = dict(pairs[first : first + _PER_MESSAGE])
-                    nursery.start_soon(self._tell, name, part)
+                for first in range(0, len(pairs), _MAX_STREAMS_PER_MESSAGE):
+                    part = dict(pairs[first : first + _MAX_STREAMS_PER_MESSAGE])
+                    nursery.start_soon(self._send, name, part)
 
     async def leave(self) -> None:
         """Hand over all that this node knows, before it stops."""
         if self._is_needed_elsewhere():
-            await self._tell_all(self.memory.all_known(now_ms()))
+            await self._send_all(self.memory.all_known(now_ms()))
 
     # --- streams that are taken up ---------------------------------------------------------------
 
@@ -197,42 +197,42 @@
         if known is not None:
             return Ok(known)
         services = [name for name, weight in route.services if weight > 0]
-        kept, registered = await self._ask(key, services[0] if len(services) == 1 else None)
-        decided = decide_origin(kept, registered)
+        origins, registered = await self._query(key, services[0] if len(services) == 1 else None)
+        decided = decide_origin(origins, registered)
         if isinstance(decided, Err):
             return Err(Fault(ResultCode.ORIGIN_UNKNOWN, decided.err_value, _UNKNOWN_RETRY_MS))
         return decided
 
-    async def _ask(
+    async def _query(
         self, key: str | None, service: str | None
     ) -> tuple[list[StreamOrigin], RegisteredVersions | None]:
         """Ask the nodes that may keep an origin, and read the service's record meanwhile."""
-        kept: list[StreamOrigin] = []
+        origins: list[StreamOrigin] = []
         registered: RegisteredVersions | None = None
 
         async def find(name: str) -> None:
             reply = await self._call(name, FindOrigin(key), _FIND_TIMEOUT_MS)
             if isinstance(reply, FindOriginReply) and reply.origins:
-                kept.extend(reply.origins)
+                origins.extend(reply.origins)
                 # One that keeps it is enough: it was told by the node that began the stream.
                 nursery.cancel_scope.cancel()
 
         async def read() -> None:
             nonlocal registered
-            registered = await self._read(service)
+            registered = await self._read_versions(service)
 
         async with trio.open_nursery() as nursery:
             if service is not None:
                 nursery.start_soon(read)
             if key is not None:
-                disks = self._disks(key)[: self._policy.asked_disks]
-                for name in self._keepers(key)[: self._policy.asked] + disks:
+                spools = self._origin_spools(key)[: self._policy.asked_disks]
+                for name in self._origin_nodes(key)[: self._policy.asked] + spools:
                     nursery.start_soon(find, name)
-        return kept, registered
+        return origins, registered
 
-    async def _read(self, service: str) -> RegisteredVersions:
+    async def _read_versions(self, service: str) -> RegisteredVersions:
         """Read a service's record as it is now, or return what is known of it."""
-        with trio.move_on_after(_READ_S):
+        with trio.move_on_after(_READ_TIMEOUT_S):
             found = await self._kv.get(self._keys.versions + service)
             if isinstance(found, Ok):
                 entry = found.ok_value
@@ -252,7 +252,7 @@
         is_away = self._replicas.contact.is_away(now_ms())
         agreed_age_ms = self._replicas.agreed_age_ms(self._keys.live)
         age_ms = self._table.as_of_age_ms(now_ms())
-        return KnownRecords(age_ms, is_away, agreed_age_ms).holds(_MOST_AGE_MS)
+        return KnownRecords(age_ms, is_away, agreed_age_ms).holds(_MAX_RECORD_AGE_MS)
 
     # --- what others ask -------------------------------------------------------------------------
 
@@ -292,14 +292,14 @@
             known = self._decoded[service] = (entry.mod_revision, versions)
         return known[1]
 
-    async def _keep_records(self) -> None:
+    async def _maintain_records(self) -> None:
         """Add versions that are listed to the records, and remove those that are long gone."""
         while True:
             seen = self._view.version
             async with trio.open_nursery() as nursery:
                 for service, wanted in self._due_records().items():
-                    nursery.start_soon(self._write_in_turn, service, wanted)
-            with trio.move_on_after(_LOOK_INTERVAL_S):
+                    nursery.start_soon(self._write_by_rank, service, wanted)
+            with trio.move_on_after(_POLL_INTERVAL_S):
                 await self._view.wait_changed(seen)
 
     def _due_records(self) -> dict[str, frozenset[str]]:
@@ -323,11 +323,11 @@
             if versions and versions != registered[name]
         }
 
-    async def _write_in_turn(self, service: str, wanted: frozenset[str]) -> None:
+    async def _write_by_rank(self, service: str, wanted: frozenset[str]) -> None:
         """Write a record, unless a node that comes before this one does so meanwhile."""
         live = {vm.vm_id for vm in self._view.live_vms()} | {self._view.vm_id}
         rank = rank_names(service, live).index(self._view.vm_id)
-        await trio.sleep(min(rank, _MOST_RANK) * _RANK_PAUSE_S)
+        await trio.sleep(min(rank, _MAX_RANK) * _PAUSE_PER_RANK_S)
         if self._due_records().get(service) != wanted:
             return
         key = self._keys.versions + service
@@ -339,9 +339,9 @@
             reason = written.err_value.message
             log_event("served_versions_not_written", service=service, reason=reason)
             # Another one has written it, which will be heard of, or the store does not answer.
-            await trio.sleep(self._rng.uniform(0.5, 1.5) * _RANK_PAUSE_S)
+            await trio.sleep(self._rng.uniform(0.5, 1.5) * _PAUSE_PER_RANK_S)
             return
-        self._replicas.note(self._keys.live, KvEntry(key, value, written.ok_value))
+        self._replicas.record_entry(self._keys.live, KvEntry(key, value, written.ok_value))
         log_event(
             "served_versions_written",
             service=service,
@@ -351,7 +351,7 @@
 
     # --- other nodes -----------------------------------------------------------------------------
 
-    def _keepers(self, key: str, *, live_only: bool = False) -> list[str]:
+    def _origin_nodes(self, key: str, *, live_only: bool = False) -> list[str]:
         """Return the other nodes that may keep an origin, in order; those that are gone left out.
 
         All nodes rank all registered ones, so that they agree while they see different ones live.
@@ -363,7 +363,7 @@
         ranked = rank_keepers(key, {name: domain for name, (domain, _) in nodes.items()})
         return [name for name in ranked if name in present and name != self._view.vm_id]
 
-    def _disks(self, key: str) -> list[str]:
+    def _origin_spools(self, key: str) -> list[str]:
         """Return the spools that may keep an origin, in order."""
         self._known_nodes()
         return rank_keepers(key, {name: domain for name, (domain, _) in self._spools.items()})
--- a/src/fescuedock/node/upstream_entries.py
+++ b/src/fescuedock/node/upstream_entries.py
@@ -55,7 +55,7 @@
                 case Err(reason):
                     reasons[key] = reason
         self._decoded = decoded
-        self._note(reasons)
+        self._log_reasons(reasons)
         return found
 
     def _decode(self, key: str, entry: KvEntry) -> _Decoded:
@@ -65,7 +65,7 @@
         result = records.read_upstream(key, entry.value, self._region)
         return _Decoded(entry.mod_revision, result)
 
-    def _note(self, reasons: dict[str, str]) -> None:
+    def _log_reasons(self, reasons: dict[str, str]) -> None:
         for key, reason in reasons.items():
             if self._reasons.get(key) != reason:
                 log_event("upstream_unreadable", key=key, reason=reason)
--- a/tests/builders/job_world.py
+++ b/tests/builders/job_world.py
@@ -145,7 +145,7 @@
         return await run_item(http, job, *rest)
 
     # How soon a disk has to answer is not tested with these worlds, of which several run at once.
-    patience = mock.patch.object(spools, "_KEEP_TIMEOUT_MS", 1000.0)
+    patience = mock.patch.object(spools, "_COPY_TIMEOUT_MS", 1000.0)
     with mock.patch.object(job_runner, "run_item", note_and_run), patience:
         yield begun
 
--- a/tests/builders/load_player.py
+++ b/tests/builders/load_player.py
@@ -33,7 +33,7 @@
 from fescuedock.entry.online_permits import find_permit
 from fescuedock.faults import Fault
 from fescuedock.node.attempt import AttemptRecord
-from fescuedock.node.item_asking import ItemAsker
+from fescuedock.node.item_permits import ItemPermitRequester
 from fescuedock.schema.config import Configuration
 from fescuedock.schema.permits import LoadSnapshot
 from fescuedock.schema.result_codes import ResultCode
@@ -488,12 +488,12 @@
     try:
         await trio.sleep(times.first_event_ms * fleet.factor(grant.upstream_id) / 1000)
         first_ms = now_ms()
-        record.note_events(1)
+        record.record_events(1)
         for _ in range(times.events - 1):
             pause_ms = times.event_ms * fleet.factor(grant.upstream_id)
             longest_ms = max(longest_ms, pause_ms)
             await trio.sleep(pause_ms / 1000)
-            record.note_events(1)
+            record.record_events(1)
     finally:
         fleet.end_run(grant.upstream_id)
         record.finish(None)
@@ -543,7 +543,7 @@
         self._gaining_s: Counter[str] = Counter()
         self._pool = ItemPool(lambda: self._jobs, lambda _record, _service: True)
         settings = NodeSettings("0.0.0.0:1", "0.0.0.0:1", "0.0.0.0:1", "0.0.0.0:1")
-        self._asker = ItemAsker(
+        self._asker = ItemPermitRequester(
             settings,
             node.view,
             node.permits,
@@ -624,7 +624,7 @@
             await self._wait(grant, self._event_ms(grant))
             if not grant.revoked.is_set():
                 run.last_event += 1
-                record.note_events(1)
+                record.record_events(1)
         self._fleet.end_run(grant.upstream_id)
         self._fleet.cut_runs += run.last_event + 1 < length
         ran_ms = now_ms() - record.started_ms
--- a/tests/builders/runner_world.py
+++ b/tests/builders/runner_world.py
@@ -26,13 +26,13 @@
 from fescuedock.faults import Fault
 from fescuedock.kv import KvChanges, KvEntry, KvEvent, KvPage, KvTransaction
 from fescuedock.net.http_client import SendCheck
-from fescuedock.node.item_run import KnownAtBegin
+from fescuedock.node.item_run import StartState
 from fescuedock.node.job_acceptance import JobAcceptance
 from fescuedock.node.job_ends import JobEnds
 from fescuedock.node.job_runner import JobRunner
 from fescuedock.node.job_store import JobStore
 from fescuedock.node.owner_reads import OwnerReads
-from fescuedock.node.replicas import Replicas, Watched
+from fescuedock.node.replicas import Replicas, WatchedPrefix
 from fescuedock.node.spools import Spools
 from fescuedock.schema.crashes import CrashedRun, CrashReport
 from fescuedock.schema.result_codes import ResultCode
@@ -262,7 +262,7 @@
     def watches(self, _prefix: str) -> bool:
         return True
 
-    async def tell(self, _message: msgspec.Struct) -> None:
+    async def broadcast(self, _message: msgspec.Struct) -> None:
         return None
 
 
@@ -305,7 +305,7 @@
         neighbours = partial(world.neighbours_of, self)
         call = partial(world.call, self)
         self.replicas = Replicas(
-            way, [Watched(KEYS.live, _WATCH_MS, 20)], call, neighbours, _OwnWatch(), rng
+            way, [WatchedPrefix(KEYS.live, _WATCH_MS, 20)], call, neighbours, _OwnWatch(), rng
         )
         self._clock = lambda: int(_UNIX_S + skew_s + trio.current_time())
         cache = JobCache(1_000_000)
@@ -350,7 +350,7 @@
                 self.owner,
                 call,
                 lambda _vm_id: None,
-                self.runner.listed_of,
+                self.runner.listed_count,
             ),
             configuration,
             wanted_ends,
@@ -511,7 +511,7 @@
         upstream: UpstreamRecord,
         grant: _Grant,
         stopped: trio.Event,
-        _known: KnownAtBegin,
+        _known: StartState,
         check: SendCheck,
     ) -> ItemEnd:
         """Stand in for a run at an upstream; its request is written after ``connect_s``.
--- a/tests/test_item_asking.py
+++ b/tests/test_item_asking.py
@@ -13,7 +13,7 @@
 from fescuedock.core.stored_jobs.job import ItemEnd, StoredJob
 from fescuedock.core.stored_jobs.pool import ItemPool
 from fescuedock.faults import Fault
-from fescuedock.node.item_asking import ItemAsker
+from fescuedock.node.item_permits import ItemPermitRequester
 from fescuedock.schema.permits import BatchStage, PermitAsk, WorkClass
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.settings import NodeSettings
@@ -43,7 +43,7 @@
         pool = ItemPool(lambda: jobs, lambda _record, _service: True)
         permits = RefusingPermits()
         view = FleetView("vm1")
-        asker = ItemAsker(
+        asker = ItemPermitRequester(
             SETTINGS,
             view,
             permits,
--- a/tests/test_job_refusals.py
+++ b/tests/test_job_refusals.py
@@ -14,7 +14,7 @@
 from fescuedock.faults import Fault
 from fescuedock.kv import KvEntry, KvTransaction
 from fescuedock.node.job_store import JobStore
-from fescuedock.node.spools import Kept, Spools
+from fescuedock.node.spools import SpoolCopies, Spools
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.stored_jobs import NodeRecord, SpoolJob, SpoolJobReply
 from fescuedock.spool.files import SpoolFiles
@@ -109,11 +109,11 @@
             (ResultCode.KV_UNKNOWN, True),
         ):
             with self.subTest(code=code):
-                kept = Kept()
+                kept = SpoolCopies()
                 self.assertFalse(self.keep(code, kept))
                 self.assertIs(kept.may_be_stored, may_be_stored)
 
-    def keep(self, code: ResultCode, kept: Kept) -> bool:
+    def keep(self, code: ResultCode, kept: SpoolCopies) -> bool:
         async def call(_address: Address, _message: msgspec.Struct, _timeout_ms: float) -> Result:
             return Ok(SpoolJobReply(code))
 
@@ -123,7 +123,9 @@
         done: list[bool] = []
 
         async def run() -> None:
-            done.append(await Spools(table, KEYS.spools, 1, call).keep(JOB.record, JOB.items, kept))
+            done.append(
+                await Spools(table, KEYS.spools, 1, call).store_copies(JOB.record, JOB.items, kept)
+            )
 
         run_async(run)
         return done[0]
--- a/tests/test_job_runner_stateful.py
+++ b/tests/test_job_runner_stateful.py
@@ -245,7 +245,7 @@
         code = await node.submit(job_id, items_of(job_id, ITEMS))
         if node.refused_s(job_id) > 0:
             # Else it would answer others, who ask how much is listed, as the job's owner.
-            self.assertIsNone(node.runner.listed_of(job_id), f"{node.name} runs {job_id}")
+            self.assertIsNone(node.runner.listed_count(job_id), f"{node.name} runs {job_id}")
         return code
 
     async def end(self, node, told: JobTold) -> None:
--- a/tests/test_node_attempt.py
+++ b/tests/test_node_attempt.py
@@ -16,7 +16,7 @@
 from fescuedock.core.stored_jobs.job import ItemEnd, ItemRun
 from fescuedock.net.http_client import HttpClient, NotSentError, WithdrawnError
 from fescuedock.node.attempt import send_attempt
-from fescuedock.node.item_run import KnownAtBegin, run_item
+from fescuedock.node.item_run import StartState, run_item
 from fescuedock.platform.standin.event_upstream import EventUpstream
 from fescuedock.schema.permits import AttemptOutcome, EndedPermit, WorkClass
 from fescuedock.schema.stored_jobs import StoredItem
@@ -117,7 +117,7 @@
             if taken_back == "job":
                 let_go.set()
             end = await run_item(
-                http, job_record(), item, record, grant, let_go, KnownAtBegin(1, 0.0), check
+                http, job_record(), item, record, grant, let_go, StartState(1, 0.0), check
             )
             await trio.sleep(0.1)
         [outcome] = [permit.outcome for permit in ended]
--- a/tests/test_node_job_ends.py
+++ b/tests/test_node_job_ends.py
@@ -43,7 +43,7 @@
 class EndsTest(unittest.TestCase):
     def setUp(self) -> None:
         # How soon a disk has to answer is not tested here.
-        patience = mock.patch.object(node_spools, "_KEEP_TIMEOUT_MS", 1000.0)
+        patience = mock.patch.object(node_spools, "_COPY_TIMEOUT_MS", 1000.0)
         patience.start()
         self.addCleanup(patience.stop)
 
--- a/tests/test_node_jobs.py
+++ b/tests/test_node_jobs.py
@@ -101,7 +101,7 @@
                 results = await read_all(fleet, second, len(names))
             self.assertEqual({item["id"] for item in results}, set(names))
 
-        with mock.patch("fescuedock.node.owner_reads._ANSWER_BYTES", 300):
+        with mock.patch("fescuedock.node.owner_reads._MAX_REPLY_BYTES", 300):
             self.run_fleet(test, nodes=2)
 
     def test_an_interrupted_item_runs_again_when_its_pause_is_over(self) -> None:
@@ -115,7 +115,7 @@
             # A pause of 25 ms, an ask and a connection.
             self.assertLess(second_s - first_s, 0.5)
 
-        with mock.patch("fescuedock.node.job_runner._IDLE_WAIT_S", 2.0):
+        with mock.patch("fescuedock.node.job_runner._IDLE_POLL_S", 2.0):
             self.run_fleet(test, nodes=1, upstreams=1)
 
     def test_an_owner_whose_cache_forgot_a_job_does_not_vouch_for_it(self) -> None:
--- a/tests/test_node_jobs_ended.py
+++ b/tests/test_node_jobs_ended.py
@@ -21,8 +21,8 @@
 import trio
 
 from fescuedock.address import Address
+from fescuedock.node.group_broadcast import GroupBroadcaster
 from fescuedock.node.replicas import Replicas
-from fescuedock.node.spread import GroupSpread
 from fescuedock.platform.standin.metadata_store import MetadataStoreService
 from fescuedock.standin.kv_faults import CallKind
 from tests.builders.jobs_calls import JOB, submit
@@ -141,9 +141,9 @@
             await fleet.wait_ready()
             await submit(fleet, owner.front, *(f"item-{number}" for number in range(80)))
             with (
-                mock.patch.object(Replicas, "_ask", return_value=None),
-                mock.patch.object(Replicas, "tell_noted", return_value=False),
-                mock.patch.object(GroupSpread, "tell", return_value=None),
+                mock.patch.object(Replicas, "_query", return_value=None),
+                mock.patch.object(Replicas, "send_noted", return_value=False),
+                mock.patch.object(GroupBroadcaster, "broadcast", return_value=None),
             ):
                 # What the owner is not answered any more would tell of the end.
                 door.faults.silent = True
@@ -159,7 +159,7 @@
 
     def test_news_that_were_long_on_their_way_confirm_nothing(self) -> None:
         """What a node reads late, as it stood still or news were held up, is as old as that."""
-        tell = GroupSpread.tell
+        tell = GroupBroadcaster.broadcast
 
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
@@ -169,18 +169,18 @@
             owner = await fleet.start_node(2, store_address=str(door.address))
             await fleet.wait_ready()
 
-            async def tell_late(spread: GroupSpread, message: msgspec.Struct) -> None:
+            async def tell_late(spread: GroupBroadcaster, message: msgspec.Struct) -> None:
                 await trio.sleep(3.5)
                 await tell(spread, message)
 
-            async def hold_up(spread: GroupSpread, message: msgspec.Struct) -> None:
+            async def hold_up(spread: GroupBroadcaster, message: msgspec.Struct) -> None:
                 fleet.nursery.start_soon(tell_late, spread, message)
 
             await submit(fleet, owner.front, *(f"item-{number}" for number in range(80)))
             with (
-                mock.patch.object(Replicas, "_ask", return_value=None),
-                mock.patch.object(Replicas, "tell_noted", return_value=False),
-                mock.patch.object(GroupSpread, "tell", hold_up),
+                mock.patch.object(Replicas, "_query", return_value=None),
+                mock.patch.object(Replicas, "send_noted", return_value=False),
+                mock.patch.object(GroupBroadcaster, "broadcast", hold_up),
             ):
                 door.faults.silent = True
                 await trio.sleep(1.0)
@@ -203,7 +203,7 @@
             # No watch tells of the end any more.
             fleet.store.faults.delays_ms[CallKind.WATCH] = 60_000.0
             await trio.sleep(0.35)
-            with mock.patch.object(Replicas, "tell_noted", return_value=False):
+            with mock.patch.object(Replicas, "send_noted", return_value=False):
                 ended_s = await self.end(fleet, other.front)
             fleet.store.faults.silent = True
             await trio.sleep(4.5)
--- a/tests/test_node_jobs_forestalled.py
+++ b/tests/test_node_jobs_forestalled.py
@@ -57,13 +57,13 @@
             async with running_store() as service, open_store(service) as kv:
                 store = JobStore(kv, KEYS, 100_000)
                 job = job_record()
-                self.assertTrue(await store.note_ended(job.job_id))
+                self.assertTrue(await store.mark_ended(job.job_id))
                 refused = await store.accept(job, [], after_end=False)
                 self.assertIs(refused.err_value.code, ResultCode.KV_UNAVAILABLE)
                 self.assertIsNone(service.state.get(KEYS.record(job.job_id)))
                 stored = await store.accept(job, [])
                 self.assertFalse(stored.ok_value.record.ended)
-                self.assertFalse(await store.note_ended(job.job_id))
+                self.assertFalse(await store.mark_ended(job.job_id))
 
         run_async(test)
 
--- a/tests/test_node_jobs_let_go.py
+++ b/tests/test_node_jobs_let_go.py
@@ -12,9 +12,9 @@
 from fescuedock.core.stored_jobs.keys import JobKeys
 from fescuedock.core.stored_jobs.ownership import OwnerIdentity
 from fescuedock.node import job_runner
+from fescuedock.node.group_broadcast import GroupBroadcaster
 from fescuedock.node.job_acceptance import JobAcceptance
 from fescuedock.node.replicas import Replicas
-from fescuedock.node.spread import GroupSpread
 from fescuedock.platform.standin.event_upstream import UpstreamFault
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.stored_jobs import AcceptJob, StoredJobRecord
@@ -64,7 +64,7 @@
 
     def test_news_that_wait_on_their_way_do_not_count_as_knowledge_of_now(self) -> None:
         """Only the way between two nodes is slow; the owner reaches the store all the while."""
-        real_tell = GroupSpread.tell
+        real_tell = GroupBroadcaster.broadcast
 
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
@@ -72,7 +72,7 @@
                 upstream.event_count = 10_000
                 upstream.faults = [UpstreamFault(cut_after=3) for _ in range(10_000)]
 
-            async def tell_late(spread: GroupSpread, message: msgspec.Struct) -> None:
+            async def tell_late(spread: GroupBroadcaster, message: msgspec.Struct) -> None:
                 async def later() -> None:
                     await trio.sleep(WAY_S)
                     await real_tell(spread, message)
@@ -83,8 +83,8 @@
             [owner] = [node for node in fleet.nodes if node.settings.vm.vm_id != watcher]
             [other] = [node for node in fleet.nodes if node.settings.vm.vm_id == watcher]
             with (
-                mock.patch.object(GroupSpread, "tell", tell_late),
-                mock.patch.object(Replicas, "tell_noted", return_value=False),
+                mock.patch.object(GroupBroadcaster, "broadcast", tell_late),
+                mock.patch.object(Replicas, "send_noted", return_value=False),
             ):
                 # As news come all the while, though late ones, nobody asks by itself.
                 await trio.sleep(WAY_S + 1.0)
--- a/tests/test_node_retirement.py
+++ b/tests/test_node_retirement.py
@@ -43,7 +43,7 @@
 
     meanwhile: Callable[[], object]
 
-    async def pending_at(self, _vm_id: str) -> int:
+    async def drain(self, _vm_id: str) -> int:
         await trio.sleep(0.2)
         await self.meanwhile()
         return 3
--- a/tests/test_node_spools.py
+++ b/tests/test_node_spools.py
@@ -49,7 +49,7 @@
     def setUp(self) -> None:
         # How soon a disk has to answer is not tested here: on a machine with a load of 30 one took
         # more than the 100 ms, and with 1 ms in their place six tests of this class fail likewise.
-        patience = mock.patch.object(node_spools, "_KEEP_TIMEOUT_MS", 1000.0)
+        patience = mock.patch.object(node_spools, "_COPY_TIMEOUT_MS", 1000.0)
         patience.start()
         self.addCleanup(patience.stop)
 
--- a/tests/test_owner_reads.py
+++ b/tests/test_owner_reads.py
@@ -34,12 +34,12 @@
             table = ReplicaTable(PREFIX, confirmed_ms=now_ms() - age_ms)
             reads = OwnerReads(
                 cache,
-                SimpleNamespace(heard_age_ms=lambda _prefix: table.age_ms(now_ms())),
+                SimpleNamespace(update_age_ms=lambda _prefix: table.age_ms(now_ms())),
                 PREFIX,
                 OwnerIdentity("n-1", 1),
                 call_neighbour=None,
                 address_of=lambda _vm_id: None,
-                listed_of=lambda _job_id: listed,
+                listed_count=lambda _job_id: listed,
             )
             replies.append(await reads.read(RECORD, known))
 
@@ -66,7 +66,7 @@
                 OwnerIdentity("n-2", 1),
                 call_neighbour=silent,
                 address_of=lambda _vm_id: Address("127.0.0.1", 1),
-                listed_of=lambda _job_id: None,
+                listed_count=lambda _job_id: None,
             )
             replies.append(await reads.read(RECORD, 0))
 
--- a/tests/test_owner_vouch.py
+++ b/tests/test_owner_vouch.py
@@ -10,7 +10,7 @@
 from fescuedock.core.stored_jobs.cache import JobCache
 from fescuedock.core.stored_jobs.ownership import OwnerIdentity
 from fescuedock.node.owner_reads import OwnerReads
-from fescuedock.node.replicas import Replicas, Watched
+from fescuedock.node.replicas import Replicas, WatchedPrefix
 from fescuedock.schema.replicas import ReplicaNews
 from fescuedock.schema.stored_jobs import ResultGroup, StoredResult
 from tests.builders.forwarding import job_record
@@ -35,7 +35,7 @@
         async def run() -> None:
             replicas = Replicas(
                 FakeStore(0.0, AWAY),
-                [Watched(PREFIX, 900, 300)],
+                [WatchedPrefix(PREFIX, 900, 300)],
                 self.silent,
                 lambda: (),
                 FakeSpread(),
@@ -57,7 +57,7 @@
                 OwnerIdentity("n-1", 1),
                 call_neighbour=self.silent,
                 address_of=lambda _vm_id: None,
-                listed_of=lambda _job_id: 2,
+                listed_count=lambda _job_id: 2,
             )
             found.append((await reads.read(RECORD, 2)).current)
 
--- a/tests/test_replica_agreement.py
+++ b/tests/test_replica_agreement.py
@@ -11,7 +11,7 @@
 from fescuedock.address import Address
 from fescuedock.clock import now_ms
 from fescuedock.kv import KvEntry
-from fescuedock.node.replicas import Replicas, Watched
+from fescuedock.node.replicas import Replicas, WatchedPrefix
 from fescuedock.schema.replicas import ReplicaRequest
 from tests.test_replica_knowledge import AWAY, NEIGHBOUR, FakeSpread, FakeStore
 
@@ -42,7 +42,7 @@
                 return Ok(await telling.handlers()[ReplicaRequest](message, None))
 
             asking._call_neighbour = call
-            await asking._ask(NEIGHBOUR)
+            await asking._query(NEIGHBOUR)
             agreed.append(asking.agreed_age_ms(PREFIX) < float("inf"))
 
         trio.run(run, clock=trio.testing.MockClock())
@@ -54,7 +54,7 @@
 
         return Replicas(
             FakeStore(0.0, AWAY),
-            [Watched(PREFIX, 900, 300)],
+            [WatchedPrefix(PREFIX, 900, 300)],
             silent,
             lambda: (NEIGHBOUR,),
             FakeSpread(),
--- a/tests/test_replica_knowledge.py
+++ b/tests/test_replica_knowledge.py
@@ -14,7 +14,7 @@
 from fescuedock.core.replica_table import ReplicaTable
 from fescuedock.faults import Fault
 from fescuedock.kv import KvChanges, KvEntry, KvEvent, KvPage
-from fescuedock.node.replicas import Replicas, Watched
+from fescuedock.node.replicas import Replicas, WatchedPrefix
 from fescuedock.schema.replicas import ReplicaNews, ReplicaReply, ReplicaRequest, ReplicaSnapshot
 from fescuedock.schema.result_codes import ResultCode
 
@@ -56,7 +56,7 @@
     def watches(self, _prefix: str) -> bool:
         return True
 
-    async def tell(self, message: msgspec.Struct) -> None:
+    async def broadcast(self, message: msgspec.Struct) -> None:
         self.told.append(message)
 
 
@@ -74,7 +74,7 @@
     ) -> Replicas:
         return Replicas(
             store,
-            [Watched(PREFIX, WAIT_MS, 300)],
+            [WatchedPrefix(PREFIX, WAIT_MS, 300)],
             call,
             lambda: neighbours,
             spread or FakeSpread(),
@@ -256,7 +256,7 @@
             telling, asking = (self.replicas(FakeStore(0.0, AWAY)) for _ in range(2))
             for replicas in (telling, asking):
                 replicas.tables[PREFIX].replace([], 5, 0.0)
-            telling.note(PREFIX, ENTRY)
+            telling.record_entry(PREFIX, ENTRY)
 
             async def call(
                 _address: Address, message: msgspec.Struct, _timeout_ms: float
@@ -264,7 +264,7 @@
                 return Ok(await telling.handlers()[ReplicaRequest](message, None))
 
             asking._call_neighbour = call
-            await asking._ask(NEIGHBOUR)
+            await asking._query(NEIGHBOUR)
             self.assertIn(ENTRY.key, asking.tables[PREFIX].entries)
             # Once a watch has told of it, there is nothing left to tell.
             telling.tables[PREFIX].apply([KvEvent(ENTRY.key, 7, ENTRY)], 7, 1.0)
--- a/tests/test_replica_removals.py
+++ b/tests/test_replica_removals.py
@@ -9,7 +9,7 @@
 from fescuedock.clock import now_ms
 from fescuedock.core.replica_table import ReplicaTable
 from fescuedock.kv import KvEntry
-from fescuedock.node.replicas import Replicas, Watched
+from fescuedock.node.replicas import Replicas, WatchedPrefix
 from fescuedock.schema.replicas import ReplicaEntry, ReplicaNews, ReplicaNoted
 from tests.test_replica_knowledge import AWAY, FakeSpread, FakeStore
 
@@ -52,7 +52,7 @@
         """Return the replicas of a node that has just read the store, as of revision 20."""
         replicas = Replicas(
             FakeStore(0.0, AWAY),
-            [Watched(PREFIX, 900, 300)],
+            [WatchedPrefix(PREFIX, 900, 300)],
             self.silent,
             lambda: (),
             FakeSpread(),
--- a/tests/test_spool_service.py
+++ b/tests/test_spool_service.py
@@ -166,11 +166,11 @@
                 disk.failing = lambda step, name=failing_step: step == name
                 reply = await ask(service, EmptySpool("to be removed"))
                 self.assertNotEqual(reply.code, ResultCode.OK)
-                self.assertIsNone(await self.spools(reply).pending_at("s-1"))
+                self.assertIsNone(await self.spools(reply).drain("s-1"))
                 self.assertEqual((await ask(service, JOB)).code, ResultCode.STORES_UNAVAILABLE)
                 disk.failing = lambda _step: False
                 reply = await ask(service, EmptySpool("to be removed"))
-                self.assertEqual(await self.spools(reply).pending_at("s-1"), 0)
+                self.assertEqual(await self.spools(reply).drain("s-1"), 0)
 
         self.run_test(test)
 
@@ -191,7 +191,7 @@
             self.assertTrue(await spools.may_hold("job-1"))
             self.assertTrue(await spools.end("job-1"))
             # Nor does it say that a machine which may be a spool holds nothing.
-            self.assertIsNone(await spools.pending_at("s-1"))
+            self.assertIsNone(await spools.drain("s-1"))
 
         self.run_test(test)
 
--- a/tests/test_stream_take_up.py
+++ b/tests/test_stream_take_up.py
@@ -193,7 +193,7 @@
             """Write nothing."""
 
         async def test(fleet: NodeFleet) -> None:
-            with mock.patch.object(StreamOrigins, "_write_in_turn", never):
+            with mock.patch.object(StreamOrigins, "_write_by_rank", never):
                 new = await fleet.start_upstream("i-new", version="v1.1")
                 await trio.sleep(BEFORE_RELEASE_S)
                 # More at once than the other one has slots for.
