--- a/tests/builders/job_world.py
+++ b/tests/builders/job_harness.py
@@ -19,13 +19,13 @@
 
 __all__ = [
     "NODES",
-    "Begun",
-    "JobWorld",
+    "JobHarness",
+    "StartedRun",
     "Step",
     "lost_answer",
-    "noted_runs",
     "random_steps",
-    "running_world",
+    "recorded_runs",
+    "running_harness",
 ]
 
 NODES = 3
@@ -38,17 +38,17 @@
 _KINDS = {
     "submit": 6,
     "submit_lost": 2,
-    "submit_turned_away": 3,
+    "submit_refused": 3,
     "end": 6,
     "end_lost": 2,
     "kill": 2,
     "stop": 2,
     "slow": 2,
-    "turn_away": 2,
-    "silence": 1,
-    "forget": 1,
-    "away": 1,
-    "mend": 3,
+    "refuse": 2,
+    "silent": 1,
+    "compact": 1,
+    "outage": 1,
+    "repair": 3,
     "pause": 3,
 }
 
@@ -66,7 +66,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Begun:
+class StartedRun:
     """A run that began: its job, the epoch that its node believed in, and trio's time."""
 
     job_id: str
@@ -75,50 +75,50 @@
 
 
 @dataclass(slots=True)
-class JobWorld:
+class JobHarness:
     """The fleet, and each node's way to the store, which has faults of its own."""
 
     fleet: NodeFleet
-    ways: list[MetadataStoreService] = field(default_factory=list)
+    links: list[MetadataStoreService] = field(default_factory=list)
 
-    def live(self, number: int) -> RunningNode:
+    def live_node(self, number: int) -> RunningNode:
         """Return the node of that number, or the next one that runs."""
         nodes = [self.fleet.nodes[(number + offset) % NODES] for offset in range(NODES)]
-        return next(node for node in nodes if node not in self.gone())
+        return next(node for node in nodes if node not in self.stopped_nodes())
 
-    def way_of(self, node: RunningNode) -> MetadataStoreService:
-        return self.ways[self.fleet.nodes.index(node)]
+    def link_of(self, node: RunningNode) -> MetadataStoreService:
+        return self.links[self.fleet.nodes.index(node)]
 
-    def gone(self) -> list[RunningNode]:
+    def stopped_nodes(self) -> list[RunningNode]:
         """Return the nodes that were killed, or asked to stop."""
         return [node for node in self.fleet.nodes if node.stop.requested or node.ended.is_set()]
 
-    async def restart_gone(self) -> None:
+    async def restart_stopped(self) -> None:
         """Start the nodes again that are gone, under their names."""
-        for node in self.gone():
+        for node in self.stopped_nodes():
             await self.fleet.restart(node)
 
-    def break_way(self, step: Step) -> None:
+    def inject_fault(self, step: Step) -> None:
         """Harm the way of a node to the store, or the store itself, until ``mend``."""
-        way = self.ways[step.node]
+        link = self.links[step.node]
         match step.kind:
             case "slow":
                 kind = _SLOW_KINDS[step.variant % len(_SLOW_KINDS)]
-                way.faults.delays_ms[kind] = _SLOW_MS[step.variant % len(_SLOW_MS)]
-            case "turn_away":
-                way.refuse_status = 429
-            case "silence":
-                way.faults.silent = True
-            case "forget":
+                link.faults.delays_ms[kind] = _SLOW_MS[step.variant % len(_SLOW_MS)]
+            case "refuse":
+                link.refuse_status = 429
+            case "silent":
+                link.faults.silent = True
+            case "compact":
                 self.fleet.store.state.compact(self.fleet.store.state.revision)
-            case "away":
-                for each in (*self.ways, self.fleet.store):
+            case "outage":
+                for each in (*self.links, self.fleet.store):
                     each.refuse_status = 503
 
-    def mend(self) -> None:
-        for way in (*self.ways, self.fleet.store):
-            way.faults.clear()
-            way.refuse_status = 0
+    def repair(self) -> None:
+        for link in (*self.links, self.fleet.store):
+            link.faults.clear()
+            link.refuse_status = 0
 
 
 def random_steps(seed: int, count: int) -> list[Step]:
@@ -135,36 +135,36 @@
 
 
 @contextmanager
-def noted_runs() -> Iterator[list[Begun]]:
+def recorded_runs() -> Iterator[list[StartedRun]]:
     """Note each run as its node begins it, with the epoch under which it does."""
-    begun: list[Begun] = []
+    started: list[StartedRun] = []
     run_item = job_runner.run_item
 
-    async def note_and_run(http, job, *rest: object) -> object:
-        begun.append(Begun(job.job_id, job.epoch, trio.current_time()))
+    async def record_and_run(http, job, *rest: object) -> object:
+        started.append(StartedRun(job.job_id, job.epoch, trio.current_time()))
         return await run_item(http, job, *rest)
 
     # How soon a disk has to answer is not tested with these worlds, of which several run at once.
-    patience = mock.patch.object(spools, "_COPY_TIMEOUT_MS", 1000.0)
-    with mock.patch.object(job_runner, "run_item", note_and_run), patience:
-        yield begun
+    patcher = mock.patch.object(spools, "_COPY_TIMEOUT_MS", 1000.0)
+    with mock.patch.object(job_runner, "run_item", record_and_run), patcher:
+        yield started
 
 
 @asynccontextmanager
-async def running_world(folder: Path, event_interval_ms: float) -> AsyncIterator[JobWorld]:
+async def running_harness(folder: Path, event_interval_ms: float) -> AsyncIterator[JobHarness]:
     """Run three nodes before slow upstreams, with two spools, while the block runs."""
     async with running_fleet(nodes=0) as fleet:
-        world = JobWorld(fleet)
+        harness = JobHarness(fleet)
         for upstream in fleet.upstreams:
             upstream.event_interval_ms = event_interval_ms
         for number in range(NODES):
-            way = MetadataStoreService(state=fleet.store.state)
-            await fleet.nursery.start(way.run, LOOPBACK)
-            world.ways.append(way)
-            await fleet.start_node(number, store_address=str(way.address), lease_ttl_ms=1000)
+            link = MetadataStoreService(state=fleet.store.state)
+            await fleet.nursery.start(link.run, LOOPBACK)
+            harness.links.append(link)
+            await fleet.start_node(number, store_address=str(link.address), lease_ttl_ms=1000)
         for number in range(_SPOOLS):
             await fleet.start_spool(number, folder / str(number))
         keys = [f"{_KEYS.spools}spool-{number}" for number in range(_SPOOLS)]
         await wait_until(lambda: all(fleet.store.state.get(key) for key in keys))
         await fleet.wait_ready()
-        yield world
+        yield harness
--- a/tests/builders/runner_world.py
+++ b/tests/builders/runner_simulation.py
@@ -42,12 +42,12 @@
 from fescuedock.standin.kv_state import CompactedError, KvState, prefix_end
 from tests.builders.forwarding import route, route_table, stored_item
 
-__all__ = ["END_BOUND_MS", "KEYS", "ModelNode", "RunnerWorld", "StoreWay", "items_of"]
+__all__ = ["END_BOUND_MS", "KEYS", "RunnerSimulation", "SimulatedNode", "StoreLink", "items_of"]
 
 END_BOUND_MS = 3000
 KEYS = JobKeys("p/")
 # One way over the network, and the node's timeout of a call.
-_WAY_S = 0.004
+_HOP_S = 0.004
 _TIMEOUT_S = 0.3
 # From the beginning of a harmful item until all nodes know that its upstream has ended.
 _CRASH_S = 0.05
@@ -60,7 +60,7 @@
 
 
 @dataclass(slots=True)
-class StoreWay:
+class StoreLink:
     """One node's way to the store, with its faults; calls execute after ``before_s``.
 
     ``lose`` calls take effect without an answer; ``after_s`` holds answers back.
@@ -71,16 +71,16 @@
     silent: bool = False
     before_s: float = 0.0
     after_s: float = 0.0
-    lose: int = 0
+    lost_answers: int = 0
     _changed: trio.Event = field(default_factory=trio.Event)
 
     def __post_init__(self) -> None:
         self.state.listeners.append(self._note_change)
 
-    def mend(self) -> None:
+    def repair(self) -> None:
         self.refuses = self.silent = False
         self.before_s = self.after_s = 0.0
-        self.lose = 0
+        self.lost_answers = 0
 
     async def get(self, key: str, *, at_revision: int = 0) -> Result[KvEntry | None, Fault]:
         return await self._call(lambda: Ok(self.state.get(key)), writes=False)
@@ -129,16 +129,16 @@
     async def _call(self, execute, *, writes: bool) -> Result:
         unanswered = ResultCode.KV_UNKNOWN if writes else ResultCode.KV_UNAVAILABLE
         if self.refuses:
-            await trio.sleep(_WAY_S)
+            await trio.sleep(_HOP_S)
             return _fault(ResultCode.KV_UNAVAILABLE)
         if self.silent:
             await trio.sleep(_TIMEOUT_S)
             return _fault(unanswered)
-        before_s, after_s = _WAY_S + self.before_s, _WAY_S + self.after_s
+        before_s, after_s = _HOP_S + self.before_s, _HOP_S + self.after_s
         await trio.sleep(before_s)
         answer = execute()
-        lost = writes and self.lose > 0
-        self.lose -= lost
+        lost = writes and self.lost_answers > 0
+        self.lost_answers -= lost
         await trio.sleep(_TIMEOUT_S if lost else min(after_s, _TIMEOUT_S))
         return _fault(unanswered) if lost or before_s + after_s > _TIMEOUT_S else answer
 
@@ -159,31 +159,31 @@
 class _View:
     """What membership shows ``own``: nodes that run and are not hidden, and all upstreams."""
 
-    def __init__(self, world: "RunnerWorld", own: str) -> None:
-        self._world = world
+    def __init__(self, simulation: "RunnerSimulation", own: str) -> None:
+        self._simulation = simulation
         self._own = own
         self.vm_id = own
-        self.quarantine = world.quarantine
+        self.quarantine = simulation.quarantine
         self.upstreams = {
             name: UpstreamRecord(
                 name, "caldas", "sala-1", "10.0.0.9", 1, UpstreamKind.ENGINE, _SERVICE
             )
-            for name in world.slots
+            for name in simulation.slots
         }
 
     @property
     def vms(self) -> dict[str, _Vm]:
-        shown = set(self._world.present()) - (self._world.hidden - {self._own})
+        shown = set(self._simulation.members()) - (self._simulation.hidden - {self._own})
         return {name: _Vm(name) for name in shown}
 
     async def wait_quarantine(self) -> None:
-        await self._world.crashed.wait()
+        await self._simulation.crashed.wait()
 
     def verdict_on(self, work_id: str, _parts: object = ()) -> Verdict:
         return self.quarantine.verdict(work_id, now_ms())
 
     def live_vms(self, _program: Program) -> list[_Vm]:
-        return [vm for vm in self.vms.values() if not self._world.is_leaving(vm.vm_id)]
+        return [vm for vm in self.vms.values() if not self._simulation.is_leaving(vm.vm_id)]
 
     def upstreams_of(self, _service: str) -> list[UpstreamRecord]:
         return list(self.upstreams.values())
@@ -192,20 +192,20 @@
 class _Permits:
     """Grants slots at once while there are any, to all nodes together.
 
-    While ``world.full`` says that calls of others hold them, it grants none.
+    While ``simulation.slots_full`` says that calls of others hold them, it grants none.
     """
 
     holder_id = "holder"
     is_unanswered = False
 
-    def __init__(self, world: "RunnerWorld") -> None:
-        self._world = world
-        self._slots = world.slots
+    def __init__(self, simulation: "RunnerSimulation") -> None:
+        self._simulation = simulation
+        self._slots = simulation.slots
         self.loads: dict = {}
 
     async def ask(self, ask: msgspec.Struct, _timeout_ms: float) -> Result["_Grant", Fault]:
-        await trio.sleep(_WAY_S)
-        if self._world.full or self._slots[ask.upstream_id] <= 0:
+        await trio.sleep(_HOP_S)
+        if self._simulation.slots_full or self._slots[ask.upstream_id] <= 0:
             return Err(Fault(ResultCode.KV_UNAVAILABLE, "full", 60))
         self._slots[ask.upstream_id] -= 1
         return Ok(_Grant(ask.upstream_id, alone=ask.alone))
@@ -251,7 +251,7 @@
         return now_ms()
 
 
-class _OwnWatch:
+class _SelfWatching:
     """Each node asks the store by itself."""
 
     vm_id = "n"
@@ -267,7 +267,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BegunItem:
+class StartedItem:
     """A run that began: what, under which epoch, and trio's time in seconds.
 
     ``refused_s`` is how long its node had known by then that the job had ended or was another's.
@@ -280,18 +280,20 @@
     refused_s: float = 0.0
 
 
-class ModelNode:
+class SimulatedNode:
     """One process of a node; ``skew_s`` is how far its clock is ahead."""
 
-    def __init__(self, world: "RunnerWorld", name: str, way: StoreWay, skew_s: int) -> None:
+    def __init__(
+        self, simulation: "RunnerSimulation", name: str, link: StoreLink, skew_s: int
+    ) -> None:
         self.name = name
-        self.way = way
+        self.link = link
         self.leaving = False
         self.scope = trio.CancelScope()
         self.address = Address("10.0.0.1", int(name[2:]) + 1)
-        world.boots += 1
-        self.owner = OwnerIdentity(name, world.boots)
-        rng = random.Random(world.boots)
+        simulation.boots += 1
+        self.owner = OwnerIdentity(name, simulation.boots)
+        rng = random.Random(simulation.boots)
         settings = NodeSettings(
             front_address="10.0.0.1:1",
             ready_address="10.0.0.1:2",
@@ -301,11 +303,16 @@
             commit_interval_ms=100,
             end_bound_ms=END_BOUND_MS,
         )
-        self.store = JobStore(way, KEYS, settings.store_value_bytes)
-        neighbours = partial(world.neighbours_of, self)
-        call = partial(world.call, self)
+        self.store = JobStore(link, KEYS, settings.store_value_bytes)
+        neighbours = partial(simulation.neighbours_of, self)
+        call = partial(simulation.call, self)
         self.replicas = Replicas(
-            way, [WatchedPrefix(KEYS.live, _WATCH_MS, 20)], call, neighbours, _OwnWatch(), rng
+            link,
+            [WatchedPrefix(KEYS.live, _WATCH_MS, 20)],
+            call,
+            neighbours,
+            _SelfWatching(),
+            rng,
         )
         self._clock = lambda: int(_UNIX_S + skew_s + trio.current_time())
         cache = JobCache(1_000_000)
@@ -317,8 +324,8 @@
             cache,
             self.replicas,
             configuration,
-            _View(world, name),
-            _Permits(world),
+            _View(simulation, name),
+            _Permits(simulation),
             self,
             self.owner,
             self._clock,
@@ -369,12 +376,12 @@
     async def run(self) -> None:
         with self.scope:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._note_refused)
+                nursery.start_soon(self._track_refusals)
                 nursery.start_soon(self.replicas.run)
                 nursery.start_soon(self.runner.run)
                 nursery.start_soon(self.ends.run)
 
-    async def _note_refused(self) -> None:
+    async def _track_refusals(self) -> None:
         table = self.replicas.tables[KEYS.live]
         while True:
             seen = self.replicas.version
@@ -417,7 +424,7 @@
         self.scope.cancel()
 
 
-class RunnerWorld:
+class RunnerSimulation:
     """Three nodes; a node that was killed is missed by the others after ``lag_s``."""
 
     NODES = 3
@@ -425,20 +432,20 @@
     def __init__(self, nursery: trio.Nursery, skews_s: list[int], run_s: float) -> None:
         self.state = KvState()
         self.slots = Counter({f"i-{number}": _SLOTS for number in range(_UPSTREAMS)})
-        self.begun: list[BegunItem] = []
+        self.started_items: list[StartedItem] = []
         self.boots = 0
-        self.lag_s = 0.6
+        self.detection_lag_s = 0.6
         self.run_s = run_s
         # From the choice of an item to the writing of its request.
         self.connect_s = 0.0
         self._nursery = nursery
         self._skews_s = skews_s
         self._gone_s: dict[str, float] = {}
-        self.nodes: list[ModelNode] = []
+        self.nodes: list[SimulatedNode] = []
         # Nodes that membership misses though they run, and those that reach no other node.
         self.hidden: set[str] = set()
-        self.parted: set[str] = set()
-        self.full = False
+        self.partitioned: set[str] = set()
+        self.slots_full = False
         # Items that crash the upstream that begins them; how often each has, and what nodes know.
         self.harmful: set[str] = set()
         self.crashes: Counter[str] = Counter()
@@ -447,27 +454,27 @@
 
     def start(self) -> None:
         for number in range(self.NODES):
-            way = StoreWay(self.state)
-            node = ModelNode(self, f"n-{number}", way, self._skews_s[number])
+            link = StoreLink(self.state)
+            node = SimulatedNode(self, f"n-{number}", link, self._skews_s[number])
             self.nodes.append(node)
             self._nursery.start_soon(node.run)
 
-    def runs(self, node: ModelNode) -> bool:
+    def is_running(self, node: SimulatedNode) -> bool:
         return not node.scope.cancel_called
 
-    def live(self, number: int) -> ModelNode | None:
+    def live_node(self, number: int) -> SimulatedNode | None:
         """Return the node of that number, or the next one that takes calls."""
         order = [self.nodes[(number + offset) % self.NODES] for offset in range(self.NODES)]
-        return next((node for node in order if self.runs(node) and not node.leaving), None)
+        return next((node for node in order if self.is_running(node) and not node.leaving), None)
 
-    def present(self) -> list[str]:
+    def members(self) -> list[str]:
         """Return the nodes that membership shows, leaving ones included."""
         for node in self.nodes:
-            if self.runs(node):
+            if self.is_running(node):
                 self._gone_s.pop(node.name, None)
             else:
                 self._gone_s.setdefault(node.name, trio.current_time())
-        late_s = trio.current_time() - self.lag_s
+        late_s = trio.current_time() - self.detection_lag_s
         return [
             node.name for node in self.nodes if self._gone_s.get(node.name, late_s + 1) > late_s
         ]
@@ -475,37 +482,37 @@
     def is_leaving(self, name: str) -> bool:
         return any(node.name == name and node.leaving for node in self.nodes)
 
-    def neighbours_of(self, own: ModelNode) -> list[Address]:
-        return [node.address for node in self.nodes if node is not own and self.runs(node)]
+    def neighbours_of(self, own: SimulatedNode) -> list[Address]:
+        return [node.address for node in self.nodes if node is not own and self.is_running(node)]
 
     async def call(
-        self, caller: ModelNode, address: Address, message: msgspec.Struct, timeout_ms: float
+        self, caller: SimulatedNode, address: Address, message: msgspec.Struct, timeout_ms: float
     ) -> Result[msgspec.Struct, Fault]:
         """Call the node at ``address`` from another."""
-        await trio.sleep(_WAY_S)
+        await trio.sleep(_HOP_S)
         node = next((node for node in self.nodes if node.address == address), None)
-        if node is None or not self.runs(node) or self.parted & {caller.name, node.name}:
+        if node is None or not self.is_running(node) or self.partitioned & {caller.name, node.name}:
             return _fault(ResultCode.PEER_UNREACHABLE)
         with trio.move_on_after(timeout_ms / 1000):
             reply = await node.handlers[type(message)](message, None)
-            await trio.sleep(_WAY_S)
+            await trio.sleep(_HOP_S)
             return Ok(reply)
         return _fault(ResultCode.PEER_UNKNOWN)
 
-    def leave(self, node: ModelNode) -> None:
+    def leave(self, node: SimulatedNode) -> None:
         self._nursery.start_soon(node.leave)
 
-    def restart(self, node: ModelNode) -> None:
+    def restart(self, node: SimulatedNode) -> None:
         """Start a killed or stopped node again under its name."""
         number = self.nodes.index(node)
         node.scope.cancel()
-        again = ModelNode(self, node.name, node.way, self._skews_s[number])
+        again = SimulatedNode(self, node.name, node.link, self._skews_s[number])
         self.nodes[number] = again
         self._nursery.start_soon(again.run)
 
     async def run_item(
         self,
-        node: ModelNode,
+        node: SimulatedNode,
         job: StoredJobRecord,
         item: ItemRun,
         upstream: UpstreamRecord,
@@ -520,16 +527,18 @@
         """
         with trio.CancelScope(shield=True):
             await trio.sleep(self.connect_s)
-        if not self.runs(node) or check() is not None:
+        if not self.is_running(node) or check() is not None:
             self.slots[upstream.upstream_id] += 1
             return ItemEnd.INTERRUPTED
         at_s, refused_s = trio.current_time(), node.refused_s(job.job_id)
-        self.begun.append(BegunItem(item.item.item_id, job.job_id, job.epoch, at_s, refused_s))
+        self.started_items.append(
+            StartedItem(item.item.item_id, job.job_id, job.epoch, at_s, refused_s)
+        )
         if item.item.item_id in self.harmful:
             await self._crash(item, upstream, grant)
             return ItemEnd.INTERRUPTED
         # Of different lengths, so that commits are under way at most times.
-        share = 0.5 + len(self.begun) % 7 / 7
+        share = 0.5 + len(self.started_items) % 7 / 7
         try:
             with trio.move_on_after(self.run_s * share):
                 await stopped.wait()
--- a/tests/builders/versions.py
+++ b/tests/builders/versions.py
@@ -7,7 +7,7 @@
 from fescuedock.platform.standin.event_upstream import versions_in
 from tests.builders.node import Answer, NodeFleet
 
-__all__ = ["TakenUp", "event_numbers", "take_up", "versions_of"]
+__all__ = ["ResumedStream", "event_numbers", "resume_stream", "versions_of"]
 
 _EVENT = re.compile(rb"id: (\d+)\ndata: ([^\n]*)\n\n")
 
@@ -23,7 +23,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TakenUp:
+class ResumedStream:
     """A stream over two tries of its client."""
 
     first: Answer
@@ -38,7 +38,7 @@
         return event_numbers(self.first.body + self.second.body)
 
 
-async def take_up(
+async def resume_stream(
     fleet: NodeFleet,
     address: Address,
     target: str,
@@ -46,8 +46,8 @@
     first: Answer,
     first_id: str,
     **headers: str,
-) -> TakenUp:
+) -> ResumedStream:
     """Have a client go on at ``address`` with a stream that broke off."""
     fields = {"resumes": first_id, "last-event-id": str(event_numbers(first.body)[-1])}
     second = await fleet.call(address, "POST", target, body, fields | headers)
-    return TakenUp(first, second)
+    return ResumedStream(first, second)
--- a/tests/test_items_passed_over.py
+++ b/tests/test_items_passed_over.py
@@ -29,7 +29,7 @@
 
 
 @dataclass(slots=True)
-class Played:
+class Outcomes:
     """What came of all seeds."""
 
     items: list[ItemOutcome] = field(default_factory=list)
@@ -55,9 +55,9 @@
     )
 
 
-def play(load: BatchLoad, calls_per_s: float) -> Played:
+def play(load: BatchLoad, calls_per_s: float) -> Outcomes:
     """Play one late job, and then younger ones and calls, on 16 slots."""
-    played = Played(late_items=load.items * len(SEEDS))
+    outcomes = Outcomes(late_items=load.items * len(SEEDS))
 
     async def play_seed(seed: int) -> None:
         async with trio.open_nursery() as nursery:
@@ -68,18 +68,18 @@
 
             async def play_items() -> None:
                 rng = random.Random(seed + 100)
-                played.items += await play_jobs(fleet, load, rng, rest_s=0.0, late_jobs=1)
+                outcomes.items += await play_jobs(fleet, load, rng, rest_s=0.0, late_jobs=1)
                 done.set()
 
             nursery.start_soon(play_items)
             phases = [(load.length_s, calls_per_s)]
-            played.calls += await play_calls(fleet, phases, random.Random(seed), CALLS)
+            outcomes.calls += await play_calls(fleet, phases, random.Random(seed), CALLS)
             await done.wait()
             nursery.cancel_scope.cancel()
 
     for seed in SEEDS:
         trio.run(play_seed, seed, clock=MockClock(autojump_threshold=0))
-    return played
+    return outcomes
 
 
 class LateJobTest(unittest.TestCase):
@@ -87,16 +87,16 @@
 
     def test_a_late_job_is_done_while_younger_jobs_keep_coming(self) -> None:
         """Guards against late items that no node asked for and no owner granted: 6 of 18 done."""
-        played = play(young_jobs(per_s=6.0), calls_per_s=10.0)
-        self.assertEqual(len(played.late), played.late_items)
-        self.assertLessEqual(max(item.took_ms for item in played.late), LISTED_MS)
+        outcomes = play(young_jobs(per_s=6.0), calls_per_s=10.0)
+        self.assertEqual(len(outcomes.late), outcomes.late_items)
+        self.assertLessEqual(max(item.took_ms for item in outcomes.late), LISTED_MS)
 
     def test_it_is_done_where_calls_cut_off_most_runs_before_their_first_event(self) -> None:
         """Guards against late items whose every run was cut off before it gave anything."""
-        played = play(young_jobs(per_s=3.0), calls_per_s=36.0)
-        self.assertEqual(len(played.late), played.late_items)
-        self.assertLessEqual(max(item.took_ms for item in played.late), LISTED_MS)
-        self.assertTrue(all(call.on_time for call in played.calls))
+        outcomes = play(young_jobs(per_s=3.0), calls_per_s=36.0)
+        self.assertEqual(len(outcomes.late), outcomes.late_items)
+        self.assertLessEqual(max(item.took_ms for item in outcomes.late), LISTED_MS)
+        self.assertTrue(all(call.on_time for call in outcomes.calls))
 
 
 if __name__ == "__main__":
--- a/tests/test_job_refusals.py
+++ b/tests/test_job_refusals.py
@@ -63,7 +63,7 @@
         refused = self.accept(ScriptedKv([], []))
         self.assertIs(refused.err_value.code, ResultCode.KV_UNAVAILABLE)
 
-    def test_a_job_that_is_there_but_cannot_be_read_is_not_refused(self) -> None:
+    def test_a_job_that_is_stored_but_unreadable_is_not_refused(self) -> None:
         codes = [ResultCode.KV_CONFLICT]
         self.assertIsNone(self.accept(ScriptedKv(codes, [])))
 
@@ -78,7 +78,7 @@
         disk.failing = failing
         return disk, files, files.put(JOB)
 
-    def test_what_a_restart_may_bring_back_is_not_refused(self) -> None:
+    def test_a_copy_that_a_restart_may_restore_is_not_refused(self) -> None:
         for failing_step in ("create", "write", "sync", "rename", "sync_folder"):
             with self.subTest(step=failing_step):
                 disk, files, put = self.put_while(lambda step, name=failing_step: step == name)
@@ -92,7 +92,7 @@
                     self.assertIs(put.err_value.code, ResultCode.KV_UNKNOWN)
                     self.assertIn("job-1", files)
 
-    def test_it_counts_as_kept_once_the_folder_is_on_disk(self) -> None:
+    def test_a_copy_counts_once_the_folder_is_synced(self) -> None:
         disk, files, _ = self.put_while(lambda step: step == "sync_folder")
         self.assertIsInstance(files.put(JOB), Err)
         disk.failing = lambda _step: False
@@ -102,7 +102,7 @@
         again.open()
         self.assertIn("job-1", again)
 
-    def test_a_node_counts_only_a_promise_as_a_denial(self) -> None:
+    def test_a_node_counts_only_a_certain_refusal_as_a_denial(self) -> None:
         for code, may_be_stored in (
             (ResultCode.STORES_UNAVAILABLE, False),
             (ResultCode.DISK_FULL, False),
--- a/tests/test_job_runner_harmful.py
+++ b/tests/test_job_runner_harmful.py
@@ -9,16 +9,16 @@
 from hypothesis import strategies as st
 
 from fescuedock.node import job_runner
-from tests.builders.runner_world import KEYS, RunnerWorld, items_of
+from tests.builders.runner_simulation import KEYS, RunnerSimulation, items_of
 
 ITEMS = 24
 RUN_S = 0.3
 HARMFUL = ("j0-3", "j0-11")
 # Three crashes are enough; one more may have begun at another node that had the job as well.
-MOST_CRASHES = 3 + 1
-CALM_S = 15.0
+MAX_CRASHES = 3 + 1
+SETTLE_S = 15.0
 
-nodes = st.integers(0, RunnerWorld.NODES - 1)
+nodes = st.integers(0, RunnerSimulation.NODES - 1)
 steps = st.lists(
     st.one_of(
         st.tuples(st.sampled_from(["kill", "leave", "restart", "hide"]), nodes),
@@ -40,47 +40,47 @@
     def test_each_harmful_item_ends_few_upstreams_and_all_others_are_done(
         self, chosen: list[tuple]
     ) -> None:
-        trio.run(self.run_world, chosen, clock=trio.testing.MockClock(autojump_threshold=0))
+        trio.run(self.run_simulation, chosen, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    async def run_world(self, chosen: list[tuple]) -> None:
+    async def run_simulation(self, chosen: list[tuple]) -> None:
         async with trio.open_nursery() as nursery:
-            world = RunnerWorld(nursery, [0, 0, 0], RUN_S)
-            world.harmful |= set(HARMFUL)
-            with mock.patch.object(job_runner, "run_item", world.run_item):
-                world.start()
+            simulation = RunnerSimulation(nursery, [0, 0, 0], RUN_S)
+            simulation.harmful |= set(HARMFUL)
+            with mock.patch.object(job_runner, "run_item", simulation.run_item):
+                simulation.start()
                 await trio.sleep(0.3)
-                await world.nodes[0].submit("j0", items_of("j0", ITEMS))
+                await simulation.nodes[0].submit("j0", items_of("j0", ITEMS))
                 for step in chosen:
-                    await self.do(world, *step)
-                world.hidden.clear()
-                for node in tuple(world.nodes):
-                    if not world.runs(node) or node.leaving:
-                        world.restart(node)
-                await trio.sleep(CALM_S)
-                store = world.nodes[0].store
+                    await self.do(simulation, *step)
+                simulation.hidden.clear()
+                for node in tuple(simulation.nodes):
+                    if not simulation.is_running(node) or node.leaving:
+                        simulation.restart(node)
+                await trio.sleep(SETTLE_S)
+                store = simulation.nodes[0].store
                 record = (await store.read_record("j0")).unwrap().record
                 results = (await store.load(record)).unwrap().results
             nursery.cancel_scope.cancel()
         done = {item.item_id for item in results if item.completed}
         self.assertEqual(done, {f"j0-{number}" for number in range(ITEMS)} - set(HARMFUL))
-        self.assertLessEqual(max(world.crashes.values()), MOST_CRASHES)
-        self.assertTrue(world.state.get(KEYS.record("j0")))
+        self.assertLessEqual(max(simulation.crashes.values()), MAX_CRASHES)
+        self.assertTrue(simulation.state.get(KEYS.record("j0")))
 
-    async def do(self, world: RunnerWorld, kind: str, what: float) -> None:
-        node = world.live(int(what))
+    async def do(self, simulation: RunnerSimulation, kind: str, argument: float) -> None:
+        node = simulation.live_node(int(argument))
         match kind:
             case "kill" if node:
                 node.scope.cancel()
             case "leave" if node:
-                world.leave(node)
+                simulation.leave(node)
             case "restart":
-                world.restart(world.nodes[int(what)])
+                simulation.restart(simulation.nodes[int(argument)])
             case "hide":
-                world.hidden.add(world.nodes[int(what)].name)
+                simulation.hidden.add(simulation.nodes[int(argument)].name)
             case "submit" if node:
                 await node.submit("j0", items_of("j0", ITEMS))
             case "pause":
-                await trio.sleep(what)
+                await trio.sleep(argument)
 
 
 if __name__ == "__main__":
--- a/tests/test_late_answers.py
+++ b/tests/test_late_answers.py
@@ -53,7 +53,7 @@
             await found.response.read()
             return found.head.status, found.head.not_run
 
-    def test_a_second_attempt_takes_no_answer_to_the_first(self) -> None:
+    def test_a_second_attempt_ignores_the_answer_to_the_first(self) -> None:
         self.ran = False
         seen: list[tuple[int, bool]] = []
 
--- a/tests/test_node_attempt.py
+++ b/tests/test_node_attempt.py
@@ -28,7 +28,7 @@
 
 
 @asynccontextmanager
-async def kept_connection() -> AsyncIterator[tuple[HttpClient, EventUpstream, UpstreamRecord]]:
+async def idle_connection() -> AsyncIterator[tuple[HttpClient, EventUpstream, UpstreamRecord]]:
     """Give an upstream that has run one request, and a client that keeps the connection to it."""
     upstream = EventUpstream("i-1")
     async with trio.open_nursery() as nursery, open_http() as http:
@@ -55,7 +55,7 @@
 class UnwantedAttemptTest(unittest.TestCase):
     def test_a_call_that_has_ended_is_not_sent(self) -> None:
         async def test() -> None:
-            async with kept_connection() as (http, upstream, record):
+            async with idle_connection() as (http, upstream, record):
                 with trio.CancelScope() as call:
                     call.cancel()
                     await send(http, record, "late")
@@ -66,7 +66,7 @@
 
     def test_a_call_that_its_check_refuses_is_not_sent_and_the_next_one_is(self) -> None:
         async def test() -> None:
-            async with kept_connection() as (http, upstream, record):
+            async with idle_connection() as (http, upstream, record):
                 # On the connection that is kept, and on a new one.
                 for _ in range(2):
                     with self.assertRaises(WithdrawnError) as caught:
@@ -80,7 +80,7 @@
 
     def test_the_error_of_a_refused_call_is_not_lost_in_a_timeout_of_the_same_moment(self) -> None:
         async def test() -> None:
-            async with kept_connection() as (http, _upstream, record):
+            async with idle_connection() as (http, _upstream, record):
                 with self.assertRaises(WithdrawnError), trio.CancelScope() as stall:
                     headers = [("host", "desk.example")]
 
@@ -97,37 +97,37 @@
         run_async(test)
 
     def test_an_item_whose_permit_or_job_was_taken_back_is_not_sent(self) -> None:
-        for taken_back in ("permit", "job", "check", ""):
-            with self.subTest(taken_back or "nothing"):
-                run_async(lambda taken_back=taken_back: self.run_item(taken_back))
+        for revoked in ("permit", "job", "check", ""):
+            with self.subTest(revoked or "nothing"):
+                run_async(lambda revoked=revoked: self.run_item(revoked))
 
-    async def run_item(self, taken_back: str) -> None:
+    async def run_item(self, revoked: str) -> None:
         ended: list[EndedPermit] = []
         item = ItemRun(StoredItem("item", "/x", [], b"", 10))
         grant = Grant(HeldGrant(ask_for(WorkClass.BATCH), 0.0, 0.0), ended.append)
-        let_go = trio.Event()
-        refusal = SendRefusal.GONE if taken_back == "check" else None
+        released = trio.Event()
+        refusal = SendRefusal.GONE if revoked == "check" else None
 
         def check() -> SendRefusal | None:
             return refusal
 
-        async with kept_connection() as (http, upstream, record):
-            if taken_back == "permit":
+        async with idle_connection() as (http, upstream, record):
+            if revoked == "permit":
                 grant.revoked.set()
-            if taken_back == "job":
-                let_go.set()
+            if revoked == "job":
+                released.set()
             end = await run_item(
-                http, job_record(), item, record, grant, let_go, StartState(1, 0.0), check
+                http, job_record(), item, record, grant, released, StartState(1, 0.0), check
             )
             await trio.sleep(0.1)
         [outcome] = [permit.outcome for permit in ended]
-        if taken_back:
+        if revoked:
             self.assertEqual(dict(upstream.runs), {"first": 1})
             self.assertIs(end, ItemEnd.INTERRUPTED)
             # Neither says anything against the upstream.
-            withdrawn = taken_back == "check"
-            wanted = AttemptOutcome.CANCELLED if withdrawn else AttemptOutcome.REVOKED
-            self.assertIs(outcome, wanted)
+            withdrawn = revoked == "check"
+            expected = AttemptOutcome.CANCELLED if withdrawn else AttemptOutcome.REVOKED
+            self.assertIs(outcome, expected)
             self.assertEqual(item.failures, 0)
         else:
             self.assertEqual(dict(upstream.runs), {"first": 1, "item": 1})
--- a/tests/test_node_customers.py
+++ b/tests/test_node_customers.py
@@ -73,7 +73,7 @@
 
         self.run_fleet(test)
 
-    def test_who_brings_no_known_key_is_refused_at_once(self) -> None:
+    def test_a_caller_without_a_known_key_is_refused_at_once(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             before = len(self.seen(fleet))
             for headers in ({}, bearer("key-x"), {"Authorization": "Basic key-c1"}):
@@ -117,7 +117,7 @@
 
         self.run_fleet(test, nodes=1)
 
-    def test_a_key_that_was_taken_away_is_refused_and_a_new_one_served(self) -> None:
+    def test_a_revoked_key_is_refused_and_a_new_one_is_served(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             changed = CALDAS | {"apiKeys": ["key-c2", "key-c3"]}
             fleet.configure(document(3, (changed, GENT)))
@@ -129,7 +129,7 @@
 
         self.run_fleet(test)
 
-    def test_a_call_that_waits_does_not_run_once_its_key_is_gone(self) -> None:
+    def test_a_call_that_waits_does_not_run_once_its_key_is_revoked(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.event_interval_ms = 150.0
@@ -185,7 +185,7 @@
 
         self.run_fleet(test)
 
-    def test_what_is_over_a_limit_is_refused_at_once_at_any_node(self) -> None:
+    def test_calls_over_a_limit_are_refused_at_once_at_any_node(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             statuses: list[int] = []
             for number in range(40):
@@ -204,7 +204,7 @@
 
         self.run_fleet(test)
 
-    def test_a_customer_gets_its_whole_window_and_no_more_than_the_bound(self) -> None:
+    def test_a_customer_gets_its_full_limit_and_no_more_than_the_bound(self) -> None:
         """Guards the way through whole nodes: asker, keepers and their shares."""
 
         async def test(fleet: NodeFleet) -> None:
--- a/tests/test_node_harmful_calls.py
+++ b/tests/test_node_harmful_calls.py
@@ -19,7 +19,7 @@
 
 HARMFUL = "/rights/harmful"
 # Three crashes are enough to know a piece of work by.
-ENOUGH = 3
+MAX_CRASHES = 3
 # Between the tries of a client: nodes hear of each other's knowledge well within it.
 PAUSE_S = 0.4
 KEYS = JobKeys(next(field.default for field in fields(NodeSettings) if field.name == "key_prefix"))
@@ -29,7 +29,7 @@
     return sum(len(upstream.crashes) for upstream in fleet.upstreams)
 
 
-def stored_news(fleet: NodeFleet) -> list[CrashNews]:
+def stored_crash_news(fleet: NodeFleet) -> list[CrashNews]:
     """Return what nodes have written of upstreams that ended."""
     entries = fleet.store.state.page("", None, 10_000).entries
     found = [entry.value for entry in entries if entry.key.startswith(KEYS.crashes)]
@@ -37,7 +37,7 @@
 
 
 def stored_reports(fleet: NodeFleet) -> list[CrashReport]:
-    return [report for news in stored_news(fleet) for report in news.crashes]
+    return [report for news in stored_crash_news(fleet) for report in news.crashes]
 
 
 class HarmfulCallsTest(unittest.TestCase):
@@ -60,87 +60,87 @@
 
         run_async(run)
 
-    async def try_harmful(self, fleet: NodeFleet, number: int) -> Answer | None:
+    async def send_harmful(self, fleet: NodeFleet, number: int) -> Answer | None:
         """Make one try of the harmful call; None when its connection broke before an answer."""
         node = fleet.nodes[number % len(fleet.nodes)]
         headers = {"X-Request-Id": f"try-{number}", "X-Deadline-Ms": "3000"}
         return await fleet.call(node.front, "POST", HARMFUL, b"case", headers)
 
-    async def try_at_all(self, fleet: NodeFleet, first: int) -> list[Answer]:
+    async def send_to_all(self, fleet: NodeFleet, first: int) -> list[Answer]:
         """Make one try at each node at the same moment."""
         answers: list[Answer] = []
 
-        async def try_one(number: int) -> None:
-            answers.append(await self.try_harmful(fleet, number))
+        async def send_one(number: int) -> None:
+            answers.append(await self.send_harmful(fleet, number))
 
         async with trio.open_nursery() as nursery:
             for number in range(len(fleet.nodes)):
-                nursery.start_soon(try_one, first + number)
+                nursery.start_soon(send_one, first + number)
         return answers
 
-    async def try_until_refused(self, fleet: NodeFleet) -> None:
+    async def send_until_refused(self, fleet: NodeFleet) -> None:
         for number in range(20):
-            answer = await self.try_harmful(fleet, number)
+            answer = await self.send_harmful(fleet, number)
             if answer.status == 503 and b"WORK_HARMFUL" in answer.body:
                 return
             await trio.sleep(PAUSE_S)
         self.fail("it was never refused")
 
-    def test_a_call_that_comes_again_at_any_node_ends_three_upstreams_at_most(self) -> None:
+    def test_a_call_retried_at_any_node_ends_at_most_three_upstreams(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for number in range(8):
-                answer = await self.try_harmful(fleet, number)
+                answer = await self.send_harmful(fleet, number)
                 self.assertNotEqual(answer.status, 200)
                 await trio.sleep(PAUSE_S)
-            self.assertLessEqual(crash_count(fleet), ENOUGH)
+            self.assertLessEqual(crash_count(fleet), MAX_CRASHES)
             answer = await fleet.call(fleet.nodes[0].front, "POST", "/rights/other", b"case")
             self.assertEqual((answer.status, answer.whole), (200, True))
 
         self.run_fleet(test, nodes=3, upstreams=4)
 
-    def test_tries_at_all_nodes_at_once_end_one_more_than_are_under_way(self) -> None:
+    def test_concurrent_tries_end_at_most_one_more_upstream(self) -> None:
         """What begins before it is a suspect cannot be stopped; then it runs alone, once."""
 
         async def test(fleet: NodeFleet) -> None:
-            under_way = 0
-            while under_way < 2:
-                await self.try_at_all(fleet, 3 * crash_count(fleet))
+            before_suspected = 0
+            while before_suspected < 2:
+                await self.send_to_all(fleet, 3 * crash_count(fleet))
                 await trio.sleep(PAUSE_S)
                 # A single end makes no suspect, so that the next round goes as the first.
-                under_way = crash_count(fleet)
+                before_suspected = crash_count(fleet)
             for number in range(5):
-                await self.try_at_all(fleet, 100 + 3 * number)
+                await self.send_to_all(fleet, 100 + 3 * number)
                 await trio.sleep(PAUSE_S)
-            self.assertLessEqual(crash_count(fleet), under_way + 1)
+            self.assertLessEqual(crash_count(fleet), before_suspected + 1)
 
         self.run_fleet(test, nodes=3, upstreams=6)
 
-    def test_what_is_known_outlives_all_nodes(self) -> None:
+    def test_restrictions_outlive_all_nodes(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            await self.try_until_refused(fleet)
+            await self.send_until_refused(fleet)
             before = crash_count(fleet)
             for node in fleet.nodes:
                 node.kill()
             for node in list(fleet.nodes):
                 await fleet.restart(node)
             await fleet.wait_ready()
-            for answer in await self.try_at_all(fleet, 100):
+            for answer in await self.send_to_all(fleet, 100):
                 self.assertEqual(answer.status, 503)
                 self.assertGreater(float(answer.headers["retry-after"]), 60.0)
             self.assertEqual(crash_count(fleet), before)
 
         self.run_fleet(test, nodes=3, upstreams=4)
 
-    def test_it_is_known_everywhere_while_the_store_is_away_and_written_later(self) -> None:
+    def test_restrictions_spread_during_an_outage_and_are_stored_later(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             fleet.store.refuse_status = 503
             for number in range(8):
-                await self.try_harmful(fleet, number)
+                await self.send_harmful(fleet, number)
                 await trio.sleep(PAUSE_S)
-            self.assertLessEqual(crash_count(fleet), ENOUGH)
+            self.assertLessEqual(crash_count(fleet), MAX_CRASHES)
             fleet.store.refuse_status = 0
             with trio.fail_after(5):
-                await wait_until(lambda: len(stored_reports(fleet)) >= ENOUGH)
+                await wait_until(lambda: len(stored_reports(fleet)) >= MAX_CRASHES)
 
         self.run_fleet(test, nodes=3, upstreams=6)
 
@@ -168,11 +168,11 @@
             self.assertEqual((answer.status, answer.whole), (200, True))
             # That it has run to its end clears it for good.
             with trio.fail_after(3):
-                await wait_until(lambda: any(news.cleared for news in stored_news(fleet)))
+                await wait_until(lambda: any(news.cleared for news in stored_crash_news(fleet)))
 
         self.run_fleet(test, nodes=2, upstreams=2)
 
-    def test_a_call_whose_client_leaves_before_the_crash_is_found_all_the_same(self) -> None:
+    def test_a_call_whose_client_leaves_before_the_crash_is_still_found(self) -> None:
         """A run that was given up goes on at its upstream for a while, and nobody sees its end."""
 
         async def test(fleet: NodeFleet) -> None:
@@ -181,7 +181,7 @@
                 upstream.goes_on = True
             for number in range(8):
                 with trio.move_on_after(0.08):
-                    await self.try_harmful(fleet, number)
+                    await self.send_harmful(fleet, number)
                 # Others find the upstream gone, and its node hears of it.
                 await trio.sleep(0.1)
                 for node in fleet.nodes:
@@ -189,11 +189,11 @@
                     await fleet.call(node.front, "POST", f"/check/{number}", b"other", headers)
                 await wait_until(lambda: fleet.upstreams[0].listener.is_up)
                 await trio.sleep(PAUSE_S)
-            self.assertLessEqual(crash_count(fleet), ENOUGH)
+            self.assertLessEqual(crash_count(fleet), MAX_CRASHES)
 
         self.run_fleet(test, nodes=2, upstreams=1)
 
-    def test_answers_that_are_broken_off_by_upstreams_that_live_count_for_nothing(self) -> None:
+    def test_answers_cut_off_by_live_upstreams_count_for_nothing(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             [node] = fleet.nodes
             for _ in range(4):
@@ -205,7 +205,7 @@
                 upstream.faults.clear()
             answer = await fleet.call(node.front, "POST", "/rights/1", b"case")
             self.assertEqual((answer.status, answer.whole), (200, True))
-            self.assertEqual(stored_news(fleet), [])
+            self.assertEqual(stored_crash_news(fleet), [])
 
         self.run_fleet(test)
 
@@ -232,11 +232,11 @@
                         done = {item["id"] for item in page["results"]}
                     self.assertEqual(done, {"a", "b", "c"})
                     await trio.sleep(4.0)
-                    self.assertLessEqual(crash_count(fleet), ENOUGH)
+                    self.assertLessEqual(crash_count(fleet), MAX_CRASHES)
 
         run_async(test)
 
-    def test_what_is_known_of_an_item_holds_for_the_call_that_asks_for_the_same(self) -> None:
+    def test_a_restriction_of_an_item_applies_to_the_same_call(self) -> None:
         async def test() -> None:
             with trio.fail_after(30):
                 async with running_fleet(nodes=2, upstreams=4) as fleet:
@@ -244,7 +244,7 @@
                         upstream.harmful.add("/letters/harmful")
                     await submit(fleet, fleet.nodes[0].front, "harmful")
                     work_id = work_identity("POST", HOST, "/letters/harmful", "", b"harmful")
-                    await wait_until(lambda: crash_count(fleet) >= ENOUGH)
+                    await wait_until(lambda: crash_count(fleet) >= MAX_CRASHES)
                     await trio.sleep(1.0)
                     reports = stored_reports(fleet)
                     works = {run.work_id for report in reports for run in report.runs}
--- a/tests/test_node_harmful_parts.py
+++ b/tests/test_node_harmful_parts.py
@@ -22,27 +22,27 @@
 from tests.builders.standins import run_async
 
 # The users' bounds: so many ends, and so many runs later than this after the last of them.
-ENOUGH = 5
-CONTACT_S = 3.0
-MOST_LATE = 3
-MOST_CRASHES = 8
-LEAST_IN_TIME = 0.98
+CRASHES_TO_DETECT = 5
+DETECTION_S = 3.0
+MAX_LATE_RUNS = 3
+MAX_CRASHES = 8
+MIN_ON_TIME_SHARE = 0.98
 # Of sound calls that are judged; on a busy machine they take longer to come together.
-LEAST_SOUND = 100
-LAST = 40
-LEAST_S = 11.0
-MOST_S = 50.0
+MIN_SOUND_CALLS = 100
+LAST_CALLS = 40
+MIN_RUN_S = 11.0
+MAX_RUN_S = 50.0
 
 
-def known_s(fleet: NodeFleet) -> float:
+def detected_s(fleet: NodeFleet) -> float:
     """Return when the part was at its fifth crash, or at the last one before."""
     crashes = crashes_of(fleet)
-    return crashes[min(ENOUGH, len(crashes)) - 1] if crashes else float("inf")
+    return crashes[min(CRASHES_TO_DETECT, len(crashes)) - 1] if crashes else float("inf")
 
 
 def judged(callers: Callers) -> list[SoundCall]:
     """Return the sound calls that were sent long enough after that crash."""
-    return callers.sound_since(known_s(callers.fleet) + 2 * CONTACT_S)
+    return callers.sound_since(detected_s(callers.fleet) + 2 * DETECTION_S)
 
 
 class HarmfulPartsTest(unittest.TestCase):
@@ -77,10 +77,10 @@
                         if disturb is not None:
                             nursery.start_soon(disturb, fleet)
                         nursery.start_soon(callers.run, harmful, sound)
-                        await trio.sleep(LEAST_S)
-                        with trio.move_on_after(MOST_S - LEAST_S):
+                        await trio.sleep(MIN_RUN_S)
+                        with trio.move_on_after(MAX_RUN_S - MIN_RUN_S):
                             await wait_until(
-                                lambda: not sound or len(judged(callers)) >= LEAST_SOUND
+                                lambda: not sound or len(judged(callers)) >= MIN_SOUND_CALLS
                             )
                         nursery.cancel_scope.cancel()
 
@@ -88,30 +88,30 @@
         run_async(run)
         return callers
 
-    def assert_kept(self, callers: Callers, most_crashes: int = MOST_CRASHES) -> None:
+    def assert_bounded(self, callers: Callers, max_crashes: int = MAX_CRASHES) -> None:
         """Few more runs with the part, and sound calls served beside them."""
-        known = known_s(callers.fleet)
-        late = [at_s for at_s in callers.harmful_starts() if at_s > known + CONTACT_S]
-        self.assertLessEqual(len(late), MOST_LATE)
-        self.assertLessEqual(len(crashes_of(callers.fleet)), most_crashes)
+        known = detected_s(callers.fleet)
+        late = [at_s for at_s in callers.harmful_starts() if at_s > known + DETECTION_S]
+        self.assertLessEqual(len(late), MAX_LATE_RUNS)
+        self.assertLessEqual(len(crashes_of(callers.fleet)), max_crashes)
         self.assertFalse([call for call in callers.sound if call.refused_as_harmful])
         if callers.sound:
             sound = judged(callers)
             in_time = sum(call.in_time for call in sound)
-            self.assertGreaterEqual(len(sound), LEAST_SOUND)
-            self.assertGreaterEqual(in_time / len(sound), LEAST_IN_TIME)
+            self.assertGreaterEqual(len(sound), MIN_SOUND_CALLS)
+            self.assertGreaterEqual(in_time / len(sound), MIN_ON_TIME_SHARE)
 
     def test_a_part_crashes_few_upstreams_and_sound_calls_with_the_same_first_part_are_served(
         self,
     ) -> None:
-        self.assert_kept(self.play())
+        self.assert_bounded(self.play())
 
     def test_it_is_found_among_sound_calls_whose_other_parts_are_rare(self) -> None:
         rare = self.play(parts_of_sound=lambda number: [FIRST_PART, f"rare-{number // 3}"])
-        self.assert_kept(rare)
+        self.assert_bounded(rare)
 
-    def test_it_is_found_where_it_stands_before_another_shared_part(self) -> None:
-        self.assert_kept(
+    def test_it_is_found_before_another_shared_part(self) -> None:
+        self.assert_bounded(
             self.play(parts_of_harmful=lambda number: [FIRST_PART, BAD_PART, f"topic-{number % 4}"])
         )
 
@@ -119,28 +119,28 @@
         def parts(number: int) -> list[str]:
             return [FIRST_PART, BAD_PART] if number % 2 else [f"other-{number}", BAD_PART]
 
-        self.assert_kept(self.play(parts_of_harmful=parts))
+        self.assert_bounded(self.play(parts_of_harmful=parts))
 
     def test_it_is_found_where_answers_stop_in_their_first_event(self) -> None:
-        self.assert_kept(self.play(form=CrashForm.HALF_AN_EVENT))
+        self.assert_bounded(self.play(form=CrashForm.HALF_AN_EVENT))
 
     def test_it_is_found_where_answers_look_whole_before_the_crash(self) -> None:
-        self.assert_kept(self.play(form=CrashForm.WHOLE_EVENT, unframed=True))
+        self.assert_bounded(self.play(form=CrashForm.WHOLE_EVENT, unframed=True))
 
-    def test_it_is_found_where_upstreams_end_some_time_after_answers_that_look_whole(self) -> None:
+    def test_it_is_found_where_upstreams_end_after_answers_that_look_complete(self) -> None:
         """Other runs had begun beside one that was alone by then, so that none counted as alone."""
         form = CrashForm.WHOLE_EVENT
         callers = self.play(form=form, unframed=True, crash_after_ms=400.0)
         # Each client sends up to four calls before the first crash.
-        self.assert_kept(callers, most_crashes=12)
+        self.assert_bounded(callers, max_crashes=12)
 
     def test_it_is_found_without_other_calls(self) -> None:
-        self.assert_kept(self.play(sound=0))
+        self.assert_bounded(self.play(sound=0))
 
-    def test_ten_clients_at_once_crash_no_more_than_were_under_way(self) -> None:
-        self.assert_kept(self.play(harmful=10), most_crashes=10)
+    def test_ten_concurrent_clients_crash_at_most_ten_upstreams(self) -> None:
+        self.assert_bounded(self.play(harmful=10), max_crashes=10)
 
-    def test_it_stays_known_while_nodes_are_killed_in_turn(self) -> None:
+    def test_it_stays_known_while_nodes_are_killed_one_by_one(self) -> None:
         async def kill_in_turn(fleet: NodeFleet) -> None:
             await trio.sleep(2.0)
             for number in range(len(fleet.nodes)):
@@ -149,7 +149,7 @@
                 await trio.sleep(1.0)
 
         callers = self.play(sound=0, disturb=kill_in_turn)
-        self.assert_kept(callers)
+        self.assert_bounded(callers)
 
 
 class HarmfulItemsTest(unittest.TestCase):
@@ -181,7 +181,7 @@
                     self.assertEqual(done, {f"good-{number}" for number in range(4)})
                     await trio.sleep(6.0)
                     count = len(crashes_of(fleet))
-                    self.assertLessEqual(count, MOST_CRASHES)
+                    self.assertLessEqual(count, MAX_CRASHES)
                     fields = {"X-Prompt-Prefix": f"{FIRST_PART}:100,{BAD_PART}:9,mine:5"}
                     other = fleet.nodes[1].front
                     answer = await fleet.call(other, "POST", "/rights/1", b"case", fields)
@@ -229,13 +229,13 @@
                         nursery.start_soon(callers.run, 0, 8)
                         await crash_in_turn(fleet)
                         ended_s = trio.current_time()
-                        since_s = ended_s + CONTACT_S
-                        await wait_until(lambda: len(callers.sound_since(since_s)) >= LAST)
+                        since_s = ended_s + DETECTION_S
+                        await wait_until(lambda: len(callers.sound_since(since_s)) >= LAST_CALLS)
                         nursery.cancel_scope.cancel()
                     self.assertEqual(len(crashes_of(fleet)), 12)
                     self.assertFalse([call for call in callers.sound if call.refused_as_harmful])
-                    last = callers.sound[-LAST:]
-                    self.assertEqual(sum(call.in_time for call in last), LAST)
+                    last = callers.sound[-LAST_CALLS:]
+                    self.assertEqual(sum(call.in_time for call in last), LAST_CALLS)
 
         run_async(run)
 
--- a/tests/test_node_job_ends.py
+++ b/tests/test_node_job_ends.py
@@ -43,9 +43,9 @@
 class EndsTest(unittest.TestCase):
     def setUp(self) -> None:
         # How soon a disk has to answer is not tested here.
-        patience = mock.patch.object(node_spools, "_COPY_TIMEOUT_MS", 1000.0)
-        patience.start()
-        self.addCleanup(patience.stop)
+        patcher = mock.patch.object(node_spools, "_COPY_TIMEOUT_MS", 1000.0)
+        patcher.start()
+        self.addCleanup(patcher.stop)
 
     def run_fleet(self, test: Test, spools: int = SPOOLS, **options: object) -> None:
         async def run() -> None:
@@ -63,17 +63,17 @@
 
         run_async(run)
 
-    async def node_with_door(
+    async def start_node_with_endpoint(
         self, fleet: NodeFleet, **changes: object
     ) -> tuple[RunningNode, MetadataStoreService]:
         """Start a node with a way of its own to the same store."""
-        door = MetadataStoreService(state=fleet.store.state)
-        await fleet.nursery.start(door.run, LOOPBACK)
-        node = await fleet.start_node(2, store_address=str(door.address), **changes)
+        endpoint = MetadataStoreService(state=fleet.store.state)
+        await fleet.nursery.start(endpoint.run, LOOPBACK)
+        node = await fleet.start_node(2, store_address=str(endpoint.address), **changes)
         await fleet.wait_status(node.ready, "/api/ready", 200)
-        return node, door
+        return node, endpoint
 
-    async def accept_on_disks(self, fleet: NodeFleet) -> None:
+    async def accept_on_spools(self, fleet: NodeFleet) -> None:
         """Have a job accepted while the store answers neither the nodes nor the spools."""
         fleet.store.refuse_status = 503
         await trio.sleep(1.2)
@@ -96,10 +96,10 @@
         await trio.sleep(SETTLE_S)
         self.assertEqual([fleet.upstream_runs(name) for name in NAMES], [0, 0])
 
-    def test_a_job_that_waits_on_disks_enters_the_store_as_ended(self) -> None:
+    def test_a_job_pending_on_spools_is_stored_as_ended(self) -> None:
         async def test(fleet: NodeFleet, _spools: list[RunningSpool]) -> None:
-            await self.accept_on_disks(fleet)
-            node, _ = await self.node_with_door(fleet)
+            await self.accept_on_spools(fleet)
+            node, _ = await self.start_node_with_endpoint(fleet)
             self.assertEqual(await self.end(fleet, node), 503)
             # The node forgets with its process; what the disks know is enough.
             node.kill()
@@ -108,10 +108,10 @@
 
         self.run_fleet(test)
 
-    def test_spools_remember_an_end_over_their_restart(self) -> None:
+    def test_spools_retain_an_end_over_a_restart(self) -> None:
         async def test(fleet: NodeFleet, spools: list[RunningSpool]) -> None:
-            await self.accept_on_disks(fleet)
-            node, _ = await self.node_with_door(fleet)
+            await self.accept_on_spools(fleet)
+            node, _ = await self.start_node_with_endpoint(fleet)
             self.assertEqual(await self.end(fleet, node), 503)
             for program in (node, *spools):
                 program.kill()
@@ -123,16 +123,16 @@
 
         self.run_fleet(test)
 
-    def test_a_job_submitted_again_loses_no_end_that_is_remembered(self) -> None:
+    def test_a_resubmission_does_not_discard_a_retained_end(self) -> None:
         async def test(fleet: NodeFleet, _spools: list[RunningSpool]) -> None:
-            await self.accept_on_disks(fleet)
-            node, door = await self.node_with_door(fleet)
+            await self.accept_on_spools(fleet)
+            node, endpoint = await self.start_node_with_endpoint(fleet)
             self.assertEqual(await self.end(fleet, node), 503)
-            door.refuse_status = 503
+            endpoint.refuse_status = 503
             await trio.sleep(1.2)
             self.assertEqual((await submit(fleet, node.front, *NAMES)).status, 202)
             self.assertEqual((await submit(fleet, fleet.nodes[0].front, *NAMES)).status, 202)
-            door.refuse_status = fleet.store.refuse_status = 0
+            endpoint.refuse_status = fleet.store.refuse_status = 0
             await self.expect_no_runs(fleet)
             self.assertEqual((await submit(fleet, node.front, *NAMES)).status, 202)
             await trio.sleep(SETTLE_S)
@@ -140,13 +140,13 @@
 
         self.run_fleet(test)
 
-    def test_a_copy_that_one_spool_alone_knows_to_be_ended_ends_the_job(self) -> None:
+    def test_one_spool_that_knows_of_the_end_ends_the_job(self) -> None:
         async def test(fleet: NodeFleet, spools: list[RunningSpool]) -> None:
             for upstream in fleet.upstreams:
                 # The job cannot be all listed before its end.
                 upstream.event_interval_ms = 2000.0
-            await self.accept_on_disks(fleet)
-            node, _ = await self.node_with_door(fleet)
+            await self.accept_on_spools(fleet)
+            node, _ = await self.start_node_with_endpoint(fleet)
             spools[0].kill()
             await spools[0].ended.wait()
             self.assertEqual(await self.end(fleet, node), 503)
@@ -173,13 +173,13 @@
             await trio.sleep(0.1)
             fleet.store.faults.down = True
             await trio.sleep(1.0)
-            asked_s = trio.current_time()
+            requested_s = trio.current_time()
             self.assertEqual(await self.end(fleet, owner), 503)
             late = [
                 name
                 for upstream in fleet.upstreams
                 for name, at_s in upstream.started
-                if at_s > asked_s + 0.5
+                if at_s > requested_s + 0.5
             ]
             self.assertEqual(late, [])
             fleet.store.faults.down = False
@@ -187,7 +187,7 @@
 
         self.run_fleet(test, spools=0)
 
-    def test_an_end_whose_client_does_not_wait_is_recorded_all_the_same(self) -> None:
+    def test_an_end_whose_client_disconnects_is_still_recorded(self) -> None:
         async def test(fleet: NodeFleet, _spools: list[RunningSpool]) -> None:
             for upstream in fleet.upstreams:
                 upstream.event_interval_ms = 200.0
@@ -201,17 +201,17 @@
 
         self.run_fleet(test, spools=0)
 
-    def test_an_acceptance_under_way_at_a_neighbour_is_ended_once_it_is_there(self) -> None:
+    def test_a_job_being_accepted_by_a_neighbour_is_ended_once_it_is_stored(self) -> None:
         async def test(fleet: NodeFleet, _spools: list[RunningSpool]) -> None:
-            node, door = await self.node_with_door(fleet)
+            node, endpoint = await self.start_node_with_endpoint(fleet)
             await fleet.wait_ready()
-            door.refuse_status = 429
+            endpoint.refuse_status = 429
             # The neighbour stores the job after the client has given up.
             fleet.store.faults.delays_ms[CallKind.PUT] = 800.0
             headers = {"X-Request-Id": JOB, "X-Deadline-Ms": "500"}
             answer = await fleet.call(node.front, "POST", "/letters/new", job_body(*NAMES), headers)
             self.assertEqual(answer.status, 504)
-            door.refuse_status = 0
+            endpoint.refuse_status = 0
             self.assertEqual(await self.end(fleet, node), 503)
             self.assertIsNone(self.record(fleet))
             with trio.fail_after(5):
@@ -220,7 +220,7 @@
 
         self.run_fleet(test, spools=0, store_timeout_ms=3000)
 
-    def test_a_job_that_nobody_has_is_not_found_and_may_be_submitted_then(self) -> None:
+    def test_an_unknown_job_is_not_found_and_may_be_submitted_later(self) -> None:
         async def test(fleet: NodeFleet, _spools: list[RunningSpool]) -> None:
             self.assertEqual(await self.end(fleet, fleet.nodes[0]), 404)
             self.assertEqual((await submit(fleet, fleet.nodes[0].front, *NAMES)).status, 202)
--- a/tests/test_node_jobs.py
+++ b/tests/test_node_jobs.py
@@ -77,7 +77,7 @@
 
         self.run_fleet(test, nodes=2)
 
-    def test_what_is_listed_is_read_while_the_store_is_away(self) -> None:
+    def test_listed_results_are_read_while_the_store_is_unreachable(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             first, second = (node.front for node in fleet.nodes)
             self.assertEqual((await submit(fleet, first, "a", "b")).status, 202)
@@ -118,7 +118,7 @@
         with mock.patch("fescuedock.node.job_runner._IDLE_POLL_S", 2.0):
             self.run_fleet(test, nodes=1, upstreams=1)
 
-    def test_an_owner_whose_cache_forgot_a_job_does_not_vouch_for_it(self) -> None:
+    def test_an_owner_whose_cache_evicted_a_job_confirms_no_results(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             first, second = (node.front for node in fleet.nodes)
             fleet.upstreams[0].event_interval_ms = 1.0
@@ -153,7 +153,7 @@
         ]
         self.assertEqual(line["outcome"], "EXECUTION_UNKNOWN")
 
-    def test_an_owner_that_has_not_heard_of_the_records_vouches_for_nothing(self) -> None:
+    def test_an_owner_without_recent_records_confirms_nothing(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.event_interval_ms = 2000.0
@@ -166,7 +166,7 @@
 
         self.run_fleet(test, nodes=2)
 
-    def test_a_job_that_comes_again_is_accepted_once(self) -> None:
+    def test_a_job_submitted_again_is_accepted_once(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for node in fleet.nodes:
                 for _ in range(2):
@@ -209,7 +209,7 @@
 
                 self.run_fleet(test)
 
-    def test_while_the_store_is_away_a_job_is_refused_and_nothing_of_it_runs(self) -> None:
+    def test_during_an_outage_a_job_is_refused_and_none_of_its_items_runs(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             fleet.store.refuse_status = 503
             await trio.sleep(1.2)
@@ -222,20 +222,20 @@
 
         self.run_fleet(test)
 
-    def test_a_node_that_the_store_turns_away_has_a_neighbour_accept(self) -> None:
+    def test_a_node_that_the_store_refuses_has_a_neighbour_accept(self) -> None:
         for silent in (False, True):
             with self.subTest(silent=silent):
 
                 async def test(fleet: NodeFleet, silent=silent) -> None:
                     # The same store at another address, which only the second node uses.
-                    door = MetadataStoreService(state=fleet.store.state)
-                    await fleet.nursery.start(door.run, LOOPBACK)
-                    second = await fleet.start_node(1, store_address=str(door.address))
+                    endpoint = MetadataStoreService(state=fleet.store.state)
+                    await fleet.nursery.start(endpoint.run, LOOPBACK)
+                    second = await fleet.start_node(1, store_address=str(endpoint.address))
                     await fleet.wait_ready()
                     if silent:
-                        door.faults.silent = True
+                        endpoint.faults.silent = True
                     else:
-                        door.refuse_status = 429
+                        endpoint.refuse_status = 429
                     began = trio.current_time()
                     answer = await submit(fleet, second.front, "a", "b")
                     self.assertEqual(answer.status, 202)
@@ -246,7 +246,7 @@
 
                 self.run_fleet(test)
 
-    def test_a_job_whose_fate_is_unknown_gets_no_promise(self) -> None:
+    def test_a_job_of_unknown_outcome_is_answered_without_a_promise(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             fleet.store.faults.silent = True
             headers = {"X-Request-Id": JOB, "X-Deadline-Ms": "600"}
@@ -257,7 +257,7 @@
 
         self.run_fleet(test)
 
-    def test_items_that_can_never_be_done_are_given_up_and_hold_up_nothing(self) -> None:
+    def test_impossible_items_are_given_up_and_delay_no_others(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.failing.add("/letters/bad")
@@ -274,7 +274,7 @@
 
         self.run_fleet(test)
 
-    def test_an_item_goes_on_after_its_last_event_when_a_run_breaks_off(self) -> None:
+    def test_an_item_resumes_after_its_last_event_when_a_run_is_interrupted(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.faults.append(UpstreamFault(cut_after=3))
@@ -284,7 +284,7 @@
 
         self.run_fleet(test)
 
-    def test_an_ended_job_starts_nothing_more_and_ending_it_again_is_fine(self) -> None:
+    def test_an_ended_job_starts_no_more_items_and_can_be_ended_again(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.event_interval_ms = 100.0
@@ -303,7 +303,7 @@
 
         self.run_fleet(test, nodes=2)
 
-    def test_bodies_of_items_are_given_back(self) -> None:
+    def test_bodies_of_items_are_returned(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             first, second = (node.front for node in fleet.nodes)
             await submit(fleet, first, "a", "b")
@@ -315,7 +315,7 @@
 
         self.run_fleet(test, nodes=2)
 
-    def test_a_job_that_does_not_exist_is_not_found_and_one_that_nobody_can_read_is_not(
+    def test_a_missing_job_is_not_found_and_an_unreadable_one_is_unavailable(
         self,
     ) -> None:
         async def test(fleet: NodeFleet) -> None:
@@ -345,7 +345,7 @@
 
         self.run_fleet(test)
 
-    def test_jobs_of_a_killed_node_are_taken_over_and_every_position_stays(self) -> None:
+    def test_jobs_of_a_killed_node_are_taken_over_and_keep_their_positions(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.event_interval_ms = 30.0
@@ -362,7 +362,7 @@
 
         self.run_fleet(test, nodes=2)
 
-    def test_a_stopping_node_hands_its_jobs_on_with_what_they_have_got_to(self) -> None:
+    def test_a_stopping_node_transfers_its_jobs_with_their_progress(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.event_count, upstream.event_interval_ms = 40, 25.0
@@ -380,7 +380,7 @@
 
         self.run_fleet(test, nodes=2)
 
-    def test_a_restarted_node_goes_on_with_its_own_jobs(self) -> None:
+    def test_a_restarted_node_continues_its_own_jobs(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             slow(fleet.upstreams)
             [node] = fleet.nodes
@@ -393,7 +393,7 @@
 
         self.run_fleet(test)
 
-    def test_a_node_that_knows_no_configuration_yet_gives_up_nothing(self) -> None:
+    def test_a_node_without_configuration_gives_up_no_items(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             [node] = fleet.nodes
             for upstream in fleet.upstreams:
@@ -411,7 +411,7 @@
 
         self.run_fleet(test)
 
-    def test_results_wait_for_the_store_and_are_listed_once_when_it_is_back(self) -> None:
+    def test_results_are_listed_once_after_an_outage(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             slow(fleet.upstreams)
             front = fleet.nodes[0].front
--- a/tests/test_node_jobs_clock_ahead.py
+++ b/tests/test_node_jobs_clock_ahead.py
@@ -8,7 +8,7 @@
 
 from fescuedock.node import job_runner
 from fescuedock.schema.stored_jobs import ResultGroup
-from tests.builders.runner_world import RunnerWorld, items_of
+from tests.builders.runner_simulation import RunnerSimulation, items_of
 
 # More than the retention of the jobs of that world, which is 60 s.
 AHEAD_S = 90
@@ -27,15 +27,15 @@
 
         async def run() -> None:
             async with trio.open_nursery() as nursery:
-                world = RunnerWorld(nursery, [0, AHEAD_S, AHEAD_S], 3.0)
-                with mock.patch.object(job_runner, "run_item", world.run_item):
-                    world.start()
+                simulation = RunnerSimulation(nursery, [0, AHEAD_S, AHEAD_S], 3.0)
+                with mock.patch.object(job_runner, "run_item", simulation.run_item):
+                    simulation.start()
                     await trio.sleep(0.3)
-                    await world.nodes[0].submit("j0", items_of("j0", 36))
+                    await simulation.nodes[0].submit("j0", items_of("j0", 36))
                     await trio.sleep(1.0)
-                    world.nodes[0].scope.cancel()
+                    simulation.nodes[0].scope.cancel()
                     await trio.sleep(40.0)
-                    store = world.nodes[1].store
+                    store = simulation.nodes[1].store
                     record = (await store.read_record("j0")).unwrap().record
                     groups: list[ResultGroup] = (await store.load(record)).unwrap().groups
                     results = [result for group in groups for result in group.results]
--- a/tests/test_node_jobs_ended.py
+++ b/tests/test_node_jobs_ended.py
@@ -31,9 +31,9 @@
 from tests.builders.standins import run_async
 
 # All nodes of these tests have heard of an end by then.
-HEARD_S = 0.7
+UPDATE_S = 0.7
 # Nor does a node that hears of nothing begin work for longer after an end; the users' bound is 3 s.
-KNOWN_S = 2.7
+MAX_LATE_S = 2.7
 NAMES = ("a", "b", "c")
 
 
@@ -54,11 +54,11 @@
         self.assertEqual(answer.status, 200)
         return trio.current_time()
 
-    async def open_door(self, fleet: NodeFleet) -> MetadataStoreService:
+    async def open_store_endpoint(self, fleet: NodeFleet) -> MetadataStoreService:
         """Return the same store at another address, with faults of its own."""
-        door = MetadataStoreService(state=fleet.store.state)
-        await fleet.nursery.start(door.run, LOOPBACK)
-        return door
+        endpoint = MetadataStoreService(state=fleet.store.state)
+        await fleet.nursery.start(endpoint.run, LOOPBACK)
+        return endpoint
 
     async def wait_logged(self, lines: list[dict], name: str) -> None:
         while True:
@@ -72,27 +72,27 @@
             (name, round(at_s - ended_s, 2))
             for upstream in fleet.upstreams
             for name, at_s in upstream.started
-            if at_s > ended_s + HEARD_S
+            if at_s > ended_s + UPDATE_S
         ]
 
-    def test_a_submission_that_comes_again_after_the_end_begins_nothing(self) -> None:
+    def test_a_resubmission_after_the_end_starts_no_item(self) -> None:
         lines: list[dict] = []
 
         async def test(fleet: NodeFleet) -> None:
-            door = await self.open_door(fleet)
-            other = await fleet.start_node(1, store_address=str(door.address))
+            endpoint = await self.open_store_endpoint(fleet)
+            other = await fleet.start_node(1, store_address=str(endpoint.address))
             await fleet.wait_ready()
             owner = fleet.nodes[0]
             await submit(fleet, owner.front, *NAMES)
             await trio.sleep(0.1)
             ended_s = await self.end(fleet, other.front)
-            await trio.sleep(HEARD_S)
+            await trio.sleep(UPDATE_S)
             for node in (owner, other):
                 self.assertEqual((await submit(fleet, node.front, *NAMES)).status, 202)
                 await trio.sleep(0.6)
             # Turned away by the store, the other node passes the submission on to the owner.
-            door.refuse_status = 429
-            await trio.sleep(HEARD_S)
+            endpoint.refuse_status = 429
+            await trio.sleep(UPDATE_S)
             self.assertEqual((await submit(fleet, other.front, *NAMES)).status, 202)
             await trio.sleep(0.6)
             self.assertEqual(self.late_starts(fleet, ended_s), [])
@@ -109,7 +109,7 @@
         # At the owner, and there again for the neighbour.
         self.assertEqual(len(refused), 2)
 
-    def test_a_claim_that_the_end_overtakes_begins_nothing(self) -> None:
+    def test_a_claim_overtaken_by_the_end_starts_no_item(self) -> None:
         lines: list[dict] = []
 
         async def test(fleet: NodeFleet) -> None:
@@ -134,10 +134,10 @@
         finally:
             eliot.remove_destination(lines.append)
 
-    def test_an_owner_that_nobody_tells_anything_begins_nothing_for_long(self) -> None:
+    def test_an_owner_without_updates_soon_starts_no_more_items(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            door = await self.open_door(fleet)
-            owner = await fleet.start_node(1, store_address=str(door.address))
+            endpoint = await self.open_store_endpoint(fleet)
+            owner = await fleet.start_node(1, store_address=str(endpoint.address))
             await fleet.wait_ready()
             await submit(fleet, owner.front, *(f"item-{number}" for number in range(80)))
             with (
@@ -146,52 +146,56 @@
                 mock.patch.object(GroupBroadcaster, "broadcast", return_value=None),
             ):
                 # What the owner is not answered any more would tell of the end.
-                door.faults.silent = True
+                endpoint.faults.silent = True
                 await trio.sleep(0.5)
                 ended_s = await self.end(fleet, fleet.nodes[0].front)
                 await trio.sleep(4.0)
             late = [delay_s for _, delay_s in self.late_starts(fleet, ended_s)]
             # It does go on until it has known nothing for too long.
             self.assertTrue(late)
-            self.assertLess(max(late), KNOWN_S)
+            self.assertLess(max(late), MAX_LATE_S)
 
         self.run_fleet(test)
 
-    def test_news_that_were_long_on_their_way_confirm_nothing(self) -> None:
+    def test_delayed_updates_confirm_nothing(self) -> None:
         """What a node reads late, as it stood still or news were held up, is as old as that."""
-        tell = GroupBroadcaster.broadcast
+        broadcast = GroupBroadcaster.broadcast
 
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.event_interval_ms = 150.0
-            door = await self.open_door(fleet)
+            endpoint = await self.open_store_endpoint(fleet)
             # Not number 1, which would be the node that watches the jobs for both.
-            owner = await fleet.start_node(2, store_address=str(door.address))
+            owner = await fleet.start_node(2, store_address=str(endpoint.address))
             await fleet.wait_ready()
 
-            async def tell_late(spread: GroupBroadcaster, message: msgspec.Struct) -> None:
+            async def broadcast_late(
+                broadcaster: GroupBroadcaster, message: msgspec.Struct
+            ) -> None:
                 await trio.sleep(3.5)
-                await tell(spread, message)
+                await broadcast(broadcaster, message)
 
-            async def hold_up(spread: GroupBroadcaster, message: msgspec.Struct) -> None:
-                fleet.nursery.start_soon(tell_late, spread, message)
+            async def delay_broadcast(
+                broadcaster: GroupBroadcaster, message: msgspec.Struct
+            ) -> None:
+                fleet.nursery.start_soon(broadcast_late, broadcaster, message)
 
             await submit(fleet, owner.front, *(f"item-{number}" for number in range(80)))
             with (
                 mock.patch.object(Replicas, "_query", return_value=None),
                 mock.patch.object(Replicas, "send_noted", return_value=False),
-                mock.patch.object(GroupBroadcaster, "broadcast", hold_up),
+                mock.patch.object(GroupBroadcaster, "broadcast", delay_broadcast),
             ):
-                door.faults.silent = True
+                endpoint.faults.silent = True
                 await trio.sleep(1.0)
                 ended_s = await self.end(fleet, fleet.nodes[0].front)
                 await trio.sleep(4.5)
             late = [delay_s for _, delay_s in self.late_starts(fleet, ended_s)]
-            self.assertLess(max(late, default=0.0), KNOWN_S)
+            self.assertLess(max(late, default=0.0), MAX_LATE_S)
 
         self.run_fleet(test)
 
-    def test_a_neighbour_that_ended_the_job_itself_agrees_to_no_older_record(self) -> None:
+    def test_a_neighbour_that_ended_the_job_confirms_no_older_record(self) -> None:
         """The store falls silent after an end of which only the node that wrote it knows."""
 
         async def test(fleet: NodeFleet) -> None:
@@ -208,11 +212,11 @@
             fleet.store.faults.silent = True
             await trio.sleep(4.5)
             late = [delay_s for _, delay_s in self.late_starts(fleet, ended_s)]
-            self.assertLess(max(late, default=0.0), KNOWN_S)
+            self.assertLess(max(late, default=0.0), MAX_LATE_S)
 
         self.run_fleet(test, nodes=2)
 
-    def test_items_go_on_while_the_store_answers_nobody(self) -> None:
+    def test_items_continue_while_the_store_answers_no_node(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             await submit(fleet, fleet.nodes[0].front, *(f"item-{n}" for n in range(80)))
             await trio.sleep(0.1)
@@ -220,11 +224,11 @@
             away_s = trio.current_time()
             await trio.sleep(4.0)
             begun = [at_s - away_s for item in fleet.upstreams for _, at_s in item.started]
-            self.assertGreater(max(begun), KNOWN_S + 0.5)
+            self.assertGreater(max(begun), MAX_LATE_S + 0.5)
 
         self.run_fleet(test, nodes=2)
 
-    def test_logs_tell_by_which_way_and_with_what_knowledge_items_run(self) -> None:
+    def test_logs_show_how_jobs_started_and_the_age_of_their_records(self) -> None:
         lines: list[dict] = []
         owners: list[str] = []
 
@@ -234,7 +238,7 @@
             while sum(item.runs.total() for item in fleet.upstreams) < len(NAMES):  # noqa: ASYNC110
                 await trio.sleep(0.02)
             await self.end(fleet, fleet.nodes[1].front)
-            await trio.sleep(HEARD_S)
+            await trio.sleep(UPDATE_S)
 
         eliot.add_destinations(lines.append)
         # The first destination of a process is given all that was logged before.
--- a/tests/test_node_jobs_forestalled.py
+++ b/tests/test_node_jobs_forestalled.py
@@ -52,7 +52,7 @@
         self.assertIn(answers[0], (200, 404))
         self.assertEqual(ran[0], 0)
 
-    def test_a_write_of_before_the_end_finds_it_and_a_later_submission_does_not(self) -> None:
+    def test_a_write_from_before_the_end_fails_and_a_later_submission_succeeds(self) -> None:
         async def test() -> None:
             async with running_store() as service, open_store(service) as kv:
                 store = JobStore(kv, KEYS, 100_000)
--- a/tests/test_node_jobs_let_go.py
+++ b/tests/test_node_jobs_let_go.py
@@ -22,17 +22,17 @@
 from tests.builders.forwarding import job_record
 from tests.builders.jobs_calls import JOB, submit
 from tests.builders.node import NodeFleet, running_fleet
-from tests.builders.runner_world import RunnerWorld, items_of
+from tests.builders.runner_simulation import RunnerSimulation, items_of
 from tests.builders.standins import run_async
 
 KEYS = JobKeys("fescuedock/")
 END_BOUND_S = 3.0
 # What news wait on their way from the node that watches, longer than the bound.
-WAY_S = 4.0
+DELAY_S = 4.0
 NAMES = tuple(f"item-{number}" for number in range(120))
 
 
-class LetGoTest(unittest.TestCase):
+class ReleasedJobsTest(unittest.TestCase):
     def run_fleet(self, test, **options: object) -> None:
         async def run() -> None:
             with trio.fail_after(30):
@@ -43,7 +43,7 @@
 
         run_async(run)
 
-    async def begin_two(self, fleet: NodeFleet) -> None:
+    async def start_two(self, fleet: NodeFleet) -> None:
         """Have the first node begin two items that last for seconds."""
         for upstream in fleet.upstreams:
             upstream.event_interval_ms = 1000.0
@@ -57,14 +57,14 @@
                 return
             await trio.sleep(0.01)
 
-    async def hold_watches(self, fleet: NodeFleet) -> None:
+    async def block_watches(self, fleet: NodeFleet) -> None:
         """Let no watch tell of anything any more; those under way are over when this returns."""
         fleet.store.faults.delays_ms[CallKind.WATCH] = 60_000.0
         await trio.sleep(0.4)
 
-    def test_news_that_wait_on_their_way_do_not_count_as_knowledge_of_now(self) -> None:
+    def test_delayed_updates_do_not_count_as_current(self) -> None:
         """Only the way between two nodes is slow; the owner reaches the store all the while."""
-        real_tell = GroupBroadcaster.broadcast
+        real_broadcast = GroupBroadcaster.broadcast
 
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
@@ -72,10 +72,12 @@
                 upstream.event_count = 10_000
                 upstream.faults = [UpstreamFault(cut_after=3) for _ in range(10_000)]
 
-            async def tell_late(spread: GroupBroadcaster, message: msgspec.Struct) -> None:
+            async def broadcast_late(
+                broadcaster: GroupBroadcaster, message: msgspec.Struct
+            ) -> None:
                 async def later() -> None:
-                    await trio.sleep(WAY_S)
-                    await real_tell(spread, message)
+                    await trio.sleep(DELAY_S)
+                    await real_broadcast(broadcaster, message)
 
                 fleet.nursery.start_soon(later)
 
@@ -83,17 +85,17 @@
             [owner] = [node for node in fleet.nodes if node.settings.vm.vm_id != watcher]
             [other] = [node for node in fleet.nodes if node.settings.vm.vm_id == watcher]
             with (
-                mock.patch.object(GroupBroadcaster, "broadcast", tell_late),
+                mock.patch.object(GroupBroadcaster, "broadcast", broadcast_late),
                 mock.patch.object(Replicas, "send_noted", return_value=False),
             ):
                 # As news come all the while, though late ones, nobody asks by itself.
-                await trio.sleep(WAY_S + 1.0)
+                await trio.sleep(DELAY_S + 1.0)
                 await submit(fleet, owner.front, *NAMES)
                 await trio.sleep(0.3)
                 answer = await fleet.call(other.front, "DELETE", f"/api/lots/{JOB}")
                 self.assertEqual(answer.status, 200)
                 ended_s = trio.current_time()
-                await trio.sleep(WAY_S + 1.0)
+                await trio.sleep(DELAY_S + 1.0)
             late = [
                 at_s - ended_s
                 for upstream in fleet.upstreams
@@ -104,9 +106,9 @@
 
         self.run_fleet(test, nodes=2)
 
-    def test_a_job_that_another_node_took_over_and_finished_is_let_go(self) -> None:
+    def test_a_job_that_another_node_took_over_and_finished_is_released(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            await self.begin_two(fleet)
+            await self.start_two(fleet)
             key = KEYS.record(JOB)
             entry = fleet.store.state.get(key)
             record = msgspec.msgpack.decode(entry.value, type=StoredJobRecord)
@@ -119,19 +121,19 @@
 
         self.run_fleet(test)
 
-    def test_items_that_run_as_their_job_ends_are_cut_off_soon(self) -> None:
+    def test_running_items_are_cancelled_soon_after_their_job_ends(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            await self.begin_two(fleet)
+            await self.start_two(fleet)
             await fleet.call(fleet.nodes[1].front, "DELETE", f"/api/lots/{JOB}")
             await trio.sleep(1.2)
             self.assertEqual(sum(item.running for item in fleet.upstreams), 0)
 
         self.run_fleet(test, nodes=2)
 
-    def test_the_owner_that_ends_a_job_itself_lets_go_without_news(self) -> None:
+    def test_an_owner_that_ends_its_own_job_releases_it_without_updates(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            await self.begin_two(fleet)
-            await self.hold_watches(fleet)
+            await self.start_two(fleet)
+            await self.block_watches(fleet)
             answer = await fleet.call(fleet.nodes[0].front, "DELETE", f"/api/lots/{JOB}")
             self.assertEqual(answer.status, 200)
             with trio.fail_after(0.3):
@@ -139,10 +141,10 @@
 
         self.run_fleet(test)
 
-    def test_the_owner_is_told_of_an_end_before_it_is_acknowledged(self) -> None:
+    def test_the_owner_is_notified_of_an_end_before_it_is_acknowledged(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            await self.begin_two(fleet)
-            await self.hold_watches(fleet)
+            await self.start_two(fleet)
+            await self.block_watches(fleet)
             answer = await fleet.call(fleet.nodes[1].front, "DELETE", f"/api/lots/{JOB}")
             self.assertEqual(answer.status, 200)
             with trio.fail_after(0.3):
@@ -150,10 +152,10 @@
 
         self.run_fleet(test, nodes=2)
 
-    def test_an_owner_that_does_not_answer_holds_up_no_end(self) -> None:
+    def test_an_owner_that_does_not_answer_delays_no_end(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             owner, other = fleet.nodes
-            await self.begin_two(fleet)
+            await self.start_two(fleet)
             # The other node takes it for alive for a while.
             owner.kill()
             began_s = trio.current_time()
@@ -163,12 +165,12 @@
 
         self.run_fleet(test, nodes=2)
 
-    def test_a_refused_write_of_progress_tells_of_an_end_that_was_not_heard_of(self) -> None:
+    def test_a_refused_write_of_progress_reveals_an_unreported_end(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.event_count = 100
             await submit(fleet, fleet.nodes[0].front, "a", "b")
-            await self.hold_watches(fleet)
+            await self.block_watches(fleet)
             self.assertEqual(sum(item.running for item in fleet.upstreams), 2)
             record = fleet.store.state.get(KEYS.record(JOB))
             ended = msgspec.structs.replace(
@@ -183,12 +185,12 @@
     def test_dropping_a_job_that_was_replaced_meanwhile_leaves_its_successor(self) -> None:
         async def run() -> None:
             async with trio.open_nursery() as nursery:
-                world = RunnerWorld(nursery, [0, 0, 0], 0.6)
-                with mock.patch.object(job_runner, "run_item", world.run_item):
-                    world.start()
+                simulation = RunnerSimulation(nursery, [0, 0, 0], 0.6)
+                with mock.patch.object(job_runner, "run_item", simulation.run_item):
+                    simulation.start()
                     await trio.sleep(0.3)
-                    runner = world.nodes[0].runner
-                    await world.nodes[0].submit("j0", items_of("j0", 24))
+                    runner = simulation.nodes[0].runner
+                    await simulation.nodes[0].submit("j0", items_of("j0", 24))
                     job = runner._jobs["j0"]
                     former = job_runner.OwnedJob(job.run, job.versioned)
                     runner._drop(former, "it was replaced")
@@ -199,7 +201,7 @@
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_a_leaving_node_accepts_nothing_for_others(self) -> None:
+    def test_a_leaving_node_accepts_no_jobs_for_neighbours(self) -> None:
         async def run() -> None:
             acceptance = JobAcceptance(
                 store=mock.Mock(),
--- a/tests/test_node_jobs_routes.py
+++ b/tests/test_node_jobs_routes.py
@@ -15,7 +15,7 @@
 from fescuedock.node.job_store import JobStore
 from fescuedock.platform import records
 from tests.builders.node import config_document
-from tests.builders.runner_world import RunnerWorld, items_of
+from tests.builders.runner_simulation import RunnerSimulation, items_of
 
 # Since the configuration was last confirmed.
 OLD_MS = 20_000.0
@@ -35,11 +35,11 @@
 
         async def run() -> None:
             async with trio.open_nursery() as nursery:
-                world = RunnerWorld(nursery, [0, 0, 0], 0.6)
-                with mock.patch.object(job_runner, "run_item", world.run_item):
-                    world.start()
+                simulation = RunnerSimulation(nursery, [0, 0, 0], 0.6)
+                with mock.patch.object(job_runner, "run_item", simulation.run_item):
+                    simulation.start()
                     await trio.sleep(0.3)
-                    node = world.nodes[0]
+                    node = simulation.nodes[0]
                     table = self.old_table()
                     if confirmed:
                         nursery.start_soon(self.confirm, table)
@@ -73,7 +73,7 @@
     def test_items_whose_route_was_removed_are_given_up(self) -> None:
         self.assertEqual(self.listed_after(confirmed=True), 4)
 
-    def test_a_configuration_that_nobody_confirms_gives_nothing_up(self) -> None:
+    def test_an_unconfirmed_configuration_gives_up_no_items(self) -> None:
         self.assertEqual(self.listed_after(confirmed=False), 0)
 
 
--- a/tests/test_node_jobs_stateful.py
+++ b/tests/test_node_jobs_stateful.py
@@ -13,14 +13,14 @@
 from hypothesis import strategies as st
 
 from fescuedock.standin.kv_faults import LostAnswer
-from tests.builders.job_world import (
-    Begun,
-    JobWorld,
+from tests.builders.job_harness import (
+    JobHarness,
+    StartedRun,
     Step,
     lost_answer,
-    noted_runs,
     random_steps,
-    running_world,
+    recorded_runs,
+    running_harness,
 )
 from tests.builders.jobs_calls import read_page, submit, wanted_text
 from tests.builders.node import NodeFleet, running_fleet
@@ -47,14 +47,14 @@
 
 # The users' bound for an item that begins after its job's acknowledged end; for one that a former
 # owner begins after the new one has begun any, the same.
-BOUND_S = 3.0
+MAX_LATE_S = 3.0
 # An item takes 0.5 s, and eight run at once: a job's items last for 4 s.
 EVENT_INTERVAL_MS = 100.0
 WORK_ITEMS = 64
 # So many worlds are played, each by the steps of its seed, and so many at once: more make nodes
 # late, since all share one thread.
-WORLDS = 10
-WORLDS_AT_ONCE = 5
+RUNS = 10
+CONCURRENT_RUNS = 5
 STEPS = 9
 _PAUSES_S = (0.3, 0.8, 1.6, 3.1)
 
@@ -77,7 +77,7 @@
         suppress_health_check=list(HealthCheck),
     )
     @given(steps)
-    def test_what_clients_were_told_stays_true(self, chosen: list[tuple]) -> None:
+    def test_promises_to_clients_hold(self, chosen: list[tuple]) -> None:
         async def run() -> None:
             with trio.fail_after(40):
                 async with running_fleet(nodes=NODES) as fleet:
@@ -87,21 +87,21 @@
 
     async def play(self, fleet: NodeFleet, chosen: list[tuple]) -> None:
         oracles = [JobOracle(), JobOracle()]
-        for kind, what, number in chosen:
+        for kind, argument, number in chosen:
             node = fleet.nodes[number]
             match kind:
                 case "submit":
-                    await self.submit(fleet, node.front, what, oracles[what])
+                    await self.submit(fleet, node.front, argument, oracles[argument])
                 case "submit_lost":
-                    job, when = what
+                    job, when = argument
                     fleet.store.faults.lose_answer(when)
                     await self.submit(fleet, node.front, job, oracles[job])
                 case "read":
-                    await self.read(fleet, node.front, what, oracles[what])
+                    await self.read(fleet, node.front, argument, oracles[argument])
                 case "end":
-                    await self.end(fleet, node.front, what, oracles[what])
+                    await self.end(fleet, node.front, argument, oracles[argument])
                 case "lose":
-                    fleet.store.faults.lose_answer(what)
+                    fleet.store.faults.lose_answer(argument)
                 case "restart":
                     node.kill()
                     await fleet.restart(node)
@@ -147,10 +147,10 @@
     async def read_to_the_end(self, fleet: NodeFleet, number: int, oracle: JobOracle) -> None:
         """Read at all nodes in turn until everything is listed."""
         with trio.fail_after(15):
-            turn = 0
+            node_index = 0
             while len(oracle.shown) < len(ITEMS):
-                await self.read(fleet, fleet.nodes[turn % NODES].front, number, oracle)
-                turn += 1
+                await self.read(fleet, fleet.nodes[node_index % NODES].front, number, oracle)
+                node_index += 1
                 await trio.sleep(0.05)
         for node in fleet.nodes:
             await self.read(fleet, node.front, number, oracle)
@@ -190,88 +190,90 @@
         faults: list[str] = []
 
         async def run() -> None:
-            limiter = trio.CapacityLimiter(WORLDS_AT_ONCE)
-            with noted_runs() as begun:
+            limiter = trio.CapacityLimiter(CONCURRENT_RUNS)
+            with recorded_runs() as started:
                 async with trio.open_nursery() as nursery:
-                    for seed in range(WORLDS):
-                        nursery.start_soon(self.play_world, seed, limiter, begun, faults)
+                    for seed in range(RUNS):
+                        nursery.start_soon(self.play_run, seed, limiter, started, faults)
 
         run_async(run)
         self.assertFalse(faults, "\n".join(faults))
 
-    async def play_world(
-        self, seed: int, limiter: trio.CapacityLimiter, begun: list[Begun], faults: list[str]
+    async def play_run(
+        self, seed: int, limiter: trio.CapacityLimiter, started: list[StartedRun], faults: list[str]
     ) -> None:
         steps = random_steps(seed, STEPS)
         oracles = [WorkOracle(f"w{seed}-{number}") for number in range(2)]
         async with limiter:
             try:
                 with tempfile.TemporaryDirectory() as folder, trio.fail_after(50):
-                    async with running_world(Path(folder), EVENT_INTERVAL_MS) as world:
-                        await self.play(world, steps, oracles)
-                        found = late_begins(world, oracles) + overtaken(begun, oracles)
+                    async with running_harness(Path(folder), EVENT_INTERVAL_MS) as harness:
+                        await self.play(harness, steps, oracles)
+                        found = late_starts(harness, oracles) + former_owner_starts(
+                            started, oracles
+                        )
             except* (AssertionError, trio.TooSlowError) as group:
                 found = [repr(error) for error in group.exceptions]
         faults += [f"seed {seed}: {fault}; steps {steps}" for fault in found]
 
-    async def play(self, world: JobWorld, steps: list[Step], oracles: list[WorkOracle]) -> None:
+    async def play(self, harness: JobHarness, steps: list[Step], oracles: list[WorkOracle]) -> None:
         for step in steps:
-            await self.do(world, step, oracles[step.job])
+            await self.do(harness, step, oracles[step.job])
         # Calm.  What comes again after an end comes later than any item may begin.
-        world.mend()
-        await world.restart_gone()
-        await world.fleet.wait_ready()
+        harness.repair()
+        await harness.restart_stopped()
+        await harness.fleet.wait_ready()
         ended = [oracle for oracle in oracles if oracle.ended_s is not None]
         if ended:
-            await trio.sleep_until(max(oracle.ended_s for oracle in ended) + BOUND_S)
-            await self.send_again(world, ended)
-        for upstream in world.fleet.upstreams:
+            await trio.sleep_until(max(oracle.ended_s for oracle in ended) + MAX_LATE_S)
+            await self.resubmit(harness, ended)
+        for upstream in harness.fleet.upstreams:
             upstream.event_interval_ms = 1.0
         for oracle in oracles:
             if oracle.accepted and oracle.ended_s is None and not oracle.end_unsure:
-                await self.read_to_the_end(world.fleet, oracle)
+                await self.read_to_the_end(harness.fleet, oracle)
 
-    async def do(self, world: JobWorld, step: Step, oracle: WorkOracle) -> None:
-        node = world.live(step.node)
-        way = world.way_of(node)
+    async def do(self, harness: JobHarness, step: Step, oracle: WorkOracle) -> None:
+        node = harness.live_node(step.node)
+        link = harness.link_of(node)
         match step.kind:
             case "submit":
-                await self.submit(world.fleet, node.front, oracle)
+                await self.submit(harness.fleet, node.front, oracle)
             case "submit_lost":
-                way.faults.lose_answer(lost_answer(step))
-                await self.submit(world.fleet, node.front, oracle)
-            case "submit_turned_away":
-                await self.submit_turned_away(world, step.node, oracle)
+                link.faults.lose_answer(lost_answer(step))
+                await self.submit(harness.fleet, node.front, oracle)
+            case "submit_refused":
+                await self.submit_refused(harness, step.node, oracle)
             case "end":
-                await self.end(world.fleet, node.front, oracle)
+                await self.end(harness.fleet, node.front, oracle)
             case "end_lost":
-                way.faults.lose_answer(lost_answer(step))
-                await self.end(world.fleet, node.front, oracle)
-            case "kill" if not world.gone():
+                link.faults.lose_answer(lost_answer(step))
+                await self.end(harness.fleet, node.front, oracle)
+            case "kill" if not harness.stopped_nodes():
                 node.kill()
                 await node.ended.wait()
-            case "stop" if not world.gone():
+            case "stop" if not harness.stopped_nodes():
                 node.stop.request()
-            case "mend":
-                world.mend()
-                await world.restart_gone()
+            case "repair":
+                harness.repair()
+                await harness.restart_stopped()
             case "pause":
                 await trio.sleep(_PAUSES_S[step.variant % len(_PAUSES_S)])
             case _:
-                world.break_way(step)
+                harness.inject_fault(step)
 
     async def submit(self, fleet: NodeFleet, front, oracle: WorkOracle) -> None:
         answer = await submit(fleet, front, *oracle.items, job_id=oracle.job_id)
         self.assertIn(answer.status, (202, 503, 504))
         oracle.statuses.append(answer.status)
 
-    async def submit_turned_away(self, world: JobWorld, number: int, oracle: WorkOracle) -> None:
+    async def submit_refused(self, harness: JobHarness, number: int, oracle: WorkOracle) -> None:
         """Submit at a node that the store turns away, so that a neighbour or disks accept it."""
-        node = world.live(number)
-        way = world.way_of(node)
-        before, way.refuse_status = way.refuse_status, 429
-        await self.submit(world.fleet, node.front, oracle)
-        way.refuse_status = before
+        node = harness.live_node(number)
+        link = harness.link_of(node)
+        before, link.refuse_status = link.refuse_status, 429
+        await self.submit(harness.fleet, node.front, oracle)
+        link.refuse_status = before
 
     async def end(self, fleet: NodeFleet, front, oracle: WorkOracle) -> None:
         answer = await fleet.call(front, "DELETE", f"/api/lots/{oracle.job_id}")
@@ -283,52 +285,52 @@
         elif oracle.ended_s is None:
             oracle.ended_s = trio.current_time()
 
-    async def send_again(self, world: JobWorld, ended: list[WorkOracle]) -> None:
+    async def resubmit(self, harness: JobHarness, ended: list[WorkOracle]) -> None:
         """Submit ended jobs again, at each node and by neighbours."""
         for oracle in ended:
-            for number, node in enumerate(world.fleet.nodes):
-                await self.submit(world.fleet, node.front, oracle)
-                await self.submit_turned_away(world, number, oracle)
+            for number, node in enumerate(harness.fleet.nodes):
+                await self.submit(harness.fleet, node.front, oracle)
+                await self.submit_refused(harness, number, oracle)
         await trio.sleep(0.7)
 
     async def read_to_the_end(self, fleet: NodeFleet, oracle: WorkOracle) -> None:
         """Read at all nodes in turn until everything is listed, each item once and whole."""
         found: list[dict] = []
-        turn = 0
+        node_index = 0
         while len(found) < WORK_ITEMS:
-            front = fleet.nodes[turn % NODES].front
+            front = fleet.nodes[node_index % NODES].front
             answer = await read_page(fleet, front, oracle.job_id, len(found))
             self.assertIn(answer.status, (200, 503))
             found += answer.json()["results"] if answer.status == 200 else []
-            turn += 1
+            node_index += 1
             await trio.sleep(0.05)
         self.assertCountEqual([item["id"] for item in found], oracle.items)
         for item in found:
             self.assertEqual((item["state"], item["text"]), ("completed", wanted_text(item["id"])))
 
 
-def late_begins(world: JobWorld, oracles: list[WorkOracle]) -> list[str]:
+def late_starts(harness: JobHarness, oracles: list[WorkOracle]) -> list[str]:
     """Return what began at any upstream too late after an end, or of a job that was refused."""
     jobs = {name: oracle for oracle in oracles for name in oracle.items}
     found = []
-    for upstream in world.fleet.upstreams:
+    for upstream in harness.fleet.upstreams:
         for name, at_s in upstream.started:
             oracle = jobs[name]
             if oracle.refused:
                 found.append(f"{name} began though its job was refused")
-            elif oracle.ended_s is not None and at_s > oracle.ended_s + BOUND_S:
+            elif oracle.ended_s is not None and at_s > oracle.ended_s + MAX_LATE_S:
                 found.append(f"{name} began {at_s - oracle.ended_s:.2f} s after its job's end")
     return found
 
 
-def overtaken(begun: list[Begun], oracles: list[WorkOracle]) -> list[str]:
+def former_owner_starts(started: list[StartedRun], oracles: list[WorkOracle]) -> list[str]:
     """Return what a former owner began long after a newer one had begun work of the same job."""
     found = []
     for oracle in oracles:
-        runs = [run for run in begun if run.job_id == oracle.job_id]
+        runs = [run for run in started if run.job_id == oracle.job_id]
         for run in runs:
             newer = [other.at_s for other in runs if other.epoch > run.epoch]
-            if newer and run.at_s > min(newer) + BOUND_S:
+            if newer and run.at_s > min(newer) + MAX_LATE_S:
                 late_s = run.at_s - min(newer)
                 found.append(f"{oracle.job_id} epoch {run.epoch} began {late_s:.2f} s late")
     return found
--- a/tests/test_node_sight.py
+++ b/tests/test_node_observability.py
@@ -11,7 +11,7 @@
 from tests.builders.standins import run_async
 
 
-class NodeSightTest(unittest.TestCase):
+class NodeObservabilityTest(unittest.TestCase):
     def run_fleet(self, test, **options: object) -> None:
         async def run() -> None:
             with trio.fail_after(20):
@@ -20,7 +20,7 @@
 
         run_async(run)
 
-    def test_tries_of_the_same_work_bear_one_identity_in_the_logs(self) -> None:
+    def test_tries_of_the_same_work_have_one_identity_in_the_logs(self) -> None:
         seen: list[dict] = []
         eliot.add_destinations(seen.append)
         self.addCleanup(eliot.remove_destination, seen.append)
--- a/tests/test_node_online.py
+++ b/tests/test_node_online.py
@@ -18,7 +18,7 @@
 from tests.builders.standins import run_async
 
 
-def whole_stream(path: str, body: bytes, count: int = 5) -> bytes:
+def full_stream(path: str, body: bytes, count: int = 5) -> bytes:
     return b"".join(event_bytes(number, path, len(body)) for number in range(count))
 
 
@@ -31,14 +31,14 @@
 
         run_async(run)
 
-    def test_a_stream_is_passed_on_with_its_seal(self) -> None:
+    def test_a_stream_is_relayed_with_its_seal(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             headers = {"X-Request-Id": "r-one", "X-Model": "m", "X-Deadline-Ms": "3000"}
             answer = await fleet.call(
                 fleet.nodes[0].front, "POST", "/check/7?x=1", b"case", headers
             )
             self.assertEqual(answer.status, 200)
-            self.assertEqual(answer.body, whole_stream("/check/7", b"case"))
+            self.assertEqual(answer.body, full_stream("/check/7", b"case"))
             self.assertRegex(answer.headers["x-response-seal"], r"seal\.i-\d\.r-one")
             [seen] = [found for item in fleet.upstreams for found in item.seen]
             self.assertEqual((seen["x-model"], seen["host"]), ("m", "desk.example"))
@@ -46,7 +46,7 @@
 
         self.run_fleet(test)
 
-    def test_a_resumable_stream_goes_on_elsewhere_after_its_last_whole_event(self) -> None:
+    def test_a_resumable_stream_continues_elsewhere_after_its_last_complete_event(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.faults.append(UpstreamFault(cut_after=3))
@@ -59,12 +59,12 @@
             fleet.upstreams[1].faults.append(UpstreamFault())
             for _ in range(4):
                 answer = await fleet.call(fleet.nodes[0].front, "POST", "/check/8", b"case")
-                self.assertEqual(answer.body, whole_stream("/check/8", b"case"))
+                self.assertEqual(answer.body, full_stream("/check/8", b"case"))
                 self.assertTrue(answer.whole)
 
         self.run_fleet(test)
 
-    def test_a_restarted_upstream_is_not_held_for_what_it_was(self) -> None:
+    def test_a_restarted_upstream_is_not_treated_as_its_former_incarnation(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             [upstream], [node] = fleet.upstreams, fleet.nodes
             fleet.register(upstream, born=1_000)
@@ -77,13 +77,13 @@
                 fleet.register(upstream, born=2_000)
                 with trio.fail_after(0.7):
                     answer = await fleet.call(node.front, "POST", "/check/9", b"case")
-                self.assertEqual(answer.body, whole_stream("/check/9", b"case"))
+                self.assertEqual(answer.body, full_stream("/check/9", b"case"))
                 nursery.cancel_scope.cancel()
 
         with patient_asks():
             self.run_fleet(test, upstreams=1)
 
-    def test_an_entry_of_another_writer_costs_the_others_nothing(self) -> None:
+    def test_an_unreadable_entry_does_not_affect_the_others(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             odd = (b"\xff\x00", b"{}", json.dumps(worker_entry("x", state="resting")).encode())
             for number, value in enumerate(odd):
@@ -96,7 +96,7 @@
 
         self.run_fleet(test)
 
-    def test_a_stream_that_may_run_once_is_broken_off_visibly_and_runs_once(self) -> None:
+    def test_a_stream_that_may_run_once_is_cut_off_visibly_and_runs_once(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.faults.append(UpstreamFault(cut_after=2))
@@ -107,7 +107,7 @@
 
         self.run_fleet(test)
 
-    def test_a_lost_answer_of_a_call_that_may_run_once_is_no_promise(self) -> None:
+    def test_a_lost_answer_of_a_call_that_may_run_once_leaves_the_outcome_open(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.faults.append(UpstreamFault(lose=True))
@@ -119,7 +119,7 @@
 
         self.run_fleet(test)
 
-    def test_a_success_without_a_seal_reaches_nobody(self) -> None:
+    def test_a_success_without_a_seal_is_not_relayed(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.faults.append(UpstreamFault(unsealed=True))
@@ -140,7 +140,7 @@
 
         self.run_fleet(test)
 
-    def test_a_failure_of_an_upstream_is_passed_on_as_it_is(self) -> None:
+    def test_an_upstream_failure_is_relayed_unchanged(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.failing.add("/rights/1")
@@ -150,7 +150,7 @@
 
         self.run_fleet(test)
 
-    def test_after_a_failure_that_was_passed_on_the_connection_is_kept(self) -> None:
+    def test_the_connection_stays_open_after_a_relayed_failure(self) -> None:
         lines: list[dict] = []
 
         async def test(fleet: NodeFleet) -> None:
@@ -179,7 +179,7 @@
         [passed_on] = [line for line in ours if line["message_type"] == "call_failure_passed_on"]
         self.assertEqual((passed_on["request_id"], passed_on["status"]), ("failing", 500))
 
-    def test_a_long_answer_that_breaks_off_is_not_run_again_for_nobody(self) -> None:
+    def test_a_long_answer_that_is_cut_off_is_not_run_again(self) -> None:
         """The client has the beginning of it by then, and no other run can go on with that."""
 
         async def test(fleet: NodeFleet) -> None:
@@ -195,12 +195,12 @@
 
         self.run_fleet(test)
 
-    def test_a_silent_upstream_is_left_for_another_one(self) -> None:
+    def test_a_call_moves_from_a_silent_upstream_to_another_one(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             fleet.upstreams[0].faults += [UpstreamFault(hang_after=2)] * 3
             for number in range(6):
                 answer = await fleet.call(fleet.nodes[0].front, "POST", f"/check/{number}", b"case")
-                self.assertEqual(answer.body, whole_stream(f"/check/{number}", b"case"))
+                self.assertEqual(answer.body, full_stream(f"/check/{number}", b"case"))
 
         self.run_fleet(test)
 
@@ -278,7 +278,7 @@
 
         self.run_fleet(test)
 
-    def test_a_body_in_chunks_reaches_the_upstream_whole(self) -> None:
+    def test_a_chunked_body_reaches_the_upstream_completely(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             front = fleet.nodes[0].front
             async with await trio.open_tcp_stream(front.host, front.port) as stream:
@@ -323,7 +323,7 @@
 
         self.run_fleet(test)
 
-    def test_without_upstreams_a_call_is_refused_at_once_with_a_time_to_come_back(self) -> None:
+    def test_without_upstreams_a_call_is_refused_at_once_with_a_retry_time(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 fleet.register(upstream, state="draining")
@@ -336,7 +336,7 @@
 
         self.run_fleet(test)
 
-    def test_a_leaving_upstream_gets_nothing_more(self) -> None:
+    def test_a_leaving_upstream_gets_no_more_calls(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             fleet.register(fleet.upstreams[0], state="draining")
             await trio.sleep(0.5)
@@ -373,15 +373,15 @@
         # A busy machine takes longer over one look at readiness than the 150 ms of other tests.
         self.run_fleet(test, nodes=2, directory_leave_ms=1000)
 
-    async def wait_unnamed(self, fleet: NodeFleet, asked, leaving) -> None:
+    async def wait_unnamed(self, fleet: NodeFleet, resolver, leaving) -> None:
         """Wait until the directory of ``asked`` no longer names ``leaving``."""
         while True:
-            answer = await fleet.call(asked.directory, "GET", "/api/resolve?name=x")
+            answer = await fleet.call(resolver.directory, "GET", "/api/resolve?name=x")
             if str(leaving.front) not in answer.json()["addresses"]:
                 return
             await trio.sleep(0.02)
 
-    def test_a_node_started_while_the_store_is_away_learns_from_a_neighbour(self) -> None:
+    def test_a_node_started_during_an_outage_learns_from_a_neighbour(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             second = fleet.nodes[1]
             second.kill()
--- a/tests/test_node_quotas.py
+++ b/tests/test_node_quotas.py
@@ -30,13 +30,13 @@
 )
 
 
-class World:
+class QuotaHarness:
     """One node, beside as many others as are named, which answer as ``others`` says."""
 
     def __init__(self, count: int = 1) -> None:
         self.records: dict[str, Address] = {}
-        self.asked = 0
-        self.others: Result = Err(Fault(ResultCode.PEER_UNREACHABLE, "cut off"))
+        self.calls = 0
+        self.other_reply: Result = Err(Fault(ResultCode.PEER_UNREACHABLE, "cut off"))
         self.view = view = FleetView("node-0")
         self.names = [f"node-{number}" for number in range(count)]
         for number in range(count):
@@ -61,8 +61,8 @@
         )
 
     async def _call(self, *_args: object) -> Result[QuotaReply, Fault]:
-        self.asked += 1
-        return self.others
+        self.calls += 1
+        return self.other_reply
 
     async def admit_all(self) -> int:
         """Ask until a call is refused; return how many were let in."""
@@ -72,115 +72,115 @@
         return count
 
 
-def run_world(test: Callable[[World], Awaitable[None]], count: int = 1) -> None:
+def run_harness(test: Callable[[QuotaHarness], Awaitable[None]], count: int = 1) -> None:
     async def run() -> None:
-        world = World(count)
+        harness = QuotaHarness(count)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(world.quotas.run)
+            nursery.start_soon(harness.quotas.run)
             await trio.sleep(12.0)
-            await test(world)
+            await test(harness)
             nursery.cancel_scope.cancel()
 
     trio.run(run, clock=MockClock(autojump_threshold=0))
 
 
 class NodeSharesTest(unittest.TestCase):
-    def test_shares_fill_while_nobody_calls(self) -> None:
+    def test_shares_fill_without_calls(self) -> None:
         """Guards against a keeper that counted from its first call on, and refused the next."""
 
-        async def test(world: World) -> None:
+        async def test(harness: QuotaHarness) -> None:
             # A burst of 2, and of the 21.2 beyond the limit what is not set aside for starts.
-            self.assertGreaterEqual(await world.admit_all(), 16)
+            self.assertGreaterEqual(await harness.admit_all(), 16)
 
-        run_world(test)
+        run_harness(test)
 
     def test_a_call_that_waited_is_counted_when_it_is_sent(self) -> None:
-        async def test(world: World) -> None:
-            confirms = [(await world.quotas.admit("gent")).unwrap() for _ in range(8)]
+        async def test(harness: QuotaHarness) -> None:
+            confirms = [(await harness.quotas.admit("gent")).unwrap() for _ in range(8)]
             # All shares are full again: what is sent now is at most what they hold.
             await trio.sleep(10.0)
             for confirm in confirms:
                 self.assertIsInstance(await confirm(), Ok)
-            self.assertLessEqual(len(confirms) + await world.admit_all(), 18)
+            self.assertLessEqual(len(confirms) + await harness.admit_all(), 18)
 
-        run_world(test)
+        run_harness(test)
 
-    def test_a_node_that_has_just_started_waits_for_keepers_that_have_as_well(self) -> None:
+    def test_a_starting_node_waits_for_share_owners_that_start_as_well(self) -> None:
         """Guards against refusals after a loss of all nodes, before membership has found them."""
 
         async def run() -> None:
-            world = World(12)
-            for name in list(world.view.vms):
-                world.records[name] = Address("127.0.0.1", 1)
+            harness = QuotaHarness(12)
+            for name in list(harness.view.vms):
+                harness.records[name] = Address("127.0.0.1", 1)
                 if name != "node-0":
-                    del world.view.vms[name]
+                    del harness.view.vms[name]
             admitted: list[Result] = []
 
             async def admit() -> None:
-                admitted.append(await world.quotas.admit("gent"))
+                admitted.append(await harness.quotas.admit("gent"))
 
             async with trio.open_nursery() as nursery:
                 for _ in range(8):
                     nursery.start_soon(admit)
                 await trio.sleep(0.4)
-                world.others = Ok(QuotaReply(ResultCode.OK))
+                harness.other_reply = Ok(QuotaReply(ResultCode.OK))
             self.assertEqual([type(item) for item in admitted], [Ok] * 8)
             # Not later than that, as it may be the one that is cut off.
-            world.others = Err(Fault(ResultCode.PEER_UNREACHABLE, "cut off"))
+            harness.other_reply = Err(Fault(ResultCode.PEER_UNREACHABLE, "cut off"))
             await trio.sleep(5.0)
             began_s = trio.current_time()
-            while isinstance(await world.quotas.admit("gent"), Ok):
+            while isinstance(await harness.quotas.admit("gent"), Ok):
                 began_s = trio.current_time()
             self.assertLess(trio.current_time() - began_s, 0.1)
 
         trio.run(run, clock=MockClock(autojump_threshold=0))
 
-    def test_a_keeper_that_was_silent_counts_again_once_it_asks(self) -> None:
-        async def test(world: World) -> None:
-            self.assertIsInstance(await self.admit_alone(world), Err)
-            asked = world.asked
-            await self.admit_alone(world)
-            self.assertEqual(world.asked, asked)
-            world.others = Ok(QuotaReply(ResultCode.OK))
-            on_ask = world.quotas.handlers()[QuotaAsk]
-            for name in world.names:
-                await on_ask(QuotaAsk("", node=name), None)
-            self.assertIsInstance(await self.admit_alone(world), Ok)
-
-        run_world(test, count=12)
-
-    def test_a_share_that_is_reached_says_when_to_come_back(self) -> None:
+    def test_a_silent_share_owner_counts_again_once_it_sends_a_request(self) -> None:
+        async def test(harness: QuotaHarness) -> None:
+            self.assertIsInstance(await self.admit_until_refused(harness), Err)
+            calls = harness.calls
+            await self.admit_until_refused(harness)
+            self.assertEqual(harness.calls, calls)
+            harness.other_reply = Ok(QuotaReply(ResultCode.OK))
+            on_request = harness.quotas.handlers()[QuotaAsk]
+            for name in harness.names:
+                await on_request(QuotaAsk("", node=name), None)
+            self.assertIsInstance(await self.admit_until_refused(harness), Ok)
+
+        run_harness(test, count=12)
+
+    def test_a_reachable_share_names_the_retry_time(self) -> None:
         """Guards against 503 and a return at once while half of the keepers are cut off."""
 
-        async def test(world: World) -> None:
-            world.others = Ok(QuotaReply(ResultCode.OVER_LIMIT, 700))
-            refused = await self.admit_alone(world)
+        async def test(harness: QuotaHarness) -> None:
+            harness.other_reply = Ok(QuotaReply(ResultCode.OVER_LIMIT, 700))
+            refused = await self.admit_until_refused(harness)
             self.assertIs(refused.unwrap_err().code, ResultCode.OVER_LIMIT)
-            world.others = Err(Fault(ResultCode.PEER_UNREACHABLE, "cut off"))
-            refused = await self.admit_alone(world)
+            harness.other_reply = Err(Fault(ResultCode.PEER_UNREACHABLE, "cut off"))
+            refused = await self.admit_until_refused(harness)
             self.assertIs(refused.unwrap_err().code, ResultCode.OVER_LIMIT)
 
         # With two nodes each keeps shares of every customer.
-        run_world(test, count=2)
+        run_harness(test, count=2)
 
-    async def admit_alone(self, world: World) -> Result:
+    async def admit_until_refused(self, harness: QuotaHarness) -> Result:
         """Ask for calls until this node's own shares are used up; return the last answer."""
         for _ in range(30):
-            admitted = await world.quotas.admit("gent")
+            admitted = await harness.quotas.admit("gent")
             if isinstance(admitted, Err):
                 break
         return admitted
 
-    def test_a_node_that_reaches_no_keeper_says_that_it_does_not_know(self) -> None:
-        async def test(world: World) -> None:
+    def test_a_node_that_reaches_no_share_owner_reports_unknown_usage(self) -> None:
+        async def test(harness: QuotaHarness) -> None:
             codes = set()
             for _ in range(60):
-                admitted = await world.quotas.admit("gent")
+                admitted = await harness.quotas.admit("gent")
                 if isinstance(admitted, Err):
                     codes.add(admitted.err_value.code)
             self.assertEqual(codes, {ResultCode.QUOTA_UNKNOWN})
 
-        run_world(test, count=12)
+        run_harness(test, count=12)
 
 
 if __name__ == "__main__":
--- a/tests/test_node_replicas.py
+++ b/tests/test_node_replicas.py
@@ -35,18 +35,18 @@
         duty = WatchDuty("n-0", "caldas", "d-0")
         self.assertEqual({item.failure_domain for item in duty.audience(vms)}, {"d-0"})
 
-    def test_a_leaving_node_hears_but_does_not_watch(self) -> None:
+    def test_a_leaving_node_receives_updates_but_does_not_watch(self) -> None:
         vms = [vm("n-0", "d", VmState.LEAVING), vm("n-1", "d")]
         self.assertEqual(self.watchers(vms), ["n-1"])
         self.assertEqual(
             [item.vm_id for item in WatchDuty("n-1", "caldas", "d").audience(vms)], ["n-0"]
         )
 
-    def test_a_node_that_knows_nobody_watches_for_itself(self) -> None:
+    def test_a_node_that_knows_no_other_node_watches_for_itself(self) -> None:
         self.assertTrue(WatchDuty("n-0", "caldas", "d").watches("a/", []))
 
 
-class SpreadTest(unittest.TestCase):
+class UpdateBroadcastTest(unittest.TestCase):
     def run_fleet(self, test, **options: object) -> None:
         async def run() -> None:
             with trio.fail_after(20):
@@ -55,18 +55,18 @@
 
         run_async(run)
 
-    async def wait_served(self, fleet: NodeFleet, path: str) -> None:
+    async def wait_route_served(self, fleet: NodeFleet, path: str) -> None:
         """Wait until every node serves ``path``."""
         for node in fleet.nodes:
             await fleet.wait_status(node.front, path, 200)
 
-    def test_a_new_route_is_in_force_at_every_node_soon(self) -> None:
+    def test_a_new_route_soon_applies_at_every_node(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             document = config_document(2)
             document["routes"].append(document["routes"][0] | {"name": "new", "prefix": "/new/"})
             fleet.configure(document)
             with trio.fail_after(1.0):
-                await self.wait_served(fleet, "/new/1")
+                await self.wait_route_served(fleet, "/new/1")
 
         self.run_fleet(test, nodes=3)
 
@@ -83,7 +83,7 @@
         self.run_fleet(test, nodes=4)
         self.assertLess(counts[1], 2 * counts[0])
 
-    def test_when_the_watching_node_is_killed_the_others_go_on_hearing(self) -> None:
+    def test_when_the_watching_node_is_killed_the_others_still_receive_updates(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             fleet.nodes.pop(0).kill()
             for version in (2, 3):
@@ -92,16 +92,16 @@
                 document["routes"].append(route)
                 fleet.configure(document)
                 with trio.fail_after(2.0):
-                    await self.wait_served(fleet, f"/new-{version}/1")
+                    await self.wait_route_served(fleet, f"/new-{version}/1")
 
         self.run_fleet(test, nodes=3)
 
-    def test_an_older_configuration_is_never_taken(self) -> None:
+    def test_an_older_configuration_is_never_applied(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             document = config_document(5)
             document["routes"].append(document["routes"][0] | {"name": "n", "prefix": "/new/"})
             fleet.configure(document)
-            await self.wait_served(fleet, "/new/1")
+            await self.wait_route_served(fleet, "/new/1")
             fleet.configure(config_document(4))
             await trio.sleep(0.8)
             for node in fleet.nodes:
@@ -110,7 +110,7 @@
 
         self.run_fleet(test, nodes=2)
 
-    def test_history_that_is_gone_is_read_anew(self) -> None:
+    def test_after_a_compaction_the_state_is_read_again(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             fleet.store.faults.delay_ms = 30
             document = config_document(2)
@@ -119,7 +119,7 @@
             fleet.store.state.compact(fleet.store.state.revision)
             fleet.store.cut_watches()
             with trio.fail_after(3.0):
-                await self.wait_served(fleet, "/new/1")
+                await self.wait_route_served(fleet, "/new/1")
 
         self.run_fleet(test, nodes=2)
 
--- a/tests/test_node_retirement.py
+++ b/tests/test_node_retirement.py
@@ -21,7 +21,7 @@
 
 
 @dataclass
-class KnownRequests:
+class FakeReplicas:
     """Stands for ``Replicas``: knows the operator's keys, of which none changes any more."""
 
     version: int = 1
@@ -38,14 +38,14 @@
 
 
 @dataclass
-class SlowSpools:
+class FakeSpools:
     """Stands for ``Spools``: says that jobs are left, after ``meanwhile`` has happened."""
 
-    meanwhile: Callable[[], object]
+    during_call: Callable[[], object]
 
     async def drain(self, _vm_id: str) -> int:
         await trio.sleep(0.2)
-        await self.meanwhile()
+        await self.during_call()
         return 3
 
     def entry_of(self, _vm_id: str) -> None:
@@ -53,12 +53,12 @@
 
 
 class OvertakenStatusTest(unittest.TestCase):
-    def answer(self, meanwhile: Callable[[MemoryKv], object], request_revision: int) -> bytes:
+    def answer(self, during_call: Callable[[MemoryKv], object], request_revision: int) -> bytes:
         """Answer the request of ``request_revision`` for a while; return the status by then."""
         found: list[bytes] = []
 
         async def run() -> None:
-            kv, known = MemoryKv(), KnownRequests()
+            kv, known = MemoryKv(), FakeReplicas()
             # The request was written at the first revision of the store.
             (await kv.put_if(REQUEST, b"", 0)).unwrap()
             known.show(request_revision)
@@ -66,7 +66,7 @@
             own = VmRecord("node-1", "r1", "d1", "127.0.0.1", 1, VmState.ALIVE, batch_port=1)
             own.ready = [Program.BATCH]
             view.replace(1, [own], [], 0.0)
-            spools = SlowSpools(lambda: meanwhile(kv))
+            spools = FakeSpools(lambda: during_call(kv))
             with trio.move_on_after(0.6):
                 await Retirement(kv, known, view, spools).run()
             found.append((await kv.get(STATUS)).unwrap().value)
@@ -82,13 +82,13 @@
     async def nothing(self, _kv: MemoryKv) -> None:
         pass
 
-    def test_what_is_left_is_told(self) -> None:
+    def test_pending_jobs_are_reported(self) -> None:
         self.assertEqual(self.answer(self.nothing, 1), records.encode_emptying())
 
-    def test_a_machine_that_another_node_found_empty_meanwhile_stays_so(self) -> None:
+    def test_a_machine_that_another_node_found_empty_stays_reported_so(self) -> None:
         self.assertEqual(self.answer(self.complete, 1), records.encode_emptied())
 
-    def test_a_request_that_came_after_the_last_status_is_answered_anew(self) -> None:
+    def test_a_request_after_the_last_status_is_answered_again(self) -> None:
         self.assertEqual(self.answer(self.complete, 100), records.encode_emptying())
 
 
--- a/tests/test_node_slow_readers.py
+++ b/tests/test_node_slow_readers.py
@@ -118,7 +118,7 @@
 
         self.run_fleet(test)
 
-    def test_bodies_of_items_that_nobody_reads_are_bounded(self) -> None:
+    def test_unread_bodies_of_items_are_bounded(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             front, body = fleet.nodes[0].front, b"x" * 60_000 + b"end"
             headers = {"x-request-id": "job", "x-deadline-ms": "3000"}
--- a/tests/test_node_spools.py
+++ b/tests/test_node_spools.py
@@ -49,16 +49,16 @@
     def setUp(self) -> None:
         # How soon a disk has to answer is not tested here: on a machine with a load of 30 one took
         # more than the 100 ms, and with 1 ms in their place six tests of this class fail likewise.
-        patience = mock.patch.object(node_spools, "_COPY_TIMEOUT_MS", 1000.0)
-        patience.start()
-        self.addCleanup(patience.stop)
+        patcher = mock.patch.object(node_spools, "_COPY_TIMEOUT_MS", 1000.0)
+        patcher.start()
+        self.addCleanup(patcher.stop)
 
     async def submit_in_outage(self, fleet: NodeFleet) -> int:
         fleet.store.refuse_status = 503
         await trio.sleep(1.2)
         return (await submit(fleet, fleet.nodes[0].front, "a", "b")).status
 
-    def test_a_job_that_comes_in_an_outage_is_accepted_and_done_after_it(self) -> None:
+    def test_a_job_submitted_in_an_outage_is_accepted_and_done_after_it(self) -> None:
         async def test(fleet: NodeFleet, _spools: Spools) -> None:
             self.assertEqual(await self.submit_in_outage(fleet), 202)
             fleet.store.refuse_status = 0
@@ -81,13 +81,13 @@
 
         self.run_fleet(test)
 
-    def test_no_node_denies_a_job_that_waits_on_disks(self) -> None:
+    def test_no_node_denies_a_job_that_is_pending_on_spools(self) -> None:
         async def test(fleet: NodeFleet, spools: Spools) -> None:
             self.assertEqual(await self.submit_in_outage(fleet), 202)
             # The store is back for one node only; neither spool has stored the job yet.
-            door = MetadataStoreService(state=fleet.store.state)
-            await fleet.nursery.start(door.run, LOOPBACK)
-            reader = await fleet.start_node(2, store_address=str(door.address))
+            endpoint = MetadataStoreService(state=fleet.store.state)
+            await fleet.nursery.start(endpoint.run, LOOPBACK)
+            reader = await fleet.start_node(2, store_address=str(endpoint.address))
             await fleet.wait_status(reader.ready, "/api/ready", 200)
             for target in (f"/api/lots/{JOB}?after=0", f"/api/items/{JOB}?id=a"):
                 answer = await fleet.call(reader.front, "GET", target)
@@ -118,7 +118,7 @@
 
         self.run_fleet(test)
 
-    def test_one_disk_is_not_enough_and_what_it_may_hold_is_no_promise(self) -> None:
+    def test_one_spool_is_not_enough_and_its_copy_leaves_the_outcome_open(self) -> None:
         async def test(fleet: NodeFleet, spools: Spools) -> None:
             spools[1].kill()
             await spools[1].ended.wait()
@@ -132,13 +132,13 @@
 
         self.run_fleet(test)
 
-    def test_without_enough_disks_a_job_is_refused_at_once_with_a_time_to_come_back(self) -> None:
+    def test_without_enough_spools_a_job_is_refused_at_once_with_a_retry_time(self) -> None:
         async def test(fleet: NodeFleet, _spools: Spools) -> None:
             self.assertEqual(await self.submit_in_outage(fleet), 503)
 
         self.run_fleet(test, spools=1)
 
-    def test_a_third_disk_takes_the_place_of_one_that_does_not_answer(self) -> None:
+    def test_a_third_spool_replaces_one_that_does_not_answer(self) -> None:
         async def test(fleet: NodeFleet, spools: Spools) -> None:
             spools[0].kill()
             await spools[0].ended.wait()
@@ -146,7 +146,7 @@
 
         self.run_fleet(test, spools=3)
 
-    def test_a_machine_is_emptied_only_when_its_jobs_are_stored(self) -> None:
+    def test_a_machine_is_reported_empty_only_after_its_jobs_are_stored(self) -> None:
         async def test(fleet: NodeFleet, spools: Spools) -> None:
             name = spools[0].vm_id
             self.assertEqual(await self.submit_in_outage(fleet), 202)
--- a/tests/test_node_start.py
+++ b/tests/test_node_start.py
@@ -22,14 +22,14 @@
         found = subprocess.run(command, capture_output=True, check=True, text=True)
         return {name: file for name, file in json.loads(found.stdout).items() if file}
 
-    def test_no_class_of_ours_is_generated_and_compiled_at_a_start(self) -> None:
+    def test_no_class_is_generated_and_compiled_at_start_up(self) -> None:
         """125 generated classes were a third of a node's imports: 0.53 s with, 0.37 s without."""
         for program in ("fescuedock.node.main", "fescuedock.spool.main"):
             for name, file in self.loaded(program).items():
                 with self.subTest(program=program, module=name):
                     self.assertNotIn("dataclass", Path(file).read_text(encoding="utf-8"))
 
-    def test_what_a_first_answer_does_not_need_is_not_loaded(self) -> None:
+    def test_modules_not_needed_for_a_first_answer_are_not_loaded(self) -> None:
         loaded = self.loaded("fescuedock.node.main")
         self.assertEqual([name for name in _LATE if name in loaded], [])
         self.assertLess(len(loaded), 160)
--- a/tests/test_overtaken_sends.py
+++ b/tests/test_overtaken_sends.py
@@ -67,7 +67,7 @@
         ended = msgspec.structs.replace(record, ended=True)
         fleet.store.state.put(key, msgspec.msgpack.encode(ended))
 
-    def test_an_item_whose_job_ended_while_its_node_stood_still_is_not_sent(self) -> None:
+    def test_an_item_whose_job_ended_while_its_node_was_suspended_is_not_sent(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             [upstream], [node] = fleet.upstreams, fleet.nodes
 
@@ -106,10 +106,10 @@
             [upstream], [node] = fleet.upstreams, fleet.nodes
             valid_s = node.settings.agent.permit_valid_ms / 1000
 
-            async def let_the_permit_lapse(_address: Address) -> None:
+            async def outlast_permit(_address: Address) -> None:
                 stand_still(valid_s + 0.1)
 
-            with meanwhile([upstream.address], let_the_permit_lapse):
+            with meanwhile([upstream.address], outlast_permit):
                 await submit(fleet, node.front, "a")
                 page = await read_page(fleet, node.front, wait_ms=5000)
             [result] = page.json()["results"]
@@ -120,7 +120,7 @@
         ends = [line["attempt_end"] for line in lines if line["message_type"] == "item_run"]
         self.check_sent_once(ends)
 
-    def test_a_call_whose_deadline_passed_while_its_node_stood_still_is_not_sent(self) -> None:
+    def test_a_call_whose_deadline_passed_while_its_node_was_suspended_is_not_sent(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             [upstream], [node] = fleet.upstreams, fleet.nodes
 
@@ -137,15 +137,15 @@
 
         self.run_fleet(test, upstreams=1)
 
-    def test_a_call_whose_permit_lapsed_while_its_node_stood_still_asks_again(self) -> None:
+    def test_a_call_whose_permit_lapsed_while_its_node_was_suspended_requests_another(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             [node] = fleet.nodes
             valid_s = node.settings.agent.permit_valid_ms / 1000
 
-            async def let_the_permit_lapse(_address: Address) -> None:
+            async def outlast_permit(_address: Address) -> None:
                 stand_still(valid_s + 0.1)
 
-            with meanwhile([item.address for item in fleet.upstreams], let_the_permit_lapse):
+            with meanwhile([item.address for item in fleet.upstreams], outlast_permit):
                 answer = await fleet.call(node.front, "POST", "/rights/1", b"case")
             self.assertEqual((answer.status, answer.whole), (200, True))
             self.assertEqual(sum(item.runs.total() for item in fleet.upstreams), 1)
@@ -157,7 +157,7 @@
         self.check_sent_once([line["end"] for line in attempts])
 
     def test_a_call_is_not_sent_to_an_upstream_that_began_to_leave_meanwhile(self) -> None:
-        await_news_s = 0.2
+        update_wait_s = 0.2
 
         async def test(fleet: NodeFleet) -> None:
             [node] = fleet.nodes
@@ -167,7 +167,7 @@
                 [upstream] = [item for item in fleet.upstreams if item.address == address]
                 leaving.append(upstream)
                 fleet.register(upstream, state="draining", sequence=2)
-                await trio.sleep(await_news_s)
+                await trio.sleep(update_wait_s)
 
             with meanwhile([item.address for item in fleet.upstreams], leave):
                 answer = await fleet.call(node.front, "POST", "/check/1", b"case")
@@ -185,7 +185,9 @@
         engines, plain = fleet.standins.engines, fleet.standins.plain
         return {item.address: name for name, item in (*engines.items(), *plain.items())}
 
-    async def left_meanwhile(self, fleet: OnlineFleet, path: str, body: object) -> tuple[int, str]:
+    async def call_while_leaving(
+        self, fleet: OnlineFleet, path: str, body: object
+    ) -> tuple[int, str]:
         """Call while the upstream that was chosen leaves; return the status and that upstream."""
         names = self.addresses(fleet)
 
@@ -201,7 +203,7 @@
     async def test_a_service_that_began_to_leave_meanwhile_gets_no_call(
         self, fleet: OnlineFleet
     ) -> None:
-        status, left = await self.left_meanwhile(fleet, BOOKINGS, b"{}")
+        status, left = await self.call_while_leaving(fleet, BOOKINGS, b"{}")
         self.assertEqual(status, 200)
         executions = {name: sum(item.executions.values()) for name, item in self.plain(fleet)}
         self.assertEqual(executions.pop(left), 0)
@@ -211,21 +213,21 @@
     async def test_an_engine_that_began_to_leave_meanwhile_gets_no_stream(
         self, fleet: OnlineFleet
     ) -> None:
-        status, left = await self.left_meanwhile(fleet, CHAT, chat_body())
+        status, left = await self.call_while_leaving(fleet, CHAT, chat_body())
         self.assertEqual(status, 200)
         self.assertEqual(fleet.standins.engines[left].received, 0)
 
     @with_fleet()
-    async def test_an_engine_that_began_to_leave_meanwhile_forms_no_whole_answer(
+    async def test_an_engine_that_began_to_leave_meanwhile_gives_no_complete_answer(
         self, fleet: OnlineFleet
     ) -> None:
         body = chat_body(stream=False, n=2)
-        status, left = await self.left_meanwhile(fleet, CHAT, body)
+        status, left = await self.call_while_leaving(fleet, CHAT, body)
         self.assertEqual(status, 200)
         self.assertEqual(fleet.standins.engines[left].received, 0)
 
     @with_fleet()
-    async def test_a_call_whose_deadline_passed_while_its_entry_stood_still_is_not_sent(
+    async def test_a_call_whose_deadline_passed_while_its_entry_was_suspended_is_not_sent(
         self, fleet: OnlineFleet
     ) -> None:
         async def stand_still_for_long(_address: Address) -> None:
--- a/tests/test_owner_vouch.py
+++ b/tests/test_owner_vouch.py
@@ -14,7 +14,7 @@
 from fescuedock.schema.replicas import ReplicaNews
 from fescuedock.schema.stored_jobs import ResultGroup, StoredResult
 from tests.builders.forwarding import job_record
-from tests.test_replica_knowledge import AWAY, FakeSpread, FakeStore
+from tests.test_replica_knowledge import UNAVAILABLE, FakeBroadcaster, FakeStore
 
 PREFIX = "live/"
 RECORD = job_record(total=3, owner_id="n-1", owner_boot=1)
@@ -34,11 +34,11 @@
 
         async def run() -> None:
             replicas = Replicas(
-                FakeStore(0.0, AWAY),
+                FakeStore(0.0, UNAVAILABLE),
                 [WatchedPrefix(PREFIX, 900, 300)],
                 self.silent,
                 lambda: (),
-                FakeSpread(),
+                FakeBroadcaster(),
                 random.Random(1),
             )
             replicas.tables[PREFIX].replace([], 5, now_ms())
@@ -65,7 +65,7 @@
         return found[0]
 
     async def silent(self, *_call: object) -> object:
-        return AWAY
+        return UNAVAILABLE
 
     def test_late_news_of_a_known_sender_vouch_for_nothing(self) -> None:
         self.assertFalse(self.vouches(known_sender=True))
--- a/tests/test_replica_agreement.py
+++ b/tests/test_replica_agreement.py
@@ -13,7 +13,7 @@
 from fescuedock.kv import KvEntry
 from fescuedock.node.replicas import Replicas, WatchedPrefix
 from fescuedock.schema.replicas import ReplicaRequest
-from tests.test_replica_knowledge import AWAY, NEIGHBOUR, FakeSpread, FakeStore
+from tests.test_replica_knowledge import NEIGHBOUR, UNAVAILABLE, FakeBroadcaster, FakeStore
 
 PREFIX = "live/"
 
@@ -50,14 +50,14 @@
 
     def replicas(self) -> Replicas:
         async def silent(*_call: object) -> object:
-            return AWAY
+            return UNAVAILABLE
 
         return Replicas(
-            FakeStore(0.0, AWAY),
+            FakeStore(0.0, UNAVAILABLE),
             [WatchedPrefix(PREFIX, 900, 300)],
             silent,
             lambda: (NEIGHBOUR,),
-            FakeSpread(),
+            FakeBroadcaster(),
             random.Random(1),
         )
 
--- a/tests/test_replica_knowledge.py
+++ b/tests/test_replica_knowledge.py
@@ -22,7 +22,7 @@
 WAIT_MS = 900
 ENTRY = KvEntry("live/a", b"x", 7)
 NEIGHBOUR = Address("10.0.0.2", 7000)
-AWAY = Err(Fault(ResultCode.KV_UNAVAILABLE, "no answer"))
+UNAVAILABLE = Err(Fault(ResultCode.KV_UNAVAILABLE, "no answer"))
 
 
 class FakeStore:
@@ -42,13 +42,13 @@
         return self.answer
 
 
-class FakeSpread:
+class FakeBroadcaster:
     """Watches by itself, and keeps what it would tell."""
 
     vm_id = "n-1"
 
     def __init__(self) -> None:
-        self.told: list[msgspec.Struct] = []
+        self.sent: list[msgspec.Struct] = []
 
     def address_of(self, vm_id: str) -> Address | None:
         return NEIGHBOUR if vm_id == "n-2" else None
@@ -57,7 +57,7 @@
         return True
 
     async def broadcast(self, message: msgspec.Struct) -> None:
-        self.told.append(message)
+        self.sent.append(message)
 
 
 async def _silent(*_call: object) -> Result[msgspec.Struct, Fault]:
@@ -68,7 +68,7 @@
     def replicas(
         self,
         store: FakeStore,
-        spread: FakeSpread | None = None,
+        broadcaster: FakeBroadcaster | None = None,
         call: Callable = _silent,
         neighbours: tuple[Address, ...] = (),
     ) -> Replicas:
@@ -77,7 +77,7 @@
             [WatchedPrefix(PREFIX, WAIT_MS, 300)],
             call,
             lambda: neighbours,
-            spread or FakeSpread(),
+            broadcaster or FakeBroadcaster(),
             random.Random(1),
         )
 
@@ -120,17 +120,19 @@
 
         self.run_for(replicas, (300 + WAIT_MS + 100) / 1000, check)
 
-    def test_news_are_as_old_for_others_as_for_the_node_that_tells_them(self) -> None:
-        spread = FakeSpread()
+    def test_updates_are_as_old_for_receivers_as_for_their_sender(self) -> None:
+        broadcaster = FakeBroadcaster()
         event = KvEvent(ENTRY.key, 7, ENTRY)
         self.run_for(
-            self.replicas(FakeStore(800.0, Ok(KvChanges((event,), 7))), spread), 1.2, lambda: None
+            self.replicas(FakeStore(800.0, Ok(KvChanges((event,), 7))), broadcaster),
+            1.2,
+            lambda: None,
         )
-        [news] = [message for message in spread.told if isinstance(message, ReplicaNews)]
+        [news] = [message for message in broadcaster.sent if isinstance(message, ReplicaNews)]
         self.assertAlmostEqual(news.as_of_age_ms, 800, delta=5)
 
-        async def hear() -> None:
-            other = self.replicas(FakeStore(0.0, AWAY))
+        async def receive() -> None:
+            other = self.replicas(FakeStore(0.0, UNAVAILABLE))
             table = other.tables[PREFIX]
             table.replace([], 5, now_ms() - 3000)
             other._clocks.note_answer(news.sender, now_ms(), news.sent_ms)
@@ -138,10 +140,10 @@
             self.assertIn(ENTRY.key, table.entries)
             self.assertAlmostEqual(table.as_of_age_ms(now_ms()), 800, delta=5)
 
-        trio.run(hear, clock=trio.testing.MockClock(autojump_threshold=0))
+        trio.run(receive, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_a_neighbour_that_knows_the_same_says_how_old_that_is(self) -> None:
-        asked: list[ReplicaRequest] = []
+    def test_a_neighbour_that_knows_the_same_reports_its_age(self) -> None:
+        requests: list[ReplicaRequest] = []
         known = ReplicaTable(PREFIX)
 
         async def neighbour(
@@ -149,26 +151,28 @@
         ) -> Result[ReplicaReply, Fault]:
             if now_ms() < 1000:
                 # Asked before the store was read; a whole snapshot is another matter.
-                return AWAY
-            asked.append(message)
-            answering = self.replicas(FakeStore(0.0, AWAY))
+                return UNAVAILABLE
+            requests.append(message)
+            answering = self.replicas(FakeStore(0.0, UNAVAILABLE))
             answering.tables[PREFIX].replace([], 5, known.as_of_ms)
             return Ok(await answering.handlers()[ReplicaRequest](message, None))
 
-        replicas = self.replicas(FakeStore(0.0, AWAY), call=neighbour, neighbours=(NEIGHBOUR,))
+        replicas = self.replicas(
+            FakeStore(0.0, UNAVAILABLE), call=neighbour, neighbours=(NEIGHBOUR,)
+        )
         table = replicas.tables[PREFIX]
 
         def check() -> None:
-            self.assertTrue(asked)
+            self.assertTrue(requests)
             self.assertAlmostEqual(table.as_of_ms, 700, delta=5)
             self.assertLess(replicas.agreed_age_ms(PREFIX), 500)
 
         known.replace([], 5, 700.0)
         self.run_for(replicas, 2.5, check)
 
-    def test_news_older_than_what_is_known_confirm_nothing(self) -> None:
+    def test_updates_older_than_the_table_confirm_nothing(self) -> None:
         async def run() -> None:
-            replicas = self.replicas(FakeStore(0.0, AWAY))
+            replicas = self.replicas(FakeStore(0.0, UNAVAILABLE))
             table = replicas.tables[PREFIX]
             table.replace([], 10, 0.0)
             await trio.sleep(1.0)
@@ -180,9 +184,9 @@
     def news(self, sent_ms: int) -> ReplicaNews:
         return ReplicaNews(PREFIX, 5, 6, [], {}, 100, sender="n-2/1", sent_ms=sent_ms)
 
-    def test_news_that_were_long_on_their_way_are_as_old_as_that(self) -> None:
+    def test_delayed_updates_are_as_old_as_their_delay(self) -> None:
         async def run() -> None:
-            replicas = self.replicas(FakeStore(0.0, AWAY))
+            replicas = self.replicas(FakeStore(0.0, UNAVAILABLE))
             table = replicas.tables[PREFIX]
             table.replace([], 5, 0.0)
             replicas._clocks.note_answer("n-2/1", 0.0, 70_000.0)
@@ -193,38 +197,38 @@
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_news_of_an_unknown_sender_are_heard_and_certain_once_it_was_asked(self) -> None:
-        asked: list[ReplicaRequest] = []
+    def test_updates_of_an_unknown_sender_become_certain_once_it_was_queried(self) -> None:
+        requests: list[ReplicaRequest] = []
 
         async def neighbour(
             _address: Address, message: ReplicaRequest, _timeout_ms: float
         ) -> Result[ReplicaReply, Fault]:
-            asked.append(message)
+            requests.append(message)
             return Ok(ReplicaReply([], sender="n-2/1", sent_ms=int(70_000 + now_ms())))
 
         async def run() -> None:
-            replicas = self.replicas(FakeStore(0.0, AWAY), call=neighbour)
+            replicas = self.replicas(FakeStore(0.0, UNAVAILABLE), call=neighbour)
             table = replicas.tables[PREFIX]
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(replicas.run)
                 await trio.sleep(3.0)
-                hear = replicas.handlers()[ReplicaNews]
-                await hear(self.news(73_000), None)
+                receive = replicas.handlers()[ReplicaNews]
+                await receive(self.news(73_000), None)
                 self.assertAlmostEqual(table.age_ms(now_ms()), 0, delta=5)
                 self.assertGreater(table.as_of_age_ms(now_ms()), 2900)
                 await trio.sleep(0.5)
-                self.assertEqual(asked, [ReplicaRequest({})])
-                await hear(self.news(73_500), None)
+                self.assertEqual(requests, [ReplicaRequest({})])
+                await receive(self.news(73_500), None)
                 self.assertAlmostEqual(table.as_of_age_ms(now_ms()), 100, delta=10)
                 nursery.cancel_scope.cancel()
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_who_hears_but_knows_nothing_for_certain_asks_the_store(self) -> None:
+    def test_a_node_with_updates_of_unknown_age_queries_the_store(self) -> None:
         store = FakeStore(0.0, Ok(KvChanges((), 6)))
-        spread = FakeSpread()
-        spread.watches = lambda _prefix: False
-        replicas = self.replicas(store, spread)
+        broadcaster = FakeBroadcaster()
+        broadcaster.watches = lambda _prefix: False
+        replicas = self.replicas(store, broadcaster)
 
         async def run() -> None:
             async with trio.open_nursery() as nursery:
@@ -240,9 +244,9 @@
         self.assertGreater(store.watches, 0)
         self.assertLess(store.watches, 4)
 
-    def test_a_neighbour_that_knows_less_vouches_for_nothing(self) -> None:
+    def test_a_neighbour_that_knows_less_confirms_nothing(self) -> None:
         async def run() -> None:
-            replicas = self.replicas(FakeStore(0.0, AWAY))
+            replicas = self.replicas(FakeStore(0.0, UNAVAILABLE))
             replicas.tables[PREFIX].replace([], 5, 0.0)
             for revision, wanted in ((5, [PREFIX]), (6, []), (4, [])):
                 request = ReplicaRequest({PREFIX: revision})
@@ -251,65 +255,67 @@
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_what_a_node_has_itself_written_is_told_to_who_asks(self) -> None:
+    def test_entries_written_by_a_node_are_sent_to_nodes_that_query_it(self) -> None:
         async def run() -> None:
-            telling, asking = (self.replicas(FakeStore(0.0, AWAY)) for _ in range(2))
-            for replicas in (telling, asking):
+            sender, requester = (self.replicas(FakeStore(0.0, UNAVAILABLE)) for _ in range(2))
+            for replicas in (sender, requester):
                 replicas.tables[PREFIX].replace([], 5, 0.0)
-            telling.record_entry(PREFIX, ENTRY)
+            sender.record_entry(PREFIX, ENTRY)
 
             async def call(
                 _address: Address, message: msgspec.Struct, _timeout_ms: float
             ) -> Result:
-                return Ok(await telling.handlers()[ReplicaRequest](message, None))
+                return Ok(await sender.handlers()[ReplicaRequest](message, None))
 
-            asking._call_neighbour = call
-            await asking._query(NEIGHBOUR)
-            self.assertIn(ENTRY.key, asking.tables[PREFIX].entries)
+            requester._call_neighbour = call
+            await requester._query(NEIGHBOUR)
+            self.assertIn(ENTRY.key, requester.tables[PREFIX].entries)
             # Once a watch has told of it, there is nothing left to tell.
-            telling.tables[PREFIX].apply([KvEvent(ENTRY.key, 7, ENTRY)], 7, 1.0)
-            reply = await telling.handlers()[ReplicaRequest](ReplicaRequest({PREFIX: 5}), None)
+            sender.tables[PREFIX].apply([KvEvent(ENTRY.key, 7, ENTRY)], 7, 1.0)
+            reply = await sender.handlers()[ReplicaRequest](ReplicaRequest({PREFIX: 5}), None)
             self.assertEqual(reply.noted, [])
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_a_snapshot_tells_what_was_heard_and_as_of_when_it_is_certain(self) -> None:
+    def test_a_snapshot_carries_its_age_and_the_time_of_certainty(self) -> None:
         async def run() -> None:
             await trio.sleep(2.0)
-            telling, taking = (self.replicas(FakeStore(0.0, AWAY)) for _ in range(2))
-            table = telling.tables[PREFIX]
+            sender, receiver = (self.replicas(FakeStore(0.0, UNAVAILABLE)) for _ in range(2))
+            table = sender.tables[PREFIX]
             table.replace([ENTRY], 7, 100.0)
             table.apply([], 9, now_ms() - 100, now_ms() - 800)
             request = ReplicaRequest({PREFIX: 5})
-            [snapshot] = (await telling.handlers()[ReplicaRequest](request, None)).snapshots
-            taking._clocks.note_answer(snapshot.sender, now_ms(), snapshot.sent_ms)
-            await taking.handlers()[ReplicaSnapshot](snapshot, None)
-            taken = taking.tables[PREFIX]
-            self.assertIn(ENTRY.key, taken.entries)
-            self.assertAlmostEqual(taken.age_ms(now_ms()), 100, delta=5)
-            self.assertAlmostEqual(taken.as_of_age_ms(now_ms()), 800, delta=5)
+            [snapshot] = (await sender.handlers()[ReplicaRequest](request, None)).snapshots
+            receiver._clocks.note_answer(snapshot.sender, now_ms(), snapshot.sent_ms)
+            await receiver.handlers()[ReplicaSnapshot](snapshot, None)
+            received = receiver.tables[PREFIX]
+            self.assertIn(ENTRY.key, received.entries)
+            self.assertAlmostEqual(received.age_ms(now_ms()), 100, delta=5)
+            self.assertAlmostEqual(received.as_of_age_ms(now_ms()), 800, delta=5)
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
 
-    def test_a_neighbour_is_asked_as_soon_as_a_table_is_stale(self) -> None:
-        asked_ms: list[float] = []
+    def test_a_neighbour_is_queried_as_soon_as_a_table_is_stale(self) -> None:
+        requested_ms: list[float] = []
 
         async def neighbour(*_call: object) -> Result[msgspec.Struct, Fault]:
-            asked_ms.append(now_ms())
+            requested_ms.append(now_ms())
             return Err(Fault(ResultCode.PEER_UNREACHABLE, "silent"))
 
-        replicas = self.replicas(FakeStore(0.0, AWAY), call=neighbour, neighbours=(NEIGHBOUR,))
+        replicas = self.replicas(
+            FakeStore(0.0, UNAVAILABLE), call=neighbour, neighbours=(NEIGHBOUR,)
+        )
 
         def check() -> None:
             # At the start, before the store was read, it may be asked as well.
-            stale_ms = next(at_ms for at_ms in asked_ms if at_ms > 0)
+            stale_ms = next(at_ms for at_ms in requested_ms if at_ms > 0)
             self.assertAlmostEqual(stale_ms, WAIT_MS + 700, delta=50)
             self.assertEqual(replicas.agreed_age_ms(PREFIX), float("inf"))
 
         self.run_for(replicas, 2.5, check)
 
-    def test_a_node_without_neighbours_has_nobody_who_could_know_more(self) -> None:
-        replicas = self.replicas(FakeStore(0.0, AWAY))
+    def test_a_node_without_neighbours_counts_as_agreed(self) -> None:
+        replicas = self.replicas(FakeStore(0.0, UNAVAILABLE))
 
         def check() -> None:
             self.assertEqual(replicas.agreed_age_ms(PREFIX), 0.0)
--- a/tests/test_replica_removals.py
+++ b/tests/test_replica_removals.py
@@ -11,7 +11,7 @@
 from fescuedock.kv import KvEntry
 from fescuedock.node.replicas import Replicas, WatchedPrefix
 from fescuedock.schema.replicas import ReplicaEntry, ReplicaNews, ReplicaNoted
-from tests.test_replica_knowledge import AWAY, FakeSpread, FakeStore
+from tests.test_replica_knowledge import UNAVAILABLE, FakeBroadcaster, FakeStore
 
 PREFIX = "live/"
 
@@ -51,18 +51,18 @@
     def started_node(self) -> Replicas:
         """Return the replicas of a node that has just read the store, as of revision 20."""
         replicas = Replicas(
-            FakeStore(0.0, AWAY),
+            FakeStore(0.0, UNAVAILABLE),
             [WatchedPrefix(PREFIX, 900, 300)],
             self.silent,
             lambda: (),
-            FakeSpread(),
+            FakeBroadcaster(),
             random.Random(1),
         )
         replicas.tables[PREFIX].replace([], 20, now_ms())
         return replicas
 
     async def silent(self, *_call: object) -> object:
-        return AWAY
+        return UNAVAILABLE
 
 
 if __name__ == "__main__":
--- a/tests/test_spool_service.py
+++ b/tests/test_spool_service.py
@@ -35,7 +35,7 @@
 from fescuedock.standin.kv_state import KvState
 from tests.builders.disk import MemoryDisk
 from tests.builders.forwarding import job_record, stored_item
-from tests.builders.runner_world import StoreWay
+from tests.builders.runner_simulation import StoreLink
 
 KEYS = JobKeys("p/")
 FOLDER = Path("/data/spool")
@@ -45,7 +45,7 @@
 JOB = SpoolJob(job_record("job-1", total=1), [stored_item("a")])
 
 
-class SpoolWay(StoreWay):
+class SpoolWay(StoreLink):
     """A way to the store by which a spool can register."""
 
     async def put_if(self, key: str, value: bytes, revision: int) -> Result[int, Fault]:
@@ -151,7 +151,7 @@
             self.assertEqual((await ask(service, EmptySpool("to be removed"))).pending, 1)
             again = opened(disk, way)
             nursery.start_soon(again.run)
-            way.mend()
+            way.repair()
             await trio.sleep(1.0)
             self.assertIsNotNone(way.state.get(OWN_KEY))
             self.assertEqual((await ask(again, EmptySpool("to be removed"))).pending, 0)
--- a/tests/test_stream_stalls.py
+++ b/tests/test_stream_stalls.py
@@ -38,7 +38,7 @@
 
 
 class StreamStallsTest(unittest.TestCase):
-    def test_an_event_that_comes_as_its_upstream_counts_as_stalled_is_not_left_out(self) -> None:
+    def test_an_event_received_as_its_upstream_stalls_is_not_lost(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             document = config_document(version=2)
             for route in document["routes"]:
--- a/tests/test_stream_take_up.py
+++ b/tests/test_stream_take_up.py
@@ -20,17 +20,21 @@
 )
 from tests.builders.online import wait_until
 from tests.builders.standins import run_async
-from tests.builders.versions import TakenUp, event_numbers, take_up
+from tests.builders.versions import ResumedStream, event_numbers, resume_stream
 
-ONE = ("v1", "v1")
-TWO = ("v1", "v1", "v1.1", "v1.1")
+ONE_VERSION = ("v1", "v1")
+TWO_VERSIONS = ("v1", "v1", "v1.1", "v1.1")
 RECORD = "fescuedock/live/version/desk-llm"
 BEFORE_RELEASE_S = 0.6
 
 
-class TakeUpTest(unittest.TestCase):
+class ResumeTest(unittest.TestCase):
     def run_fleet(
-        self, test: Callable[[NodeFleet], Awaitable[None]], versions=TWO, nodes: int = 3, **options
+        self,
+        test: Callable[[NodeFleet], Awaitable[None]],
+        versions=TWO_VERSIONS,
+        nodes: int = 3,
+        **options,
     ) -> None:
         async def run() -> None:
             with trio.fail_after(20):
@@ -40,7 +44,7 @@
 
         run_async(run)
 
-    async def begin(
+    async def start_stream(
         self,
         fleet: NodeFleet,
         node: RunningNode,
@@ -52,12 +56,12 @@
         for upstream in fleet.upstreams:
             upstream.event_interval_ms = 60
         fields = {"host": "desk.example", "x-request-id": name} | headers
-        answer = await self.cut_short(fleet, node, path, fields)
+        answer = await self.read_two_events(fleet, node, path, fields)
         for upstream in fleet.upstreams:
             upstream.event_interval_ms = 1
         return answer
 
-    async def cut_short(
+    async def read_two_events(
         self, fleet: NodeFleet, node: RunningNode, path: str, headers: dict[str, str]
     ) -> Answer:
         body = b""
@@ -70,62 +74,68 @@
                     break
         return Answer(200, response.headers, body, whole=False)
 
-    def check_whole(self, taken: TakenUp) -> None:
-        self.assertEqual((taken.second.status, taken.second.whole), (200, True), taken.second)
-        self.assertEqual(taken.numbers, list(range(5)))
-        self.assertEqual(len(taken.versions), 1)
+    def check_complete(self, resumed: ResumedStream) -> None:
+        self.assertEqual((resumed.second.status, resumed.second.whole), (200, True), resumed.second)
+        self.assertEqual(resumed.numbers, list(range(5)))
+        self.assertEqual(len(resumed.versions), 1)
 
     def check_refused(self, answer: Answer) -> None:
         self.assertEqual(answer.status, 503, answer)
         self.assertEqual(answer.json()["error"]["code"], ResultCode.ORIGIN_UNKNOWN)
         self.assertIn("retry-after", answer.headers)
 
-    def test_every_node_goes_on_with_the_version_that_began_a_stream(self) -> None:
+    def test_every_node_resumes_a_stream_on_its_original_version(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             for number in range(6):
                 name, path = f"r-first-{number}", f"/check/{number}"
-                first = await self.begin(fleet, fleet.nodes[number % 3], name, path)
+                first = await self.start_stream(fleet, fleet.nodes[number % 3], name, path)
                 for node in fleet.nodes:
-                    self.check_whole(await take_up(fleet, node.front, path, b"case", first, name))
+                    self.check_complete(
+                        await resume_stream(fleet, node.front, path, b"case", first, name)
+                    )
 
         self.run_fleet(test)
 
-    def test_a_stream_goes_on_after_the_node_that_began_it_has_stopped_as_planned(self) -> None:
+    def test_a_stream_resumes_after_its_node_has_shut_down(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            started = [await self.begin(fleet, fleet.nodes[0], f"r-{n}") for n in range(8)]
+            started = [await self.start_stream(fleet, fleet.nodes[0], f"r-{n}") for n in range(8)]
             # All that were told leave, one after the other, but for what they hand over.
             for node in fleet.nodes[:3]:
                 node.stop.request()
                 await node.ended.wait()
             for number, first in enumerate(started):
                 other = fleet.nodes[3].front
-                taken = await take_up(fleet, other, "/check/7", b"case", first, f"r-{number}")
-                self.check_whole(taken)
+                resumed = await resume_stream(
+                    fleet, other, "/check/7", b"case", first, f"r-{number}"
+                )
+                self.check_complete(resumed)
 
         self.run_fleet(test, nodes=4)
 
-    def test_with_one_version_streams_go_on_after_the_loss_of_all_nodes(self) -> None:
+    def test_with_one_version_streams_resume_after_the_loss_of_all_nodes(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            first = await self.begin(fleet, fleet.nodes[0], "r-1")
+            first = await self.start_stream(fleet, fleet.nodes[0], "r-1")
             await self.restart_all(fleet)
-            taken = await take_up(fleet, fleet.nodes[1].front, "/check/7", b"case", first, "r-1")
-            self.check_whole(taken)
+            resumed = await resume_stream(
+                fleet, fleet.nodes[1].front, "/check/7", b"case", first, "r-1"
+            )
+            self.check_complete(resumed)
 
-        self.run_fleet(test, versions=ONE)
+        self.run_fleet(test, versions=ONE_VERSION)
 
-    def test_with_two_versions_nodes_that_know_nothing_refuse(self) -> None:
+    def test_with_two_versions_nodes_without_the_origin_refuse(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            first = await self.begin(fleet, fleet.nodes[0], "r-1")
+            first = await self.start_stream(fleet, fleet.nodes[0], "r-1")
             await self.restart_all(fleet)
             for node in fleet.nodes:
-                taken = await take_up(fleet, node.front, "/check/7", b"case", first, "r-1")
-                self.check_refused(taken.second)
+                resumed = await resume_stream(fleet, node.front, "/check/7", b"case", first, "r-1")
+                self.check_refused(resumed.second)
             again = await fleet.call(fleet.nodes[0].front, "POST", "/check/7", b"case")
             self.assertEqual((again.status, event_numbers(again.body)), (200, list(range(5))))
 
         self.run_fleet(test)
 
-    def test_with_two_versions_streams_go_on_after_all_nodes_and_disks_have_lost_power(
+    def test_with_two_versions_streams_resume_after_all_nodes_and_spools_were_killed(
         self,
     ) -> None:
         async def test(fleet: NodeFleet) -> None:
@@ -136,13 +146,15 @@
                 await trio.sleep(0.5)
                 for number in range(6):
                     name, path = f"r-{number}", f"/check/{number}"
-                    first = await self.begin(fleet, fleet.nodes[0], name, path)
+                    first = await self.start_stream(fleet, fleet.nodes[0], name, path)
                     for spool in spools:
                         spool.kill()
                     await self.restart_all(fleet)
                     spools = [await fleet.restart_spool(spool) for spool in spools]
                     other = fleet.nodes[1 + number % 2].front
-                    self.check_whole(await take_up(fleet, other, path, b"case", first, name))
+                    self.check_complete(
+                        await resume_stream(fleet, other, path, b"case", first, name)
+                    )
 
         self.run_fleet(test)
 
@@ -153,20 +165,22 @@
             await fleet.restart(node)
         await fleet.wait_ready()
 
-    def test_streams_begun_before_a_release_go_on_at_other_nodes_after_it(self) -> None:
+    def test_streams_started_before_a_release_resume_at_other_nodes_after_it(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            first = await self.begin(fleet, fleet.nodes[0], "r-1")
+            first = await self.start_stream(fleet, fleet.nodes[0], "r-1")
             for name in ("i-new-0", "i-new-1"):
                 await fleet.start_upstream(name, version="v1.1")
             await trio.sleep(BEFORE_RELEASE_S)
             fleet.nodes[0].kill()
-            taken = await take_up(fleet, fleet.nodes[1].front, "/check/7", b"case", first, "r-1")
-            self.check_whole(taken)
-            self.assertEqual(taken.versions, {"v1"})
+            resumed = await resume_stream(
+                fleet, fleet.nodes[1].front, "/check/7", b"case", first, "r-1"
+            )
+            self.check_complete(resumed)
+            self.assertEqual(resumed.versions, {"v1"})
 
-        self.run_fleet(test, versions=ONE)
+        self.run_fleet(test, versions=ONE_VERSION)
 
-    def test_no_stream_begins_at_a_version_before_the_record_names_it(self) -> None:
+    def test_no_stream_starts_on_a_version_before_the_record_names_it(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             [old] = fleet.upstreams
             # A new upstream is used once the one with open connections is full.
@@ -206,7 +220,7 @@
 
         self.run_fleet(test, versions=("v1",), nodes=1)
 
-    def test_new_versions_of_many_services_are_named_at_once(self) -> None:
+    def test_new_versions_of_many_services_are_recorded_soon(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             document = config_document(version=2)
             names = [f"llm-{number}" for number in range(40)]
@@ -229,78 +243,84 @@
 
         self.run_fleet(test, nodes=2)
 
-    def test_an_identity_that_is_no_streams_begins_none_of_another(self) -> None:
+    def test_an_identity_of_no_stream_resumes_no_other_stream(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            first = await self.begin(fleet, fleet.nodes[0], "r-1")
+            first = await self.start_stream(fleet, fleet.nodes[0], "r-1")
             other = fleet.nodes[1].front
             for name in ("r-unknown", "", "r-1, r-2"):
-                taken = await take_up(fleet, other, "/check/7", b"case", first, name)
-                self.check_refused(taken.second)
+                resumed = await resume_stream(fleet, other, "/check/7", b"case", first, name)
+                self.check_refused(resumed.second)
             # Another request, and another route.
             for path, body in (("/check/7", b"other case"), ("/check/8", b"case")):
-                taken = await take_up(fleet, other, path, body, first, "r-1")
-                self.check_refused(taken.second)
+                resumed = await resume_stream(fleet, other, path, body, first, "r-1")
+                self.check_refused(resumed.second)
             # Without an event there is nothing to go on with: a start from the beginning.
             fresh = await fleet.call(other, "POST", "/check/7", b"case", {"resumes": "r-1"})
             self.assertEqual((fresh.status, event_numbers(fresh.body)), (200, list(range(5))))
 
         self.run_fleet(test)
 
-    def test_a_stream_that_began_anew_is_known_by_its_own_identity(self) -> None:
+    def test_a_restarted_stream_is_known_by_its_own_identity(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             # The first try brought nothing, so what its client names began nothing.
             for number in range(4):
                 name = f"r-{number}"
-                first = await self.begin(fleet, fleet.nodes[0], name, resumes="r-nothing")
+                first = await self.start_stream(fleet, fleet.nodes[0], name, resumes="r-nothing")
                 other = fleet.nodes[1].front
-                self.check_whole(await take_up(fleet, other, "/check/7", b"case", first, name))
+                self.check_complete(
+                    await resume_stream(fleet, other, "/check/7", b"case", first, name)
+                )
 
         self.run_fleet(test)
 
     def test_a_stream_whose_version_has_gone_is_refused_at_once(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            first = await self.begin(fleet, fleet.nodes[0], "r-1")
-            [version] = TakenUp(first, first).versions
+            first = await self.start_stream(fleet, fleet.nodes[0], "r-1")
+            [version] = ResumedStream(first, first).versions
             for upstream in fleet.upstreams:
                 if upstream.version == version:
                     fleet.store.state.delete(f"servers/{upstream.upstream_id}")
             await trio.sleep(BEFORE_RELEASE_S)
             with trio.fail_after(0.5):
-                taken = await take_up(
+                resumed = await resume_stream(
                     fleet, fleet.nodes[1].front, "/check/7", b"case", first, "r-1"
                 )
-            self.assertEqual(taken.second.status, 503)
-            self.assertEqual(taken.second.json()["error"]["code"], ResultCode.NO_UPSTREAM)
+            self.assertEqual(resumed.second.status, 503)
+            self.assertEqual(resumed.second.json()["error"]["code"], ResultCode.NO_UPSTREAM)
 
         self.run_fleet(test)
 
-    def test_a_version_that_comes_under_the_same_key_gets_no_stream_of_the_former(self) -> None:
+    def test_a_new_version_under_the_same_key_gets_no_stream_of_the_former(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            firsts = [await self.begin(fleet, fleet.nodes[0], f"r-{n}") for n in range(4)]
+            firsts = [await self.start_stream(fleet, fleet.nodes[0], f"r-{n}") for n in range(4)]
             for upstream in fleet.upstreams:
                 upstream.version = "v3"
                 fleet.register(upstream)
             await trio.sleep(BEFORE_RELEASE_S)
             for number, first in enumerate(firsts):
                 other = fleet.nodes[1].front
-                taken = await take_up(fleet, other, "/check/7", b"case", first, f"r-{number}")
-                self.assertEqual(taken.second.status, 503)
+                resumed = await resume_stream(
+                    fleet, other, "/check/7", b"case", first, f"r-{number}"
+                )
+                self.assertEqual(resumed.second.status, 503)
 
         self.run_fleet(test)
 
-    def test_with_one_version_nodes_tell_each_other_nothing_of_streams(self) -> None:
+    def test_with_one_version_nodes_exchange_no_origins(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            first = await self.begin(fleet, fleet.nodes[0], "r-1")
+            first = await self.start_stream(fleet, fleet.nodes[0], "r-1")
             # In an outage of the store nodes that agree go on as before.
             fleet.store.take_down()
             await trio.sleep(1.6)
-            taken = await take_up(fleet, fleet.nodes[1].front, "/check/7", b"case", first, "r-1")
-            self.check_whole(taken)
+            resumed = await resume_stream(
+                fleet, fleet.nodes[1].front, "/check/7", b"case", first, "r-1"
+            )
+            self.check_complete(resumed)
 
-        self.run_fleet(test, versions=ONE)
+        self.run_fleet(test, versions=ONE_VERSION)
 
 
-class TellingTest(unittest.TestCase):
+class OriginMessageTest(unittest.TestCase):
     def test_a_message_of_many_streams_is_small(self) -> None:
         """Bytes a stream at a keeper, as the page of the design has it."""
         import msgspec
--- a/tests/test_stream_versions.py
+++ b/tests/test_stream_versions.py
@@ -8,7 +8,7 @@
 from tests.builders.node import NodeFleet, running_fleet
 from tests.builders.online import wait_until
 from tests.builders.standins import run_async
-from tests.builders.versions import TakenUp, event_numbers, take_up, versions_of
+from tests.builders.versions import ResumedStream, event_numbers, resume_stream, versions_of
 
 TWO_RELEASES = ("v1", "v1", "v1.1", "v1.1")
 
@@ -22,7 +22,7 @@
 
         run_async(run)
 
-    def test_the_next_attempt_of_a_call_stays_at_the_version_that_began_it(self) -> None:
+    def test_the_next_attempt_of_a_call_uses_the_version_of_the_first(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             broken = 0
             for number in range(40):
@@ -39,9 +39,9 @@
 
         self.run_fleet(test)
 
-    def test_a_client_that_goes_on_at_another_node_gets_the_version_that_began_it(self) -> None:
+    def test_a_client_that_resumes_at_another_node_gets_the_original_version(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            taken: list[TakenUp] = []
+            resumed: list[ResumedStream] = []
             doomed = fleet.nodes[0]
             for upstream in fleet.upstreams:
                 upstream.event_interval_ms = 150
@@ -66,8 +66,8 @@
                 self.assertFalse(first.whole)
                 target, name = f"/check/{number}", f"first-{number}"
                 other = fleet.nodes[1 + number % 3].front
-                taken.append(await take_up(fleet, other, target, b"case", first, name))
-            for stream in taken:
+                resumed.append(await resume_stream(fleet, other, target, b"case", first, name))
+            for stream in resumed:
                 self.assertEqual(len(stream.versions), 1, stream.second.body)
                 self.assertEqual((stream.second.status, stream.second.whole), (200, True))
                 self.assertEqual(stream.numbers, list(range(5)))
--- a/tests/test_uneven_load.py
+++ b/tests/test_uneven_load.py
@@ -27,11 +27,15 @@
 # Nodes get to know the upstreams first; the calls of the step count.
 CALM_S, STEP_S = 5.0, 6.0
 
-_Turn = Callable[[PlayedFleet, random.Random], None]
+_FleetChange = Callable[[PlayedFleet, random.Random], None]
 
 
 def play(
-    way: str, seed: int, turn: _Turn | None = None, *, speeds: Callable = PlayedSpeeds.uneven
+    policy: str,
+    seed: int,
+    change: _FleetChange | None = None,
+    *,
+    speeds: Callable = PlayedSpeeds.uneven,
 ) -> list[CallOutcome]:
     """Return the calls of a demand step; ``turn`` changes the fleet at its begin."""
 
@@ -42,18 +46,18 @@
                 nodes=23,
                 upstreams=15,
                 slots=SLOTS,
-                routing=replace(ONLINE_ROUTING, rank=WAYS.get(way)),
+                routing=replace(ONLINE_ROUTING, rank=WAYS.get(policy)),
                 seed=seed,
                 hop_ms=0.9,
                 domains=3,
             )
             rng = random.Random(seed)
             fleet.speeds = speeds(fleet.nodes[0].view.upstreams, SLOTS, random.Random(seed))
-            if way == "oracle":
+            if policy == "oracle":
                 fleet.set_ranking(oracle(fleet))
             await play_calls(fleet, ((CALM_S, MEAN_PER_S),), rng, TIMES)
-            if turn is not None:
-                turn(fleet, rng)
+            if change is not None:
+                change(fleet, rng)
             outcomes = await play_calls(fleet, ((STEP_S, 1.9 * MEAN_PER_S),), rng, TIMES)
             nursery.cancel_scope.cancel()
         return outcomes
@@ -76,8 +80,8 @@
     fleet.spoil_reports(rng, lost_share=1 / 3, age_ms=1000.0)
 
 
-def on_time_share(way: str, turn: _Turn | None = None) -> float:
-    outcomes = [item for seed in SEEDS for item in play(way, seed, turn)]
+def on_time_share(policy: str, change: _FleetChange | None = None) -> float:
+    outcomes = [item for seed in SEEDS for item in play(policy, seed, change)]
     return sum(item.on_time for item in outcomes) / len(outcomes)
 
 
