--- a/src/fescuedock/node/attempt.py
+++ b/src/fescuedock/node/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a call or of a batch item at an upstream."""
+"""Sends one attempt of a call or batch item to an upstream, and measures it for the owner."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -18,9 +18,9 @@
 
 __all__ = ["AttemptRecord", "UpstreamAnswer", "send_attempt"]
 
-# What a pause between events moves the recent mean by: the last four or so count.
+# Weight of the latest pause between events in the moving mean, which covers about the last four.
 _RECENT_PAUSE_GAIN = 0.4
-# What each end of an attempt says of the upstream's health.
+# What the end of an attempt reports about the upstream's health.
 _OUTCOMES = {
     AttemptEnd.NOT_SENT: AttemptOutcome.CONNECT_REFUSED,
     AttemptEnd.REJECTED: AttemptOutcome.CLIENT_ERROR,
@@ -33,14 +33,14 @@
 
 
 class UpstreamAnswer(msgspec.Struct, frozen=True):
-    """An upstream's answer: what its head says, and its body still to be read."""
+    """An upstream's answer: its parsed head, and the response whose body is still to be read."""
 
     head: AnswerHead
     response: ClientResponse
 
 
 class AttemptRecord(msgspec.Struct):
-    """What an attempt tells the owner of its upstream once it is over."""
+    """The measurements of an attempt, reported to the owner of the upstream when it ends."""
 
     grant: Grant
     work_class: WorkClass
@@ -51,17 +51,17 @@
     events: int = 0
     # Moving mean of the latest pauses between events; below 0 before the first.
     recent_pause_ms: float = -1.0
-    # The head of an answer has come.
+    # Whether the head of an answer was received.
     answered: bool = False
 
     def record_answer(self, answer: UpstreamAnswer) -> None:
-        """Note that the head of an answer has come."""
+        """Record that the head of an answer was received."""
         self.answered = True
         if answer.response.unframed:
             self.grant.note_unframed()
 
     def record_events(self, count: int) -> None:
-        """Note that ``count`` events came just now."""
+        """Record that ``count`` events were received now."""
         at_ms = now_ms()
         if self.first_event_ms < 0:
             self.first_event_ms = at_ms - self.started_ms
@@ -75,12 +75,12 @@
         self.grant.count_tokens(count)
 
     def finish(self, end: AttemptEnd | None) -> None:
-        """Give the permit back; ``end`` is None for a whole answer."""
+        """Return the permit; ``end`` is None for a complete answer."""
         outcome = AttemptOutcome.COMPLETED if end is None else _OUTCOMES[end]
         self._end(outcome)
 
     def cancel(self) -> None:
-        """Give the permit back after an attempt that the caller, not the upstream, ended."""
+        """Return the permit after an attempt that the caller, not the upstream, ended."""
         self._end(AttemptOutcome.CANCELLED)
 
     def _end(self, outcome: AttemptOutcome) -> None:
@@ -99,7 +99,7 @@
         )
 
     def mean_pause_ms(self) -> float:
-        """Return the mean time between two events; below 0 where there were not two."""
+        """Return the mean time between two events; below 0 with fewer than two events."""
         if self.events < 2:
             return -1.0
         return (self.last_event_ms - self.started_ms - self.first_event_ms) / (self.events - 1)
@@ -116,10 +116,10 @@
     body: bytes,
     check: SendCheck,
 ) -> AsyncIterator[UpstreamAnswer]:
-    """Send a request to an upstream, if ``check`` still allows it then, and give its answer.
+    """Send a request to an upstream and yield the answer.
 
-    ``NotSentError``, ``WithdrawnError`` and ``ResponseLostError`` are those of
-    ``HttpClient.request``.
+    ``check`` is called right before the request is written.  Raises ``NotSentError``,
+    ``WithdrawnError`` and ``ResponseLostError`` as ``HttpClient.request`` does.
     """
     async with http.request(
         Address(upstream.host, upstream.port),
--- a/src/fescuedock/node/configuration.py
+++ b/src/fescuedock/node/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' configuration as this node has it: the routes, and what permits need of them."""
+"""Follows the operators' configuration: the routes, and the services' objectives for permits."""
 
 from collections.abc import Callable
 
@@ -15,18 +15,18 @@
 
 __all__ = ["NodeConfiguration", "ReadRoutes", "derived_configuration"]
 
-# A version that was not confirmed for longer than this is doubted; watches are held for less.
+# A version that was not confirmed for this long counts as unconfirmed; watches take less time.
 _UNCONFIRMED_AFTER_MS = 15000.0
-# Where no route of a service declares a pause between events.
+# Used for a service none of whose routes declares a pause between events.
 _DEFAULT_GAP_MS = 1000.0
 
 ReadRoutes = Callable[[bytes], Result[RouteTable, str]]
 
 
 class NodeConfiguration:
-    """Follows the key of the configuration; versions only ever rise.
+    """Applies the configuration that ``key`` holds; its version never decreases.
 
-    Serves as the ``ConfigSource`` of membership.
+    Implements the ``ConfigSource`` of membership.
     """
 
     def __init__(self, table: ReplicaTable, key: str, read_routes: ReadRoutes) -> None:
@@ -56,7 +56,7 @@
 
     @property
     def as_of_ms(self) -> float:
-        """Return a time at which no newer configuration was there for certain."""
+        """Return a time at which certainly no newer configuration existed."""
         return self._table.as_of_ms
 
     @property
@@ -69,17 +69,17 @@
 
     @property
     def kv_away(self) -> bool:
-        """Never: programs that follow a node's agent have no means of their own to know better."""
+        """Always False: a program that follows this node's agent has no better source to use."""
         return False
 
     def on_peer_version(self, vm: VmRecord, version: int) -> None:
-        """Neighbours' versions come with their replicas, not by datagrams."""
+        """Do nothing: versions arrive with the replicas of neighbours, not by datagrams."""
 
     async def wait_known(self) -> None:
         await self._known.wait()
 
     def refresh(self) -> bool:
-        """Take what the table holds now; return whether the routes changed."""
+        """Apply the table's current entry; return whether the routes changed."""
         entry = self._table.entries.get(self._key)
         if entry is None or entry.mod_revision <= self._revision:
             return False
@@ -109,7 +109,7 @@
 
 
 def derived_configuration(routes: RouteTable) -> Configuration:
-    """Return what the permits' policy needs: each service with its objectives."""
+    """Return the configuration that the permit policy needs: each service with its objectives."""
     services = {
         name: ServiceSpec(ServiceKind.MODEL, objectives=_objectives(name, routes))
         for name in routes.services
@@ -120,8 +120,9 @@
 def _objectives(service: str, routes: RouteTable) -> Objectives:
     """Return the tightest objectives of a service's online routes.
 
-    ``online_weight`` 0 lets batch fill all slots that online leaves: a revoked batch run goes on
-    elsewhere after its last event, so giving way costs little, and an idle slot is lost for good.
+    ``online_weight`` 0 lets batch items use all slots that online calls leave: a revoked batch run
+    continues elsewhere after its last event, so revoking it costs little, while the time of an
+    idle slot is lost for good.
     """
     online = [
         route
--- a/src/fescuedock/node/fleet.py
+++ b/src/fescuedock/node/fleet.py
@@ -1,4 +1,4 @@
-"""Fills membership with what the key-value service says: nodes of ours, and upstreams."""
+"""Lists the nodes and upstreams registered in the key-value service, and registers this node."""
 
 from collections.abc import Awaitable, Callable, Mapping
 
@@ -20,8 +20,8 @@
 
 __all__ = ["ListedFleet", "NodeLease", "NodeList", "ReadUpstreams"]
 
-# How long changes of the replicas are waited for: the end of a grace period is none.  Looking every
-# 50 ms instead was a tenth of the wake-ups of a node without work (20 of 220 a second).
+# Longest wait for a change of the replicas, as the end of a grace period changes none.  Polling
+# every 50 ms caused 20 of the 220 wake-ups a second of an idle node.
 _POLL_INTERVAL_S = 0.4
 _RETRY_INTERVAL_S = 0.5
 _RENEWALS_PER_TTL = 4
@@ -33,7 +33,7 @@
 
 
 class ListedFleet(VmList, frozen=True):
-    """A VM list whose upstreams are given as they are."""
+    """A VM list with an explicit tuple of upstreams."""
 
     listed_upstreams: tuple[UpstreamRecord, ...] = ()
 
@@ -61,19 +61,21 @@
         self._contact = contact
         self._read_upstreams = read_upstreams
         self._wait_changed = wait_changed
-        # Upstreams are read by what the configuration says of their services.
+        # Decoding the upstreams depends on the configuration of their services.
         self._config_version = config_version
         self._replicas_version = -1
         self._listing = UpstreamListing()
         self._current = ListedFleet()
         self._seen_versions: tuple[int, int, int, bool] | None = None
-        # By key, its revision and the node that it names; None where it cannot be read.
+        # By key, its revision and the node it names; None for an entry that cannot be decoded.
         self._decoded: dict[str, tuple[int, ListedVm | None]] = {}
 
     async def read(self) -> Result[VmList, Fault]:
         """See ``VmListSource.read``."""
         if not self._nodes.is_known:
-            return Err(Fault(ResultCode.PLATFORM_UNAVAILABLE, "nothing is known of the nodes yet"))
+            return Err(
+                Fault(ResultCode.PLATFORM_UNAVAILABLE, "the nodes' records were not read yet")
+            )
         in_grace = self._contact.in_grace(now_ms())
         versions = (self._nodes.version, self._upstreams.version, self._config_version())
         seen = (*versions, in_grace)
@@ -83,7 +85,7 @@
         return Ok(self._current)
 
     async def wait_due(self) -> None:
-        """Wait for a change of the replicas, or a short while."""
+        """Wait for a change of the replicas, at most for the poll interval."""
         with trio.move_on_after(_POLL_INTERVAL_S):
             self._replicas_version = await self._wait_changed(self._replicas_version)
 
@@ -93,8 +95,8 @@
         upstreams = tuple(self._listing.upstreams())
         self._log_changes(before, upstreams)
         listed = ListedFleet(vms=self._listed_nodes(), listed_upstreams=upstreams)
-        # Most changes are heartbeats, which say nothing new: a new list makes a new fleet view,
-        # which every part of the node then goes through.
+        # Most changes are heartbeats, which change no upstream.  The list is replaced only when it
+        # differs: each new list makes a new fleet view, which every part of the node evaluates.
         if listed != self._current:
             self._current = listed
 
@@ -118,7 +120,7 @@
             log_event("upstream_unlisted", upstream_id=name, revision=revision)
 
     def _listed_nodes(self) -> tuple[ListedVm, ...]:
-        """Return the nodes that are registered; each record is decoded once."""
+        """Return the registered nodes; each revision of a record is decoded once."""
         decoded: dict[str, tuple[int, ListedVm | None]] = {}
         for key, entry in self._nodes.entries.items():
             if not key.startswith(self._nodes_prefix):
@@ -132,7 +134,7 @@
 
 
 def _listed_node(entry: KvEntry) -> ListedVm | None:
-    """Decode a node's record; None, with a line in the log, when it is not one of ours."""
+    """Decode a node's record; log and return None when it cannot be decoded."""
     try:
         record = msgspec.msgpack.decode(entry.value, type=NodeRecord)
     except msgspec.DecodeError as error:
@@ -149,7 +151,7 @@
 
 
 class NodeLease:
-    """Keeps this node's record in the key-value service, under a lease, while it lives."""
+    """Registers this node in the key-value service with a lease, which it renews while it runs."""
 
     def __init__(self, kv: KvStore, nodes_prefix: str, record: NodeRecord, ttl_ms: int) -> None:
         self._kv = kv
@@ -158,11 +160,12 @@
         self._started_unix_ms = record.started_unix_ms
         self._ttl_s = -(-ttl_ms // 1000)
         self._lease_id = 0
-        # Between this process's start and that of the one before; None until the record is read.
+        # Time between the start of the previous process and of this one; None until the previous
+        # record is read.
         self.since_previous_ms: float | None = None
 
     async def run(self) -> None:
-        """Write the record, and again whenever it was lost; never returns."""
+        """Write the record, again whenever its lease was lost, and renew it; never return."""
         while True:
             held = await self._renew() if self._lease_id else await self._write()
             wait_s = self._ttl_s / _RENEWALS_PER_TTL if held else _RETRY_INTERVAL_S
@@ -194,7 +197,7 @@
     def _since_previous_ms(self, found: KvEntry | None) -> float:
         """Return how long before this process the one that wrote ``found`` started.
 
-        Infinite where there is no record: its lease has ended, or it left.
+        Infinite without a record: its lease has ended, or the node left.
         """
         if found is None:
             return float("inf")
--- a/src/fescuedock/node/front.py
+++ b/src/fescuedock/node/front.py
@@ -1,4 +1,4 @@
-"""What a node answers to clients and to the platform: calls, jobs, readiness and the directory."""
+"""Answers clients and the platform at a node: calls, jobs, readiness and the directory."""
 
 from collections.abc import Callable
 
@@ -35,19 +35,23 @@
 __all__ = ["Front", "http_limits"]
 
 _STARTING_RETRY_MS = 300
-# How long a call waits for a node that has just started: most of them know their fleet by then.
+# How long a call waits at a node that has just started; most nodes know their fleet by then.
 _STARTING_WAIT_S = 1.0
-# A route or key that this node lacks may be in a newer version, while its own may be older than
-# this; a watch that brings changes makes it 2.1 s at the most when all is well.
+# An unknown route or key is refused for good only while this node's version is certainly no older
+# than this; otherwise a newer version may have it.  Without faults the age stays below 2.1 s.
 _MAX_VERSION_AGE_MS = 2400.0
-# Stands for "never" in logs.
+# Logged in place of an infinite age.
 _MAX_LOGGED_AGE_MS = 1e9
-# The slack beyond the configured idle time: clients count it from an answer's arrival.
+# Added to the configured idle time, which clients count from the arrival of an answer.
 _IDLE_SLACK_MS = 1000
 
 
 class Front:
-    """The handlers of one node; ``online`` and ``jobs`` are there once the node has started."""
+    """The HTTP handlers of one node.
+
+    ``online``, ``jobs`` and ``quotas`` are set before the server starts.  ``knows_restrictions``
+    says whether the restrictions on units of work were read.
+    """
 
     __slots__ = (
         "_has_started",
@@ -98,14 +102,14 @@
 
     @property
     def ready(self) -> bool:
-        """Whether this node wants new work."""
+        """Whether this node accepts new work."""
         return self.has_started and not self.leaving
 
     @property
     def has_started(self) -> bool:
-        """Whether the configuration, the upstreams and what is held against works have been known.
+        """Whether the configuration, an upstream and the restrictions on work were known once.
 
-        Once only: a node whose last upstream goes still ends jobs and reads them.
+        Stays true from then on: a node whose last upstream is gone still reads and ends jobs.
         """
         if not self._has_started:
             is_known = self.configuration.is_known and self._knows_restrictions()
@@ -113,7 +117,7 @@
         return self._has_started
 
     async def _wait_started(self) -> bool:
-        """Wait a little for a node that has just started; return whether it can serve."""
+        """Wait shortly while this node starts; return whether it can serve."""
         with trio.move_on_after(_STARTING_WAIT_S):
             await self.configuration.wait_known()
             version = 0
@@ -122,7 +126,7 @@
         return self.has_started
 
     def apply_limits(self) -> None:
-        """Take the limits of the configuration in force, for open connections too."""
+        """Apply the limits of the current configuration, to open connections as well."""
         self.server.limits = http_limits(self.configuration.routes.limits)
 
     def _log_cut_off(self, cut_off: CutOff) -> None:
@@ -208,7 +212,10 @@
                 await self.jobs.end(responder, call)
 
     async def _refuse_unknown(self, request: Request, responder: Responder, fault: Fault) -> None:
-        """Refuse what this node's version lacks, for good only where that is the newest."""
+        """Refuse a route or key that this node's version lacks.
+
+        The refusal is final only while that version is certainly recent; otherwise clients retry.
+        """
         age_ms = now_ms() - self.configuration.as_of_ms
         if age_ms > _MAX_VERSION_AGE_MS:
             text = f"{fault.message}, by a version that may be {age_ms:.0f} ms old"
@@ -230,14 +237,14 @@
     # --- the platform ----------------------------------------------------------------------------
 
     async def handle_ready(self, request: Request, responder: Responder) -> None:
-        """Say whether this node wants new work."""
+        """Answer whether this node accepts new work."""
         if not directory.is_ready_call(request.path):
             await responder.send(404)
             return
         await responder.send(200 if self.ready else 503, b"{}")
 
     async def handle_directory(self, request: Request, responder: Responder) -> None:
-        """Name the fronts that a client may use."""
+        """Answer with the fronts that a client may use."""
         if not directory.is_resolve_call(request.path):
             await responder.send(404)
             return
@@ -251,7 +258,7 @@
         await responder.send(200, body)
 
     def _fronts(self) -> list[Address]:
-        """Return the fronts that take work; this node judges itself by what it knows now."""
+        """Return the fronts that accept work; this node is included by its own current state."""
         own_id = self.view.vm_id
         fronts = [
             Address(vm.host, vm.entry_port)
@@ -262,7 +269,7 @@
 
 
 def http_limits(limits: ClientLimits) -> HttpLimits:
-    """Return the server's limits for what clients may do."""
+    """Return the HTTP server's limits that follow from the configured client limits."""
     return HttpLimits(
         max_header_bytes=limits.max_header_bytes,
         header_timeout_ms=int(limits.header_timeout_ms),
--- a/src/fescuedock/node/group_broadcast.py
+++ b/src/fescuedock/node/group_broadcast.py
@@ -1,4 +1,4 @@
-"""Sends news of the key-value service to the other nodes of this group."""
+"""Sends updates of the key-value service to the other nodes of this node's group."""
 
 import msgspec
 
@@ -11,7 +11,7 @@
 
 
 class GroupBroadcaster:
-    """See ``UpdateBroadcaster``.  Who watches follows from the fleet view and its membership."""
+    """Implements ``UpdateBroadcaster``; the fleet view decides which node of the group watches."""
 
     def __init__(self, view: FleetView, duty: WatchDuty, pool: ChannelPool) -> None:
         self._view = view
--- a/src/fescuedock/node/health_probe.py
+++ b/src/fescuedock/node/health_probe.py
@@ -1,4 +1,4 @@
-"""Probes an upstream that was taken out by asking its own health page."""
+"""Probes an upstream that was taken out of service by requesting its health page."""
 
 from collections.abc import Awaitable, Callable
 
@@ -15,14 +15,14 @@
 
 __all__ = ["health_probe"]
 
-# The page waits for a slot like any request.
+# The health page waits for a slot like any request.
 _TIMEOUT_S = 1.0
 
 Probe = Callable[[UpstreamRecord, Configuration], Awaitable[AttemptOutcome]]
 
 
 def health_probe(http: HttpClient, configuration: NodeConfiguration) -> Probe:
-    """Return a probe that asks the health page which the service's configuration names."""
+    """Return a probe that requests the health page named in the service's configuration."""
 
     async def probe(upstream: UpstreamRecord, _configuration: Configuration) -> AttemptOutcome:
         terms = configuration.routes.services.get(upstream.service)
--- a/src/fescuedock/node/item_isolation.py
+++ b/src/fescuedock/node/item_isolation.py
@@ -1,4 +1,7 @@
-"""Runs items alone that were running when upstreams ended: one at a time on a node."""
+"""Requests permits to run items in isolation that were running when an upstream ended.
+
+A node runs such items one at a time.
+"""
 
 from collections.abc import Callable
 from secrets import token_hex
@@ -15,25 +18,25 @@
 
 __all__ = ["IsolatedItem", "IsolatedRuns"]
 
-# Items become suspects by the end of an upstream, which is seldom.
+# Items need isolation only after the end of an upstream, which is rare.
 _POLL_INTERVAL_S = 0.25
-# An upstream that is being emptied for the run is not given up for less: it takes the longest run
-# that is under way there.
+# The permit is granted once all other runs at the upstream have ended, so the request must stay
+# queued as long as the longest of them takes.
 _QUEUE_WAIT_MS = 10000
 _REPLY_MARGIN_MS = 300.0
 
 
 class IsolatedItem(msgspec.Struct, frozen=True):
-    """For whom an item runs alone, and its priority."""
+    """The customer and the priority of an item that must run in isolation."""
 
     customer: str = ""
     priority: int = 0
 
 
 class IsolatedRuns:
-    """Asks for an upstream that is otherwise empty while ``wanted`` returns an item that needs one.
+    """Requests an otherwise idle upstream while ``next_item`` returns an item for a service.
 
-    ``use`` gets the permit, and gives it back when nothing needs it any more.
+    ``use_grant`` gets the permit, and returns it when no item needs it any more.
     """
 
     def __init__(
@@ -49,10 +52,10 @@
         self._use_grant = use_grant
 
     async def run(self) -> None:
-        """Look for such items until cancelled."""
+        """Poll for items that need isolation until cancelled."""
         while True:
             if self._view.quarantine.is_empty:
-                # An idle node is not woken for what is hardly ever there.
+                # Without a restriction no item needs isolation; an idle node does not poll.
                 await self._view.wait_quarantine()
                 continue
             for service in sorted({item.service for item in self._view.upstreams.values()}):
@@ -62,7 +65,7 @@
             await trio.sleep(_POLL_INTERVAL_S)
 
     async def _request(self, service: str, item: IsolatedItem) -> None:
-        """Ask for the upstream that all nodes choose for the service."""
+        """Request the upstream that all nodes choose for isolated runs of the service."""
         usable = [item.upstream_id for item in self._view.upstreams_of(service) if not item.leaving]
         upstream_id = choose_name(service, usable)
         if upstream_id is None:
--- a/src/fescuedock/node/item_permits.py
+++ b/src/fescuedock/node/item_permits.py
@@ -1,4 +1,4 @@
-"""Keeps asks for permits open at the owners of upstreams while batch items wait on this node."""
+"""Requests permits from the owners of upstreams while batch items wait on this node."""
 
 import random
 from collections import Counter
@@ -24,23 +24,25 @@
 
 __all__ = ["ItemPermitRequester"]
 
-# An ask may be answered this much later than the time that it may stay queued.
+# A request may be answered this much later than the time it may stay queued.
 _REPLY_MARGIN_MS = 300.0
-# After a refusal that names no time: about the length of a call, by which slots come free.
+# Back-off after a refusal that names no time: about the length of a call, after which a slot may
+# be free.
 _REFUSAL_BACKOFF_MS = 60.0
-# Between two lines about asks of which none was granted.
+# Interval between two log lines about requests none of which was granted.
 _REFUSAL_LOG_INTERVAL_MS = 5000.0
-# A load that is older says nothing, as for online calls.
+# Older loads are ignored, as for online calls.
 _MAX_LOAD_AGE_MS = RoutingPolicy().stale_ms
 
 
 class ItemPermitRequester:
-    """Asks for permits and hands each one to ``use``, which gives it back when nothing waits.
+    """Requests permits and passes each to ``use_grant``, which returns it when nothing waits.
 
-    ``waiting`` counts the items that could start now, by the service they need; ``choose`` returns
-    the most urgent of them for an upstream, or one at a later position; ``choose_overdue`` the one
-    that has a claim to a turn of its own, where ``any_overdue`` says that there may be one;
-    ``priority`` gives that of a job's items.
+    ``waiting`` returns the number of items that could start now, by service.  ``choose`` returns
+    the item at a position in the order of urgency for an upstream, 0 being the most urgent.
+    ``choose_overdue`` returns the overdue item that is due for a slot reserved for such items;
+    ``any_overdue`` says whether there may be one.  ``priority`` returns the priority of a job's
+    items.
     """
 
     def __init__(
@@ -68,22 +70,22 @@
         self._any_overdue = any_overdue
         self._priority = priority
         self._policy = policy or AskPolicy()
-        # The upstreams that are being asked, with their services.
+        # Upstreams with an open request, and their services.
         self._requested: dict[str, str] = {}
-        # The services of which overdue items are asked for.
+        # Services with an open request for overdue items.
         self._overdue_requested: set[str] = set()
         self._wakeup = trio.Event()
-        # Since the last grant, or the last line about it: the answers that were none.
+        # Refusals by result code since the last grant or the last log line about refusals.
         self._refusals: Counter[str] = Counter()
         self._refusals_since_ms = 0.0
 
     def wake(self) -> None:
-        """Look again at what waits."""
+        """Check again which items wait."""
         self._wakeup.set()
         self._wakeup = trio.Event()
 
     async def run(self, max_wait_s: Callable[[], float]) -> None:
-        """Ask until cancelled; look again after ``longest_wait_s`` at the latest."""
+        """Request permits until cancelled; check again after ``max_wait_s`` at the latest."""
         async with trio.open_nursery() as nursery:
             while True:
                 self._open_requests(nursery)
@@ -115,13 +117,13 @@
                 self._open_overdue_request(service, nursery)
 
     def _open_overdue_request(self, service: str, nursery: trio.Nursery) -> None:
-        """Ask one owner beside the other asks, which are all for items that can be on time."""
+        """Send one request for overdue items; all other requests are for items still on time."""
         upstreams = {
             item.upstream_id: item for item in self._view.upstreams_of(service) if not item.leaving
         }
         candidates = [AskCandidate(name, self._free_slots(name)) for name in upstreams]
         policy = AskPolicy(per_item=len(candidates))
-        # Looking for an item is dear: mostly the first upstream may run one.
+        # Choosing an item is expensive; mostly the first upstream can run one.
         for upstream_id in choose_asks(1, 0, candidates, policy, self._rng):
             if self._choose_overdue(upstreams[upstream_id]) is not None:
                 self._overdue_requested.add(service)
@@ -129,7 +131,10 @@
                 return
 
     def _can_start_item(self, upstream: UpstreamRecord, versions: Collection[str]) -> bool:
-        """Whether an item could start at an upstream; one that has begun waits for its version."""
+        """Whether an item could start at an upstream.
+
+        An item that has started waits for an upstream of its software version.
+        """
         return len(versions) == 1 or self._choose(upstream, 0) is not None
 
     def _free_slots(self, upstream_id: str) -> int | None:
@@ -139,7 +144,7 @@
         return free_slots(timed.load)
 
     async def _request(self, upstream_id: str, position: int) -> None:
-        """Ask once, for the item at ``position``; a refusing upstream is left alone for a while."""
+        """Request a permit for the item at ``position``; back off after a refusal."""
         try:
             await self._request_once(upstream_id, lambda upstream: self._choose(upstream, position))
         finally:
@@ -156,7 +161,7 @@
     async def _request_once(
         self, upstream_id: str, choose: Callable[[UpstreamRecord], ItemChoice | None]
     ) -> None:
-        """Ask, and use what is granted; return a while after a refusal."""
+        """Request a permit and use it if granted; return a while after a refusal."""
         upstream = self._view.upstreams.get(upstream_id)
         if upstream is None:
             return
@@ -173,7 +178,7 @@
         await trio.sleep(pause_ms * self._rng.uniform(0.5, 1.5) / 1000)
 
     def _record_refusal(self, code: ResultCode) -> None:
-        """Log now and then that items wait and no owner grants any ask, with their reasons."""
+        """Record a refusal; log now and then that items wait and no owner grants a permit."""
         if not self._refusals:
             self._refusals_since_ms = now_ms()
         self._refusals[code.name] += 1
--- a/src/fescuedock/node/item_run.py
+++ b/src/fescuedock/node/item_run.py
@@ -1,4 +1,4 @@
-"""One run of a batch item at an upstream, from where the item's earlier runs have got to."""
+"""Runs a batch item at an upstream, resuming after the last event of its earlier runs."""
 
 from contextlib import suppress
 
@@ -28,17 +28,19 @@
 
 _IMPOSSIBLE_STATUS = 422
 _FAILED_STATUS = 500
-# Silence after which a run goes on elsewhere: several times the longest step of an engine.
+# Time without data after which a run is interrupted and continued at another upstream: several
+# times the longest step of an engine.
 _STALL_TIMEOUT_MS = 1500.0
-# Between two reads of an item's events: a job's client sees its result only when it is whole, and
-# an engine writes an event about every 30 ms, each a wake-up of its own if read at once.
+# Pause between two reads of an item's events.  The client of a job sees only complete results, and
+# an engine writes an event about every 30 ms, each of which would wake the process if read at once.
 _READ_INTERVAL_MS = 100.0
 
 
 class StartState(msgspec.Struct, frozen=True):
-    """The revision of a job's record that a run rests on, and the age of that knowledge.
+    """What the node knew when it started a run; logged with the run.
 
-    ``waited_ms`` is the time since the item last ran, or since its job came.
+    ``revision`` is that of the job's record, ``age_ms`` the age of the replica that holds it, and
+    ``waited_ms`` the time since the item last ran, or since its job was accepted.
     """
 
     revision: int
@@ -56,11 +58,10 @@
     start: StartState,
     check: SendCheck,
 ) -> ItemEnd:
-    """Run an item until it is whole, the run fails, or ``grant`` or the job is taken back.
+    """Run an item until it is complete, the run fails, ``grant`` is revoked or ``stopped`` is set.
 
-    The run is cut off when ``stopped`` is set; what has come by then stays in ``item``.
-    ``known`` is what the node knew of the job as the run began; it is logged.  ``check`` tells
-    whether the run may still begin when its request is written.
+    ``item`` retains the events received before an interruption.  ``check`` says whether the run
+    may still start at the moment its request is written.
     """
     record = AttemptRecord(grant, WorkClass.BATCH, now_ms())
     first_event = item.resume_after(upstream.software_version)
@@ -72,7 +73,7 @@
             nursery.start_soon(_cancel_when, grant.revoked, nursery.cancel_scope)
             nursery.start_soon(_cancel_when, stopped, nursery.cancel_scope)
             if grant.revoked.is_set() or stopped.is_set():
-                # The tasks that look for it run only once the request has been written.
+                # The watching tasks would run only after the request has been written.
                 nursery.cancel_scope.cancel()
             end, attempt_end, reason = await _send(http, job, item, upstream, record, check)
             nursery.cancel_scope.cancel()
@@ -160,7 +161,7 @@
         await answer.response.read()
         return _failure(head.status, not_run=head.not_run)
     if head.is_forged:
-        return ItemEnd.INTERRUPTED, AttemptEnd.LOST, "the answer bears no seal"
+        return ItemEnd.INTERRUPTED, AttemptEnd.LOST, "the answer lacks the upstream's seal"
     splitter = EventSplitter()
     response = answer.response
     try:
@@ -171,21 +172,21 @@
             if not response.ended:
                 await trio.sleep(_READ_INTERVAL_MS / 1000)
     except trio.Cancelled:
-        # What came since the last read need not be run again.
+        # Events received since the last read need not be run again.
         with suppress(ResponseLostError):
             _apply_events(splitter.feed(response.read_ready()), item, software_version, record)
         raise
     if splitter.has_rest:
-        return ItemEnd.INTERRUPTED, AttemptEnd.LOST, "the last event is not whole"
+        return ItemEnd.INTERRUPTED, AttemptEnd.LOST, "the last event is incomplete"
     if not item.fits(software_version):
-        return ItemEnd.INTERRUPTED, AttemptEnd.LOST, "no event came"
+        return ItemEnd.INTERRUPTED, AttemptEnd.LOST, "no event was received"
     return ItemEnd.WHOLE, None, ""
 
 
 def _apply_events(
     events: list[SplitEvent], item: ItemRun, software_version: str, record: AttemptRecord
 ) -> bool:
-    """Take in what came of an item; False when an event is missing."""
+    """Append received events to an item; False when an event is missing."""
     if events:
         record.record_events(len(events))
     return item.take(events, software_version)
--- a/src/fescuedock/node/job_acceptance.py
+++ b/src/fescuedock/node/job_acceptance.py
@@ -1,8 +1,8 @@
-"""Accepts a job by this node's way to the store, by a neighbour's, or by copies on disks.
+"""Accepts a job directly in the store, through a neighbour, or as copies on spools.
 
-Accepting is one transaction under the job's identity, so two nodes that try at once accept it once.
-Copies on disks (``Spools``) count as accepted too while the store is away: whoever has one enters
-the same transaction on the store's return.
+Accepting is one transaction under the job's identity, so two nodes that try at the same time accept
+it once.  While the store is unreachable, copies on spools (``Spools``) count as accepted too: each
+spool that holds one writes the same transaction when the store is reachable again.
 """
 
 import random
@@ -27,24 +27,24 @@
 
 __all__ = ["JobAcceptance", "OnAccepted"]
 
-# An answer of the store takes 4 ms and a transaction of a job 20 ms at the most seen; after six
-# times that a neighbour is asked, with most of the usual target of 400 ms still left.
+# The store answers in 4 ms and stores a job in at most 20 ms; a neighbour is called after six times
+# that, which leaves most of the usual latency target of 400 ms.
 _NEIGHBOUR_DELAY_S = 0.12
-# How long a neighbour tries, and how many are asked one after the other.
+# Time limit of a neighbour's try, and the number of neighbours called one after the other.
 _NEIGHBOUR_TIMEOUT_MS = 900.0
 _MAX_NEIGHBOURS = 3
-# Half of the usual target of 400 ms; copies on disks take 10 to 20 ms.  While an outage is not yet
-# known, neither way to the store fails for a second.
+# Half of the usual latency target of 400 ms; copies on spools take 10 to 20 ms.  While an outage is
+# not detected yet, neither path to the store fails within a second.
 _SPOOLS_DELAY_S = 0.2
 
-# Told of a job that this node owns from now on, with its items.
+# Called with a job that this node owns from now on, and its items.
 OnAccepted = Callable[[VersionedRecord, list[StoredItem]], None]
 
 
 class JobAcceptance(msgspec.Struct):
-    """What accepting needs; ``neighbours`` gives the nodes that may be asked.
+    """Accepts jobs for clients and neighbours; ``neighbours`` returns the nodes that may be called.
 
-    ``is_leaving`` says whether this node is about to stop and takes no job for others.
+    ``is_leaving`` says whether this node is about to stop and accepts no job for neighbours.
     """
 
     store: JobStore
@@ -59,16 +59,17 @@
     unsettled: UnsettledAcceptances = msgspec.field(default_factory=UnsettledAcceptances)
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
-        """Handlers by message type, to be merged with those of other services."""
+        """Return the handlers by message type, to be merged with those of other services."""
         return {AcceptJob: self._on_accept_job}
 
     async def accept(
         self, record: StoredJobRecord, items: list[StoredItem], wait_ms: float
     ) -> Result[None, Fault]:
-        """Store a job by whichever way works first.
+        """Store a job by whichever path succeeds first.
 
-        ``KV_UNAVAILABLE`` promises that no copy of it is or will be there, ``KEY_REUSED`` that its
-        identity is that of a job with other items; ``EXECUTION_UNKNOWN`` that it may be there.
+        ``KV_UNAVAILABLE`` promises that it is not stored anywhere and never will be, ``KEY_REUSED``
+        that its identity belongs to a job with other items; ``EXECUTION_UNKNOWN`` says that it may
+        be stored.
         """
         attempt = _Attempt(self, record, items)
         self.unsettled.begin(record.job_id)
@@ -80,7 +81,7 @@
                     nursery.start_soon(attempt.copy_to_spools, nursery.cancel_scope)
             return attempt.result()
         finally:
-            # Also when the client has left.
+            # Runs also when the client has disconnected and this task is cancelled.
             unsure = attempt.may_be_stored_later
             self.unsettled.finish(record.job_id, now_ms(), unsure=unsure)
 
@@ -95,7 +96,7 @@
         self.unsettled.begin(record.job_id)
         try:
             with trio.move_on_after(_NEIGHBOUR_TIMEOUT_MS / 1000):
-                # Its client may have left the asking node meanwhile, and ended the job.
+                # The client may have disconnected from the calling node and ended the job since.
                 stored = await self.store.accept(record, message.items, after_end=False)
                 settled = True
                 if isinstance(stored, Err):
@@ -109,18 +110,18 @@
 
 
 class _Attempt(msgspec.Struct):
-    """One acceptance under way."""
+    """One acceptance in progress."""
 
     shared: JobAcceptance
     record: StoredJobRecord
     items: list[StoredItem]
     accepted: bool = False
-    # Set once this node's own try has failed for good, so that nobody need wait for it.
+    # Set once this node's own try has failed for good, so that the other paths start at once.
     direct_failed: trio.Event = msgspec.field(default_factory=trio.Event)
     direct_fault: Fault | None = None
-    # A neighbour's try may have stored the job, or may do so still.
+    # Whether a neighbour's try may have stored the job or may still store it.
     neighbour_may_store: bool = False
-    # Set once neighbours have failed as well.
+    # Set once the direct path and the neighbours have failed.
     all_failed: trio.Event = msgspec.field(default_factory=trio.Event)
     spool_copies: SpoolCopies = msgspec.field(default_factory=SpoolCopies)
 
@@ -189,7 +190,7 @@
 
     @property
     def may_be_stored_later(self) -> bool:
-        """Whether the job may get to the store, or to a disk, after this attempt has ended."""
+        """Whether the job may reach the store or a spool's disk after this attempt has ended."""
         if self.accepted:
             return False
         return (
@@ -197,7 +198,7 @@
         )
 
     def result(self) -> Result[None, Fault]:
-        """Return what is known once both ways have ended or the time is up."""
+        """Return the outcome once all paths have ended or the time is up."""
         if self.accepted:
             return Ok(None)
         is_reused = (
@@ -206,5 +207,7 @@
         if is_reused or not self.may_be_stored_later:
             return Err(self.direct_fault)
         return Err(
-            Fault(ResultCode.EXECUTION_UNKNOWN, "nobody could say whether the job is stored")
+            Fault(
+                ResultCode.EXECUTION_UNKNOWN, "it could not be determined whether the job is stored"
+            )
         )
--- a/src/fescuedock/node/job_calls.py
+++ b/src/fescuedock/node/job_calls.py
@@ -1,4 +1,4 @@
-"""The clients' calls about batch jobs, at any node."""
+"""Answers the clients' calls that submit, read and end batch jobs; any node can answer them."""
 
 from collections.abc import Callable
 
@@ -27,21 +27,21 @@
 
 __all__ = ["JobCalls"]
 
-# Results of one answer, before their encoding; the users' limit is 1 MB.
+# Size of the results in one answer before encoding; answers are limited to 1 MB.
 _PAGE_BYTES = 700_000
-# Where the client names no deadline.
+# Used when the client names no deadline.
 _DEFAULT_PATIENCE_MS = 4000.0
-# An answer must be on its way before the client gives up: a few round trips.
+# An answer must be sent this long before the client's deadline: a few round trips.
 _ANSWER_MARGIN_MS = 150.0
 _READ_TIMEOUT_MS = 1200.0
-# What is logged of a submission whose client did not wait for the answer.
+# Logged for a submission whose client disconnected before the answer.
 _CLIENT_GONE = Err(
     Fault(ResultCode.EXECUTION_UNKNOWN, "its client left, and the job may be stored")
 )
 
 
 class JobCalls(msgspec.Struct):
-    """Accepts, reads and ends jobs.  ``owner`` is this node, which runs what it accepts."""
+    """Accepts, reads and ends jobs.  ``owner`` is this node, which runs the jobs it accepts."""
 
     store: JobStore
     cache: JobCache
@@ -53,9 +53,9 @@
     owner_reads: OwnerReads
     spools: Spools
     ends: JobEnds
-    # Whether this node is about to stop, so that another one should run what it accepts.
+    # Whether this node is about to stop, so that another node should run the jobs it accepts.
     is_leaving: Callable[[], bool]
-    # What is held for slow clients.
+    # Memory held for the connections of slow clients.
     held: HeldBytes
 
     # --- submitting ------------------------------------------------------------------------------
@@ -63,7 +63,7 @@
     async def submit(
         self, request: Request, responder: Responder, route: Route, body: bytes, caller: Caller
     ) -> None:
-        """Accept a job once, however often it comes."""
+        """Accept a job once, however often it is submitted."""
         received_ms = now_ms()
         head = calls.call_head(request.header_fields)
         job_id = scoped_job_id(caller, head.request_id) if head.request_id else ""
@@ -91,7 +91,7 @@
         items = job_calls.read_submission(body)
         if isinstance(items, Err):
             return Err(Fault(ResultCode.BAD_REQUEST, items.err_value))
-        # Loaded with the first submission, which a start need not wait for.
+        # Imported at the first submission, to keep it off the start-up path.
         from fescuedock.core.stored_jobs.submission import digest_of
 
         if not record.job_id:
@@ -123,7 +123,7 @@
     # --- reading ---------------------------------------------------------------------------------
 
     async def read(self, responder: Responder, call: job_calls.JobCall) -> None:
-        """Answer with the results from a position on, waiting for one if asked to."""
+        """Answer with the results after a position, waiting for one if the call asks for it."""
         due_ms = now_ms() + call.wait_ms
         while True:
             seen = self.replicas.version
@@ -141,14 +141,14 @@
             with trio.move_on_after(left_ms / 1000):
                 await self._wait_listed(call.job_id, len(job.results), seen)
                 continue
-            # Nothing was listed meanwhile, as far as this node has heard.
+            # As far as this node knows, nothing was listed while it waited.
             break
         results = job.page(call.after, self.held.page_bytes(_PAGE_BYTES))
         body = job_calls.encode_results(job.total, call.after, results)
         await responder.send(200, body)
 
     async def _fresh_results(self, job_id: str, after: int) -> Result[CachedJob | None, Fault]:
-        """Return what is listed of a job; never less than any node has shown before."""
+        """Return the listed results of a job; never fewer than any node has returned before."""
         job = self.cache.get(job_id)
         if job is not None and (len(job.results) > after or job.is_complete):
             return Ok(job)
@@ -159,7 +159,7 @@
     async def _fetch_results(
         self, job_id: str, job: CachedJob | None, after: int
     ) -> Result[CachedJob | None, Fault]:
-        """Ask the owner for what is listed, and the store where the owner is not sure."""
+        """Read listed results from the owner, and from the store where the owner is not certain."""
         record = self._known_record(job_id)
         if record is None:
             found = await self._find_record(job_id)
@@ -180,7 +180,7 @@
         groups = await self.store.read_groups(job_id, known)
         if isinstance(groups, Err):
             return Err(_unavailable(groups.err_value.message, self.retry_after_ms))
-        # Fetched anew: others may have changed the cache while the store was read.
+        # Opened again: other calls may have changed the cache while the store was read.
         job = self.cache.open(record)
         for group in groups.ok_value:
             job.add(group)
@@ -188,12 +188,12 @@
         return Ok(job)
 
     async def _find_record(self, job_id: str) -> Result[StoredJobRecord | None, Fault]:
-        """Read a job's record; None only when the job is neither stored nor waits to be."""
+        """Read a job's record; None only when the job is neither stored nor pending on a spool."""
         found = await self.store.read_record(job_id)
         if isinstance(found, Ok) and found.ok_value is None:
             if await self.spools.may_hold(job_id):
-                return Err(_unavailable("the job may still have to be stored", self.retry_after_ms))
-            # It may have been stored, and gone from the disks, since the store was read.
+                return Err(_unavailable("the job may be pending on a spool", self.retry_after_ms))
+            # A spool may have stored the job and removed its copy since the store was read.
             found = await self.store.read_record(job_id)
         if isinstance(found, Err):
             return Err(_unavailable(found.err_value.message, self.retry_after_ms))
@@ -205,7 +205,7 @@
         return None if entry is None else decode_record(entry).record
 
     async def _wait_listed(self, job_id: str, known: int, seen_version: int) -> None:
-        """Wait to hear that more than ``known`` results are listed, or that no more will be."""
+        """Wait until more than ``known`` results are listed, or the job has ended."""
         while True:
             record = self._known_record(job_id)
             if record is not None and (record.listed > known or record.ended):
@@ -215,7 +215,7 @@
     # --- the others ------------------------------------------------------------------------------
 
     async def body(self, responder: Responder, call: job_calls.JobCall) -> None:
-        """Answer with the body of an item."""
+        """Answer with the request body of an item."""
         job = self.cache.get(call.job_id)
         if job is None or job.items is None:
             loaded = await self._load_items(call.job_id)
@@ -246,7 +246,7 @@
         return Err(_unavailable("the store did not answer in time", self.retry_after_ms))
 
     async def end(self, responder: Responder, call: job_calls.JobCall) -> None:
-        """End a job; answered once it is recorded, so that no node goes on with it."""
+        """End a job; answers once the end is recorded, so that no node continues the job."""
         ended = await self.ends.end(call.job_id)
         if isinstance(ended, Err):
             await _refuse(responder, ended.err_value)
@@ -260,7 +260,7 @@
 
 
 def _with_retry(fault: Fault, retry_after_ms: int) -> Fault:
-    """Name the time to come back; after a fault that promises nothing a resend settles it."""
+    """Add the time after which to retry; resubmitting also settles an unknown outcome."""
     return Fault(fault.code, fault.message, retry_after_ms)
 
 
--- a/src/fescuedock/node/job_ends.py
+++ b/src/fescuedock/node/job_ends.py
@@ -1,8 +1,8 @@
-"""Ends jobs for clients, and goes on with ends that could not be recorded at once.
+"""Ends jobs for clients, and retries ends that could not be recorded at once.
 
-A client that got no acknowledgement may never come again, and still wants that nothing of its job
-runs.  So the end is kept here until it is recorded or it is known that there is no such job, and
-disks that hold a copy of the job are told, which outlasts this process.
+A client that got no acknowledgement may never retry, and still expects that its job stops.  So the
+end is held here and retried until it is recorded or the job is known not to exist.  Spools that
+hold a copy of the job are notified as well, since their knowledge outlasts this process.
 """
 
 import msgspec
@@ -22,27 +22,33 @@
 
 __all__ = ["JobEnds"]
 
-# How long a client is kept waiting for the record.
+# How long a client waits for the end to be recorded.
 _CALL_TIMEOUT_S = 3.5
-# One try in the background; the store's own timeout bounds each of its calls.
+# Time limit of one retry; the store's own timeout bounds each call within it.
 _TRY_TIMEOUT_S = 2.0
-# Between two tries, unless the job's record is heard of before: calls of the store are paid for,
-# and the disk whose silence is waited for may be down for long.
+# Pauses between two tries, cut short when an update brings the job's record.  Store calls are
+# billed, and a silent spool may be down for long.
 _FIRST_PAUSE_S = 0.1
 _MAX_PAUSE_S = 2.0
 _MAX_CONCURRENT_TRIES = 8
-# How often it is looked whether an outage is over.
+# Interval at which the end of a store outage is polled.
 _STORE_POLL_S = 0.1
-# After that the store counts as slow, and the disks are told meanwhile; it answers within 20 ms.
+# The store usually answers within 20 ms.  After this long it counts as slow, and the spools are
+# notified in parallel.
 _NOTIFY_SPOOLS_AFTER_S = 0.2
-# A job lives for its route's retention, which its record says and which may not be readable here.
-# Beyond that: clocks of nodes differ, and results are committed.
+# An end is retried for as long as the job may live: the retention of its route, which is in the
+# job's record and may not be readable here.  The margin covers differing node clocks and the time
+# to commit results.
 _MIN_RETRY_PERIOD_MS = 600_000.0
 _RETRY_PERIOD_MARGIN_MS = 60_000.0
 
 
 class JobEnds(msgspec.Struct):
-    """``wanted`` is what the gate of work looks at; ``unsettled`` what may still be accepted."""
+    """Ends jobs at one node.
+
+    ``wanted`` holds the requested ends, which keep items of these jobs from starting here;
+    ``unsettled`` the acceptances of this node that may still store a job.
+    """
 
     store: JobStore
     replicas: Replicas
@@ -59,17 +65,17 @@
     )
 
     async def run(self) -> None:
-        """Pursue ends that are not recorded yet, until cancelled."""
+        """Retry ends that are not recorded yet, until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             try:
                 await trio.sleep_forever()
             finally:
-                # Calls that are cancelled with this process start nothing any more.
+                # Calls that are cancelled at shutdown start no more retries.
                 self._nursery = None
 
     async def end(self, job_id: str) -> Result[VersionedRecord, Fault]:
-        """End a job; ``Ok`` once that is recorded.  After ``KV_UNAVAILABLE`` it is pursued here."""
+        """End a job; ``Ok`` once that is recorded.  After ``KV_UNAVAILABLE`` this node retries."""
         received_ms = now_ms()
         if not self.wanted.note(job_id, received_ms + self._max_retry_ms()):
             log_event("job_end_not_kept", job_id=job_id, pending=len(self.wanted))
@@ -78,7 +84,7 @@
             with trio.move_on_after(_CALL_TIMEOUT_S):
                 ended = await self._end_and_notify_spools(job_id)
         finally:
-            # Also when the client has left meanwhile.
+            # Runs also when the client has disconnected and this task is cancelled.
             if _is_settled(ended):
                 self.wanted.settle(job_id)
             else:
@@ -87,7 +93,7 @@
         return ended
 
     async def _end_and_notify_spools(self, job_id: str) -> Result[VersionedRecord, Fault]:
-        """End a job in the store, and tell the disks meanwhile if that takes long."""
+        """End a job in the store, and notify the spools in parallel if that takes long."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._notify_spools_later, job_id)
             ended = await self._end(job_id)
@@ -99,7 +105,7 @@
         await self.spools.end(job_id)
 
     async def _end(self, job_id: str) -> Result[VersionedRecord, Fault]:
-        """End a job in the store; one that may still have to get there can't be ended yet."""
+        """End a job in the store; ``KV_UNAVAILABLE`` while the job may still be stored later."""
         for _ in range(2):
             ended = await self.store.end(job_id)
             if isinstance(ended, Err):
@@ -110,13 +116,13 @@
                 )
                 return ended
             if await self.spools.end(job_id) or self.unsettled.may_store(job_id, now_ms()):
-                return self._unavailable("the job may still have to be stored")
-            # Its writer may be a node that this one knows nothing of.
+                return self._unavailable("the job may still be stored later")
+            # A node that is unknown here may be writing the job.
             if await self.store.mark_ended(job_id):
                 return Err(Fault(ResultCode.NOT_FOUND, f"there is no job {job_id!r}"))
-        return self._unavailable("it is not sure that the job is not stored")
+        return self._unavailable("it could not be determined whether the job is stored")
 
-    # --- going on --------------------------------------------------------------------------------
+    # --- retries ---------------------------------------------------------------------------------
 
     def _start_retrying(self, job_id: str) -> None:
         if self._nursery is None or job_id not in self.wanted or job_id in self._retrying:
@@ -126,7 +132,7 @@
         self._nursery.start_soon(self._retry_until_settled, job_id)
 
     async def _retry_until_settled(self, job_id: str) -> None:
-        """Try until the end is recorded, or there is no such job, or it cannot matter any more."""
+        """Retry until the end is recorded, the job is known not to exist, or its time is over."""
         began_ms = now_ms()
         pause_s = _FIRST_PAUSE_S
         try:
@@ -146,7 +152,7 @@
             self._retrying.discard(job_id)
 
     async def _pause(self, job_id: str, pause_s: float) -> None:
-        """Wait, but not much longer than until the job's record is heard of."""
+        """Wait for ``pause_s``, or until shortly after an update brings the job's record."""
         await trio.sleep(_FIRST_PAUSE_S)
         table = self.replicas.tables[self.store.keys.live]
         with trio.move_on_after(pause_s - _FIRST_PAUSE_S):
@@ -154,7 +160,10 @@
                 await self.replicas.wait_changed(self.replicas.version)
 
     async def _wait_store(self, job_id: str) -> None:
-        """Wait for the end of an outage, which whoever watches the store tells of."""
+        """Wait until the store is reachable, as the node that watches it reports.
+
+        Meanwhile the spools are notified again and again.
+        """
         contact = self.replicas.contact
         while contact.is_away(now_ms()) and not self.wanted.is_over(job_id, now_ms()):
             async with self._try_limiter:
@@ -169,11 +178,11 @@
         return self._unavailable("the store did not answer in time")
 
     def _max_retry_ms(self) -> float:
-        """Return for how long an end may matter: as long as any job lives."""
+        """Return how long an end is retried: the longest time that any job lives."""
         retentions_ms = [route.retention_ms for route in self.configuration.routes.routes]
         return max([_MIN_RETRY_PERIOD_MS, *retentions_ms]) + _RETRY_PERIOD_MARGIN_MS
 
-    # --- what came of it -------------------------------------------------------------------------
+    # --- outcome ---------------------------------------------------------------------------------
 
     async def _notify_and_log(
         self,
@@ -189,7 +198,7 @@
             log_event("job_not_ended", **fields, code=ended.err_value.code.name)
             return
         record = ended.ok_value.record
-        # The owner and the revision that the end has to reach.
+        # The owner that must learn of the end, and the revision that carries it.
         log_event(
             "job_ended",
             **fields,
@@ -202,9 +211,9 @@
         )
 
     async def _notify_owner(self, ended: VersionedRecord) -> bool:
-        """Tell the owner of an ended job, which then need not wait for a watch; whether it knows.
+        """Notify the owner of an ended job; return whether it knows.
 
-        An outage of the store may begin before any watch has told of the end.
+        An outage of the store may begin before any watch has reported the end.
         """
         record = ended.record
         if self.owner_reads.owner.owns(record):
@@ -220,5 +229,5 @@
 
 
 def _is_settled(ended: Result[VersionedRecord, Fault]) -> bool:
-    """Whether an end is recorded, or it is known that there is no such job."""
+    """Whether the end is recorded or the job is known not to exist."""
     return isinstance(ended, Ok) or ended.err_value.code is ResultCode.NOT_FOUND
--- a/src/fescuedock/node/job_runner.py
+++ b/src/fescuedock/node/job_runner.py
@@ -1,4 +1,4 @@
-"""Runs the items of the jobs that this node owns, and commits their results."""
+"""Runs the items of the jobs that this node owns and commits their results to the store."""
 
 import random
 from collections.abc import Iterator, Mapping
@@ -45,21 +45,23 @@
 
 __all__ = ["JobRunner"]
 
-# How often what waits is looked at when nothing has told of it.
+# Interval at which waiting items are polled when no event wakes the requester earlier.
 _IDLE_POLL_S = 0.25
-# The same while no job is open here.
+# The same while this node runs no job.
 _NO_JOBS_POLL_S = 2.0
 _RECONCILE_INTERVAL_S = 0.5
-# A route that is missing for so long has been removed, and with it what is left of its jobs.
+# A route missing from the configuration for this long counts as removed, and the remaining items
+# of its jobs are abandoned.
 _ROUTE_REMOVED_AFTER_MS = 2500.0
-# Beyond the time after which items may be given up: clocks of nodes differ, and may jump.
+# Added to the time after which items may be given up, as node clocks differ and may jump.
 _GIVE_UP_MARGIN_MS = 6000.0
 _COMMIT_SHUTDOWN_MS = 1500.0
-# Stands for "never" in logs.
+# Logged in place of an infinite age.
 _MAX_LOGGED_AGE_MS = 1e9
-# A job that is refused for no more than this is taken in, and its items wait.
+# A job refused for one of these reasons is started all the same; its items wait.
 _STARTABLE_REFUSALS = (None, WorkRefusal.UNCONFIRMED, WorkRefusal.END_WANTED)
-# Runs that ended an attempt of an item one way or the other; others go on elsewhere.
+# Result codes of runs that settle an attempt of an item.  Interrupted runs continue elsewhere and
+# are not counted.
 _ITEM_CODES = {
     ItemEnd.WHOLE: ResultCode.OK,
     ItemEnd.FAILED: ResultCode.UPSTREAM_ERROR,
@@ -68,11 +70,11 @@
 
 
 class OwnedJob(msgspec.Struct, eq=False):
-    """A job that this node runs: its decisions, its record, and what wakes its commits."""
+    """A job that this node runs: its item state, its stored record, and the commit trigger."""
 
     run: StoredJob
     versioned: VersionedRecord
-    # Set when this node has to let go of the job: what runs of it is cut off.
+    # Set when this node must stop running the job; its current runs are cancelled.
     released: trio.Event = msgspec.field(default_factory=trio.Event)
     changed: trio.Event = msgspec.field(default_factory=trio.Event)
     route_seen_ms: float = msgspec.field(default_factory=now_ms)
@@ -88,7 +90,7 @@
 
 
 class JobRunner:
-    """Owns jobs from their acceptance or claim until their last commit."""
+    """Runs jobs from their acceptance or claim until their last commit."""
 
     def __init__(
         self,
@@ -145,7 +147,7 @@
         self._isolated_runs = IsolatedRuns(
             view, permits, self._next_isolated_item, self._run_isolated_item
         )
-        # Whether jobs wait for news of their records.
+        # Whether any job waits until its record is confirmed again.
         self._any_unconfirmed = False
         self._nursery: trio.Nursery | None = None
         self.leaving = False
@@ -159,7 +161,7 @@
             await self._permit_requester.run(self._next_poll_s)
 
     def accept(self, stored: VersionedRecord, items: list[StoredItem]) -> None:
-        """Take in a job that was just stored, and run it if it is new and this node's."""
+        """Cache a job that was just stored, and start it if it is new and owned by this node."""
         record = stored.record
         self._cache.open(record).set_items(items)
         self._cache.trim()
@@ -168,12 +170,12 @@
             self._start(stored, LoadedJob(items, [], []), "submitted")
 
     def listed_count(self, job_id: str) -> int | None:
-        """Return how many results are listed of a job that this node runs, as far as it knows."""
+        """Return how many results of a job are listed; None if this node does not run the job."""
         job = self._jobs.get(job_id)
         return None if job is None or job.stopped else job.versioned.record.listed
 
     async def leave(self) -> None:
-        """Start no further item, and hand all jobs on to other nodes."""
+        """Start no further item, and transfer all jobs to other nodes."""
         self.leaving = True
         jobs = list(self._jobs.values())
         async with trio.open_nursery() as nursery:
@@ -209,11 +211,11 @@
 
     @property
     def _runs_jobs(self) -> bool:
-        """Whether this node runs jobs: nothing of any runs where no owner answers it."""
+        """Whether this node runs jobs.  Without an owner that answers, no item can start here."""
         return not self.leaving and not self._permits.is_unanswered
 
     def _transfer_all(self) -> None:
-        """Hand all jobs on to nodes that owners answer."""
+        """Transfer all jobs to nodes whose permit requests are answered by upstream owners."""
         for job in self._jobs.values():
             if not job.stopped and job.run.job_id not in self._claiming:
                 log_event("job_given_away", job_id=job.run.job_id, reason="no owner answers asks")
@@ -235,12 +237,12 @@
 
     def _drop_if_refused(self, job: OwnedJob) -> None:
         refusal = self._refusal(job.run.job_id)
-        # What is all listed goes with its last commit, which counts it.
+        # A job whose results are all listed is removed by its last commit, which also logs it.
         if refusal is not None and refusal.is_final and refusal is not WorkRefusal.LISTED:
             self._drop(job, refusal.value)
 
     def _log_unconfirmed(self) -> None:
-        """Log when jobs begin, or cease, to wait for news of their records."""
+        """Log when jobs start or stop waiting for confirmation of their records."""
         known = self._known_records()
         refusals = [self._refusal(job_id, known) for job_id in self._jobs]
         held = refusals.count(WorkRefusal.UNCONFIRMED)
@@ -268,7 +270,10 @@
             self._claiming.discard(found.record.job_id)
 
     async def _confirm_ownership(self, found: VersionedRecord) -> VersionedRecord | None:
-        """Read a record that names this node as the owner, though it does not run the job."""
+        """Reread the record of a job that names this node as owner but does not run here.
+
+        Return None unless the current record is open and still names this node.
+        """
         versioned = await self._reread_record(found.record.job_id)
         if versioned is None:
             return None
@@ -276,7 +281,7 @@
         return versioned if self._owner.owns(record) and is_open(record) else None
 
     async def _reread_record(self, job_id: str) -> VersionedRecord | None:
-        """Read a record and take note of it; None when it cannot be read or is not there."""
+        """Read a record and update the replica; None when it cannot be read or does not exist."""
         current = await self._store.read_record(job_id)
         versioned = current.ok_value if isinstance(current, Ok) else None
         if versioned is not None:
@@ -299,7 +304,8 @@
             outcome="claimed" if isinstance(result, Ok) else result.err_value.code.name,
         )
         if isinstance(result, Err):
-            # After a lost answer the record comes back with the next change that is heard of.
+            # If the swap succeeded but its answer was lost, a later update of the replica brings
+            # the record.
             return None
         self._record_write(result.ok_value)
         return result.ok_value
@@ -327,7 +333,7 @@
         listed = [result.item_id for result in loaded.results]
         age_ms = self._unix_clock() * 1000 - record.submitted_at_ms
         began_ms = now_ms() - min(max(age_ms, 0), record.retention_ms or record.due_in_ms)
-        # Clocks of nodes differ by any amount, and what is given up stays so.
+        # Node clocks may differ by any amount, and giving up an item is final.
         absent_ms = self._table.absent_as_of_ms(self._store.keys.record(record.job_id))
         retained_from_ms = max(began_ms, absent_ms)
         run = StoredJob(
@@ -345,7 +351,7 @@
         self._permit_requester.wake()
 
     def _drop(self, job: OwnedJob, reason: str) -> None:
-        """Cancel what runs of a job that is no longer ours."""
+        """Cancel the runs of a job that this node must not run any more."""
         if self._jobs.get(job.run.job_id) is not job:
             return
         del self._jobs[job.run.job_id]
@@ -354,7 +360,10 @@
         job.wake()
 
     async def _transfer(self, job: OwnedJob) -> None:
-        """Commit what is done and give the job up, so that another node claims it at once."""
+        """Commit finished results and clear the owner, so that another node claims the job at once.
+
+        The progress of unfinished items is stored with the record.
+        """
         job.released.set()
         job.wake()
         with trio.move_on_after(_COMMIT_SHUTDOWN_MS / 1000):
@@ -377,7 +386,7 @@
     # --- commits ---------------------------------------------------------------------------------
 
     async def _commit_forever(self, job: OwnedJob) -> None:
-        """Commit results as they come, not more often than the interval but for the last ones."""
+        """Commit results as they arrive, at most once per interval except for the last ones."""
         interval_s = self._settings.commit_interval_ms / 1000
         while not job.stopped:
             if not job.run.has_results:
@@ -400,7 +409,7 @@
                 return
 
     async def _save_progress(self, job: OwnedJob) -> None:
-        """Store what runs have given, now and then, so that a lost node costs little of it."""
+        """Store the progress of unfinished items now and then, to lose little if the node fails."""
         due_ms = job.saved_ms + self._settings.progress_interval_ms
         if now_ms() < due_ms or job.run.unsaved_events() < self._settings.progress_events:
             return
@@ -410,7 +419,7 @@
         result = await self._store.save_progress(job.versioned, progress)
         if isinstance(result, Err):
             if result.err_value.code is ResultCode.KV_CONFLICT:
-                # The record is another by now, which may say that no more is to be run.
+                # The record has changed, perhaps so that the job must not run any more.
                 await self._reread_record(job.run.job_id)
             log_event(
                 "progress_not_saved",
@@ -420,12 +429,13 @@
             )
 
     def _abandon_items(self, job: OwnedJob) -> None:
-        """End items whose time is over, or whose route was removed."""
+        """Give up items whose retention is over, and all items if their route was removed."""
         record = job.versioned.record
-        # A node that knows no configuration yet misses every route, and none has been removed.
+        # Before the first configuration every route is missing, but none counts as removed.
         if not self._configuration.is_known or self._route_of(record) is not None:
             job.route_seen_ms = now_ms()
-        # One that is older than the route lacks it as well, and what is given up stays so.
+        # A configuration older than the route lacks it as well, and giving up an item is final:
+        # only the time up to which the configuration is known to be current counts.
         route_gone = self._configuration.as_of_ms - job.route_seen_ms > _ROUTE_REMOVED_AFTER_MS
         count = job.run.abandon() if route_gone else job.run.give_up(now_ms())
         if count:
@@ -433,7 +443,7 @@
             log_event("items_given_up", job_id=record.job_id, count=count, reason=reason)
 
     async def _commit(self, job: OwnedJob) -> bool:
-        """Commit one group; False when the job is not ours any more."""
+        """Commit one group of results; False when this node does not own the job any more."""
         results = job.run.next_group(self._settings.commit_bytes)
         record = job.versioned.record
         group = ResultGroup(record.listed, results)
@@ -449,7 +459,7 @@
             took_ms=round(now_ms() - started_ms, 1),
         )
         if isinstance(result, Err):
-            self._drop(job, "its record was changed by another")
+            self._drop(job, "its record was changed by another node or by its client")
             return False
         job.versioned = result.ok_value
         job.run.committed()
@@ -463,7 +473,7 @@
         return 0 if entry is None else entry.mod_revision
 
     def _records_age_ms(self) -> float:
-        """Return the time since the jobs' records here were certainly all there were."""
+        """Return the age of the job records here: the time since they were certainly current."""
         return round(min(self._table.as_of_age_ms(now_ms()), _MAX_LOGGED_AGE_MS))
 
     def _record_write(self, stored: VersionedRecord) -> None:
@@ -472,7 +482,7 @@
     # --- items -----------------------------------------------------------------------------------
 
     def _running_jobs(self) -> Iterator[StoredJob]:
-        """Yield the jobs of which an item may begin now; all that begins is chosen among these."""
+        """Yield the jobs of which an item may start now; every started item belongs to one."""
         known = self._known_records()
         return (
             job.run
@@ -481,10 +491,10 @@
         )
 
     def _refusal(self, job_id: str, known: KnownRecords | None = None) -> WorkRefusal | None:
-        """Return why no work of a job may begin here now, or None when it may.
+        """Return why no item of a job may start here now, or None when one may.
 
-        Judged by the newest record heard of, not by the one that the job was taken in with: an end
-        may have overtaken that on any way into this node.
+        Judged by the newest known record, not by the one the job was started with: the end of the
+        job may have reached this node earlier, by another path.
         """
         entry = self._table.entries.get(self._store.keys.record(job_id))
         return refusal_of(
@@ -508,12 +518,12 @@
         return route is not None and route.allows(service)
 
     def _count_waiting(self) -> Mapping[str, int]:
-        """Count the items that could start now, by service."""
+        """Return the number of items that could start now, by service."""
         services = {item.service for item in self._view.upstreams.values()}
         return self._pool.waiting(services, now_ms())
 
     def _next_poll_s(self) -> float:
-        """Return the time until the next item that pauses may start again, within bounds."""
+        """Return the time until the next pausing item may start again, within bounds."""
         if not self._jobs:
             return _NO_JOBS_POLL_S
         next_ms = self._pool.next_ready_ms(now_ms())
@@ -545,9 +555,9 @@
         return Site(upstream.software_version, served)
 
     def _run_next_item(self, upstream_id: str, grant: Grant) -> None:
-        """Run the most urgent item under ``grant``, or give it back when there is none any more.
+        """Run the most urgent item under ``grant``, or return the permit when no item is left.
 
-        One that was asked for on behalf of overdue items is used for those.
+        A permit that was requested for overdue items runs one of those first.
         """
         upstream = self._view.upstreams.get(upstream_id)
         choice = None
@@ -580,12 +590,12 @@
         return IsolatedItem(record.customer or "", self._priority(record))
 
     def _priority(self, record: StoredJobRecord) -> int:
-        """Return the priority of a job's items by the version in force."""
+        """Return the priority of a job's items by the current configuration."""
         routes = self._configuration.routes
         return routes.priority_of(self._route_of(record), record.customer)
 
     def _run_isolated_item(self, upstream: UpstreamRecord, grant: Grant) -> None:
-        """Run the most urgent item that may only run alone, or give the permit back."""
+        """Run the most urgent item that must run in isolation, or return the permit."""
         choice = self._pool.choose_alone(upstream.service, now_ms())
         if choice is None:
             self._permits.give_back(grant)
@@ -620,10 +630,10 @@
         self._permit_requester.wake()
 
     def _item_check(self, job: OwnedJob, upstream: UpstreamRecord, grant: Grant) -> SendCheck:
-        """Return the check of an item's request: that of its job again, and that of any request.
+        """Return the check made right before an item's request is written.
 
-        An item is chosen before a connection is there, and its request may be written long after,
-        by a process that stood still meanwhile.
+        It repeats the check of the job and adds the one of every request: an item is chosen before
+        its connection exists, and a process that was suspended may write the request much later.
         """
         may_send = send_check(self._view, upstream, grant)
 
--- a/src/fescuedock/node/job_store.py
+++ b/src/fescuedock/node/job_store.py
@@ -1,7 +1,7 @@
-"""Stored jobs in the key-value service: accepted, read, claimed, committed, ended and removed.
+"""Accepts, reads, claims, commits, ends and removes jobs in the key-value service.
 
-Every write is one transaction under conditions, so that repeating it is harmless.  A write whose
-answer was lost is repeated or read back until it is known what became of it.
+Every write is one conditional transaction, so that repeating it is harmless.  A write whose answer
+was lost is repeated or read back until its outcome is known.
 """
 
 from collections.abc import Mapping
@@ -26,35 +26,35 @@
 
 __all__ = ["JobStore", "LoadedJob", "VersionedRecord"]
 
-# Between two tries of a write that is to be found out.
+# Pauses between two tries of a write whose outcome is not known yet.
 _FIRST_PAUSE_MS = 30.0
 _MAX_PAUSE_MS = 500.0
-# Room for MessagePack's framing beside the bytes of a value.
+# Reserved in each value for the framing by MessagePack.
 _VALUE_MARGIN_BYTES = 1024
-# Operations that one transaction may hold.
+# Limit of the service for one transaction.
 _MAX_OPERATIONS = 32
-# How long the end of a job that is not stored binds writes of the job that are on their way.
+# How long the end of a job that is not stored blocks writes of the job still in flight.
 _ENDED_TTL_S = 600
 
 
 class JobKv(KvStore, KvTransactions, Protocol):
-    """What jobs need of the service."""
+    """The operations of the key-value service that jobs need."""
 
 
 class VersionedRecord(msgspec.Struct, frozen=True):
-    """A job's record and the revision that the next change of it must name."""
+    """A job's record and its revision, which the next change must name as its condition."""
 
     record: StoredJobRecord
     revision: int
 
     def entry(self, keys: JobKeys) -> KvEntry:
-        """Return what lies in the service."""
+        """Return the record as an entry of the key-value service."""
         key = keys.record(self.record.job_id)
         return KvEntry(key, msgspec.msgpack.encode(self.record), self.revision)
 
 
 class LoadedJob(msgspec.Struct, frozen=True):
-    """All that is stored of a job."""
+    """All stored data of a job except its record."""
 
     items: list[StoredItem]
     groups: list[ResultGroup]
@@ -66,7 +66,7 @@
 
 
 class JobStore:
-    """The stored jobs below ``keys``.  ``value_bytes`` is the largest value the service takes."""
+    """The stored jobs below ``keys``.  ``value_bytes`` is the largest value the service accepts."""
 
     def __init__(self, kv: JobKv, keys: JobKeys, value_bytes: int) -> None:
         self.keys = keys
@@ -76,16 +76,17 @@
     async def accept(
         self, record: StoredJobRecord, items: list[StoredItem], *, after_end: bool = True
     ) -> Result[VersionedRecord, Fault]:
-        """Store a new job, or find the one that is there under its identity.
+        """Store a new job, or return the record already stored under its identity.
 
-        Runs until the outcome is known: the caller bounds the time, and being cancelled means that
-        the job may or may not be there.  ``KV_UNAVAILABLE`` promises that it is not, and
-        ``KEY_REUSED`` that one with other items is there in its place.
+        Runs until the outcome is known; the caller bounds the time, and after a cancellation the
+        job may or may not be stored.  ``KV_UNAVAILABLE`` promises that it is not, and
+        ``KEY_REUSED`` that a job with other items is stored in its place.
 
-        Where a client has ended the job before it was there, it is stored if this submission is
-        known to be a later one: ``after_end``, and the first write's answer was not lost.
+        If a client ended the job before it was stored, the job is stored only if this submission
+        is known to be later than the end: ``after_end`` is true, and the answer of the first write
+        was not lost.
         """
-        # Loaded with the first submission, which a start need not wait for.
+        # Imported at the first submission, to keep it off the start-up path.
         from fescuedock.core.stored_jobs.submission import is_same_submission
 
         parts = self._parts(msgspec.msgpack.encode(items))
@@ -110,7 +111,7 @@
                     return Err(Fault(ResultCode.KEY_REUSED, "a job of this id has other items"))
                 if isinstance(found, Ok):
                     if may_be_stored or not after_end:
-                        # Writes that are still on their way fail on the same condition.
+                        # Writes still in flight fail on the same condition.
                         return Err(Fault(ResultCode.KV_UNAVAILABLE, "its client has ended the job"))
                     noted = await self._kv.get(ended_key)
                     if isinstance(noted, Ok) and noted.ok_value is not None:
@@ -118,7 +119,7 @@
                         transaction = KvTransaction(conditions, writes=writes, removes=[ended_key])
                         continue
                 else:
-                    # It is there, though it cannot be read: a later refusal promises nothing.
+                    # A record exists but cannot be read, so a later refusal proves nothing.
                     may_be_stored = True
             elif fault.code is ResultCode.KV_UNKNOWN:
                 may_be_stored = True
@@ -127,7 +128,7 @@
             await pauses.wait()
 
     async def read_record(self, job_id: str) -> Result[VersionedRecord | None, Fault]:
-        """Read a job's record; None when there is no such job."""
+        """Read a job's record; None when the job does not exist."""
         found = await self._kv.get(self.keys.record(job_id))
         return found.map(lambda entry: None if entry is None else decode_record(entry))
 
@@ -159,7 +160,7 @@
             start_after = entries[-1].key
 
     async def load(self, record: StoredJobRecord) -> Result[LoadedJob, Fault]:
-        """Read all that is stored of a job."""
+        """Read all stored data of a job."""
         values: dict[str, bytes] = {}
         start_after = ""
         while True:
@@ -194,10 +195,10 @@
     async def change(
         self, wanted: StoredJobRecord, revision: int, group: ResultGroup | None = None
     ) -> Result[VersionedRecord, Fault]:
-        """Swap a job's record, with new results if given; runs until the outcome is known.
+        """Replace a job's record, adding ``group`` if given; run until the outcome is known.
 
-        ``KV_CONFLICT`` says that the job was ended, or has another owner, and nothing was written.
-        Being cancelled means that the change may or may not be there.
+        ``KV_CONFLICT`` says that the job was ended or has another owner, and nothing was written.
+        After a cancellation the change may or may not be stored.
         """
         extra_writes = {}
         if group is not None:
@@ -209,7 +210,7 @@
             if isinstance(result, Ok):
                 return Ok(VersionedRecord(wanted, result.ok_value))
             if result.err_value.code is ResultCode.KV_CONFLICT:
-                # Loaded here, as each module that a start loads costs all restarts of a fleet.
+                # Imported here: each module loaded at start-up slows every restart of a fleet.
                 from fescuedock.core.stored_jobs.commit import CommitState, judge_commit
 
                 found = await self.read_record(wanted.job_id)
@@ -226,9 +227,9 @@
     async def swap(
         self, wanted: StoredJobRecord, revision: int, progress: list[ItemProgress] | None = None
     ) -> Result[VersionedRecord, Fault]:
-        """Swap a job's record once; a fault of ``KV_UNKNOWN`` leaves open what became of it.
+        """Try once to replace a job's record; after ``KV_UNKNOWN`` the outcome is open.
 
-        ``progress`` is what the next owner may go on from; as much of it as a value holds is kept.
+        ``progress`` lets the next owner continue started items; as much as fits one value is kept.
         """
         extra_writes = {}
         if progress:
@@ -240,9 +241,9 @@
     async def save_progress(
         self, stored: VersionedRecord, progress: list[ItemProgress]
     ) -> Result[int, Fault]:
-        """Write what runs have given so far, unless the record has changed meanwhile.
+        """Write the progress of unfinished items, unless the record has changed since ``stored``.
 
-        A hint for the next owner: an older one that lands late does no harm.
+        Progress is only a hint for the next owner: an older write that arrives late does no harm.
         """
         record = stored.record
         value = msgspec.msgpack.encode(self._fit_into_value(progress))
@@ -254,10 +255,10 @@
         )
 
     async def end(self, job_id: str) -> Result[VersionedRecord | None, Fault]:
-        """End a job for its client and return its record; None when there is no such job.
+        """End a job for its client and return its record; None when the job does not exist.
 
-        A job that is all listed stays as it is.  Runs until the service answers; the caller bounds
-        the time.
+        A job whose results are all listed is not changed.  Runs until the service answers; the
+        caller bounds the time.
         """
         pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         while True:
@@ -273,14 +274,15 @@
             await pauses.wait()
 
     async def mark_ended(self, job_id: str) -> bool:
-        """Have writes of a job that are still on their way find that its client ended it.
+        """Mark a job that is not stored as ended, so that writes of it still in flight fail.
 
-        False when the job has been stored meanwhile, or the service did not answer.
+        Return False when the job has been stored meanwhile, or the service did not answer.
         """
         lease = await self._kv.grant_lease(_ENDED_TTL_S)
         if isinstance(lease, Err):
             return False
-        # Written anew each time: a submission after an earlier end names that one's revision.
+        # Written again each time: a submission made after an earlier end names the revision of
+        # that end in its condition.
         written = await self._kv.transact(
             KvTransaction(
                 {self.keys.record(job_id): 0},
@@ -291,7 +293,7 @@
         return isinstance(written, Ok)
 
     async def remove(self, job_id: str) -> Result[None, Fault]:
-        """Remove all that is stored of a job, its record last."""
+        """Remove all stored data of a job, its record last."""
         keys: list[str] = []
         start_after = ""
         while True:
@@ -318,7 +320,7 @@
         return await self._kv.transact(KvTransaction({key: revision}, writes=writes))
 
     def _fit_into_value(self, progress: list[ItemProgress]) -> list[ItemProgress]:
-        """Return as many as fit into one value, those that have got furthest first."""
+        """Return the items that fit into one value, preferring those with the most progress."""
         kept: list[ItemProgress] = []
         size_bytes = 0
         for item in sorted(progress, key=lambda item: -item.last_event):
@@ -334,6 +336,6 @@
 
 
 def decode_record(entry: KvEntry) -> VersionedRecord:
-    """Return the job's record that lies in ``entry``."""
+    """Decode the job's record in ``entry``."""
     record = msgspec.msgpack.decode(entry.value, type=StoredJobRecord)
     return VersionedRecord(record, entry.mod_revision)
--- a/src/fescuedock/node/main.py
+++ b/src/fescuedock/node/main.py
@@ -1,6 +1,7 @@
-"""The node: entry, agent and batch runner of a VM in one process, on one loop.
+"""The node: entry, agent and batch runner of a VM in one process, on one event loop.
 
-It finds its fleet and its work in the metadata store and from its neighbours; it keeps nothing.
+It learns of its fleet and its jobs from the metadata store and its neighbours, and stores nothing
+itself.
 """
 
 import os
@@ -68,23 +69,23 @@
 
 __all__ = ["main", "run_node"]
 
-# The file of the settings where the command line names none.
+# Environment variable with the settings file, used when the command line names none.
 _SETTINGS_VARIABLE = "FESCUEDOCK_SETTINGS"
-# Changes of the fleet view and the configuration, which make a node ready, are told at once.
+# Changes of the fleet view and the configuration, which make a node ready, are reported at once.
 _HELLO_INTERVAL_S = 1.0
 _STORE_CONNECT_MS = 500
 _STORE_REPORT_S = 10.0
 _SEED_BITS = 128
-# Stands for "never" in logs.
+# Logged in place of an infinite age.
 _MAX_LOGGED_AGE_MS = 1e9
-# Answers to calls in progress at the end of a stop.
+# Reserved at the end of a shutdown for the answers to calls in progress.
 _FINAL_ANSWERS_S = 0.6
 
 
 async def run_node(
     settings: Settings, stop: Stop, *, task_status: trio.TaskStatus[Address]
 ) -> None:
-    """Run the node until ``stop`` and the graceful shutdown after it; reports its front address."""
+    """Run the node until ``stop``, then shut it down gracefully; reports the front's address."""
     codec = open_node_codec(settings.vm)
     handlers: dict[type[msgspec.Struct], CallHandler] = {}
     view = FleetView(settings.vm.vm_id)
@@ -134,8 +135,8 @@
         self._view = view
         self._http = upstream_http
         self._pool = pool
-        # Seeded once: a choice among upstreams draws a number for each, and each would be a call of
-        # the system (170 a second on a node before 45 upstreams).  Identities do not come from it.
+        # A choice among upstreams draws a number for each of them, and with SystemRandom each would
+        # be a system call (170 a second on a node with 45 upstreams).  Identities do not use it.
         self._rng = random.Random(random.SystemRandom().getrandbits(_SEED_BITS))
         self._clock = unix_clock()
         self._boot = self._clock() * 1000 + self._rng.randrange(1000)
@@ -182,7 +183,7 @@
         self._served = trio.Event()
 
     def wire(self, udp, codec, permits) -> None:
-        """Make the parts that need the open sockets."""
+        """Create the parts that need the open sockets."""
         settings, node = self._settings, self._settings.node
         membership = Membership(
             settings.agent,
@@ -356,7 +357,7 @@
         nursery.start_soon(self._close_stale_connections)
 
     async def serve(self, nursery: trio.Nursery) -> Address:
-        """Listen at all addresses; returns that of the front."""
+        """Listen at all addresses; return that of the front."""
         node = self._settings.node
         ready = HttpServer(self.front.handle_ready, on_error=_log_error)
         directory = HttpServer(self.front.handle_directory, on_error=_log_error)
@@ -376,10 +377,11 @@
         self._served.set()
 
     async def leave(self) -> None:
-        """Shut down without cutting off anybody, within the time until the process is killed.
+        """Shut down without cutting off a call, within the time until the process is killed.
 
-        Clients and neighbours hear first; connections are served until the directory's answers
-        that name this node have expired, and each answer asks its client to use another one.
+        Clients and neighbours are notified first.  Connections are served until the directory's
+        answers that name this node have expired, and each answer asks its client to use another
+        node.
         """
         node = self._settings.node
         began_s = trio.current_time()
@@ -402,7 +404,7 @@
 
     async def _answer_metrics(self, request: Request, responder: Responder) -> None:
         """Answer with the fleet as JSON, or with this process's counts as text for Prometheus."""
-        # Imported at the first scrape, which a start need not wait for.
+        # Imported at the first scrape, to keep it off the start-up path.
         from fescuedock.entry.fleet_status import STATUS_PATH, fleet_status
 
         status = fleet_status(self._view, self._permits)
@@ -432,7 +434,7 @@
             await self._replicas.wait_changed(seen)
 
     async def _follow_crashes(self) -> None:
-        """Take in what other nodes have found out about upstreams that ended."""
+        """Apply the reports of other nodes about upstreams that ended."""
         table = self._table(self._keys.live)
         seen = -1
         while True:
@@ -442,7 +444,7 @@
             await self._replicas.wait_changed(self._replicas.version)
 
     async def _close_stale_connections(self) -> None:
-        """Close what is kept to upstreams that have gone, or have started again."""
+        """Close idle connections to upstreams that were removed from the fleet view."""
         known: dict[str, Address] = {}
         version = 0
         while True:
@@ -453,7 +455,7 @@
             known = {name: Address(item.host, item.port) for name, item in upstreams.items()}
 
     async def _log_fleet(self) -> None:
-        """Log each change of what this node believes of the others."""
+        """Log each change of another node's state in this node's fleet view."""
         states: dict[str, tuple[str, int]] = {}
         version = 0
         while True:
@@ -473,7 +475,7 @@
             states = seen
 
     async def _report_store_calls(self) -> None:
-        """Log now and then how many calls of each kind were made, since each is paid for."""
+        """Log periodically how many store calls of each kind were made, since each is billed."""
         while True:
             await trio.sleep(_STORE_REPORT_S)
             log_event("store_calls", **dict(sorted(self._store_calls.items())))
@@ -490,10 +492,10 @@
                 await self._view.wait_changed(version)
 
     def _report_readiness(self) -> None:
-        """Tell membership what of this node is ready."""
+        """Report to membership which programs of this node are ready."""
         port = Address.parse(self._settings.node.front_address).port
         for program in (Program.ENTRY, Program.BATCH):
-            # No load: nothing here chooses by it, and each change of it is news for all nodes.
+            # The load is always 0: no choice uses it, and each change would go to all nodes.
             ready = self.front.ready
             if program is Program.BATCH:
                 ready = ready and not self._permits.is_unanswered
@@ -517,7 +519,7 @@
         )
 
     def _neighbours(self) -> list[Address]:
-        """Return the agents that may be asked: those that membership knows, else the seeds."""
+        """Return the agents that may be called: those that membership knows, else the seeds."""
         return self._live_neighbours() or self._seeds()
 
     def _live_neighbours(self) -> list[Address]:
@@ -535,14 +537,14 @@
         return [key.removeprefix(prefix) for key in entries if key.startswith(prefix)]
 
     def _record_address(self, vm_id: str) -> Address | None:
-        """Return the agent of a node by its record; None where there is none that can be read."""
+        """Return the agent's address in a node's record; None without a readable record."""
         entry = self._table(self._keys.live).entries.get(self._keys.nodes + vm_id)
         if entry is None:
             return None
         try:
             record = msgspec.msgpack.decode(entry.value, type=NodeRecord)
         except msgspec.DecodeError:
-            # Logged where nodes are listed.
+            # Logged by ``NodeList``.
             return None
         return Address(record.host, record.port)
 
--- a/src/fescuedock/node/online.py
+++ b/src/fescuedock/node/online.py
@@ -1,4 +1,4 @@
-"""What the online calls of one node share: how they look for permits, and what they learn."""
+"""The state that a node's online calls share: the search for permits, and learned latencies."""
 
 import random
 from collections.abc import Callable
@@ -35,19 +35,19 @@
 __all__ = ["ONLINE_ROUTING", "PREDICTED_ROUTING", "OnlineCalls"]
 
 _IDENTITY_BYTES = 16
-# What an upstream is taken to need to a first event until calls have shown it.
+# Assumed time of an upstream to a first event until calls have measured it.
 _FIRST_EVENT_MS = 80.0
-# Of the moving mean of the times to a first event: about the last ten count.
+# Weight of the latest time to a first event in the moving mean, which covers about the last ten.
 _FIRST_EVENT_GAIN = 0.1
-# How calls look for a permit.  The choice is made anew every 150 ms, as a slot may come free
-# elsewhere.
+# How calls search for a permit.  They choose again every 150 ms, as a slot may become free at
+# another upstream.
 ONLINE_ROUTING = RoutingPolicy(at_once=2, queue_ms=150.0)
-# The same where the settings ask for placement by the learned speeds of upstreams.
+# The same with placement by the learned speeds of upstreams, if the settings select it.
 PREDICTED_ROUTING = RoutingPolicy(at_once=2, queue_ms=150.0, rank=choose_by_prediction)
 
 
 class OnlineCalls:
-    """What the online calls of one node share; see ``PermitSearch`` for the learned parts."""
+    """Answers online calls and holds their shared state; ``PermitSearch`` describes most of it."""
 
     __slots__ = (
         "_prefill",
@@ -80,9 +80,9 @@
         routing: RoutingPolicy = ONLINE_ROUTING,
         origins: StreamOrigins | None = None,
     ) -> None:
-        """``routes`` gives those of the version in force.
+        """``routes`` returns the routes of the current configuration.
 
-        Without ``origins`` no stream that a client takes up goes on.
+        Without ``origins`` clients cannot resume streams at this node.
         """
         self.origins = origins
         self.view = view
@@ -97,47 +97,47 @@
         self.latency = DomainLatency()
         self.ask_timeout = AskTimeout()
         self.stalls = StallLimits()
-        # What an upstream takes to a first event: a step, a prompt and the way; learned.
+        # Mean time of an upstream to a first event: an engine step, the prompt and the round trip.
         self.first_event_ms = _FIRST_EVENT_MS
         self.silent = SilentOwners(self.routing)
         self._prefill: dict[str, PrefillModel] = {}
 
     def customers(self) -> CustomerIndex:
-        """Return the customers of the version in force."""
+        """Return the customers of the current configuration."""
         return self._routes().customers
 
     def priority_of(self, route: Route, customer: str) -> int:
-        """Return the priority of a customer's calls on ``route`` by the version in force."""
+        """Return the priority of a customer's calls on ``route`` by the current configuration."""
         return self._routes().priority_of(route, customer)
 
     def startable_versions(self, service: str) -> frozenset[str] | None:
-        """Return the software versions at which streams may begin; None where there is no bound."""
+        """Return the software versions on which streams may start; None if any may be used."""
         return None if self.origins is None else self.origins.startable_versions(service)
 
     async def record_origin(self, key: str, origin: StreamOrigin, route: Route) -> None:
-        """Note what begins a stream; see ``StreamOrigins.begun``."""
+        """Record the origin of a stream that starts; see ``StreamOrigins.record_start``."""
         if self.origins is not None:
             await self.origins.record_start(key, origin, route)
 
     async def origin_of(self, key: str | None, route: Route) -> Result[StreamOrigin, Fault]:
-        """Return what began a stream that a client takes up."""
+        """Return the origin of a stream that a client resumes."""
         if self.origins is None:
-            return Err(Fault(ResultCode.ORIGIN_UNKNOWN, "this node keeps no origins of streams"))
+            return Err(Fault(ResultCode.ORIGIN_UNKNOWN, "this node stores no origins of streams"))
         return await self.origins.origin_of(key, route)
 
     def prefill(self, service: str) -> PrefillModel:
         return self._prefill.setdefault(service, PrefillModel())
 
     def record_first_event(self, took_ms: float) -> None:
-        """Learn from the time that an attempt took to its first event."""
+        """Update the mean with the time that an attempt took to its first event."""
         self.first_event_ms += _FIRST_EVENT_GAIN * (took_ms - self.first_event_ms)
 
     def new_identity(self) -> str:
-        """Return an identity that nobody can guess."""
+        """Return a random identity that cannot be guessed."""
         return token_hex(_IDENTITY_BYTES)
 
     def is_connected(self, upstream: UpstreamRecord) -> bool:
-        """Whether an idle connection to ``upstream`` is kept."""
+        """Whether an idle connection to ``upstream`` is open."""
         return self.http.has_idle(Address(upstream.host, upstream.port))
 
     async def handle(
@@ -149,9 +149,10 @@
         caller: Caller,
         confirm: Confirm | None = None,
     ) -> None:
-        """Answer one call; never raises but for a client that has left.
+        """Answer one call; raise only if the client has disconnected.
 
-        ``confirm`` is asked before the call is sent whether its customer's limit still lets it.
+        ``confirm`` is called before the call is sent, to check that its customer's limit still
+        admits it.
         """
         head = calls.call_head(request.header_fields)
         call = Call(self, request, responder, route, body, head, caller, confirm)
--- a/src/fescuedock/node/online_call.py
+++ b/src/fescuedock/node/online_call.py
@@ -1,4 +1,4 @@
-"""One online call of a client: passed on to an upstream as it came, and its answer back as well."""
+"""Forwards one online call of a client to an upstream unchanged, and relays the answer."""
 
 from collections.abc import Awaitable, Collection
 from typing import TYPE_CHECKING
@@ -41,19 +41,19 @@
 
 __all__ = ["Call"]
 
-# Where a client names no deadline and the route no timeout.
+# Used when the client names no deadline; a shorter timeout of the route still applies.
 _DEFAULT_PATIENCE_MS = 60000.0
-# Answers that are no streams are held back up to this size, so that a broken one can be repeated.
+# Answers that are not streams are buffered up to this size, so that a broken one can be retried.
 _MAX_BUFFERED_BYTES = 1024 * 1024
 _SERVER_ERROR = 500
-# Connections that were refused in a row, after which a stream with no other upstream ends.
+# Connections refused in a row after which a stream ends if no other upstream can continue it.
 _MAX_REFUSED_CONNECTIONS = 3
-# How often the time by which more of a stream must come is moved, which adds as much to it.
+# Minimum time between two moves of a stream's stall deadline; added to the deadline as well.
 _STALL_DEADLINE_STEP_S = 0.1
 
 
 class Call:
-    """One client's call on its way."""
+    """One call of a client in progress."""
 
     __slots__ = (
         "avoided",
@@ -103,12 +103,12 @@
         self.received_ms = now_ms()
         self.avoided: set[str] = set()
         self.out: ResponseStream | None = None
-        # From the receipt to the first event, and between events; for the metrics.
+        # Time from the receipt to the first event, and mean pause between events; for the metrics.
         self.first_event_ms = -1.0
         self.pause_ms = 0.0
-        # An attempt is under way whose request may have arrived.
+        # Whether an attempt is in progress whose request may have reached the upstream.
         self.sending = False
-        # The status of an upstream's failure that the client got whole; 0 for none.
+        # The status of an upstream's failure that was relayed to the client; 0 for none.
         self.failure_passed_on = 0
         patience_ms = self.head.patience_ms
         patience_ms = _DEFAULT_PATIENCE_MS if patience_ms is None else patience_ms
@@ -121,7 +121,7 @@
         self.service = self.route.choose_service(self.shared.rng)
         host = request.headers.get("host", "")
         self.work_id = work_identity(request.method, host, request.target, self.customer, body)
-        # Of the upstreams that the stream goes on at; None while the client has nothing of it.
+        # The version on which the stream must continue; None until an event was sent to the client.
         self.software_version: str | None = None
         original_request_id = self.head.resumes if self.head.last_event >= 0 else ""
         self.stream_key = stream_key(original_request_id or self.head.request_id, self.work_id)
@@ -134,7 +134,7 @@
             pause_ms=self.route.gap_target_ms,
         )
 
-    # --- what the search for a permit asks -------------------------------------------------------
+    # --- read by the search for a permit ---------------------------------------------------------
 
     @property
     def request_id(self) -> str:
@@ -142,21 +142,24 @@
 
     @property
     def member(self) -> str:
-        """Whom the call counts for in the queues of upstreams; empty without customers."""
+        """The customer for whom the call counts in the queues of upstreams; empty for none."""
         return self.customer
 
     def urgency(self) -> tuple[int, int]:
-        """Return the priority by the version in force, and the time since the receipt in ms."""
+        """Return the priority by the current configuration, and the time since the receipt in ms.
+
+        The time is 0 for a call of priority 0.
+        """
         priority = self.shared.priority_of(self.route, self.customer)
         return priority, int(now_ms() - self.received_ms) if priority else 0
 
     @property
     def customer(self) -> str:
-        """Whom the call counts for; empty for nobody."""
+        """The name of the calling customer; empty for none."""
         return self.caller.name or ""
 
     def key_holds(self) -> bool:
-        """Whether the version in force still lets the caller in."""
+        """Whether the current configuration still admits the caller."""
         return self.shared.customers().holds(self.caller)
 
     @property
@@ -167,7 +170,7 @@
 
     @property
     def is_resumable(self) -> bool:
-        """Whether a client may go on at another node with the stream that this call is."""
+        """Whether the client may resume this call's stream at another node."""
         return self.route.kind is RouteKind.STREAM and self.route.resumable
 
     @property
@@ -182,7 +185,7 @@
         return self.deadline_ms - now_ms()
 
     def start_left_ms(self) -> float:
-        """Return the time in which a start gives a first event before the client leaves."""
+        """Return the time left to start so that the first event comes before the client leaves."""
         patience_ms = self.route.first_event_patience_ms
         if not patience_ms or self.out is not None:
             return self.left_ms()
@@ -190,7 +193,10 @@
         return min(left_ms - self.shared.first_event_ms, self.left_ms())
 
     def target_left_ms(self) -> int:
-        """Return the time in which a start still makes the first event good in time."""
+        """Return the time left to start so that the first event meets the route's latency target.
+
+        Below 0 when the target is missed; never 0.
+        """
         left_ms = self.received_ms + self.route.target_latency_ms - now_ms()
         first_event_ms = self.shared.first_event_ms
         return int(left_ms - first_event_ms) or -1
@@ -198,7 +204,7 @@
     # --- attempts --------------------------------------------------------------------------------
 
     async def run(self) -> None:
-        """Make attempts until one gives the whole answer or none may follow."""
+        """Make attempts until one gives the complete answer or no other one is allowed."""
         if self.route.kind is RouteKind.STREAM and self.head.last_event >= 0:
             refused = await self._resume()
             if refused is not None:
@@ -206,7 +212,7 @@
                 return
         while True:
             if not self.key_holds():
-                text = "the API key was taken away while the call waited"
+                text = "the API key was revoked while the call waited"
                 await self.give_up(self._accurate_fault(Fault(ResultCode.UNAUTHORIZED, text)))
                 return
             granted = await find_permit(self.shared, self, self.avoided)
@@ -231,9 +237,9 @@
             await trio.sleep(self.progress.pause_ms(end) / 1000)
 
     async def _resume(self) -> Fault | None:
-        """Find out what began the stream that the client has the beginning of.
+        """Find the origin of the stream that the client resumes.
 
-        Returns why it cannot go on here.
+        Return the reason if the stream cannot continue here.
         """
         key = self.stream_key if self.head.resumes else None
         found = await self.shared.origin_of(key, self.route)
@@ -249,14 +255,14 @@
         if isinstance(found, Err):
             return found.err_value
         if not self.route.allows(found.ok_value.service):
-            text = f"the route does not go to {found.ok_value.service!r} any more"
+            text = f"the route does not lead to service {found.ok_value.service!r} any more"
             return Fault(ResultCode.NO_UPSTREAM, text)
         self.service = found.ok_value.service
         self.software_version = found.ok_value.software_version
         return None
 
     def _has_no_upstream_left(self) -> bool:
-        """Whether each upstream at which a stream could go on has refused it."""
+        """Whether every upstream that could continue the stream has refused it."""
         if self.software_version is None or self.progress.refused < _MAX_REFUSED_CONNECTIONS:
             return False
         return not any(
@@ -265,9 +271,9 @@
         )
 
     async def _refused_before_send(self, grant: Grant) -> Fault | None:
-        """Return why a call that waited may not be sent any more.
+        """Return why a call that waited must not be sent any more.
 
-        It counts toward its customer's limit when it is sent, and only once.
+        A call counts toward its customer's limit when it is sent, and only once.
         """
         if self.confirm is None or self.progress.may_have_run:
             return None
@@ -282,7 +288,7 @@
         return None if done else confirmed.err_value
 
     async def _attempt(self, grant: Grant) -> AttemptEnd | None:
-        """Make one attempt; None when the client got its answer."""
+        """Make one attempt; return None when the client got its answer."""
         upstream = self.shared.view.upstreams.get(grant.upstream_id)
         record = AttemptRecord(grant, WorkClass.ONLINE, now_ms(), self.head.prompt_tokens)
         if upstream is None:
@@ -290,7 +296,7 @@
             return AttemptEnd.NOT_SENT
         versions = self.software_versions
         if versions is not None and upstream.software_version not in versions:
-            # It was replaced since it was chosen.
+            # The upstream was replaced by one of another version after it was chosen.
             record.cancel()
             return AttemptEnd.WITHDRAWN
         done = False
@@ -350,7 +356,7 @@
         return AttemptEnd.STALLED
 
     def _stall_deadline_s(self, *, first: bool) -> float:
-        """Return the time by which something must come, or the call goes elsewhere."""
+        """Return the time by which data must arrive, else the call moves to another upstream."""
         if self.progress.is_last_run():
             return float("inf")
         limits = self.shared.stalls
@@ -374,7 +380,7 @@
         if head.is_success and self.route.kind is RouteKind.STREAM:
             return await self._relay_events(answer, upstream, record, stall)
         if self.out is not None:
-            # The client has the beginning of a success; a failure can't be told any more.
+            # The head of a success was sent to the client, so a failure cannot be relayed any more.
             await answer.response.read()
             return AttemptEnd.FAILED
         if head.status >= _SERVER_ERROR and not self.progress.is_last_run():
@@ -385,7 +391,7 @@
     async def _relay_body(
         self, answer: UpstreamAnswer, stall: trio.CancelScope
     ) -> AttemptEnd | None:
-        """Pass on an answer in one piece; a long one is passed on as it comes."""
+        """Relay an answer in one write; one beyond the buffer's size is relayed as it arrives."""
         stall.deadline = float("inf")
         parts: list[bytes] = []
         buffered_bytes = 0
@@ -415,11 +421,12 @@
         record: AttemptRecord,
         stall: trio.CancelScope,
     ) -> AttemptEnd | None:
-        """Pass on whole events as they come, each one once; the head goes with the first."""
+        """Relay complete events as they arrive, each one once; the head is sent with the first."""
         splitter = EventSplitter()
         deadline_set_s = float("-inf")
         while data := await answer.response.read_some():
-            # Each move costs the loop; one that is a little early ends nothing that goes on.
+            # Moving the deadline costs the event loop, so it moves only now and then.  The step is
+            # added to it, so that no active stream is cut off.
             if trio.current_time() - deadline_set_s >= _STALL_DEADLINE_STEP_S:
                 deadline_set_s = trio.current_time()
                 stall.deadline = self._stall_deadline_s(first=False) + _STALL_DEADLINE_STEP_S
@@ -434,7 +441,7 @@
             if self.out is None:
                 if self._is_replaced(upstream):
                     return AttemptEnd.LOST
-                # Before events are taken: one that is taken must reach the client.
+                # Done before events are counted as relayed: a counted event must reach the client.
                 await self._wait_client(stall, self._record_origin(upstream))
             fresh = self.progress.take_fresh(events)
             if fresh is None:
@@ -447,7 +454,7 @@
         if splitter.has_rest:
             return AttemptEnd.LOST
         if answer.response.unframed and not record.events and self.progress.last_event < 0:
-            # Nothing tells an answer without an event from one that was broken off.
+            # Without framing an answer without events looks like one that was cut off.
             return AttemptEnd.LOST
         if self.out is None:
             await self._begin_response(answer, b"")
@@ -456,18 +463,18 @@
         return None
 
     async def _wait_client(self, stall: trio.CancelScope, sending: Awaitable[None]) -> None:
-        """Wait for the client to read; meanwhile the upstream does not count as stalled."""
+        """Wait until ``sending`` is done; meanwhile the upstream does not count as stalled."""
         stall.deadline = float("inf")
         await sending
         stall.deadline = self._stall_deadline_s(first=False) + _STALL_DEADLINE_STEP_S
 
     def _is_replaced(self, upstream: UpstreamRecord) -> bool:
-        """Whether an upstream turned out to have another version than when it was sent to."""
+        """Whether an upstream is now known to have another version than when it was chosen."""
         current = self.shared.view.upstreams.get(upstream.upstream_id)
         return current is not None and current.software_version != upstream.software_version
 
     async def _record_origin(self, upstream: UpstreamRecord) -> None:
-        """Have it known elsewhere what begins the stream."""
+        """Record the origin of the stream, at other nodes too if it is resumable."""
         self.software_version = upstream.software_version
         if self.is_resumable:
             origin = StreamOrigin(self.service, upstream.software_version)
@@ -480,7 +487,7 @@
     # --- the end ---------------------------------------------------------------------------------
 
     async def give_up(self, fault: Fault) -> None:
-        """Answer with ``fault``; an answer that has begun is broken off visibly."""
+        """Answer with ``fault``; an answer already started is cut off by closing the connection."""
         log_event(
             "call_given_up",
             request_id=self.request_id,
@@ -517,14 +524,14 @@
         )
 
     def late_fault(self) -> Fault:
-        """Return the fault of a call whose time is up."""
+        """Return the fault of a call whose deadline has passed."""
         if self.sending or self.progress.may_have_run:
-            return Fault(ResultCode.UPSTREAM_TIMEOUT, "no whole answer came in time")
-        message = "no slot came free in time"
+            return Fault(ResultCode.UPSTREAM_TIMEOUT, "no complete answer was received in time")
+        message = "no slot became free in time"
         return Fault(ResultCode.DEADLINE_CANNOT_BE_MET, message, self.shared.retry_after_ms)
 
     def _accurate_fault(self, fault: Fault) -> Fault:
-        """Return a refusal, unless the call may have run."""
+        """Return ``fault`` with a retry time, or ``UPSTREAM_LOST`` if the call may have run."""
         if self.progress.may_have_run:
             return Fault(ResultCode.UPSTREAM_LOST, f"a run was lost; then: {fault.message}")
         if fault.code is ResultCode.UNAUTHORIZED:
--- a/src/fescuedock/node/owner_reads.py
+++ b/src/fescuedock/node/owner_reads.py
@@ -1,7 +1,7 @@
-"""Reads of a job's results from the node that owns the job, in place of the store.
+"""Reads a job's results from the node that owns the job, instead of from the store.
 
-Committed results never change, so whatever the owner has may be shown.  That there are no more can
-only be said by a node that would have heard if another one had taken the job over.
+Committed results never change, so any results that the owner has may be returned.  Only a node
+whose replica is recent enough to show a takeover of the job can confirm that there are no more.
 """
 
 from collections.abc import Callable
@@ -24,21 +24,22 @@
 
 __all__ = ["OwnerReads"]
 
-# The most bytes of results in one answer.  An owner that has more sends none: readers may only keep
-# whole groups of results, as the store can be read on from the end of a group and nowhere else.
+# Largest size of the results in one answer.  An owner that has more sends none: readers may hold
+# only complete groups of results, as a read of the store can only continue at the end of a group.
 _MAX_REPLY_BYTES = 700_000
-# An owner answers in 1 to 7 ms; after that long the store is asked.
+# An owner answers in 1 to 7 ms; after this timeout the store is read.
 _REPLY_TIMEOUT_MS = 120.0
 
 
 class OwnerReads(msgspec.Struct):
-    """``address_of`` gives the address of a live node.
+    """Reads results from owners, and answers such reads of other nodes.
 
-    ``listed_of`` gives how many results are listed of a job that this node runs, None for others.
-    The cache alone cannot tell: it forgets jobs when it is full.
+    ``address_of`` returns the address of a live node.  ``listed_count`` returns how many results
+    of a job are listed if this node runs the job, else None.  The cache alone cannot tell, since
+    it evicts jobs when it is full.
 
-    Before, each read that found nothing new was a call of the store: 349 of the 800 calls that were
-    paid for on a calm day.
+    Without it each read that finds nothing new is a call of the store, which is billed: 349 of 800
+    calls on a day with little load.
     """
 
     cache: JobCache
@@ -50,11 +51,11 @@
     listed_count: Callable[[str], int | None]
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
-        """Handlers by message type, to be merged with those of other services."""
+        """Return the handlers by message type, to be merged with those of other services."""
         return {ReadResults: self._on_read}
 
     async def read(self, record: StoredJobRecord, known: int) -> ReadResultsReply | None:
-        """Return what the owner of ``record`` has beyond ``known``; None when it does not say."""
+        """Return the owner's results after the first ``known``; None when it does not answer."""
         if self.owner.owns(record):
             return self._reply(record.job_id, known)
         address = self.address_of(record.owner_id)
@@ -87,6 +88,6 @@
         return ReadResultsReply(ResultGroup(known, results), is_current)
 
     def _has_all_listed(self, job_id: str, job: CachedJob) -> bool:
-        """Whether the cache holds all that is listed of a job that this node still owns."""
+        """Whether the cache holds all listed results of a job that this node still owns."""
         age_ms = self.replicas.update_age_ms(self.live_prefix)
         return age_ms <= VOUCH_AGE_MS and self.listed_count(job_id) == len(job.results)
--- a/src/fescuedock/node/quotas.py
+++ b/src/fescuedock/node/quotas.py
@@ -1,4 +1,7 @@
-"""Asks for each call of a customer with a limit, and answers for those that this node keeps."""
+"""Enforces customers' call limits: requests calls from share owners, and answers for own shares.
+
+A limit is split into shares, each owned by one node.
+"""
 
 import random
 from collections.abc import Awaitable, Callable, Collection
@@ -32,34 +35,36 @@
 
 __all__ = ["Confirm", "Quotas"]
 
-# To be called right before a call is sent that was let in; fails when it may not be sent any more.
+# To be called right before an admitted call is sent; fails when it must not be sent any more.
 Confirm = Callable[[], Awaitable[Result[None, Fault]]]
 
-# An owner answers in 1 to 4 ms; a process that is busy itself reads answers later.
+# An owner answers in 1 to 4 ms, but a busy requester reads answers later.
 _REPLY_TIMEOUT_MS = 60.0
-# How long after its start a node waits for others that keep shares, and how often it asks them.
+# For how long after its start a node waits for share owners that may be starting as well, the
+# longest such wait of one call, and the interval of its requests.
 _STARTUP_MS = 3000.0
 _MAX_STARTUP_WAIT_MS = 1000.0
 _STARTUP_RETRY_S = 0.1
-# Between two looks at which nodes are registered: while calls come, and at all times.
+# Minimum interval between two reads of the registered nodes while calls arrive, and the interval
+# at all times.
 _MIN_ROSTER_INTERVAL_MS = 200.0
 _ROSTER_INTERVAL_S = 1.0
-# Another node may let the call in at once.
+# Short, as another node may admit the call at once.
 _UNKNOWN_RETRY_MS = 100
 
 
 class CustomerUse(msgspec.Struct):
-    """What became of a customer's calls at this node since it started."""
+    """The numbers of a customer's calls admitted and refused at this node since it started."""
 
     admitted: int = 0
     refused: int = 0
 
 
 class _ShareLimits:
-    """Asks and answers of a node for shares of limits, by token buckets.
+    """Finds the owners of shares, and grants calls from this node's shares by token buckets.
 
-    ``registered`` gives the names of the nodes that have a record, of which ``live`` tells when
-    they may have changed.  ``since_previous_ms`` is that of ``NodeLease``.
+    ``registered`` returns the names of the nodes that have a record; they may have changed when
+    the version of ``live`` has.  ``since_previous_ms`` is that of ``NodeLease``.
     """
 
     def __init__(
@@ -85,7 +90,7 @@
         self._roster_version = -1
 
     async def run(self) -> None:
-        """Follow which nodes are registered, also while nobody calls; never returns."""
+        """Follow the registered nodes, also while no call arrives; never return."""
         while True:
             self._update_roster()
             await trio.sleep(_ROSTER_INTERVAL_S)
@@ -102,13 +107,13 @@
         self._route.note(self._registered(), now)
 
     def share_owners(self, customer: Customer) -> list[str | None]:
-        """Return the node that keeps each share of a limit."""
+        """Return the owner of each share of a limit; None for a share without one."""
         self._update_roster()
         count = self.policy.share_count(customer)
         return [self._route.keeper(customer.name, number) for number in range(count)]
 
     def order(self, owners: list[str | None], last: int | None) -> list[int]:
-        """Return the shares in the order in which to ask; the ``last`` grant came from one."""
+        """Return the shares in the order of requests; ``last`` is the share of the last grant."""
         return ask_order(owners, self._vm_id, self._rng, last)
 
     def answer(self, customer: Customer, ask: QuotaAsk) -> QuotaReply:
@@ -133,8 +138,10 @@
 
 
 class Quotas:
-    """``registered`` gives the names of the nodes that have a record, and ``record_address`` where
-    the record says that one can be asked.
+    """Admits calls of customers with a limit, at one node.
+
+    ``registered`` returns the names of the nodes that have a record, and ``record_address`` the
+    address in a node's record.
     """
 
     def __init__(
@@ -153,7 +160,7 @@
         self._customers = customers
         self._call_neighbour = call_neighbour
         self._shares = _ShareLimits(settings, view.vm_id, live, registered, since_previous_ms, rng)
-        # How long after its ask a call may be sent without another one.
+        # How long after its grant was requested a call may be sent without another request.
         self._max_unsent_ms = self._shares.policy.unsent_ms
         self._silent_nodes = SilentOwners()
         self._usage: dict[str, CustomerUse] = {}
@@ -170,7 +177,7 @@
         await self._shares.run()
 
     def status(self) -> list[CustomerStatus]:
-        """Return the customers in force, with their use at this node."""
+        """Return the customers of the current configuration, with their usage at this node."""
         index = self._current_index()
         return [self._status_of(customer) for customer in index.by_name.values()]
 
@@ -186,19 +193,19 @@
         )
 
     def _owner_of(self, customer: Customer) -> str:
-        """Return the nodes that keep shares of the customer's limit."""
+        """Return the owners of the shares of the customer's limit, separated by spaces."""
         if customer.rate_per_s <= 0:
             return ""
         return " ".join(sorted({name for name in self._shares.share_owners(customer) if name}))
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
-        """Handlers by message type, to be merged with those of other services."""
+        """Return the handlers by message type, to be merged with those of other services."""
         return {QuotaAsk: self._on_ask}
 
     async def admit(self, name: str) -> Result[Confirm | None, Fault]:
-        """Let a call of a customer in, or tell when to come back.
+        """Admit a call of a customer, or refuse it with the time to retry.
 
-        ``Ok`` holds what has to be called before the call is sent, where that is needed.
+        ``Ok`` holds the confirmation to call before the call is sent, or None if none is needed.
         """
         index = self._current_index()
         customer = index.by_name.get(name)
@@ -217,7 +224,10 @@
         return Ok(self._confirmation(name, requested_ms, granted.ok_value))
 
     def _confirmation(self, name: str, requested_ms: float, share: int | None) -> Confirm:
-        """Return what asks anew for a call that waited, since it counts when it is sent."""
+        """Return a function that requests a call again if it waited for long.
+
+        A call counts toward the limit when it is sent, not when it arrives.
+        """
         granted_ms = now_ms()
 
         async def confirm() -> Result[None, Fault]:
@@ -239,9 +249,9 @@
     async def _request_call(
         self, customer: Customer, waited_ms: float = 0.0, share: int | None = None
     ) -> Result[int | None, Fault]:
-        """Ask for one call; returns the share that it is granted from.
+        """Request one call; return the share that granted it, None without a limit.
 
-        ``waited_ms`` and ``share`` are of a grant that has not been used.
+        ``waited_ms`` and ``share`` describe an earlier grant for the call that was not used.
         """
         if customer.rate_per_s <= 0:
             return Ok(None)
@@ -250,7 +260,7 @@
     async def _request_until_known(
         self, customer: Customer, waited_ms: float, share: int | None
     ) -> Result[int | None, Fault]:
-        """Ask again for a while where this node has just started, as others may have as well."""
+        """Request one call; retry for a while at start-up, as share owners may be starting too."""
         began_ms = now_ms()
         while True:
             granted = await self._request_from_shares(customer, waited_ms, share)
@@ -266,7 +276,7 @@
     async def _request_from_shares(
         self, customer: Customer, waited_ms: float, last: int | None
     ) -> Result[int | None, Fault]:
-        """Ask the keepers of shares until one grants the call."""
+        """Send requests to the share owners until one grants the call."""
         owners = self._shares.share_owners(customer)
         refused: list[int] = []
         for share in self._shares.order(owners, last):
@@ -278,15 +288,16 @@
             if reply.code == ResultCode.OK:
                 return Ok(share)
             refused.append(reply.retry_after_ms)
-        # Others may be on their way back while this node is young; else a token of the shares
-        # that are reached comes sooner than another node that reaches more can be found.
+        # While this node starts, other share owners may be starting too, so only a majority can
+        # refuse.  Later, waiting for a token of a reachable share is faster than finding a node
+        # that reaches more shares.
         needed = len(owners) // 2 + 1 if self._is_starting() else 1
         if len(refused) < needed:
             return _unknown_use(customer.name)
         return _over_limit(customer.name, min(refused))
 
     async def _request_from_node(self, vm_id: str | None, ask: QuotaAsk) -> QuotaReply | None:
-        """Return a node's answer; None when it is not there, or was silent of late."""
+        """Return a node's answer; None when it is unknown, silent now, or was silent lately."""
         if vm_id == self._view.vm_id:
             return await self._answer(ask)
         address = self._address_of(vm_id)
@@ -300,9 +311,10 @@
         return called.ok_value
 
     def _address_of(self, vm_id: str | None) -> Address | None:
-        """Return where a node can be asked; None for one that membership has removed.
+        """Return a node's address; None for a node that membership has removed.
 
-        After a restart of the whole fleet nodes can answer before membership has found them.
+        After a restart of the entire fleet nodes can answer before membership has found them; the
+        address in the record is used until then.
         """
         vm = self._live_nodes().get(vm_id)
         if vm is not None:
@@ -332,7 +344,7 @@
         return self._nodes
 
     def _current_index(self) -> CustomerIndex:
-        """Return the customers of the version in force, forgetting those that are in it no more."""
+        """Return the customers of the current configuration, and drop the state of removed ones."""
         index = self._customers()
         if index is not self._last_index:
             self._last_index = index
@@ -343,8 +355,8 @@
 
 
 def _unknown_use(name: str) -> Err[Fault]:
-    """Refuse a call that may be within its customer's limit; another node may know."""
-    text = f"no node that is reached knows what customer {name!r} uses of its limit"
+    """Refuse a call that may be within its customer's limit; another node may admit it."""
+    text = f"no reachable node knows how much of its limit customer {name!r} uses"
     return Err(Fault(ResultCode.QUOTA_UNKNOWN, text, _UNKNOWN_RETRY_MS))
 
 
--- a/src/fescuedock/node/replicas.py
+++ b/src/fescuedock/node/replicas.py
@@ -1,8 +1,8 @@
-"""What this node knows of the key-value service, kept fresh from the service and from neighbours.
+"""Replicates prefixes of the key-value service at this node, from the service and from neighbours.
 
-Each prefix has a loop that follows its changes.  One node of each group asks the service
-and tells the others; one that hears nothing asks by itself.  While the service does not answer,
-the loop goes on trying and neighbours that know more are asked instead.
+Each prefix has a loop that follows its changes.  One node of each group watches the service and
+broadcasts updates; a node that receives none queries the service itself.  While the service does
+not answer, the loop keeps trying, and neighbours that may know more are queried.
 """
 
 import math
@@ -36,27 +36,28 @@
 
 __all__ = ["CallNeighbour", "Replicas", "StoreReader", "UpdateBroadcaster", "WatchedPrefix"]
 
-# A table so much older than a watch is held is asked of a neighbour: longer than a node goes
-# without news when all is well (a pause of 300 ms and the way), and early enough for two neighbours
-# to answer before work stops for want of news.
+# A table older than a watch by this margin is requested from neighbours.  Without faults a node
+# receives updates more often (a pause of 300 ms and the transmission), and two neighbours can still
+# answer before items stop for lack of updates.
 _STALE_MARGIN_MS = 700.0
 _NEIGHBOUR_INTERVAL_S = 0.4
 _NEIGHBOUR_TIMEOUT_MS = 400.0
-# A node answers in 1 to 7 ms.  So long, at the most, a client waits for one that does not.
+# A node answers in 1 to 7 ms.  A client may wait this long for a node that does not answer.
 _SEND_TIMEOUT_MS = 100.0
-# Asked at once: while the store turns half of the nodes away, one alone would be such a node as
-# well every other time, and its word that it knows nothing newer worth nothing.
+# Neighbours queried at the same time.  While the store refuses half of the nodes, a single
+# neighbour would be refused as well every other time, and could not confirm that nothing is newer.
 _NEIGHBOURS_PER_QUERY = 3
-# Between two looks at least, however soon a table may become stale.
+# Minimum time between two queries of neighbours, however soon a table becomes stale.
 _MIN_POLL_INTERVAL_S = 0.1
 _MAX_AGE_MS = 2**31 - 1
-# Of the name by which others tell this process from its former ones.
+# Random bits in the sender name, by which other nodes distinguish this process from earlier ones.
 _SENDER_BITS = 64
-# What news may take beyond the watch that they come from: two of its usual answers and the way.
+# Time that an update may take beyond its watch: two usual answers of the service and the
+# transmission.
 _UPDATE_MARGIN_MS = 250.0
-# How often a node that waits for news looks whether it has become the one that watches; one that
-# hears nothing asks by itself soon after.  Every 0.4 s was a sixth of an idle node's 41 wake-ups a
-# second.
+# How often a node that waits for updates checks whether it has become the watching node.  This may
+# be slow, as a node that receives no update queries the service soon anyway; checks every 0.4 s
+# were a sixth of an idle node's 41 wake-ups a second.
 _DUTY_POLL_S = 1.0
 
 # Calls a neighbour: its address, the message, the timeout in milliseconds.
@@ -64,13 +65,13 @@
 
 
 class StoreReader(KvStore, KvChangeLog, Protocol):
-    """A key-value service that can be read whole and asked for changes."""
+    """A key-value service that can be read completely and watched for changes."""
 
 
 class WatchedPrefix(msgspec.Struct, frozen=True):
     """A prefix, how long a watch of it is held, and the pause between two watches.
 
-    Those that ``is_heartbeat`` knows wake nobody and are not told to others.
+    Changes that ``is_heartbeat`` recognizes wake no task and are not broadcast.
     """
 
     prefix: str
@@ -80,39 +81,40 @@
 
     @property
     def update_timeout_ms(self) -> float:
-        """Return how long to wait for news before asking by oneself."""
+        """The time without an update after which a node queries the service itself."""
         return self.wait_ms + self.pause_ms + _UPDATE_MARGIN_MS
 
     @property
     def max_certain_age_ms(self) -> float:
-        """Return how old a table may be for certain before asking by oneself, news or not.
+        """The age of certain knowledge after which a node queries the service despite updates.
 
-        Changes at the end of one watch count from its beginning until the end of the next.
+        If a watch ends with changes, the table is certain only as of its start, until the next
+        watch ends.
         """
         return self.wait_ms + self.update_timeout_ms
 
 
 class UpdateBroadcaster(Protocol):
-    """How news go to the nodes of this group."""
+    """Sends updates to the other nodes of this node's group, one of which watches a prefix."""
 
     @property
     def vm_id(self) -> str:
         """This node's own name."""
 
     def address_of(self, vm_id: str) -> Address | None:
-        """Return where a node can be asked; None for one that is not known."""
+        """Return a node's address; None for an unknown node."""
 
     def watches(self, prefix: str) -> bool:
-        """Whether this node asks the service for them."""
+        """Whether this node watches ``prefix`` at the service for its group."""
 
     async def broadcast(self, message: msgspec.Struct) -> None:
-        """Send ``message`` to the others, without an answer."""
+        """Send ``message`` to the other nodes, without waiting for answers."""
 
 
 class Replicas:
     """The tables of all watched prefixes.
 
-    ``neighbours`` gives the addresses of nodes that may be asked.
+    ``neighbours`` returns the addresses of nodes that may be queried.
     """
 
     def __init__(
@@ -135,23 +137,24 @@
         self._broadcaster = broadcaster
         self._rng = rng
         self._changed = trio.Event()
-        # By prefix, set when news of it come.
+        # By prefix, set when an update of it is received.
         self._update_events = {item.prefix: trio.Event() for item in watched}
-        # Prefixes of which news came that do not follow on from what is known.
+        # Prefixes with an update that starts after this node's revision: changes are missing.
         self._gaps: set[str] = set()
-        # By prefix, when it was last heard of but for news of any age: their sender's clock is not
-        # known.
+        # By prefix, the time of the last update, except for updates of unknown age, whose sender's
+        # clock is not known.
         self._last_update_ms = dict.fromkeys(self.tables, float("-inf"))
         self._sender = f"{broadcaster.vm_id}/{rng.getrandbits(_SENDER_BITS):x}"
         self._clocks = SenderClocks()
-        # Senders of news whose clocks are to be compared, and what is set when there is one more.
+        # Senders of updates whose clocks must be compared, and the event set when one is added.
         self._unknown_clocks: set[str] = set()
         self._clock_needed = trio.Event()
-        # By prefix, when last a neighbour was asked that knew as much as this node, or more.
+        # By prefix, the time of the last query that a neighbour with at least as much knowledge
+        # answered.
         self._agreed_ms = dict.fromkeys(self.tables, float("-inf"))
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
-        """Handlers by message type, to be merged with those of other services."""
+        """Return the handlers by message type, to be merged with those of other services."""
         return {
             ReplicaRequest: self._on_request,
             ReplicaNews: self._on_update,
@@ -161,24 +164,24 @@
 
     @property
     def version(self) -> int:
-        """Rises whenever a table changes."""
+        """A number that increases whenever a table changes."""
         return sum(table.version for table in self.tables.values())
 
     async def wait_changed(self, seen_version: int) -> int:
-        """Return the version as soon as it is another than ``seen_version``."""
+        """Return the version as soon as it differs from ``seen_version``."""
         while self.version == seen_version:
             await self._changed.wait()
         return self.version
 
     def update_age_ms(self, prefix: str) -> float:
-        """Return the time since a prefix was heard of, not counting news of unknown age."""
+        """Return the time since the last update of a prefix, ignoring updates of unknown age."""
         return now_ms() - self._last_update_ms[prefix]
 
     def _record_update_time(self, prefix: str, received_ms: float) -> None:
         self._last_update_ms[prefix] = max(self._last_update_ms[prefix], received_ms)
 
     def record_entry(self, prefix: str, entry: KvEntry) -> None:
-        """Take a key that this node has itself written or read."""
+        """Apply an entry that this node has written or read itself."""
         self.tables[prefix].note(entry)
         self._wake()
 
@@ -207,17 +210,17 @@
                 self._record_store_answer()
                 await trio.sleep(watched.pause_ms / 1000)
             elif fault.code is ResultCode.KV_COMPACTED:
-                # The history is gone, and with it changes that were not heard of.
+                # The history was compacted, including changes that this node has not received.
                 log_event("history_lost", prefix=table.prefix, revision=table.revision)
                 must_read_all = True
                 self._record_store_answer()
             else:
-                # What came while the service was away may be more than its history keeps.
+                # Changes during an outage may exceed the history that the service retains.
                 self._record_store_failure(fault, table.prefix)
                 await trio.sleep(self._rng.uniform(0.7, 1.3) * self.contact.pause_ms() / 1000)
 
     async def _wait_update(self, watched: WatchedPrefix) -> bool:
-        """Wait for news from the node that watches; False when this node has to ask itself."""
+        """Wait for an update from the watching node; False when this node must query itself."""
         table = self.tables[watched.prefix]
         while not self._broadcaster.watches(watched.prefix):
             received_ms = table.confirmed_ms
@@ -245,7 +248,8 @@
                 return result.err_value
             page = result.ok_value
             entries += page.entries
-            # Pages are read one after the other: what changes meanwhile comes again as a change.
+            # Pages are read one after the other, so the first revision counts: later changes are
+            # delivered again by the watch.
             revision = page.revision if revision is None else revision
             if not page.more or not page.entries:
                 break
@@ -266,16 +270,15 @@
             return result.err_value
         changes = result.ok_value
         from_revision = table.revision
-        # An answer may have been read long after it was given, by a process that stood still for
-        # one.  Without changes the store has held the watch for its whole time; with some it may
-        # have answered at once.
+        # A process that was suspended may read an answer long after it was sent.  Without changes
+        # the store has held the watch for its full time; with changes it may have answered at once.
         as_of_ms = requested_ms if changes.events else min(requested_ms + watched.wait_ms, now_ms())
         events = table.apply(changes.events, changes.revision, now_ms(), as_of_ms)
         self._record_update_time(table.prefix, now_ms())
         self._wake_if(table.version != before)
         if self._broadcaster.watches(table.prefix):
-            # Also when nothing has changed: others ask by themselves when they hear nothing, and
-            # owners vouch for results only while they hear.
+            # Sent even without changes: other nodes query the service when they receive nothing,
+            # and owners confirm results only while they receive updates.
             update = self._update_message(table, from_revision, changes.revision, events)
             await self._broadcaster.broadcast(update)
         return None
@@ -296,7 +299,7 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    # --- news ------------------------------------------------------------------------------------
+    # --- updates ---------------------------------------------------------------------------------
 
     async def _on_update(self, message: ReplicaNews, _peer: ServerPeer) -> None:
         self.contact.heard_of(now_ms())
@@ -309,7 +312,7 @@
             return
         before = table.version
         if message.revision < table.revision:
-            # Its sender knows less than this node: that says nothing of now.
+            # The sender knows less than this node, so the update confirms no current state.
             table.apply(_events_of(message), message.revision, float("-inf"))
         else:
             sent_ms = self._sent_ms(message)
@@ -320,9 +323,9 @@
         self._wake_if(table.version != before)
 
     def _sent_ms(self, message: ReplicaNews | ReplicaSnapshot) -> float:
-        """Return when a message that was not asked for was sent, or a time before that.
+        """Return when an unrequested message was sent, or an earlier time, by this process's clock.
 
-        By this process's clock; infinitely long ago while its sender's clock is not known.
+        Negative infinity while the sender's clock is not known.
         """
         if not self._clocks.is_known(message.sender, now_ms()):
             self._unknown_clocks.add(message.sender)
@@ -330,7 +333,7 @@
         return self._clocks.sent_ms(message.sender, message.sent_ms, now_ms())
 
     async def _compare_clocks(self) -> None:
-        """Ask senders whose clocks are not known, so that the age of their news becomes known."""
+        """Query senders with unknown clocks, so that the age of their updates becomes known."""
         while True:
             await self._clock_needed.wait()
             self._clock_needed = trio.Event()
@@ -371,28 +374,28 @@
             )
 
     def _time_to_stale_ms(self) -> float:
-        """Return the time until a table becomes stale; 0 or less when one is."""
+        """Return the time until a table becomes stale; 0 or less if one is stale."""
         return min(
             item.wait_ms + _STALE_MARGIN_MS - self.tables[item.prefix].age_ms(now_ms())
             for item in self._watched
         )
 
     def agreed_age_ms(self, prefix: str) -> float:
-        """Return the time since a neighbour that was asked knew nothing newer; 0 without any.
+        """Return the time since a queried neighbour knew nothing newer; 0 without neighbours.
 
-        Neighbours are asked only while a table here is stale.
+        Neighbours are queried only while a table here is stale.
         """
         return now_ms() - self._agreed_ms[prefix] if self._neighbours() else 0.0
 
     async def _query(self, address: Address) -> None:
         request = ReplicaRequest({name: table.revision for name, table in self.tables.items()})
         requested_ms = now_ms()
-        # One that knows less, or nothing yet, has nothing newer to tell and can vouch for nothing.
+        # A neighbour that knows less, or nothing yet, has nothing newer and can confirm nothing.
         for prefix in await self._exchange(address, request):
             self._agreed_ms[prefix] = requested_ms
 
     async def _exchange(self, address: Address, request: ReplicaRequest) -> set[str]:
-        """Ask a node and take what it answers; return the prefixes of which it knew as much."""
+        """Query a node and apply its answer; return the prefixes of which it knew as much."""
         requested_ms = now_ms()
         match await self._call_neighbour(address, request, _NEIGHBOUR_TIMEOUT_MS):
             case Ok(ReplicaReply() as reply):
@@ -412,7 +415,7 @@
     def _apply_snapshot(
         self, snapshot: ReplicaSnapshot, source: Address | None, sent_ms: float, received_ms: float
     ) -> None:
-        """Take a snapshot that was sent no earlier than ``sent_ms``, heard of at ``heard_ms``."""
+        """Apply a snapshot sent no earlier than ``sent_ms`` and received at ``received_ms``."""
         table = self.tables.get(snapshot.prefix)
         if table is None or snapshot.revision <= table.revision:
             return
@@ -444,8 +447,8 @@
                 for table, revision in requested
                 if table.revision == revision
             },
-            # Whoever wrote a key knows more than its table's revision says: an outage may have
-            # begun before any watch told of it.
+            # A node that wrote a key knows more than its table's revision shows: an outage may
+            # have begun before any watch reported the write.
             noted=[
                 ReplicaNoted(table.prefix, _entries_of(noted))
                 for table, _ in requested
@@ -456,7 +459,7 @@
         )
 
     async def send_noted(self, address: Address, prefix: str, entry: KvEntry) -> bool:
-        """Tell one node of a key that this node has written; return whether it has answered."""
+        """Send an entry that this node has written to one node; return whether it answered."""
         message = ReplicaNoted(prefix, _entries_of([entry]))
         return (await self._call_neighbour(address, message, _SEND_TIMEOUT_MS)).is_ok()
 
@@ -499,7 +502,7 @@
 
 
 def _rounded_up_ms(age_ms: float) -> int:
-    """Return an age for a message, rounded up."""
+    """Return an age as an integer for a message, rounded up."""
     return math.ceil(min(age_ms, _MAX_AGE_MS))
 
 
--- a/src/fescuedock/node/retirement.py
+++ b/src/fescuedock/node/retirement.py
@@ -1,8 +1,8 @@
-"""Tells the operator when a machine which is to be emptied holds nothing any more.
+"""Drains a spool machine that the operator wants to remove, and reports when it is empty.
 
-Machines with a disk keep jobs only while the metadata store is away, and store them on its return.
-One node, chosen by hashing, has such a machine take nothing more, waits until it holds nothing and
-writes the status.
+Spools hold jobs only while the metadata store is unreachable, and store them when it returns.  One
+node, chosen by hashing, makes the spool accept no more jobs, waits until it holds none and writes
+the status.
 """
 
 import trio
@@ -23,18 +23,18 @@
 
 
 class Retirement:
-    """Answers the operator's requests to empty a machine."""
+    """Answers the operator's requests to drain a spool machine."""
 
     def __init__(self, kv: KvStore, replicas: Replicas, view: FleetView, spools: Spools) -> None:
         self._kv = kv
         self._spools = spools
         self._replicas = replicas
         self._view = view
-        # Revision of the request that was answered, by its key.
+        # By the key of a request, the revision that was answered for good.
         self._answered: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Answer until cancelled."""
+        """Answer requests until cancelled."""
         table = self._replicas.tables[records.OPERATOR_PREFIX]
         while True:
             seen = self._replicas.version
@@ -59,7 +59,7 @@
             self._answered[key] = revision
 
     async def _unregister(self, node: str) -> bool:
-        """Remove a spool's record, so that nobody asks a machine that is gone."""
+        """Remove a spool's record, so that no node calls a machine that is gone."""
         entry = self._spools.entry_of(node)
         if entry is None:
             return True
@@ -67,10 +67,10 @@
         return isinstance(removed, Ok)
 
     async def _write(self, key: str, value: bytes, revision: int) -> bool:
-        """Write a status unless it is there already; False when it may not be there.
+        """Write a status unless it is stored already; False when it may not be stored.
 
-        ``revision`` is that of the request.  Once another node has found the machine empty after
-        it, the machine may be gone, and that it does not answer must not take the word back.
+        ``revision`` is that of the request.  Once another node has reported the machine empty after
+        the request, the machine may be gone; that it does not answer must not revert the status.
         """
         found = await self._kv.get(key)
         if not isinstance(found, Ok):
@@ -85,5 +85,5 @@
 
 
 def _reports_empty(status: KvEntry, revision: int) -> bool:
-    """Whether a status answers the request of ``revision`` for good."""
+    """Whether a status reports the machine empty in answer to the request of ``revision``."""
     return status.value == records.encode_emptied() and status.mod_revision > revision
--- a/src/fescuedock/node/spools.py
+++ b/src/fescuedock/node/spools.py
@@ -1,4 +1,4 @@
-"""A node's way to the disks that keep jobs while the metadata store is away."""
+"""Calls the spools, which store jobs on disk while the metadata store is unreachable."""
 
 from collections.abc import Awaitable, Callable, Iterable
 
@@ -31,7 +31,7 @@
 __all__ = ["SpoolCopies", "Spools"]
 
 # A copy takes a round trip of 3 ms and two syncs of 2 ms; 15 times that leaves time for another
-# disk within the usual target of 400 ms.
+# spool within the usual latency target of 400 ms.
 _COPY_TIMEOUT_MS = 100.0
 _QUERY_TIMEOUT_MS = 250.0
 
@@ -39,14 +39,14 @@
 
 
 class SpoolCopies:
-    """What became of the copies of one job."""
+    """The state of one job's copies on spools; valid at any time, also after a cancellation."""
 
     __slots__ = ("confirmed", "unanswered")
 
     def __init__(self) -> None:
         self.confirmed = 0
-        # Disks that were asked and have not said for sure whether they have a copy; one that is
-        # there will be stored.
+        # Spools that were called and have not said for certain whether they hold a copy; a copy
+        # that exists will reach the store.
         self.unanswered = 0
 
     @property
@@ -55,7 +55,10 @@
 
 
 class Spools:
-    """Asks the spools that ``table`` lists below ``prefix``; ``copies`` make a job accepted."""
+    """The spools that ``table`` lists below ``prefix``.
+
+    A job counts as accepted with ``required_copies`` copies.
+    """
 
     def __init__(
         self, table: ReplicaTable, prefix: str, required_copies: int, call: _CallSpool
@@ -69,13 +72,14 @@
     async def store_copies(
         self, record: StoredJobRecord, items: list[StoredItem], copies: SpoolCopies
     ) -> bool:
-        """Have a job kept on enough disks; ``kept`` tells at any time what may be there.
+        """Store a job on enough spools; return whether that succeeded.
 
-        As many disks are asked at once as copies are missing, then others for those that failed.
+        ``copies`` is updated with each call and answer.  As many spools are called at once as
+        copies are missing, then others in place of those that failed.
         """
         message = SpoolJob(record, items)
         waiting = choose_spools(record.job_id, self._listed())
-        # Disks that answer are asked before those that were silent the last time.
+        # Spools that answer are called before those that were silent the last time.
         waiting.sort(key=lambda spool: self._known_spools.is_silent(spool.vm_id))
         if len(waiting) < self._required_copies:
             return False
@@ -88,17 +92,17 @@
         return copies.confirmed >= self._required_copies
 
     async def may_hold(self, job_id: str) -> bool:
-        """Whether a job that is not in the store may be waiting to get there."""
+        """Whether a spool may hold a job that is not in the store yet."""
         return await self._query_all(FindSpooled(job_id))
 
     async def end(self, job_id: str) -> bool:
-        """Have copies of a job enter the store as ended; whether there may be any."""
+        """Have copies of a job written to the store as ended; return whether any may exist."""
         return await self._query_all(EndSpooled(job_id))
 
     async def _query_all(self, message: FindSpooled | EndSpooled) -> bool:
-        """Send all spools a message about a job; False once each has said that it holds none."""
+        """Send all spools a message about a job; False only if each denies that it holds a copy."""
         if not self._table.is_known:
-            # Their records were not read yet, so nobody knows whom to ask.
+            # The records of the spools were not read yet, so it is unknown which ones to query.
             return True
         spools = self._listed()
         denied: set[str] = set()
@@ -114,10 +118,10 @@
         return self._known_spools.may_hold([spool.vm_id for spool in spools], denied, now_ms())
 
     async def drain(self, vm_id: str) -> int | None:
-        """Have a spool take nothing more, and return how many jobs it has still to store.
+        """Have a spool accept no more jobs, and return how many it still has to store.
 
-        0 for a VM that is no spool; None when it does not answer, or when it is not known yet
-        which VMs are spools.
+        Return 0 for a VM that is no spool; None when it does not answer, or when it is not known
+        yet which VMs are spools.
         """
         if not self._table.is_known:
             return None
@@ -130,7 +134,7 @@
         return reply.pending if is_sure else None
 
     def entry_of(self, vm_id: str) -> KvEntry | None:
-        """Return the record of a spool as it lies in the store; None for a VM that is none."""
+        """Return a spool's record as an entry of the store; None for a VM that is no spool."""
         return self._table.entries.get(self._prefix + vm_id)
 
     async def _store_copy(self, spool: NodeRecord, message: SpoolJob, copies: SpoolCopies) -> None:
@@ -139,7 +143,7 @@
         answered = isinstance(reply, SpoolJobReply)
         done = answered and reply.code == ResultCode.OK
         copies.confirmed += done
-        # A disk that failed midway may have a copy all the same.
+        # A spool whose disk failed midway may have a copy all the same.
         copies.unanswered -= answered and _is_sure(reply.code)
         log_event(
             "job_copy",
@@ -168,5 +172,5 @@
 
 
 def _is_sure(code: int) -> bool:
-    """Whether a spool that answers so has a copy, or has none, for sure."""
+    """Whether a spool's answer says for certain that it has a copy, or that it has none."""
     return OUTCOME[ResultCode(code)] is not Outcome.UNKNOWN
--- a/src/fescuedock/node/stream_origins.py
+++ b/src/fescuedock/node/stream_origins.py
@@ -1,4 +1,7 @@
-"""Keeps and finds out what began each stream; ``core.stream_origins`` decides."""
+"""Stores and finds the origin of each stream: the service and software version that started it.
+
+``core.stream_origins`` makes the decisions; this module does the input and output.
+"""
 
 import random
 from collections import defaultdict
@@ -47,26 +50,27 @@
 # A neighbour answers in 1 to 7 ms.
 _SEND_TIMEOUT_MS = 60.0
 _FIND_TIMEOUT_MS = 150.0
-# How long a stream's first event waits for a node to say that it keeps the origin.
+# How long a stream's first event waits until another node confirms that it stores the origin.
 _ACK_TIMEOUT_S = 0.03
 _SEND_ROUNDS = 3
 # Bounds a read of a service's record while a client waits.
 _READ_TIMEOUT_S = 0.3
-# How old knowledge of a record may be where the record cannot be read.
+# How old the replica of a record may be if the record cannot be read.
 _MAX_RECORD_AGE_MS = 2400.0
 _POLL_INTERVAL_S = 1.0
-# By which a node that ranks lower leaves the write of a record to those before it.
+# Delay per rank before a node writes a record, so that nodes of a higher rank write it first.
 _PAUSE_PER_RANK_S = 0.15
 _MAX_RANK = 8
 _MAX_STREAMS_PER_MESSAGE = 512
-# Another node may know.
+# Short, as another node may know the origin.
 _UNKNOWN_RETRY_MS = 100
 
 
 class StreamOrigins:
     """The origins of streams at one node.
 
-    ``services`` gives those that streams which may be resumed go to.
+    ``services`` returns the services of the routes whose streams may be resumed.  A service's
+    record names the software versions on which its streams may have started.
     """
 
     def __init__(
@@ -91,27 +95,27 @@
         self._policy = policy or OriginPolicy()
         self.memory = OriginMemory(self._policy)
         self._retirement = Retirement(self._policy)
-        # By service, its record as it was last decoded.
+        # By service, the revision of its record and the versions decoded from it.
         self._decoded: dict[str, tuple[int, frozenset[str]]] = {}
-        # Nodes and spools by their records: failure domain and address, as of a table's version.
+        # Failure domain and address of nodes and spools, from their records at a table version.
         self._nodes: dict[str, tuple[str, Address]] = {}
         self._spools: dict[str, tuple[str, Address]] = {}
         self._nodes_version = -1
         self._nursery: trio.Nursery | None = None
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
-        """Handlers by message type, to be merged with those of other services."""
+        """Return the handlers by message type, to be merged with those of other services."""
         return {KeepOrigins: self._on_keep, FindOrigin: self._on_find}
 
     async def run(self) -> None:
-        """Keep the records of services, and tell others what they need, until cancelled."""
+        """Maintain the records of services and send origins to other nodes, until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self._maintain_records)
             nursery.start_soon(self._send_unsent)
 
     async def _send_unsent(self) -> None:
-        """Tell others of streams that began while no other node had to know of them."""
+        """Send the origins of streams that started while no other node needed them."""
         sent_ms = float("-inf")
         while True:
             seen = self._replicas.version
@@ -123,17 +127,17 @@
             with trio.move_on_after(_POLL_INTERVAL_S):
                 await self._replicas.wait_changed(seen)
 
-    # --- streams that begin ----------------------------------------------------------------------
+    # --- streams that start ----------------------------------------------------------------------
 
     def startable_versions(self, service: str) -> frozenset[str] | None:
-        """Return the versions at which a stream may begin; None where there is no bound."""
+        """Return the software versions on which a stream may start; None if any may be used."""
         return self._registered(service)
 
     async def record_start(self, key: str, origin: StreamOrigin, route: Route) -> None:
-        """Note what begins a stream, before its client gets the first event.
+        """Record the origin of a stream, before its client gets the first event.
 
-        While others may need it, returns once another node keeps it, or after a short while: a
-        stream of which nobody knows is refused later, never continued wrongly.
+        If other nodes may need it, return once another node has stored it, or after a short while:
+        a stream of unknown origin cannot be resumed, but is never continued on a wrong version.
         """
         self.memory.note(key, origin, now_ms(), is_own=True)
         is_uncertain = len(route.services) > 1 or self._is_uncertain(origin.service)
@@ -168,7 +172,7 @@
             acknowledged.set()
 
     async def _send_all(self, origins: Mapping[str, StreamOrigin]) -> None:
-        """Tell the keepers of each stream, with one message for many."""
+        """Send origins to the nodes and spools that store them, many in one message."""
         by_receiver: defaultdict[str, dict[str, StreamOrigin]] = defaultdict(dict)
         for key, origin in origins.items():
             receivers = self._origin_nodes(key, live_only=True)[: self._policy.told]
@@ -182,16 +186,16 @@
                     nursery.start_soon(self._send, name, part)
 
     async def leave(self) -> None:
-        """Hand over all that this node knows, before it stops."""
+        """Send all origins that this node knows to other nodes before it stops."""
         if self._is_needed_elsewhere():
             await self._send_all(self.memory.all_known(now_ms()))
 
-    # --- streams that are taken up ---------------------------------------------------------------
+    # --- streams that are resumed ----------------------------------------------------------------
 
     async def origin_of(self, key: str | None, route: Route) -> Result[StreamOrigin, Fault]:
-        """Return what began a stream; ``ORIGIN_UNKNOWN`` where nobody knows.
+        """Return the origin of a stream; ``ORIGIN_UNKNOWN`` when it cannot be found.
 
-        ``key`` is None where the client does not name the stream.
+        ``key`` is None when the client does not name the stream.
         """
         known = None if key is None else self.memory.find(key, now_ms())
         if known is not None:
@@ -206,7 +210,7 @@
     async def _query(
         self, key: str | None, service: str | None
     ) -> tuple[list[StreamOrigin], RegisteredVersions | None]:
-        """Ask the nodes that may keep an origin, and read the service's record meanwhile."""
+        """Query the nodes that may store an origin, and read the service's record in parallel."""
         origins: list[StreamOrigin] = []
         registered: RegisteredVersions | None = None
 
@@ -214,7 +218,7 @@
             reply = await self._call(name, FindOrigin(key), _FIND_TIMEOUT_MS)
             if isinstance(reply, FindOriginReply) and reply.origins:
                 origins.extend(reply.origins)
-                # One that keeps it is enough: it was told by the node that began the stream.
+                # One answer is enough: it comes from the node on which the stream started.
                 nursery.cancel_scope.cancel()
 
         async def read() -> None:
@@ -231,7 +235,7 @@
         return origins, registered
 
     async def _read_versions(self, service: str) -> RegisteredVersions:
-        """Read a service's record as it is now, or return what is known of it."""
+        """Read a service's current record, or return its last known state."""
         with trio.move_on_after(_READ_TIMEOUT_S):
             found = await self._kv.get(self._keys.versions + service)
             if isinstance(found, Ok):
@@ -241,10 +245,10 @@
         return RegisteredVersions(service, self._registered(service), self._is_current())
 
     def _is_current(self) -> bool:
-        """Whether the records here hold although the store does not answer.
+        """Whether the records here are current although the store does not answer.
 
-        While it answers nobody, no version is added.  A node that reaches less than half of the
-        others cannot tell.
+        While the store answers no node, no version is added.  A node that reaches less than half
+        of the nodes cannot tell whether it answers others.
         """
         live = {vm.vm_id for vm in self._view.live_vms()} | {self._view.vm_id}
         if 2 * len(live & self._known_nodes().keys()) <= len(self._nodes):
@@ -254,7 +258,7 @@
         age_ms = self._table.as_of_age_ms(now_ms())
         return KnownRecords(age_ms, is_away, agreed_age_ms).holds(_MAX_RECORD_AGE_MS)
 
-    # --- what others ask -------------------------------------------------------------------------
+    # --- requests of other nodes -----------------------------------------------------------------
 
     async def _on_keep(self, message: KeepOrigins, _peer: ServerPeer) -> KeepOriginsReply:
         for stream in message.streams:
@@ -268,19 +272,19 @@
     # --- the records of services -----------------------------------------------------------------
 
     def _is_uncertain(self, service: str) -> bool:
-        """Whether a service's record alone may not tell how a stream began."""
+        """Whether a service's record alone may not determine the version a stream started on."""
         registered = self._registered(service)
         if registered is None or len(registered) > 1:
             return True
         return self._replicas.contact.is_away(now_ms())
 
     def _is_needed_elsewhere(self) -> bool:
-        """Whether other nodes may need to know how streams began here."""
+        """Whether other nodes may need the origins of streams that started here."""
         served = versions_by_service(self._view.upstreams.values(), self._services())
         return any(self._is_uncertain(name) for name in served)
 
     def _registered(self, service: str) -> frozenset[str] | None:
-        """Return the versions of a service's record; None where there is none."""
+        """Return the versions in a service's record; None without a readable record."""
         entry = self._table.entries.get(self._keys.versions + service)
         if entry is None:
             return None
@@ -293,7 +297,7 @@
         return known[1]
 
     async def _maintain_records(self) -> None:
-        """Add versions that are listed to the records, and remove those that are long gone."""
+        """Add listed software versions to the records, and remove those long unlisted."""
         while True:
             seen = self._view.version
             async with trio.open_nursery() as nursery:
@@ -303,7 +307,7 @@
                 await self._view.wait_changed(seen)
 
     def _due_records(self) -> dict[str, frozenset[str]]:
-        """Return the services whose records are to be changed, with the versions to put there."""
+        """Return the services whose records must change, with the versions to write."""
         services = self._services()
         if not self._table.is_known:
             return {}
@@ -324,7 +328,7 @@
         }
 
     async def _write_by_rank(self, service: str, wanted: frozenset[str]) -> None:
-        """Write a record, unless a node that comes before this one does so meanwhile."""
+        """Write a record after a delay by rank, unless a node of a higher rank did so before."""
         live = {vm.vm_id for vm in self._view.live_vms()} | {self._view.vm_id}
         rank = rank_names(service, live).index(self._view.vm_id)
         await trio.sleep(min(rank, _MAX_RANK) * _PAUSE_PER_RANK_S)
@@ -338,7 +342,7 @@
         if isinstance(written, Err):
             reason = written.err_value.message
             log_event("served_versions_not_written", service=service, reason=reason)
-            # Another one has written it, which will be heard of, or the store does not answer.
+            # Another node has written it, which a later update shows, or the store does not answer.
             await trio.sleep(self._rng.uniform(0.5, 1.5) * _PAUSE_PER_RANK_S)
             return
         self._replicas.record_entry(self._keys.live, KvEntry(key, value, written.ok_value))
@@ -352,10 +356,11 @@
     # --- other nodes -----------------------------------------------------------------------------
 
     def _origin_nodes(self, key: str, *, live_only: bool = False) -> list[str]:
-        """Return the other nodes that may keep an origin, in order; those that are gone left out.
+        """Return the other nodes that may store an origin, in order, without those that are gone.
 
-        All nodes rank all registered ones, so that they agree while they see different ones live.
-        One that is leaving is asked, but not told any more.
+        Every node ranks all registered nodes, so that all agree although they may see different
+        nodes as live.  With ``live_only`` nodes that are leaving are left out: they are still
+        queried, but store no more origins.
         """
         nodes = self._known_nodes()
         vms = self._view.vms
@@ -364,7 +369,7 @@
         return [name for name in ranked if name in present and name != self._view.vm_id]
 
     def _origin_spools(self, key: str) -> list[str]:
-        """Return the spools that may keep an origin, in order."""
+        """Return the spools that may store an origin, in order."""
         self._known_nodes()
         return rank_keepers(key, {name: domain for name, (domain, _) in self._spools.items()})
 
@@ -395,13 +400,13 @@
         try:
             record = msgspec.msgpack.decode(entry.value, type=NodeRecord)
         except msgspec.DecodeError:
-            # Logged where nodes are listed.
+            # Logged by ``NodeList``.
             continue
         yield record.vm_id, (record.failure_domain, Address(record.host, record.port))
 
 
 def _versions_of(entry: KvEntry) -> frozenset[str] | None:
-    """Return the versions that a record names; None, with a line in the log, for none of ours."""
+    """Return the versions in a record; log and return None when it cannot be decoded."""
     try:
         record = msgspec.msgpack.decode(entry.value, type=ServedVersions)
     except msgspec.DecodeError as error:
--- a/src/fescuedock/node/upstream_entries.py
+++ b/src/fescuedock/node/upstream_entries.py
@@ -1,4 +1,4 @@
-"""Reads the upstreams out of what others wrote in the key-value service."""
+"""Decodes the upstreams that the platform lists in the key-value service."""
 
 from collections.abc import Callable, Mapping
 
@@ -14,22 +14,22 @@
 
 __all__ = ["UpstreamEntries"]
 
-# What the configuration in force says of each service; empty while none is known.
+# Returns the terms of each service in the current configuration; empty before the first one.
 TermsOf = Callable[[], Mapping[str, ServiceTerms]]
 
 
 class _Decoded(msgspec.Struct, frozen=True):
-    """An entry as it was read at one revision of its key."""
+    """An entry as decoded at one revision of its key."""
 
     revision: int
     result: Result[UpstreamRecord, str]
 
 
 class UpstreamEntries:
-    """Decodes each entry once, and logs once why one names no upstream.
+    """Decodes each revision of an entry once, and logs once why an entry is not used.
 
-    ``terms_of`` gives the services of the configuration; an entry of a service that it does not
-    have names no upstream to use.
+    ``terms_of`` returns the services of the configuration; an entry of any other service is not
+    used.
     """
 
     __slots__ = ("_decoded", "_reasons", "_region", "_terms_of")
@@ -38,11 +38,11 @@
         self._region = region
         self._terms_of = terms_of
         self._decoded: dict[str, _Decoded] = {}
-        # By key, why its entry is not used; what has been logged.
+        # By key, the logged reason why its entry is not used.
         self._reasons: dict[str, str] = {}
 
     def read(self, table: ReplicaTable) -> dict[str, UpstreamRecord]:
-        """Return the upstreams that ``table`` names, by identity."""
+        """Return the upstreams listed in ``table``, by identity."""
         terms = self._terms_of()
         decoded: dict[str, _Decoded] = {}
         reasons: dict[str, str] = {}
@@ -75,7 +75,7 @@
 def _with_terms(
     result: Result[UpstreamRecord, str], terms: Mapping[str, ServiceTerms]
 ) -> Result[UpstreamRecord, str]:
-    """Return the record with the slots that its service declares, if it has none of its own."""
+    """Return the record, with the slots of its service if it declares none of its own."""
     if isinstance(result, Err) or not terms:
         return result
     record = result.ok_value
