--- a/src/fescuedock/node/fleet.py
+++ b/src/fescuedock/node/fleet.py
@@ -209,10 +209,10 @@
         return max(float(self._started_unix_ms - record.started_unix_ms), 0.0)
 
     async def _renew(self) -> bool:
-        kept = await self._kv.keep_lease(self._lease_id)
-        if isinstance(kept, Ok) and kept.ok_value:
+        renewed = await self._kv.keep_lease(self._lease_id)
+        if isinstance(renewed, Ok) and renewed.ok_value:
             return True
-        if isinstance(kept, Ok):
+        if isinstance(renewed, Ok):
             log_event("node_lease_lost", key=self._key, lease_id=self._lease_id)
             self._lease_id = 0
         return False
--- a/src/fescuedock/node/job_runner.py
+++ b/src/fescuedock/node/job_runner.py
@@ -124,7 +124,7 @@
         self._wanted_ends = wanted_ends
         self._jobs: dict[str, OwnedJob] = {}
         self._claiming: set[str] = set()
-        self._missing = MissingOwners()
+        self._missing_owners = MissingOwners()
         self._pool = ItemPool(
             self._running_jobs,
             self._serves,
@@ -198,7 +198,7 @@
         else:
             available_nodes.discard(self._owner.node_id)
         present = {*self._view.vms, self._owner.node_id}
-        self._missing.note(present, now_ms())
+        self._missing_owners.note(present, now_ms())
         for job in list(self._jobs.values()):
             self._drop_if_refused(job)
         for key, entry in list(self._table.entries.items()):
@@ -227,7 +227,7 @@
         record = found.record
         if record.job_id in self._jobs or not is_open(record):
             return
-        gone = self._missing.is_gone(record.owner_id, present, now_ms())
+        gone = self._missing_owners.is_gone(record.owner_id, present, now_ms())
         duty = duty_of(
             record, self._owner, available_nodes, owner_gone=gone, leaving=not self._runs_jobs
         )
@@ -245,13 +245,13 @@
         """Log when jobs start or stop waiting for confirmation of their records."""
         known = self._known_records()
         refusals = [self._refusal(job_id, known) for job_id in self._jobs]
-        held = refusals.count(WorkRefusal.UNCONFIRMED)
-        if bool(held) == self._any_unconfirmed:
+        unconfirmed = refusals.count(WorkRefusal.UNCONFIRMED)
+        if bool(unconfirmed) == self._any_unconfirmed:
             return
-        self._any_unconfirmed = bool(held)
+        self._any_unconfirmed = bool(unconfirmed)
         log_event(
-            "work_held" if held else "work_goes_on",
-            jobs=held,
+            "work_held" if unconfirmed else "work_goes_on",
+            jobs=unconfirmed,
             records_age_ms=self._records_age_ms(),
         )
 
@@ -289,18 +289,18 @@
         return versioned
 
     async def _take_over(self, found: VersionedRecord) -> VersionedRecord | None:
-        wanted = msgspec.structs.replace(
+        updated = msgspec.structs.replace(
             found.record,
             owner_id=self._owner.node_id,
             owner_boot=self._owner.boot,
             epoch=found.record.epoch + 1,
         )
-        result = await self._store.swap(wanted, found.revision)
+        result = await self._store.swap(updated, found.revision)
         log_event(
             "job_claimed",
-            job_id=wanted.job_id,
+            job_id=updated.job_id,
             former_owner=found.record.owner_id,
-            epoch=wanted.epoch,
+            epoch=updated.epoch,
             outcome="claimed" if isinstance(result, Ok) else result.err_value.code.name,
         )
         if isinstance(result, Err):
@@ -447,9 +447,9 @@
         results = job.run.next_group(self._settings.commit_bytes)
         record = job.versioned.record
         group = ResultGroup(record.listed, results)
-        wanted = msgspec.structs.replace(record, listed=record.listed + len(results))
+        updated = msgspec.structs.replace(record, listed=record.listed + len(results))
         started_ms = now_ms()
-        result = await self._store.change(wanted, job.versioned.revision, group)
+        result = await self._store.change(updated, job.versioned.revision, group)
         log_event(
             "job_committed",
             job_id=record.job_id,
@@ -612,10 +612,12 @@
     ) -> None:
         record = job.run.record
         revision = self._revision_of(record.job_id)
-        known = StartState(revision, self._records_age_ms(), waited_ms)
+        start_state = StartState(revision, self._records_age_ms(), waited_ms)
         check = self._item_check(job, upstream, grant)
         first_event = item.last_event
-        end = await run_item(self._http, record, item, upstream, grant, job.released, known, check)
+        end = await run_item(
+            self._http, record, item, upstream, grant, job.released, start_state, check
+        )
         ran_ms = now_ms() - item.started_ms
         self._metrics.record_run(
             upstream.service, ran_ms, gained=end is ItemEnd.WHOLE or item.last_event > first_event
--- a/src/fescuedock/node/job_store.py
+++ b/src/fescuedock/node/job_store.py
@@ -113,9 +113,9 @@
                     if may_be_stored or not after_end:
                         # Writes still in flight fail on the same condition.
                         return Err(Fault(ResultCode.KV_UNAVAILABLE, "its client has ended the job"))
-                    noted = await self._kv.get(ended_key)
-                    if isinstance(noted, Ok) and noted.ok_value is not None:
-                        conditions = {key: 0, ended_key: noted.ok_value.mod_revision}
+                    marker = await self._kv.get(ended_key)
+                    if isinstance(marker, Ok) and marker.ok_value is not None:
+                        conditions = {key: 0, ended_key: marker.ok_value.mod_revision}
                         transaction = KvTransaction(conditions, writes=writes, removes=[ended_key])
                         continue
                 else:
@@ -176,12 +176,12 @@
     def _assemble(
         self, record: StoredJobRecord, values: dict[str, bytes]
     ) -> Result[LoadedJob, Fault]:
-        wanted = [self.keys.items(record.job_id, part) for part in range(record.spec_parts)]
-        missing = [key for key in wanted if key not in values]
+        item_keys = [self.keys.items(record.job_id, part) for part in range(record.spec_parts)]
+        missing = [key for key in item_keys if key not in values]
         if missing:
             return Err(Fault(ResultCode.KV_UNAVAILABLE, f"{missing[0]} is missing"))
         items = msgspec.msgpack.decode(
-            b"".join(values[key] for key in wanted), type=list[StoredItem]
+            b"".join(values[key] for key in item_keys), type=list[StoredItem]
         )
         groups = [
             msgspec.msgpack.decode(values[key], type=ResultGroup)
@@ -189,11 +189,13 @@
             if key.startswith(self.keys.results(record.job_id))
         ]
         progress = values.get(self.keys.progress(record.job_id))
-        left = msgspec.msgpack.decode(progress, type=list[ItemProgress]) if progress else []
-        return Ok(LoadedJob(items, groups, left))
+        item_progress = (
+            msgspec.msgpack.decode(progress, type=list[ItemProgress]) if progress else []
+        )
+        return Ok(LoadedJob(items, groups, item_progress))
 
     async def change(
-        self, wanted: StoredJobRecord, revision: int, group: ResultGroup | None = None
+        self, updated: StoredJobRecord, revision: int, group: ResultGroup | None = None
     ) -> Result[VersionedRecord, Fault]:
         """Replace a job's record, adding ``group`` if given; run until the outcome is known.
 
@@ -202,20 +204,20 @@
         """
         extra_writes = {}
         if group is not None:
-            key = self.keys.group(wanted.job_id, group.first_position)
+            key = self.keys.group(updated.job_id, group.first_position)
             extra_writes[key] = msgspec.msgpack.encode(group)
         pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         while True:
-            result = await self._write(wanted, revision, extra_writes)
+            result = await self._write(updated, revision, extra_writes)
             if isinstance(result, Ok):
-                return Ok(VersionedRecord(wanted, result.ok_value))
+                return Ok(VersionedRecord(updated, result.ok_value))
             if result.err_value.code is ResultCode.KV_CONFLICT:
                 # Imported here: each module loaded at start-up slows every restart of a fleet.
                 from fescuedock.core.stored_jobs.commit import CommitState, judge_commit
 
-                found = await self.read_record(wanted.job_id)
+                found = await self.read_record(updated.job_id)
                 if isinstance(found, Ok):
-                    match judge_commit(wanted, found.ok_value and found.ok_value.record):
+                    match judge_commit(updated, found.ok_value and found.ok_value.record):
                         case CommitState.DONE:
                             return Ok(found.ok_value)
                         case CommitState.LOST:
@@ -225,7 +227,7 @@
             await pauses.wait()
 
     async def swap(
-        self, wanted: StoredJobRecord, revision: int, progress: list[ItemProgress] | None = None
+        self, updated: StoredJobRecord, revision: int, progress: list[ItemProgress] | None = None
     ) -> Result[VersionedRecord, Fault]:
         """Try once to replace a job's record; after ``KV_UNKNOWN`` the outcome is open.
 
@@ -233,10 +235,10 @@
         """
         extra_writes = {}
         if progress:
-            key = self.keys.progress(wanted.job_id)
+            key = self.keys.progress(updated.job_id)
             extra_writes[key] = msgspec.msgpack.encode(self._fit_into_value(progress))
-        result = await self._write(wanted, revision, extra_writes)
-        return result.map(lambda written: VersionedRecord(wanted, written))
+        result = await self._write(updated, revision, extra_writes)
+        return result.map(lambda written: VersionedRecord(updated, written))
 
     async def save_progress(
         self, stored: VersionedRecord, progress: list[ItemProgress]
@@ -313,10 +315,10 @@
         return Ok(None)
 
     async def _write(
-        self, wanted: StoredJobRecord, revision: int, extra_writes: Mapping[str, bytes]
+        self, updated: StoredJobRecord, revision: int, extra_writes: Mapping[str, bytes]
     ) -> Result[int, Fault]:
-        key = self.keys.record(wanted.job_id)
-        writes = {key: msgspec.msgpack.encode(wanted), **extra_writes}
+        key = self.keys.record(updated.job_id)
+        writes = {key: msgspec.msgpack.encode(updated), **extra_writes}
         return await self._kv.transact(KvTransaction({key: revision}, writes=writes))
 
     def _fit_into_value(self, progress: list[ItemProgress]) -> list[ItemProgress]:
--- a/src/fescuedock/node/online_call.py
+++ b/src/fescuedock/node/online_call.py
@@ -59,13 +59,13 @@
         "avoided",
         "body",
         "caller",
+        "client_stream",
         "confirm",
         "deadline_ms",
         "demand",
         "failure_passed_on",
         "first_event_ms",
         "head",
-        "out",
         "parts",
         "pause_ms",
         "progress",
@@ -102,7 +102,7 @@
         self.head = head
         self.received_ms = now_ms()
         self.avoided: set[str] = set()
-        self.out: ResponseStream | None = None
+        self.client_stream: ResponseStream | None = None
         # Time from the receipt to the first event, and mean pause between events; for the metrics.
         self.first_event_ms = -1.0
         self.pause_ms = 0.0
@@ -187,7 +187,7 @@
     def start_left_ms(self) -> float:
         """Return the time left to start so that the first event comes before the client leaves."""
         patience_ms = self.route.first_event_patience_ms
-        if not patience_ms or self.out is not None:
+        if not patience_ms or self.client_stream is not None:
             return self.left_ms()
         left_ms = self.received_ms + patience_ms - now_ms()
         return min(left_ms - self.shared.first_event_ms, self.left_ms())
@@ -379,7 +379,7 @@
             return AttemptEnd.LOST
         if head.is_success and self.route.kind is RouteKind.STREAM:
             return await self._relay_events(answer, upstream, record, stall)
-        if self.out is not None:
+        if self.client_stream is not None:
             # The head of a success was sent to the client, so a failure cannot be relayed any more.
             await answer.response.read()
             return AttemptEnd.FAILED
@@ -401,13 +401,15 @@
             buffered_bytes += len(part)
             if buffered_bytes > _MAX_BUFFERED_BYTES:
                 self.progress.answer_begun = True
-                self.out = self.out or await self.responder.begin(answer.head.status, headers)
-                await self.out.write(b"".join(parts))
+                self.client_stream = self.client_stream or await self.responder.begin(
+                    answer.head.status, headers
+                )
+                await self.client_stream.write(b"".join(parts))
                 parts, buffered_bytes = [], 0
-        if self.out is None:
+        if self.client_stream is None:
             await self.responder.send(answer.head.status, b"".join(parts), headers)
         else:
-            await self.out.write(b"".join(parts))
+            await self.client_stream.write(b"".join(parts))
             await self.responder.end()
         if answer.head.status < _SERVER_ERROR:
             return None
@@ -438,7 +440,7 @@
             if record.first_event_ms < 0:
                 self.shared.record_first_event(now_ms() - record.started_ms)
             record.record_events(len(events))
-            if self.out is None:
+            if self.client_stream is None:
                 if self._is_replaced(upstream):
                     return AttemptEnd.LOST
                 # Done before events are counted as relayed: a counted event must reach the client.
@@ -446,9 +448,9 @@
             fresh = self.progress.take_fresh(events)
             if fresh is None:
                 return AttemptEnd.LOST
-            if self.out is not None:
-                if not self.out.put(fresh):
-                    await self._wait_client(stall, self.out.wait_room())
+            if self.client_stream is not None:
+                if not self.client_stream.put(fresh):
+                    await self._wait_client(stall, self.client_stream.wait_room())
             elif fresh:
                 await self._wait_client(stall, self._begin_response(answer, fresh))
         if splitter.has_rest:
@@ -456,7 +458,7 @@
         if answer.response.unframed and not record.events and self.progress.last_event < 0:
             # Without framing an answer without events looks like one that was cut off.
             return AttemptEnd.LOST
-        if self.out is None:
+        if self.client_stream is None:
             await self._begin_response(answer, b"")
         await self.responder.end()
         self.pause_ms = max(record.mean_pause_ms(), 0.0)
@@ -482,7 +484,7 @@
 
     async def _begin_response(self, answer: UpstreamAnswer, first: bytes) -> None:
         headers = calls.client_headers(answer.response.header_fields)
-        self.out = await self.responder.begin(answer.head.status, headers, first)
+        self.client_stream = await self.responder.begin(answer.head.status, headers, first)
 
     # --- the end ---------------------------------------------------------------------------------
 
--- a/src/fescuedock/node/quotas.py
+++ b/src/fescuedock/node/quotas.py
@@ -112,27 +112,27 @@
         count = self.policy.share_count(customer)
         return [self._route.keeper(customer.name, number) for number in range(count)]
 
-    def order(self, owners: list[str | None], last: int | None) -> list[int]:
+    def request_order(self, owners: list[str | None], last_share: int | None) -> list[int]:
         """Return the shares in the order of requests; ``last`` is the share of the last grant."""
-        return ask_order(owners, self._vm_id, self._rng, last)
+        return ask_order(owners, self._vm_id, self._rng, last_share)
 
-    def answer(self, customer: Customer, ask: QuotaAsk) -> QuotaReply:
+    def reply_to(self, customer: Customer, request: QuotaAsk) -> QuotaReply:
         self._update_roster()
-        share_state = self._route.kept(customer.name, ask.share)
-        if share_state is None or not 0 <= ask.share < self.policy.share_count(customer):
+        share_state = self._route.kept(customer.name, request.share)
+        if share_state is None or not 0 <= request.share < self.policy.share_count(customer):
             return QuotaReply(ResultCode.NOT_OWNER)
         retry_ms = self._owner.ask(
             customer,
             share_state,
             now_ms(),
             may_start=self.policy.may_start(self._since_previous_ms()),
-            waited_ms=ask.waited_ms,
+            waited_ms=request.waited_ms,
         )
         if retry_ms is None:
             return QuotaReply(ResultCode.OK)
         return QuotaReply(ResultCode.OVER_LIMIT, int(retry_ms))
 
-    def keep(self, names: Collection[str]) -> None:
+    def retain(self, names: Collection[str]) -> None:
         self._owner.keep(names)
         self._route.keep(names)
 
@@ -200,7 +200,7 @@
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
         """Return the handlers by message type, to be merged with those of other services."""
-        return {QuotaAsk: self._on_ask}
+        return {QuotaAsk: self._on_request}
 
     async def admit(self, name: str) -> Result[Confirm | None, Fault]:
         """Admit a call of a customer, or refuse it with the time to retry.
@@ -274,15 +274,15 @@
         return now_ms() - self._started_ms < _STARTUP_MS
 
     async def _request_from_shares(
-        self, customer: Customer, waited_ms: float, last: int | None
+        self, customer: Customer, waited_ms: float, last_share: int | None
     ) -> Result[int | None, Fault]:
         """Send requests to the share owners until one grants the call."""
         owners = self._shares.share_owners(customer)
         refused: list[int] = []
-        for share in self._shares.order(owners, last):
-            unused_ms = waited_ms if share == last else 0.0
-            ask = QuotaAsk(customer.name, False, unused_ms, self._view.vm_id, share)
-            reply = await self._request_from_node(owners[share], ask)
+        for share in self._shares.request_order(owners, last_share):
+            unused_ms = waited_ms if share == last_share else 0.0
+            request = QuotaAsk(customer.name, False, unused_ms, self._view.vm_id, share)
+            reply = await self._request_from_node(owners[share], request)
             if reply is None or reply.code == ResultCode.NOT_OWNER:
                 continue
             if reply.code == ResultCode.OK:
@@ -296,17 +296,17 @@
             return _unknown_use(customer.name)
         return _over_limit(customer.name, min(refused))
 
-    async def _request_from_node(self, vm_id: str | None, ask: QuotaAsk) -> QuotaReply | None:
+    async def _request_from_node(self, vm_id: str | None, request: QuotaAsk) -> QuotaReply | None:
         """Return a node's answer; None when it is unknown, silent now, or was silent lately."""
         if vm_id == self._view.vm_id:
-            return await self._answer(ask)
+            return await self._reply_to(request)
         address = self._address_of(vm_id)
         if address is None or self._silent_nodes.is_silent(vm_id, now_ms()):
             return None
-        called = await self._call_neighbour(address, ask, _REPLY_TIMEOUT_MS)
+        called = await self._call_neighbour(address, request, _REPLY_TIMEOUT_MS)
         if isinstance(called, Err):
             self._silent_nodes.note_silent(vm_id, now_ms())
-            log_event("quota_owner_silent", customer=ask.customer, about=vm_id)
+            log_event("quota_owner_silent", customer=request.customer, about=vm_id)
             return None
         return called.ok_value
 
@@ -321,17 +321,17 @@
             return Address(vm.host, vm.agent_port)
         return None if vm_id is None or vm_id in self._seen_members else self._record_address(vm_id)
 
-    async def _on_ask(self, ask: QuotaAsk, _peer: ServerPeer) -> QuotaReply:
-        self._silent_nodes.note_answer(ask.node)
-        return await self._answer(ask)
+    async def _on_request(self, request: QuotaAsk, _peer: ServerPeer) -> QuotaReply:
+        self._silent_nodes.note_answer(request.node)
+        return await self._reply_to(request)
 
-    async def _answer(self, ask: QuotaAsk) -> QuotaReply:
-        customer = self._current_index().by_name.get(ask.customer)
+    async def _reply_to(self, request: QuotaAsk) -> QuotaReply:
+        customer = self._current_index().by_name.get(request.customer)
         if customer is None:
             return QuotaReply(ResultCode.NOT_OWNER)
         if customer.rate_per_s <= 0:
             return QuotaReply(ResultCode.OK)
-        return self._shares.answer(customer, ask)
+        return self._shares.reply_to(customer, request)
 
     def _live_nodes(self) -> dict[str, VmRecord]:
         if self._view.version != self._nodes_version:
@@ -349,7 +349,7 @@
         if index is not self._last_index:
             self._last_index = index
             names = index.by_name.keys()
-            self._shares.keep(names)
+            self._shares.retain(names)
             self._usage = {name: use for name, use in self._usage.items() if name in names}
         return index
 
--- a/src/fescuedock/node/spools.py
+++ b/src/fescuedock/node/spools.py
@@ -78,14 +78,14 @@
         copies are missing, then others in place of those that failed.
         """
         message = SpoolJob(record, items)
-        waiting = choose_spools(record.job_id, self._listed())
+        candidates = choose_spools(record.job_id, self._listed())
         # Spools that answer are called before those that were silent the last time.
-        waiting.sort(key=lambda spool: self._known_spools.is_silent(spool.vm_id))
-        if len(waiting) < self._required_copies:
+        candidates.sort(key=lambda spool: self._known_spools.is_silent(spool.vm_id))
+        if len(candidates) < self._required_copies:
             return False
-        while copies.confirmed < self._required_copies and waiting:
+        while copies.confirmed < self._required_copies and candidates:
             missing = self._required_copies - copies.confirmed
-            batch, waiting = waiting[:missing], waiting[missing:]
+            batch, candidates = candidates[:missing], candidates[missing:]
             async with trio.open_nursery() as nursery:
                 for spool in batch:
                     nursery.start_soon(self._store_copy, spool, message, copies)
--- a/src/fescuedock/node/stream_origins.py
+++ b/src/fescuedock/node/stream_origins.py
@@ -179,8 +179,8 @@
             for name in receivers + self._origin_spools(key)[: self._policy.told_disks]:
                 by_receiver[name][key] = origin
         async with trio.open_nursery() as nursery:
-            for name, rows in by_receiver.items():
-                pairs = list(rows.items())
+            for name, origins_by_key in by_receiver.items():
+                pairs = list(origins_by_key.items())
                 for first in range(0, len(pairs), _MAX_STREAMS_PER_MESSAGE):
                     part = dict(pairs[first : first + _MAX_STREAMS_PER_MESSAGE])
                     nursery.start_soon(self._send, name, part)
