--- a/src/fescuedock/node/health_probe.py
+++ b/src/fescuedock/node/health_probe.py
@@ -1,4 +1,4 @@
-"""Probes an upstream that was taken out by asking its own health page."""
+"""Probes an upstream that was taken out of service by requesting its health page."""
 
 from collections.abc import Awaitable, Callable
 
@@ -15,26 +15,26 @@
 
 __all__ = ["health_probe"]
 
-# The page waits for a slot like any request.
+# The health page waits for a slot like any request.
 _TIMEOUT_S = 1.0
 
 Probe = Callable[[UpstreamRecord, Configuration], Awaitable[AttemptOutcome]]
 
 
 def health_probe(http: HttpClient, configuration: NodeConfiguration) -> Probe:
-    """Return a probe that asks the health page which the service's configuration names."""
+    """Return a probe that requests the health page named in the service's configuration."""
 
     async def probe(upstream: UpstreamRecord, _configuration: Configuration) -> AttemptOutcome:
         terms = configuration.routes.services.get(upstream.service)
         path = terms.health_path if terms is not None else "/health"
         with trio.move_on_after(_TIMEOUT_S):
-            return await _ask(http, upstream, path)
+            return await _request_health(http, upstream, path)
         return AttemptOutcome.RESPONSE_TIMEOUT
 
     return probe
 
 
-async def _ask(http: HttpClient, upstream: UpstreamRecord, path: str) -> AttemptOutcome:
+async def _request_health(http: HttpClient, upstream: UpstreamRecord, path: str) -> AttemptOutcome:
     address = Address(upstream.host, upstream.port)
     try:
         async with http.request(address, "GET", path) as answer:
--- a/src/fescuedock/node/job_acceptance.py
+++ b/src/fescuedock/node/job_acceptance.py
@@ -1,8 +1,8 @@
-"""Accepts a job by this node's way to the store, by a neighbour's, or by copies on disks.
+"""Accepts a job directly in the store, through a neighbour, or as copies on spools.
 
-Accepting is one transaction under the job's identity, so two nodes that try at once accept it once.
-Copies on disks (``Spools``) count as accepted too while the store is away: whoever has one enters
-the same transaction on the store's return.
+Accepting is one transaction under the job's identity, so two nodes that try at the same time accept
+it once.  While the store is unreachable, copies on spools (``Spools``) count as accepted too: each
+spool that holds one writes the same transaction when the store is reachable again.
 """
 
 import random
@@ -21,30 +21,30 @@
 from fescuedock.net.channel import CallHandler, ServerPeer
 from fescuedock.node.job_store import JobStore, VersionedRecord
 from fescuedock.node.replicas import CallNeighbour, Replicas
-from fescuedock.node.spools import Kept, Spools
+from fescuedock.node.spools import SpoolCopies, Spools
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.stored_jobs import AcceptJob, AcceptJobReply, StoredItem, StoredJobRecord
 
 __all__ = ["JobAcceptance", "OnAccepted"]
 
-# An answer of the store takes 4 ms and a transaction of a job 20 ms at the most seen; after six
-# times that a neighbour is asked, with most of the usual target of 400 ms still left.
-_NEIGHBOUR_AFTER_S = 0.12
-# How long a neighbour tries, and how many are asked one after the other.
+# The store answers in 4 ms and stores a job in at most 20 ms; a neighbour is called after six times
+# that, which leaves most of the usual latency target of 400 ms.
+_NEIGHBOUR_DELAY_S = 0.12
+# Time limit of a neighbour's try, and the number of neighbours called one after the other.
 _NEIGHBOUR_TIMEOUT_MS = 900.0
-_NEIGHBOURS = 3
-# Half of the usual target of 400 ms; copies on disks take 10 to 20 ms.  While an outage is not yet
-# known, neither way to the store fails for a second.
-_SPOOLS_AFTER_S = 0.2
+_MAX_NEIGHBOURS = 3
+# Half of the usual latency target of 400 ms; copies on spools take 10 to 20 ms.  While an outage is
+# not detected yet, neither path to the store fails within a second.
+_SPOOLS_DELAY_S = 0.2
 
-# Told of a job that this node owns from now on, with its items.
+# Called with a job that this node owns from now on, and its items.
 OnAccepted = Callable[[VersionedRecord, list[StoredItem]], None]
 
 
 class JobAcceptance(msgspec.Struct):
-    """What accepting needs; ``neighbours`` gives the nodes that may be asked.
+    """Accepts jobs for clients and neighbours; ``neighbours`` returns the nodes that may be called.
 
-    ``is_leaving`` says whether this node is about to stop and takes no job for others.
+    ``is_leaving`` says whether this node is about to stop and accepts no job for neighbours.
     """
 
     store: JobStore
@@ -59,28 +59,29 @@
     unsettled: UnresolvedAcceptances = msgspec.field(default_factory=UnresolvedAcceptances)
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
-        """Handlers by message type, to be merged with those of other services."""
+        """Return the handlers by message type, to be merged with those of other services."""
         return {AcceptJob: self._on_accept_job}
 
     async def accept(
         self, record: StoredJobRecord, items: list[StoredItem], wait_ms: float
     ) -> Result[None, Fault]:
-        """Store a job by whichever way works first.
+        """Store a job by whichever path succeeds first.
 
-        ``KV_UNAVAILABLE`` promises that no copy of it is or will be there, ``KEY_REUSED`` that its
-        identity is that of a job with other items; ``EXECUTION_UNKNOWN`` that it may be there.
+        ``KV_UNAVAILABLE`` promises that it is not stored anywhere and never will be, ``KEY_REUSED``
+        that its identity belongs to a job with other items; ``EXECUTION_UNKNOWN`` says that it may
+        be stored.
         """
         attempt = _Attempt(self, record, items)
         self.unsettled.begin(record.job_id)
         try:
             with trio.move_on_after(max(wait_ms, 0.0) / 1000):
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(attempt.by_itself, nursery.cancel_scope)
-                    nursery.start_soon(attempt.by_neighbours, nursery.cancel_scope)
-                    nursery.start_soon(attempt.by_spools, nursery.cancel_scope)
+                    nursery.start_soon(attempt.store_directly, nursery.cancel_scope)
+                    nursery.start_soon(attempt.store_via_neighbours, nursery.cancel_scope)
+                    nursery.start_soon(attempt.copy_to_spools, nursery.cancel_scope)
             return attempt.result()
         finally:
-            # Also when the client has left.
+            # Runs also when the client has disconnected and this task is cancelled.
             unsure = attempt.may_be_stored_later
             self.unsettled.finish(record.job_id, now_ms(), uncertain=unsure)
 
@@ -95,7 +96,7 @@
         self.unsettled.begin(record.job_id)
         try:
             with trio.move_on_after(_NEIGHBOUR_TIMEOUT_MS / 1000):
-                # Its client may have left the asking node meanwhile, and ended the job.
+                # The client may have disconnected from the calling node and ended the job since.
                 stored = await self.store.accept(record, message.items, after_end=False)
                 settled = True
                 if isinstance(stored, Err):
@@ -109,62 +110,63 @@
 
 
 class _Attempt(msgspec.Struct):
-    """One acceptance under way."""
+    """One acceptance in progress."""
 
     shared: JobAcceptance
     record: StoredJobRecord
     items: list[StoredItem]
     accepted: bool = False
-    # Set once this node's own try has failed for good, so that nobody need wait for it.
-    own_failed: trio.Event = msgspec.field(default_factory=trio.Event)
-    own_fault: Fault | None = None
-    # A neighbour's try may have stored the job, or may do so still.
-    unsure: bool = False
-    # Set once neighbours have failed as well.
+    # Set once this node's own try has failed for good, so that the other paths start at once.
+    direct_failed: trio.Event = msgspec.field(default_factory=trio.Event)
+    # The fault of the direct path, or ``KEY_REUSED`` from a neighbour.
+    direct_fault: Fault | None = None
+    # Whether a neighbour's try may have stored the job or may still store it.
+    neighbour_may_store: bool = False
+    # Set once the direct path and the neighbours have failed.
     all_failed: trio.Event = msgspec.field(default_factory=trio.Event)
-    kept: Kept = msgspec.field(default_factory=Kept)
+    spool_copies: SpoolCopies = msgspec.field(default_factory=SpoolCopies)
 
-    async def by_itself(self, scope: trio.CancelScope) -> None:
+    async def store_directly(self, scope: trio.CancelScope) -> None:
         if self.shared.replicas.contact.is_away(now_ms()):
-            self.own_fault = Fault(ResultCode.KV_UNAVAILABLE, "the store does not answer")
-            self.own_failed.set()
+            self.direct_fault = Fault(ResultCode.KV_UNAVAILABLE, "the store does not answer")
+            self.direct_failed.set()
             return
         stored = await self.shared.store.accept(self.record, self.items)
         if isinstance(stored, Err):
-            self.own_fault = stored.err_value
+            self.direct_fault = stored.err_value
             if stored.err_value.code is ResultCode.KEY_REUSED:
                 scope.cancel()
-            self.own_failed.set()
+            self.direct_failed.set()
             return
-        self._done(scope)
+        self._succeed(scope)
         self.shared.on_accepted(stored.ok_value, self.items)
 
-    async def by_neighbours(self, scope: trio.CancelScope) -> None:
-        with trio.move_on_after(_NEIGHBOUR_AFTER_S):
-            await self.own_failed.wait()
+    async def store_via_neighbours(self, scope: trio.CancelScope) -> None:
+        with trio.move_on_after(_NEIGHBOUR_DELAY_S):
+            await self.direct_failed.wait()
         addresses = list(self.shared.neighbours())
         self.shared.rng.shuffle(addresses)
-        for address in addresses[:_NEIGHBOURS]:
-            code = await self._ask(address)
+        for address in addresses[:_MAX_NEIGHBOURS]:
+            code = await self._call_neighbour(address)
             if code is ResultCode.OK:
-                self._done(scope)
+                self._succeed(scope)
                 return
             if code is ResultCode.KEY_REUSED:
-                self.own_fault = Fault(code, "a job of this id has other items")
+                self.direct_fault = Fault(code, "a job of this id has other items")
                 scope.cancel()
                 return
-        await self.own_failed.wait()
+        await self.direct_failed.wait()
         self.all_failed.set()
 
-    async def by_spools(self, scope: trio.CancelScope) -> None:
-        with trio.move_on_after(_SPOOLS_AFTER_S):
+    async def copy_to_spools(self, scope: trio.CancelScope) -> None:
+        with trio.move_on_after(_SPOOLS_DELAY_S):
             await self.all_failed.wait()
-        if await self.shared.spools.keep(self.record, self.items, self.kept):
-            self._done(scope)
+        if await self.shared.spools.store_copies(self.record, self.items, self.spool_copies):
+            self._succeed(scope)
 
-    async def _ask(self, address: Address) -> ResultCode:
+    async def _call_neighbour(self, address: Address) -> ResultCode:
         message = AcceptJob(self.record, self.items)
-        was_unsure, self.unsure = self.unsure, True
+        may_store_before, self.neighbour_may_store = self.neighbour_may_store, True
         reply = await self.shared.call_neighbour(address, message, _NEIGHBOUR_TIMEOUT_MS)
         match reply:
             case Ok(AcceptJobReply(code=code)):
@@ -174,7 +176,7 @@
             case _:
                 code = ResultCode.PEER_UNKNOWN
         if code in (ResultCode.KV_UNAVAILABLE, ResultCode.PEER_UNREACHABLE):
-            self.unsure = was_unsure
+            self.neighbour_may_store = may_store_before
         log_event(
             "job_passed_to_neighbour",
             job_id=self.record.job_id,
@@ -183,24 +185,30 @@
         )
         return ResultCode(code)
 
-    def _done(self, scope: trio.CancelScope) -> None:
+    def _succeed(self, scope: trio.CancelScope) -> None:
         self.accepted = True
         scope.cancel()
 
     @property
     def may_be_stored_later(self) -> bool:
-        """Whether the job may get to the store, or to a disk, after this attempt has ended."""
+        """Whether the job may reach the store or a spool's disk after this attempt has ended."""
         if self.accepted:
             return False
-        return self.own_fault is None or self.unsure or self.kept.may_be_stored
+        return (
+            self.direct_fault is None or self.neighbour_may_store or self.spool_copies.may_be_stored
+        )
 
     def result(self) -> Result[None, Fault]:
-        """Return what is known once both ways have ended or the time is up."""
+        """Return the outcome once all paths have ended or the time is up."""
         if self.accepted:
             return Ok(None)
-        is_reused = self.own_fault is not None and self.own_fault.code is ResultCode.KEY_REUSED
+        is_reused = (
+            self.direct_fault is not None and self.direct_fault.code is ResultCode.KEY_REUSED
+        )
         if is_reused or not self.may_be_stored_later:
-            return Err(self.own_fault)
+            return Err(self.direct_fault)
         return Err(
-            Fault(ResultCode.EXECUTION_UNKNOWN, "nobody could say whether the job is stored")
+            Fault(
+                ResultCode.EXECUTION_UNKNOWN, "it could not be determined whether the job is stored"
+            )
         )
--- a/src/fescuedock/node/main.py
+++ b/src/fescuedock/node/main.py
@@ -1,6 +1,7 @@
-"""The node: entry, agent and batch runner of a VM in one process, on one loop.
+"""The node: entry, agent and batch runner of a VM in one process, on one event loop.
 
-It finds its fleet and its work in the metadata store and from its neighbours; it keeps nothing.
+It learns of its fleet and its jobs from the metadata store and its neighbours, and stores nothing
+itself.
 """
 
 import os
@@ -42,6 +43,7 @@
 from fescuedock.node.configuration import NodeConfiguration
 from fescuedock.node.fleet import NodeLease, NodeList
 from fescuedock.node.front import Front
+from fescuedock.node.group_broadcast import GroupBroadcaster
 from fescuedock.node.health_probe import health_probe
 from fescuedock.node.job_acceptance import JobAcceptance
 from fescuedock.node.job_calls import JobCalls
@@ -51,10 +53,9 @@
 from fescuedock.node.online import ONLINE_ROUTING, PREDICTED_ROUTING, OnlineCalls
 from fescuedock.node.owner_reads import OwnerReads
 from fescuedock.node.quotas import Quotas
-from fescuedock.node.replicas import Replicas, Watched
+from fescuedock.node.replicas import Replicas, WatchedPrefix
 from fescuedock.node.retirement import Retirement
 from fescuedock.node.spools import Spools
-from fescuedock.node.spread import GroupSpread
 from fescuedock.node.stream_origins import StreamOrigins
 from fescuedock.node.upstream_entries import UpstreamEntries
 from fescuedock.platform import records
@@ -68,23 +69,23 @@
 
 __all__ = ["main", "run_node"]
 
-# The file of the settings where the command line names none.
+# Environment variable with the settings file, used when the command line names none.
 _SETTINGS_VARIABLE = "FESCUEDOCK_SETTINGS"
-# Changes of the fleet view and the configuration, which make a node ready, are told at once.
+# Changes of the fleet view and the configuration, which make a node ready, are reported at once.
 _HELLO_INTERVAL_S = 1.0
 _STORE_CONNECT_MS = 500
 _STORE_REPORT_S = 10.0
 _SEED_BITS = 128
-# Stands for "never" in logs.
-_LONG_AGO_MS = 1e9
-# Answers to calls in progress at the end of a stop.
-_LAST_ANSWERS_S = 0.6
+# Logged in place of an infinite age.
+_MAX_LOGGED_AGE_MS = 1e9
+# Reserved at the end of a shutdown for the answers to calls in progress.
+_FINAL_ANSWERS_S = 0.6
 
 
 async def run_node(
     settings: Settings, stop: Stop, *, task_status: trio.TaskStatus[Address]
 ) -> None:
-    """Run the node until ``stop`` and the graceful shutdown after it; reports its front address."""
+    """Run the node until ``stop``, then shut it down gracefully; reports the front's address."""
     codec = open_node_codec(settings.vm)
     handlers: dict[type[msgspec.Struct], CallHandler] = {}
     view = FleetView(settings.vm.vm_id)
@@ -134,8 +135,8 @@
         self._view = view
         self._http = upstream_http
         self._pool = pool
-        # Seeded once: a choice among upstreams draws a number for each, and each would be a call of
-        # the system (170 a second on a node before 45 upstreams).  Identities do not come from it.
+        # A choice among upstreams draws a number for each of them, and with SystemRandom each would
+        # be a system call (170 a second on a node with 45 upstreams).  Identities do not use it.
         self._rng = random.Random(random.SystemRandom().getrandbits(_SEED_BITS))
         self._clock = unix_clock()
         self._boot = self._clock() * 1000 + self._rng.randrange(1000)
@@ -149,18 +150,18 @@
         self._replicas = Replicas(
             self._store,
             [
-                Watched(records.OPERATOR_PREFIX, node.watch_wait_ms, 0),
-                Watched(
+                WatchedPrefix(records.OPERATOR_PREFIX, node.watch_wait_ms, 0),
+                WatchedPrefix(
                     records.UPSTREAM_PREFIX,
                     node.watch_wait_ms,
                     node.watch_pause_ms,
                     records.is_heartbeat,
                 ),
-                Watched(self._keys.live, node.watch_wait_ms, node.watch_pause_ms),
+                WatchedPrefix(self._keys.live, node.watch_wait_ms, node.watch_pause_ms),
             ],
             self._call_neighbour,
             self._neighbours,
-            GroupSpread(view, _watch_duty(settings.vm), pool),
+            GroupBroadcaster(view, _watch_duty(settings.vm), pool),
             self._rng,
         )
         self._crashes = CrashService(
@@ -182,7 +183,7 @@
         self._served = trio.Event()
 
     def wire(self, udp, codec, permits) -> None:
-        """Make the parts that need the open sockets."""
+        """Create the parts that need the open sockets."""
         settings, node = self._settings, self._settings.node
         membership = Membership(
             settings.agent,
@@ -293,7 +294,7 @@
             owner,
             self._call_neighbour,
             self._address_of,
-            self._runner.listed_of,
+            self._runner.listed_count,
         )
         self._ends = JobEnds(
             store,
@@ -353,10 +354,10 @@
         nursery.start_soon(self._announce)
         nursery.start_soon(self._report_store_calls)
         nursery.start_soon(self._log_fleet)
-        nursery.start_soon(self._drop_connections)
+        nursery.start_soon(self._close_stale_connections)
 
     async def serve(self, nursery: trio.Nursery) -> Address:
-        """Listen at all addresses; returns that of the front."""
+        """Listen at all addresses; return that of the front."""
         node = self._settings.node
         ready = HttpServer(self.front.handle_ready, on_error=_log_error)
         directory = HttpServer(self.front.handle_directory, on_error=_log_error)
@@ -376,33 +377,34 @@
         self._served.set()
 
     async def leave(self) -> None:
-        """Shut down without cutting off anybody, within the time until the process is killed.
+        """Shut down without cutting off a call, within the time until the process is killed.
 
-        Clients and neighbours hear first; connections are served until the directory's answers
-        that name this node have expired, and each answer asks its client to use another one.
+        Clients and neighbours are notified first.  Connections are served until the directory's
+        answers that name this node have expired, and each answer asks its client to use another
+        node.
         """
         node = self._settings.node
         began_s = trio.current_time()
         log_event("node_leaving", in_flight=self.front.server.in_flight)
         self.front.leaving = True
         self.front.server.draining = True
-        self._note_programs()
+        self._report_readiness()
         self._membership.leave()
-        with trio.move_on_at(began_s + node.stop_timeout_s - _LAST_ANSWERS_S):
+        with trio.move_on_at(began_s + node.stop_timeout_s - _FINAL_ANSWERS_S):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(self._runner.leave)
                 await trio.sleep(node.directory_leave_ms / 1000)
                 await self._origins.leave()
                 self.front.server.stop()
                 await self._served.wait()
-        with trio.move_on_after(_LAST_ANSWERS_S / 2):
+        with trio.move_on_after(_FINAL_ANSWERS_S / 2):
             await self._lease.leave()
         self._membership.finish()
         log_event("node_left", in_flight=self.front.server.in_flight)
 
     async def _answer_metrics(self, request: Request, responder: Responder) -> None:
         """Answer with the fleet as JSON, or with this process's counts as text for Prometheus."""
-        # Imported at the first scrape, which a start need not wait for.
+        # Imported at the first scrape, to keep it off the start-up path.
         from fescuedock.entry.fleet_status import STATUS_PATH, fleet_status
 
         status = fleet_status(self._view, self._permits)
@@ -428,11 +430,11 @@
             seen = self._replicas.version
             if self._configuration.refresh():
                 self.front.apply_limits()
-                self._note_programs()
+                self._report_readiness()
             await self._replicas.wait_changed(seen)
 
     async def _follow_crashes(self) -> None:
-        """Take in what other nodes have found out about upstreams that ended."""
+        """Apply the reports of other nodes about upstreams that ended."""
         table = self._table(self._keys.live)
         seen = -1
         while True:
@@ -441,8 +443,8 @@
                 self._crashes.apply_entries(table.entries.values())
             await self._replicas.wait_changed(self._replicas.version)
 
-    async def _drop_connections(self) -> None:
-        """Close what is kept to upstreams that have gone, or have started again."""
+    async def _close_stale_connections(self) -> None:
+        """Close idle connections to upstreams that were removed, or restarted as another one."""
         known: dict[str, Address] = {}
         version = 0
         while True:
@@ -453,7 +455,7 @@
             known = {name: Address(item.host, item.port) for name, item in upstreams.items()}
 
     async def _log_fleet(self) -> None:
-        """Log each change of what this node believes of the others."""
+        """Log each change of another node's state in this node's fleet view."""
         states: dict[str, tuple[str, int]] = {}
         version = 0
         while True:
@@ -462,7 +464,7 @@
             for vm_id in sorted(seen.keys() | states.keys()):
                 state, incarnation = seen.get(vm_id, ("gone", states.get(vm_id, ("", 0))[1]))
                 if states.get(vm_id, ("", 0))[0] != state:
-                    age_ms = min(self._view.membership_age_ms, _LONG_AGO_MS)
+                    age_ms = min(self._view.membership_age_ms, _MAX_LOGGED_AGE_MS)
                     log_event(
                         "vm_state",
                         about=vm_id,
@@ -473,7 +475,7 @@
             states = seen
 
     async def _report_store_calls(self) -> None:
-        """Log now and then how many calls of each kind were made, since each is paid for."""
+        """Log periodically how many store calls of each kind were made, since each is billed."""
         while True:
             await trio.sleep(_STORE_REPORT_S)
             log_event("store_calls", **dict(sorted(self._store_calls.items())))
@@ -484,16 +486,16 @@
 
     async def _announce(self) -> None:
         while True:
-            self._note_programs()
+            self._report_readiness()
             version = self._view.version
             with trio.move_on_after(_HELLO_INTERVAL_S):
                 await self._view.wait_changed(version)
 
-    def _note_programs(self) -> None:
-        """Tell membership what of this node is ready."""
+    def _report_readiness(self) -> None:
+        """Report to membership which programs of this node are ready."""
         port = Address.parse(self._settings.node.front_address).port
         for program in (Program.ENTRY, Program.BATCH):
-            # No load: nothing here chooses by it, and each change of it is news for all nodes.
+            # The load is always 0: no choice uses it, and each change would go to all nodes.
             ready = self.front.ready
             if program is Program.BATCH:
                 ready = ready and not self._permits.is_unanswered
@@ -517,7 +519,7 @@
         )
 
     def _neighbours(self) -> list[Address]:
-        """Return the agents that may be asked: those that membership knows, else the seeds."""
+        """Return the agents that may be called: those that membership knows, else the seeds."""
         return self._live_neighbours() or self._seeds()
 
     def _live_neighbours(self) -> list[Address]:
@@ -535,14 +537,14 @@
         return [key.removeprefix(prefix) for key in entries if key.startswith(prefix)]
 
     def _record_address(self, vm_id: str) -> Address | None:
-        """Return the agent of a node by its record; None where there is none that can be read."""
+        """Return the agent's address in a node's record; None without a readable record."""
         entry = self._table(self._keys.live).entries.get(self._keys.nodes + vm_id)
         if entry is None:
             return None
         try:
             record = msgspec.msgpack.decode(entry.value, type=NodeRecord)
         except msgspec.DecodeError:
-            # Logged where nodes are listed.
+            # Logged by ``NodeList``.
             return None
         return Address(record.host, record.port)
 
--- a/src/fescuedock/node/retirement.py
+++ b/src/fescuedock/node/retirement.py
@@ -1,8 +1,8 @@
-"""Tells the operator when a machine which is to be emptied holds nothing any more.
+"""Drains a spool machine that the operator wants to remove, and reports when it is empty.
 
-Machines with a disk keep jobs only while the metadata store is away, and store them on its return.
-One node, chosen by hashing, has such a machine take nothing more, waits until it holds nothing and
-writes the status.
+Spools hold jobs only while the metadata store is unreachable, and store them when it returns.  One
+node, chosen by hashing, makes the spool accept no more jobs, waits until it holds none and writes
+the status.
 """
 
 import trio
@@ -19,22 +19,22 @@
 
 __all__ = ["Retirement"]
 
-_RETRY_S = 0.5
+_RETRY_INTERVAL_S = 0.5
 
 
 class Retirement:
-    """Answers the operator's requests to empty a machine."""
+    """Answers the operator's requests to drain a spool machine."""
 
     def __init__(self, kv: KvStore, replicas: Replicas, view: FleetView, spools: Spools) -> None:
         self._kv = kv
         self._spools = spools
         self._replicas = replicas
         self._view = view
-        # Revision of the request that was answered, by its key.
+        # By the key of a request, the revision that was answered for good.
         self._answered: dict[str, int] = {}
 
     async def run(self) -> None:
-        """Answer until cancelled."""
+        """Answer requests until cancelled."""
         table = self._replicas.tables[records.OPERATOR_PREFIX]
         while True:
             seen = self._replicas.version
@@ -42,14 +42,14 @@
                 node = records.retired_node(key)
                 if node is not None and self._answered.get(key) != entry.mod_revision:
                     await self._answer(key, node, entry.mod_revision)
-            with trio.move_on_after(_RETRY_S):
+            with trio.move_on_after(_RETRY_INTERVAL_S):
                 await self._replicas.wait_changed(seen)
 
     async def _answer(self, key: str, node: str, revision: int) -> None:
         chosen = choose_name(node, [vm.vm_id for vm in self._view.live_vms(Program.BATCH)])
         if chosen != self._view.vm_id:
             return
-        pending = await self._spools.pending_at(node)
+        pending = await self._spools.drain(node)
         is_empty = pending == 0
         value = records.encode_emptied() if is_empty else records.encode_emptying()
         log_event("machine_emptying", node=node, pending=pending)
@@ -59,7 +59,7 @@
             self._answered[key] = revision
 
     async def _unregister(self, node: str) -> bool:
-        """Remove a spool's record, so that nobody asks a machine that is gone."""
+        """Remove a spool's record, so that no node calls a machine that is gone."""
         entry = self._spools.entry_of(node)
         if entry is None:
             return True
@@ -67,23 +67,23 @@
         return isinstance(removed, Ok)
 
     async def _write(self, key: str, value: bytes, revision: int) -> bool:
-        """Write a status unless it is there already; False when it may not be there.
+        """Write a status unless it is stored already; False when it may not be stored.
 
-        ``revision`` is that of the request.  Once another node has found the machine empty after
-        it, the machine may be gone, and that it does not answer must not take the word back.
+        ``revision`` is that of the request.  Once another node has reported the machine empty after
+        the request, the machine may be gone; that it does not answer must not revert the status.
         """
         found = await self._kv.get(key)
         if not isinstance(found, Ok):
             return False
         if found.ok_value is not None and found.ok_value.value == value:
             return True
-        if found.ok_value is not None and _says_empty(found.ok_value, revision):
+        if found.ok_value is not None and _reports_empty(found.ok_value, revision):
             return False
         before = found.ok_value.mod_revision if found.ok_value else 0
         written = await self._kv.put_if(key, value, before)
         return isinstance(written, Ok)
 
 
-def _says_empty(status: KvEntry, revision: int) -> bool:
-    """Whether a status answers the request of ``revision`` for good."""
+def _reports_empty(status: KvEntry, revision: int) -> bool:
+    """Whether a status reports the machine empty in answer to the request of ``revision``."""
     return status.value == records.encode_emptied() and status.mod_revision > revision
--- a/tests/builders/runner_world.py
+++ b/tests/builders/runner_simulation.py
@@ -1,8 +1,8 @@
-"""The parts of nodes that accept, run, commit and end jobs, over a store in memory.
+"""Simulates the parts of nodes that accept, run, commit and end jobs, over a store in memory.
 
-Everything between a client's call and an upstream is real but for sockets and time: acceptance,
-replicas, the runner with its gate.  Nodes' knowledge lags, is lost and is asked of neighbours; runs
-take time and are noted.  Made for trio's mock clock.
+Everything between a client's call and an upstream is real except sockets and time: acceptance,
+replicas, and the runner with its checks.  The nodes' knowledge lags, is lost and is queried from
+neighbours; runs take time and are recorded.  Meant for trio's mock clock.
 """
 
 import random
@@ -26,13 +26,13 @@
 from fescuedock.faults import Fault
 from fescuedock.kv import KvChanges, KvEntry, KvEvent, KvPage, KvTransaction
 from fescuedock.net.http_client import SendCheck
-from fescuedock.node.item_run import KnownAtBegin
+from fescuedock.node.item_run import StartState
 from fescuedock.node.job_acceptance import JobAcceptance
 from fescuedock.node.job_ends import JobEnds
 from fescuedock.node.job_runner import JobRunner
 from fescuedock.node.job_store import JobStore
 from fescuedock.node.owner_reads import OwnerReads
-from fescuedock.node.replicas import Replicas, Watched
+from fescuedock.node.replicas import Replicas, WatchedPrefix
 from fescuedock.node.spools import Spools
 from fescuedock.schema.crashes import CrashedRun, CrashReport
 from fescuedock.schema.result_codes import ResultCode
@@ -42,14 +42,14 @@
 from fescuedock.standin.kv_state import CompactedError, KvState, prefix_end
 from tests.builders.forwarding import route, route_table, stored_item
 
-__all__ = ["END_BOUND_MS", "KEYS", "ModelNode", "RunnerWorld", "StoreWay", "items_of"]
+__all__ = ["END_BOUND_MS", "KEYS", "RunnerSimulation", "SimulatedNode", "StoreLink", "items_of"]
 
 END_BOUND_MS = 3000
 KEYS = JobKeys("p/")
-# One way over the network, and the node's timeout of a call.
-_WAY_S = 0.004
+# Latency of the network in one direction, and the node's timeout of a store call.
+_HOP_S = 0.004
 _TIMEOUT_S = 0.3
-# From the beginning of a harmful item until all nodes know that its upstream has ended.
+# From the start of a harmful item until all nodes know that its upstream has ended.
 _CRASH_S = 0.05
 _WATCH_MS = 500
 _SLOTS = 3
@@ -60,10 +60,11 @@
 
 
 @dataclass(slots=True)
-class StoreWay:
-    """One node's way to the store, with its faults; calls execute after ``before_s``.
+class StoreLink:
+    """One node's link to the store, with its faults.
 
-    ``lose`` calls take effect without an answer; ``after_s`` holds answers back.
+    Calls execute after ``before_s``, and answers are delayed by ``after_s``.  The next
+    ``lost_answers`` writes take effect without an answer.
     """
 
     state: KvState
@@ -71,16 +72,16 @@
     silent: bool = False
     before_s: float = 0.0
     after_s: float = 0.0
-    lose: int = 0
+    lost_answers: int = 0
     _changed: trio.Event = field(default_factory=trio.Event)
 
     def __post_init__(self) -> None:
         self.state.listeners.append(self._note_change)
 
-    def mend(self) -> None:
+    def repair(self) -> None:
         self.refuses = self.silent = False
         self.before_s = self.after_s = 0.0
-        self.lose = 0
+        self.lost_answers = 0
 
     async def get(self, key: str, *, at_revision: int = 0) -> Result[KvEntry | None, Fault]:
         return await self._call(lambda: Ok(self.state.get(key)), writes=False)
@@ -89,7 +90,7 @@
         self, prefix: str, *, start_after: str = "", limit: int = 1000, keys_only: bool = False
     ) -> Result[KvPage, Fault]:
         start = max(prefix, start_after + "\0") if start_after else prefix
-        # Small pages, so that changes come between them.
+        # Small pages, so that changes happen between two of them.
         read = partial(self.state.page, start, prefix_end(prefix), 4)
         return await self._call(lambda: Ok(read()), writes=False)
 
@@ -129,16 +130,16 @@
     async def _call(self, execute, *, writes: bool) -> Result:
         unanswered = ResultCode.KV_UNKNOWN if writes else ResultCode.KV_UNAVAILABLE
         if self.refuses:
-            await trio.sleep(_WAY_S)
+            await trio.sleep(_HOP_S)
             return _fault(ResultCode.KV_UNAVAILABLE)
         if self.silent:
             await trio.sleep(_TIMEOUT_S)
             return _fault(unanswered)
-        before_s, after_s = _WAY_S + self.before_s, _WAY_S + self.after_s
+        before_s, after_s = _HOP_S + self.before_s, _HOP_S + self.after_s
         await trio.sleep(before_s)
         answer = execute()
-        lost = writes and self.lose > 0
-        self.lose -= lost
+        lost = writes and self.lost_answers > 0
+        self.lost_answers -= lost
         await trio.sleep(_TIMEOUT_S if lost else min(after_s, _TIMEOUT_S))
         return _fault(unanswered) if lost or before_s + after_s > _TIMEOUT_S else answer
 
@@ -157,55 +158,55 @@
 
 
 class _View:
-    """What membership shows ``own``: nodes that run and are not hidden, and all upstreams."""
+    """The fleet view of node ``own``: nodes that run and are not hidden, and all upstreams."""
 
-    def __init__(self, world: "RunnerWorld", own: str) -> None:
-        self._world = world
+    def __init__(self, simulation: "RunnerSimulation", own: str) -> None:
+        self._simulation = simulation
         self._own = own
         self.vm_id = own
-        self.quarantine = world.quarantine
+        self.quarantine = simulation.quarantine
         self.upstreams = {
             name: UpstreamRecord(
                 name, "caldas", "sala-1", "10.0.0.9", 1, UpstreamKind.ENGINE, _SERVICE
             )
-            for name in world.slots
+            for name in simulation.slots
         }
 
     @property
     def vms(self) -> dict[str, _Vm]:
-        shown = set(self._world.present()) - (self._world.hidden - {self._own})
+        shown = set(self._simulation.members()) - (self._simulation.hidden - {self._own})
         return {name: _Vm(name) for name in shown}
 
     async def wait_quarantine_changed(self) -> None:
-        await self._world.crashed.wait()
+        await self._simulation.crashed.wait()
 
     def verdict_on(self, work_id: str, _parts: object = ()) -> Verdict:
         return self.quarantine.verdict(work_id, now_ms())
 
     def live_vms(self, _program: Program) -> list[_Vm]:
-        return [vm for vm in self.vms.values() if not self._world.is_leaving(vm.vm_id)]
+        return [vm for vm in self.vms.values() if not self._simulation.is_leaving(vm.vm_id)]
 
     def upstreams_of(self, _service: str) -> list[UpstreamRecord]:
         return list(self.upstreams.values())
 
 
 class _Permits:
-    """Grants slots at once while there are any, to all nodes together.
+    """Grants free slots at once, from one pool for all nodes.
 
-    While ``world.full`` says that calls of others hold them, it grants none.
+    Grants none while ``simulation.slots_full`` is true, as if other calls held all slots.
     """
 
     holder_id = "holder"
     is_unanswered = False
 
-    def __init__(self, world: "RunnerWorld") -> None:
-        self._world = world
-        self._slots = world.slots
+    def __init__(self, simulation: "RunnerSimulation") -> None:
+        self._simulation = simulation
+        self._slots = simulation.slots
         self.loads: dict = {}
 
     async def request(self, ask: msgspec.Struct, _timeout_ms: float) -> Result["_Grant", Fault]:
-        await trio.sleep(_WAY_S)
-        if self._world.full or self._slots[ask.upstream_id] <= 0:
+        await trio.sleep(_HOP_S)
+        if self._simulation.slots_full or self._slots[ask.upstream_id] <= 0:
             return Err(Fault(ResultCode.KV_UNAVAILABLE, "full", 60))
         self._slots[ask.upstream_id] -= 1
         return Ok(_Grant(ask.upstream_id, isolated=ask.alone))
@@ -251,8 +252,8 @@
         return now_ms()
 
 
-class _OwnWatch:
-    """Each node asks the store by itself."""
+class _SelfWatching:
+    """Lets each node watch the store itself."""
 
     vm_id = "n"
 
@@ -262,15 +263,16 @@
     def watches(self, _prefix: str) -> bool:
         return True
 
-    async def tell(self, _message: msgspec.Struct) -> None:
+    async def broadcast(self, _message: msgspec.Struct) -> None:
         return None
 
 
 @dataclass(frozen=True, slots=True)
-class BegunItem:
-    """A run that began: what, under which epoch, and trio's time in seconds.
+class StartedItem:
+    """A started run: its item and job, the job's epoch, and trio's time in seconds.
 
-    ``refused_s`` is how long its node had known by then that the job had ended or was another's.
+    ``refused_s`` is how long its node had known by then that the job had ended or was owned by
+    another node.
     """
 
     item_id: str
@@ -280,18 +282,20 @@
     refused_s: float = 0.0
 
 
-class ModelNode:
+class SimulatedNode:
     """One process of a node; ``skew_s`` is how far its clock is ahead."""
 
-    def __init__(self, world: "RunnerWorld", name: str, way: StoreWay, skew_s: int) -> None:
+    def __init__(
+        self, simulation: "RunnerSimulation", name: str, link: StoreLink, skew_s: int
+    ) -> None:
         self.name = name
-        self.way = way
+        self.link = link
         self.leaving = False
         self.scope = trio.CancelScope()
         self.address = Address("10.0.0.1", int(name[2:]) + 1)
-        world.boots += 1
-        self.owner = OwnerIdentity(name, world.boots)
-        rng = random.Random(world.boots)
+        simulation.boots += 1
+        self.owner = OwnerIdentity(name, simulation.boots)
+        rng = random.Random(simulation.boots)
         settings = NodeSettings(
             front_address="10.0.0.1:1",
             ready_address="10.0.0.1:2",
@@ -301,11 +305,16 @@
             commit_interval_ms=100,
             end_bound_ms=END_BOUND_MS,
         )
-        self.store = JobStore(way, KEYS, settings.store_value_bytes)
-        neighbours = partial(world.neighbours_of, self)
-        call = partial(world.call, self)
+        self.store = JobStore(link, KEYS, settings.store_value_bytes)
+        neighbours = partial(simulation.neighbours_of, self)
+        call = partial(simulation.call, self)
         self.replicas = Replicas(
-            way, [Watched(KEYS.live, _WATCH_MS, 20)], call, neighbours, _OwnWatch(), rng
+            link,
+            [WatchedPrefix(KEYS.live, _WATCH_MS, 20)],
+            call,
+            neighbours,
+            _SelfWatching(),
+            rng,
         )
         self._clock = lambda: int(_UNIX_S + skew_s + trio.current_time())
         cache = JobCache(1_000_000)
@@ -317,8 +326,8 @@
             cache,
             self.replicas,
             configuration,
-            _View(world, name),
-            _Permits(world),
+            _View(simulation, name),
+            _Permits(simulation),
             self,
             self.owner,
             self._clock,
@@ -342,7 +351,7 @@
             self.store,
             self.replicas,
             spools,
-            # Owners hear of an end by their watches alone.
+            # Without addresses of other nodes, owners learn of an end only by their watches.
             OwnerReads(
                 cache,
                 self.replicas,
@@ -350,7 +359,7 @@
                 self.owner,
                 call,
                 lambda _vm_id: None,
-                self.runner.listed_of,
+                self.runner.listed_count,
             ),
             configuration,
             wanted_ends,
@@ -358,23 +367,23 @@
             retry_after_ms=300,
         )
         self.handlers = {**self.replicas.handlers(), **self.acceptance.handlers()}
-        # Since when this node knows, by job, that it has ended or is another node's.
+        # By job, since when this node knows that it has ended or is owned by another node.
         self._refused_s: dict[str, float] = {}
 
     def refused_s(self, job_id: str) -> float:
-        """Return how long this node has known that a job has ended or is another node's."""
+        """Return how long this node has known that a job ended or is owned by another node."""
         now_s = trio.current_time()
         return now_s - self._refused_s.get(job_id, now_s)
 
     async def run(self) -> None:
         with self.scope:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._note_refused)
+                nursery.start_soon(self._track_refusals)
                 nursery.start_soon(self.replicas.run)
                 nursery.start_soon(self.runner.run)
                 nursery.start_soon(self.ends.run)
 
-    async def _note_refused(self) -> None:
+    async def _track_refusals(self) -> None:
         table = self.replicas.tables[KEYS.live]
         while True:
             seen = self.replicas.version
@@ -389,7 +398,7 @@
             await self.replicas.wait_changed(seen)
 
     async def submit(self, job_id: str, items: list[StoredItem]) -> ResultCode:
-        """Submit a job as the front does; what is answered to the client."""
+        """Submit a job as the front does; return the code that answers the client."""
         record = StoredJobRecord(
             job_id=job_id,
             host="desk.example",
@@ -405,7 +414,7 @@
         return ResultCode.OK if isinstance(accepted, Ok) else accepted.err_value.code
 
     async def end(self, job_id: str) -> Result[int, Fault]:
-        """End a job as the front does; how many results are listed."""
+        """End a job as the front does; return how many results are listed."""
         ended = await self.ends.end(job_id)
         return ended.map(lambda versioned: versioned.record.listed)
 
@@ -417,29 +426,30 @@
         self.scope.cancel()
 
 
-class RunnerWorld:
-    """Three nodes; a node that was killed is missed by the others after ``lag_s``."""
+class RunnerSimulation:
+    """Three nodes; the others notice after ``detection_lag_s`` that a node was killed."""
 
     NODES = 3
 
     def __init__(self, nursery: trio.Nursery, skews_s: list[int], run_s: float) -> None:
         self.state = KvState()
         self.slots = Counter({f"i-{number}": _SLOTS for number in range(_UPSTREAMS)})
-        self.begun: list[BegunItem] = []
+        self.started_items: list[StartedItem] = []
         self.boots = 0
-        self.lag_s = 0.6
+        self.detection_lag_s = 0.6
         self.run_s = run_s
         # From the choice of an item to the writing of its request.
         self.connect_s = 0.0
         self._nursery = nursery
         self._skews_s = skews_s
         self._gone_s: dict[str, float] = {}
-        self.nodes: list[ModelNode] = []
-        # Nodes that membership misses though they run, and those that reach no other node.
+        self.nodes: list[SimulatedNode] = []
+        # Running nodes that membership does not show, and nodes that reach no other node.
         self.hidden: set[str] = set()
-        self.parted: set[str] = set()
-        self.full = False
-        # Items that crash the upstream that begins them; how often each has, and what nodes know.
+        self.partitioned: set[str] = set()
+        self.slots_full = False
+        # Items that crash the upstream that starts them, the crashes by item, and the restrictions
+        # that all nodes share.
         self.harmful: set[str] = set()
         self.crashes: Counter[str] = Counter()
         self.quarantine = Quarantine()
@@ -447,27 +457,27 @@
 
     def start(self) -> None:
         for number in range(self.NODES):
-            way = StoreWay(self.state)
-            node = ModelNode(self, f"n-{number}", way, self._skews_s[number])
+            link = StoreLink(self.state)
+            node = SimulatedNode(self, f"n-{number}", link, self._skews_s[number])
             self.nodes.append(node)
             self._nursery.start_soon(node.run)
 
-    def runs(self, node: ModelNode) -> bool:
+    def is_running(self, node: SimulatedNode) -> bool:
         return not node.scope.cancel_called
 
-    def live(self, number: int) -> ModelNode | None:
-        """Return the node of that number, or the next one that takes calls."""
+    def live_node(self, number: int) -> SimulatedNode | None:
+        """Return the node of that number, or the next one that accepts calls."""
         order = [self.nodes[(number + offset) % self.NODES] for offset in range(self.NODES)]
-        return next((node for node in order if self.runs(node) and not node.leaving), None)
+        return next((node for node in order if self.is_running(node) and not node.leaving), None)
 
-    def present(self) -> list[str]:
-        """Return the nodes that membership shows, leaving ones included."""
+    def members(self) -> list[str]:
+        """Return the nodes that membership shows, including leaving ones."""
         for node in self.nodes:
-            if self.runs(node):
+            if self.is_running(node):
                 self._gone_s.pop(node.name, None)
             else:
                 self._gone_s.setdefault(node.name, trio.current_time())
-        late_s = trio.current_time() - self.lag_s
+        late_s = trio.current_time() - self.detection_lag_s
         return [
             node.name for node in self.nodes if self._gone_s.get(node.name, late_s + 1) > late_s
         ]
@@ -475,61 +485,63 @@
     def is_leaving(self, name: str) -> bool:
         return any(node.name == name and node.leaving for node in self.nodes)
 
-    def neighbours_of(self, own: ModelNode) -> list[Address]:
-        return [node.address for node in self.nodes if node is not own and self.runs(node)]
+    def neighbours_of(self, own: SimulatedNode) -> list[Address]:
+        return [node.address for node in self.nodes if node is not own and self.is_running(node)]
 
     async def call(
-        self, caller: ModelNode, address: Address, message: msgspec.Struct, timeout_ms: float
+        self, caller: SimulatedNode, address: Address, message: msgspec.Struct, timeout_ms: float
     ) -> Result[msgspec.Struct, Fault]:
         """Call the node at ``address`` from another."""
-        await trio.sleep(_WAY_S)
+        await trio.sleep(_HOP_S)
         node = next((node for node in self.nodes if node.address == address), None)
-        if node is None or not self.runs(node) or self.parted & {caller.name, node.name}:
+        if node is None or not self.is_running(node) or self.partitioned & {caller.name, node.name}:
             return _fault(ResultCode.PEER_UNREACHABLE)
         with trio.move_on_after(timeout_ms / 1000):
             reply = await node.handlers[type(message)](message, None)
-            await trio.sleep(_WAY_S)
+            await trio.sleep(_HOP_S)
             return Ok(reply)
         return _fault(ResultCode.PEER_UNKNOWN)
 
-    def leave(self, node: ModelNode) -> None:
+    def leave(self, node: SimulatedNode) -> None:
         self._nursery.start_soon(node.leave)
 
-    def restart(self, node: ModelNode) -> None:
+    def restart(self, node: SimulatedNode) -> None:
         """Start a killed or stopped node again under its name."""
         number = self.nodes.index(node)
         node.scope.cancel()
-        again = ModelNode(self, node.name, node.way, self._skews_s[number])
+        again = SimulatedNode(self, node.name, node.link, self._skews_s[number])
         self.nodes[number] = again
         self._nursery.start_soon(again.run)
 
     async def run_item(
         self,
-        node: ModelNode,
+        node: SimulatedNode,
         job: StoredJobRecord,
         item: ItemRun,
         upstream: UpstreamRecord,
         grant: _Grant,
         stopped: trio.Event,
-        _known: KnownAtBegin,
+        _known: StartState,
         check: SendCheck,
     ) -> ItemEnd:
-        """Stand in for a run at an upstream; its request is written after ``connect_s``.
+        """Simulate a run at an upstream; its request is written after ``connect_s``.
 
-        Nothing stops it before, as in a process that stands still, but that the node is killed.
+        Until then nothing but a kill of the node stops it, as in a suspended process.
         """
         with trio.CancelScope(shield=True):
             await trio.sleep(self.connect_s)
-        if not self.runs(node) or check() is not None:
+        if not self.is_running(node) or check() is not None:
             self.slots[upstream.upstream_id] += 1
             return ItemEnd.INTERRUPTED
         at_s, refused_s = trio.current_time(), node.refused_s(job.job_id)
-        self.begun.append(BegunItem(item.item.item_id, job.job_id, job.epoch, at_s, refused_s))
+        self.started_items.append(
+            StartedItem(item.item.item_id, job.job_id, job.epoch, at_s, refused_s)
+        )
         if item.item.item_id in self.harmful:
             await self._crash(item, upstream, grant)
             return ItemEnd.INTERRUPTED
-        # Of different lengths, so that commits are under way at most times.
-        share = 0.5 + len(self.begun) % 7 / 7
+        # Runs differ in length, so that commits are in progress at most times.
+        share = 0.5 + len(self.started_items) % 7 / 7
         try:
             with trio.move_on_after(self.run_s * share):
                 await stopped.wait()
@@ -541,7 +553,7 @@
         return ItemEnd.COMPLETED
 
     async def _crash(self, item: ItemRun, upstream: UpstreamRecord, grant: _Grant) -> None:
-        """Have an upstream end under an item; nodes know of it a little later."""
+        """End the item's upstream; nodes learn of it a little later."""
         self.crashes[item.item.item_id] += 1
         await trio.sleep(_CRASH_S)
         self.slots[upstream.upstream_id] += 1
--- a/tests/test_job_refusals.py
+++ b/tests/test_job_refusals.py
@@ -1,4 +1,4 @@
-"""A refusal promises that nothing of the job is there, or will be: it may run nowhere after one."""
+"""A refusal promises that the job is not stored and never will be, so that none of it runs."""
 
 import unittest
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from fescuedock.faults import Fault
 from fescuedock.kv import KvEntry, KvTransaction
 from fescuedock.node.job_store import JobStore
-from fescuedock.node.spools import Kept, Spools
+from fescuedock.node.spools import SpoolCopies, Spools
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.stored_jobs import NodeRecord, SpoolJob, SpoolJobReply
 from fescuedock.spool.files import SpoolFiles
@@ -29,7 +29,7 @@
 
 
 class ScriptedKv:
-    """A service that answers each write, and each read, with the next of its codes."""
+    """A service that answers each write and each read with the next of its codes."""
 
     def __init__(self, writes: list[ResultCode], reads: list[ResultCode]) -> None:
         self._writes = writes
@@ -49,7 +49,7 @@
 
 class AcceptTest(unittest.TestCase):
     def accept(self, kv: ScriptedKv) -> Result | None:
-        """Accept a job; None when it is not known in time what became of it."""
+        """Accept a job; None when its outcome is not known in time."""
         found: list[Result] = []
 
         async def run() -> None:
@@ -63,13 +63,13 @@
         refused = self.accept(ScriptedKv([], []))
         self.assertIs(refused.err_value.code, ResultCode.KV_UNAVAILABLE)
 
-    def test_a_job_that_is_there_but_cannot_be_read_is_not_refused(self) -> None:
+    def test_a_job_that_is_stored_but_unreadable_is_not_refused(self) -> None:
         codes = [ResultCode.KV_CONFLICT]
         self.assertIsNone(self.accept(ScriptedKv(codes, [])))
 
 
 class SpoolTest(unittest.TestCase):
-    """A disk that has failed midway may have the job: its restart would bring it to the store."""
+    """A disk that failed midway may have the job, and a restart of its spool would store it."""
 
     def put_while(self, failing: Callable[[str], bool]) -> tuple[MemoryDisk, SpoolFiles, Result]:
         disk = MemoryDisk()
@@ -78,7 +78,7 @@
         disk.failing = failing
         return disk, files, files.put(JOB)
 
-    def test_what_a_restart_may_bring_back_is_not_refused(self) -> None:
+    def test_a_copy_that_a_restart_may_restore_is_not_refused(self) -> None:
         for failing_step in ("create", "write", "sync", "rename", "sync_folder"):
             with self.subTest(step=failing_step):
                 disk, files, put = self.put_while(lambda step, name=failing_step: step == name)
@@ -92,7 +92,7 @@
                     self.assertIs(put.err_value.code, ResultCode.KV_UNKNOWN)
                     self.assertIn("job-1", files)
 
-    def test_it_counts_as_kept_once_the_folder_is_on_disk(self) -> None:
+    def test_a_copy_counts_once_the_folder_is_synced(self) -> None:
         disk, files, _ = self.put_while(lambda step: step == "sync_folder")
         self.assertIsInstance(files.put(JOB), Err)
         disk.failing = lambda _step: False
@@ -102,18 +102,18 @@
         again.open()
         self.assertIn("job-1", again)
 
-    def test_a_node_counts_only_a_promise_as_a_denial(self) -> None:
+    def test_a_node_counts_only_a_certain_refusal_as_a_denial(self) -> None:
         for code, may_be_stored in (
             (ResultCode.STORES_UNAVAILABLE, False),
             (ResultCode.DISK_FULL, False),
             (ResultCode.KV_UNKNOWN, True),
         ):
             with self.subTest(code=code):
-                kept = Kept()
+                kept = SpoolCopies()
                 self.assertFalse(self.keep(code, kept))
                 self.assertIs(kept.may_be_stored, may_be_stored)
 
-    def keep(self, code: ResultCode, kept: Kept) -> bool:
+    def keep(self, code: ResultCode, kept: SpoolCopies) -> bool:
         async def call(_address: Address, _message: msgspec.Struct, _timeout_ms: float) -> Result:
             return Ok(SpoolJobReply(code))
 
@@ -123,7 +123,9 @@
         done: list[bool] = []
 
         async def run() -> None:
-            done.append(await Spools(table, KEYS.spools, 1, call).keep(JOB.record, JOB.items, kept))
+            done.append(
+                await Spools(table, KEYS.spools, 1, call).store_copies(JOB.record, JOB.items, kept)
+            )
 
         run_async(run)
         return done[0]
--- a/tests/test_node_jobs_ended.py
+++ b/tests/test_node_jobs_ended.py
@@ -1,16 +1,11 @@
-"""No node begins work of a job whose end it could have known, whichever way it comes to the job.
-
-What users saw: items reached upstreams more than 3 s after their job's end was acknowledged, and
-ran; all items of a case came from one node.
-
-What happened: a client ends a job, and the job's submission comes again at the node that owns it.
-The node finds the record there, sees that it is its own and that nothing is listed, and takes the
-job in as a new one.  Items begin at once; the next look at the records, up to 0.5 s later, drops
-the job.  The same gap is open to a claim whose reading of the items outlasts the job, and to an
-owner whose copy of the records nobody has confirmed for long.
-
-What proved it: the log of such a node has ``job_started`` with ``way=submitted`` and
-``ended=true``, and runs that ``job_dropped`` cuts off within 0.5 s.
+"""No node starts items of a job whose end it could have known, however it obtains the job.
+
+Guards against items that reach upstreams more than 3 s after the end of their job was acknowledged.
+A client ends a job and submits it again at its owner.  The owner finds the record, which names it
+as owner and lists no results, and starts the job as a new one; the next check of the records, up to
+0.5 s later, drops it.  The log shows ``job_started`` with ``way=submitted`` and ``ended=true``, and
+runs that ``job_dropped`` cancels within 0.5 s.  The same can happen to a claim that still loads the
+items when the job ends, and to an owner whose records were not confirmed for long.
 """
 
 import unittest
@@ -21,8 +16,8 @@
 import trio
 
 from fescuedock.address import Address
+from fescuedock.node.group_broadcast import GroupBroadcaster
 from fescuedock.node.replicas import Replicas
-from fescuedock.node.spread import GroupSpread
 from fescuedock.platform.standin.metadata_store import MetadataStoreService
 from fescuedock.standin.kv_faults import CallKind
 from tests.builders.jobs_calls import JOB, submit
@@ -30,10 +25,10 @@
 from tests.builders.node import NodeFleet, running_fleet
 from tests.builders.standins import run_async
 
-# All nodes of these tests have heard of an end by then.
-HEARD_S = 0.7
-# Nor does a node that hears of nothing begin work for longer after an end; the users' bound is 3 s.
-KNOWN_S = 2.7
+# All nodes of these tests know of an end by then.
+UPDATE_S = 0.7
+# A node without updates starts items no longer than this after an end; the users' bound is 3 s.
+MAX_LATE_S = 2.7
 NAMES = ("a", "b", "c")
 
 
@@ -49,16 +44,16 @@
         run_async(run)
 
     async def end(self, fleet: NodeFleet, front: Address) -> float:
-        """End the job at a node; return when that was acknowledged, in trio's time."""
+        """End the job at a node; return the time of the acknowledgement, in trio's time."""
         answer = await fleet.call(front, "DELETE", f"/api/lots/{JOB}")
         self.assertEqual(answer.status, 200)
         return trio.current_time()
 
-    async def open_door(self, fleet: NodeFleet) -> MetadataStoreService:
-        """Return the same store at another address, with faults of its own."""
-        door = MetadataStoreService(state=fleet.store.state)
-        await fleet.nursery.start(door.run, LOOPBACK)
-        return door
+    async def open_store_endpoint(self, fleet: NodeFleet) -> MetadataStoreService:
+        """Return the same store at another address, with its own faults."""
+        endpoint = MetadataStoreService(state=fleet.store.state)
+        await fleet.nursery.start(endpoint.run, LOOPBACK)
+        return endpoint
 
     async def wait_logged(self, lines: list[dict], name: str) -> None:
         while True:
@@ -67,32 +62,32 @@
             await trio.sleep(0.02)
 
     def late_starts(self, fleet: NodeFleet, ended_s: float) -> list[tuple[str, float]]:
-        """Return the items that began after all nodes have heard of the end, with their delay."""
+        """Return the items that started after all nodes knew of the end, with their delay."""
         return [
             (name, round(at_s - ended_s, 2))
             for upstream in fleet.upstreams
             for name, at_s in upstream.started
-            if at_s > ended_s + HEARD_S
+            if at_s > ended_s + UPDATE_S
         ]
 
-    def test_a_submission_that_comes_again_after_the_end_begins_nothing(self) -> None:
+    def test_a_resubmission_after_the_end_starts_no_item(self) -> None:
         lines: list[dict] = []
 
         async def test(fleet: NodeFleet) -> None:
-            door = await self.open_door(fleet)
-            other = await fleet.start_node(1, store_address=str(door.address))
+            endpoint = await self.open_store_endpoint(fleet)
+            other = await fleet.start_node(1, store_address=str(endpoint.address))
             await fleet.wait_ready()
             owner = fleet.nodes[0]
             await submit(fleet, owner.front, *NAMES)
             await trio.sleep(0.1)
             ended_s = await self.end(fleet, other.front)
-            await trio.sleep(HEARD_S)
+            await trio.sleep(UPDATE_S)
             for node in (owner, other):
                 self.assertEqual((await submit(fleet, node.front, *NAMES)).status, 202)
                 await trio.sleep(0.6)
-            # Turned away by the store, the other node passes the submission on to the owner.
-            door.refuse_status = 429
-            await trio.sleep(HEARD_S)
+            # Refused by the store, the other node forwards the submission to the owner.
+            endpoint.refuse_status = 429
+            await trio.sleep(UPDATE_S)
             self.assertEqual((await submit(fleet, other.front, *NAMES)).status, 202)
             await trio.sleep(0.6)
             self.assertEqual(self.late_starts(fleet, ended_s), [])
@@ -106,10 +101,10 @@
             eliot.remove_destination(lines.append)
         refused = [line for line in lines if line["message_type"] == "job_not_started"]
         self.assertEqual({line["reason"] for line in refused}, {"its client ended it"})
-        # At the owner, and there again for the neighbour.
+        # Once at the owner, and once there for the neighbour.
         self.assertEqual(len(refused), 2)
 
-    def test_a_claim_that_the_end_overtakes_begins_nothing(self) -> None:
+    def test_a_claim_overtaken_by_the_end_starts_no_item(self) -> None:
         lines: list[dict] = []
 
         async def test(fleet: NodeFleet) -> None:
@@ -134,65 +129,69 @@
         finally:
             eliot.remove_destination(lines.append)
 
-    def test_an_owner_that_nobody_tells_anything_begins_nothing_for_long(self) -> None:
+    def test_an_owner_without_updates_soon_starts_no_more_items(self) -> None:
         async def test(fleet: NodeFleet) -> None:
-            door = await self.open_door(fleet)
-            owner = await fleet.start_node(1, store_address=str(door.address))
+            endpoint = await self.open_store_endpoint(fleet)
+            owner = await fleet.start_node(1, store_address=str(endpoint.address))
             await fleet.wait_ready()
             await submit(fleet, owner.front, *(f"item-{number}" for number in range(80)))
             with (
-                mock.patch.object(Replicas, "_ask", return_value=None),
-                mock.patch.object(Replicas, "tell_noted", return_value=False),
-                mock.patch.object(GroupSpread, "tell", return_value=None),
+                mock.patch.object(Replicas, "_query", return_value=None),
+                mock.patch.object(Replicas, "send_noted", return_value=False),
+                mock.patch.object(GroupBroadcaster, "broadcast", return_value=None),
             ):
-                # What the owner is not answered any more would tell of the end.
-                door.faults.silent = True
+                # Otherwise the store's answers would inform the owner of the end.
+                endpoint.faults.silent = True
                 await trio.sleep(0.5)
                 ended_s = await self.end(fleet, fleet.nodes[0].front)
                 await trio.sleep(4.0)
             late = [delay_s for _, delay_s in self.late_starts(fleet, ended_s)]
-            # It does go on until it has known nothing for too long.
+            # It starts items until its knowledge is too old.
             self.assertTrue(late)
-            self.assertLess(max(late), KNOWN_S)
+            self.assertLess(max(late), MAX_LATE_S)
 
         self.run_fleet(test)
 
-    def test_news_that_were_long_on_their_way_confirm_nothing(self) -> None:
-        """What a node reads late, as it stood still or news were held up, is as old as that."""
-        tell = GroupSpread.tell
+    def test_delayed_updates_confirm_nothing(self) -> None:
+        """An update that is read late, as it or the process was delayed, counts as that old."""
+        broadcast = GroupBroadcaster.broadcast
 
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.event_interval_ms = 150.0
-            door = await self.open_door(fleet)
-            # Not number 1, which would be the node that watches the jobs for both.
-            owner = await fleet.start_node(2, store_address=str(door.address))
+            endpoint = await self.open_store_endpoint(fleet)
+            # Not number 1, which would be the node that watches the jobs for both nodes.
+            owner = await fleet.start_node(2, store_address=str(endpoint.address))
             await fleet.wait_ready()
 
-            async def tell_late(spread: GroupSpread, message: msgspec.Struct) -> None:
+            async def broadcast_late(
+                broadcaster: GroupBroadcaster, message: msgspec.Struct
+            ) -> None:
                 await trio.sleep(3.5)
-                await tell(spread, message)
+                await broadcast(broadcaster, message)
 
-            async def hold_up(spread: GroupSpread, message: msgspec.Struct) -> None:
-                fleet.nursery.start_soon(tell_late, spread, message)
+            async def delay_broadcast(
+                broadcaster: GroupBroadcaster, message: msgspec.Struct
+            ) -> None:
+                fleet.nursery.start_soon(broadcast_late, broadcaster, message)
 
             await submit(fleet, owner.front, *(f"item-{number}" for number in range(80)))
             with (
-                mock.patch.object(Replicas, "_ask", return_value=None),
-                mock.patch.object(Replicas, "tell_noted", return_value=False),
-                mock.patch.object(GroupSpread, "tell", hold_up),
+                mock.patch.object(Replicas, "_query", return_value=None),
+                mock.patch.object(Replicas, "send_noted", return_value=False),
+                mock.patch.object(GroupBroadcaster, "broadcast", delay_broadcast),
             ):
-                door.faults.silent = True
+                endpoint.faults.silent = True
                 await trio.sleep(1.0)
                 ended_s = await self.end(fleet, fleet.nodes[0].front)
                 await trio.sleep(4.5)
             late = [delay_s for _, delay_s in self.late_starts(fleet, ended_s)]
-            self.assertLess(max(late, default=0.0), KNOWN_S)
+            self.assertLess(max(late, default=0.0), MAX_LATE_S)
 
         self.run_fleet(test)
 
-    def test_a_neighbour_that_ended_the_job_itself_agrees_to_no_older_record(self) -> None:
-        """The store falls silent after an end of which only the node that wrote it knows."""
+    def test_a_neighbour_that_ended_the_job_confirms_no_older_record(self) -> None:
+        """The store stops answering after an end that only its writer knows of."""
 
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
@@ -200,19 +199,19 @@
             owner, other = fleet.nodes
             await submit(fleet, owner.front, *(f"item-{number}" for number in range(80)))
             await trio.sleep(0.1)
-            # No watch tells of the end any more.
+            # No watch reports the end any more.
             fleet.store.faults.delays_ms[CallKind.WATCH] = 60_000.0
             await trio.sleep(0.35)
-            with mock.patch.object(Replicas, "tell_noted", return_value=False):
+            with mock.patch.object(Replicas, "send_noted", return_value=False):
                 ended_s = await self.end(fleet, other.front)
             fleet.store.faults.silent = True
             await trio.sleep(4.5)
             late = [delay_s for _, delay_s in self.late_starts(fleet, ended_s)]
-            self.assertLess(max(late, default=0.0), KNOWN_S)
+            self.assertLess(max(late, default=0.0), MAX_LATE_S)
 
         self.run_fleet(test, nodes=2)
 
-    def test_items_go_on_while_the_store_answers_nobody(self) -> None:
+    def test_items_continue_while_the_store_answers_no_node(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             await submit(fleet, fleet.nodes[0].front, *(f"item-{n}" for n in range(80)))
             await trio.sleep(0.1)
@@ -220,11 +219,11 @@
             away_s = trio.current_time()
             await trio.sleep(4.0)
             begun = [at_s - away_s for item in fleet.upstreams for _, at_s in item.started]
-            self.assertGreater(max(begun), KNOWN_S + 0.5)
+            self.assertGreater(max(begun), MAX_LATE_S + 0.5)
 
         self.run_fleet(test, nodes=2)
 
-    def test_logs_tell_by_which_way_and_with_what_knowledge_items_run(self) -> None:
+    def test_logs_show_how_jobs_started_and_the_age_of_their_records(self) -> None:
         lines: list[dict] = []
         owners: list[str] = []
 
@@ -234,7 +233,7 @@
             while sum(item.runs.total() for item in fleet.upstreams) < len(NAMES):  # noqa: ASYNC110
                 await trio.sleep(0.02)
             await self.end(fleet, fleet.nodes[1].front)
-            await trio.sleep(HEARD_S)
+            await trio.sleep(UPDATE_S)
 
         eliot.add_destinations(lines.append)
         # The first destination of a process is given all that was logged before.
--- a/tests/test_node_jobs_forestalled.py
+++ b/tests/test_node_jobs_forestalled.py
@@ -1,4 +1,4 @@
-"""A job that is ended before the writing of it has reached the store."""
+"""A job that is ended before its write has reached the store."""
 
 import unittest
 
@@ -19,10 +19,10 @@
 
 
 class EndBeforeAcceptanceTest(unittest.TestCase):
-    """A client left before its submission was answered, and ended the job at another node.
+    """A client disconnected before its submission was answered, and ended the job at another node.
 
-    The store executed the submission's write a second later.  No node remembered that the client
-    had ended the job, so all of it ran.
+    The store executed the submission's write a second later.  No node had retained the end, so the
+    entire job ran.
     """
 
     def test_a_job_that_was_ended_does_not_run_though_it_is_stored_later(self) -> None:
@@ -36,7 +36,7 @@
                 fleet.store.faults.lose_answer(LostAnswer.LATE_EFFECT, nth)
             with trio.move_on_after(0.09):
                 await submit(fleet, first.front, "a", "b", "c")
-            # Answers that were not lost by now stay; the end finds a store that is well.
+            # No further answers are lost, so that the end meets a store without faults.
             fleet.store.faults.keep_answers()
             answer = await fleet.call(other.front, "DELETE", f"/api/lots/{JOB}")
             answers.append(answer.status)
@@ -52,18 +52,18 @@
         self.assertIn(answers[0], (200, 404))
         self.assertEqual(ran[0], 0)
 
-    def test_a_write_of_before_the_end_finds_it_and_a_later_submission_does_not(self) -> None:
+    def test_a_write_from_before_the_end_fails_and_a_later_submission_succeeds(self) -> None:
         async def test() -> None:
             async with running_store() as service, open_store(service) as kv:
                 store = JobStore(kv, KEYS, 100_000)
                 job = job_record()
-                self.assertTrue(await store.note_ended(job.job_id))
+                self.assertTrue(await store.mark_ended(job.job_id))
                 refused = await store.accept(job, [], after_end=False)
                 self.assertIs(refused.err_value.code, ResultCode.KV_UNAVAILABLE)
                 self.assertIsNone(service.state.get(KEYS.record(job.job_id)))
                 stored = await store.accept(job, [])
                 self.assertFalse(stored.ok_value.record.ended)
-                self.assertFalse(await store.note_ended(job.job_id))
+                self.assertFalse(await store.mark_ended(job.job_id))
 
         run_async(test)
 
--- a/tests/test_overtaken_sends.py
+++ b/tests/test_overtaken_sends.py
@@ -1,14 +1,11 @@
-"""Nothing is written to an upstream on knowledge that no longer holds when it is written.
-
-What callers saw: items reached an upstream more than 3 s after their job's end was acknowledged;
-the like threatens calls whose deadline has passed, and upstreams that leave.
-
-What happened: an item or an upstream is chosen, and what allows it is looked at then.  A connection
-follows, which takes up to 250 ms, and whatever the process does not run meanwhile.  A process that
-stands still for seconds between the choice and the writing goes on with the writing.
-
-What proved it: these tests, in which the news come, or the process stands still, just after the
-connection is there; each request was written before there was a look at the time of writing.
+"""No request is written to an upstream on knowledge that has become outdated by then.
+
+Guards against items that reach an upstream more than 3 s after the end of their job was
+acknowledged; likewise calls whose deadline has passed, and upstreams that leave.  An item or an
+upstream is checked when it is chosen.  Connecting takes up to 250 ms, and a process may be
+suspended for seconds between the choice and the write.  In these tests an update arrives, or the
+process is suspended, just after the connection is established; the request must be checked again
+when it is written.
 """
 
 import unittest
@@ -34,7 +31,7 @@
 )
 from tests.builders.standins import run_async
 
-# Of these tests' nodes: how long after an acknowledged end an item may still begin.
+# How long after an acknowledged end an item may still start at the nodes of these tests.
 END_BOUND_MS = 1500
 BOOKINGS = "/services/demo-plain/bookings"
 CHAT = "/v1/chat/completions"
@@ -42,7 +39,7 @@
 
 class OvertakenSendTest(unittest.TestCase):
     def run_fleet(self, test, **options: object) -> list[dict]:
-        """Run ``test`` before a fleet of one node; return what was logged."""
+        """Run ``test`` on a fleet of one node; return the log lines."""
         lines: list[dict] = []
 
         async def run() -> None:
@@ -58,22 +55,22 @@
         return lines
 
     def check_sent_once(self, ends: list[str]) -> None:
-        """Check that attempts were withdrawn until one gave the whole answer.
+        """Check that attempts were withdrawn until one gave the complete answer.
 
-        One is, as the process stands still; where the machine is slow, more permits may lapse.
+        One is withdrawn because the process is suspended; on a slow machine more permits may lapse.
         """
         self.assertEqual(ends[-1], "whole")
         self.assertEqual(set(ends[:-1]), {"withdrawn"}, ends)
 
     def end_elsewhere(self, fleet: NodeFleet) -> None:
-        """Write the end of the job as another node does, which then acknowledges it."""
+        """Write the end of the job, as another node does before it acknowledges the end."""
         [node] = fleet.nodes
         key = JobKeys(node.settings.node.key_prefix).record(JOB)
         record = decode_record(fleet.store.state.get(key)).record
         ended = msgspec.structs.replace(record, ended=True)
         fleet.store.state.put(key, msgspec.msgpack.encode(ended))
 
-    def test_an_item_whose_job_ended_while_its_node_stood_still_is_not_sent(self) -> None:
+    def test_an_item_whose_job_ended_while_its_node_was_suspended_is_not_sent(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             [upstream], [node] = fleet.upstreams, fleet.nodes
 
@@ -112,10 +109,10 @@
             [upstream], [node] = fleet.upstreams, fleet.nodes
             valid_s = node.settings.agent.permit_valid_ms / 1000
 
-            async def let_the_permit_lapse(_address: Address) -> None:
+            async def outlast_permit(_address: Address) -> None:
                 stand_still(valid_s + 0.1)
 
-            with meanwhile([upstream.address], let_the_permit_lapse):
+            with meanwhile([upstream.address], outlast_permit):
                 await submit(fleet, node.front, "a")
                 page = await read_page(fleet, node.front, wait_ms=5000)
             [result] = page.json()["results"]
@@ -126,7 +123,7 @@
         ends = [line["attempt_end"] for line in lines if line["message_type"] == "item_run"]
         self.check_sent_once(ends)
 
-    def test_a_call_whose_deadline_passed_while_its_node_stood_still_is_not_sent(self) -> None:
+    def test_a_call_whose_deadline_passed_while_its_node_was_suspended_is_not_sent(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             [upstream], [node] = fleet.upstreams, fleet.nodes
 
@@ -143,15 +140,15 @@
 
         self.run_fleet(test, upstreams=1)
 
-    def test_a_call_whose_permit_lapsed_while_its_node_stood_still_asks_again(self) -> None:
+    def test_a_call_whose_permit_lapsed_while_its_node_was_suspended_requests_another(self) -> None:
         async def test(fleet: NodeFleet) -> None:
             [node] = fleet.nodes
             valid_s = node.settings.agent.permit_valid_ms / 1000
 
-            async def let_the_permit_lapse(_address: Address) -> None:
+            async def outlast_permit(_address: Address) -> None:
                 stand_still(valid_s + 0.1)
 
-            with meanwhile([item.address for item in fleet.upstreams], let_the_permit_lapse):
+            with meanwhile([item.address for item in fleet.upstreams], outlast_permit):
                 answer = await fleet.call(node.front, "POST", "/rights/1", b"case")
             self.assertEqual((answer.status, answer.whole), (200, True))
             self.assertEqual(sum(item.runs.total() for item in fleet.upstreams), 1)
@@ -163,7 +160,7 @@
         self.check_sent_once([line["end"] for line in attempts])
 
     def test_a_call_is_not_sent_to_an_upstream_that_began_to_leave_meanwhile(self) -> None:
-        await_news_s = 0.2
+        update_wait_s = 0.2
 
         async def test(fleet: NodeFleet) -> None:
             [node] = fleet.nodes
@@ -173,7 +170,7 @@
                 [upstream] = [item for item in fleet.upstreams if item.address == address]
                 leaving.append(upstream)
                 fleet.register(upstream, state="draining", sequence=2)
-                await trio.sleep(await_news_s)
+                await trio.sleep(update_wait_s)
 
             with meanwhile([item.address for item in fleet.upstreams], leave):
                 answer = await fleet.call(node.front, "POST", "/check/1", b"case")
@@ -185,13 +182,15 @@
 
 
 class OvertakenEntrySendTest(unittest.TestCase):
-    """The same at the entries of the other deployment, of streams, whole answers and services."""
+    """The same at the entries of the other deployment: streams, complete answers and services."""
 
     def addresses(self, fleet: OnlineFleet) -> dict[Address, str]:
         engines, plain = fleet.standins.engines, fleet.standins.plain
         return {item.address: name for name, item in (*engines.items(), *plain.items())}
 
-    async def left_meanwhile(self, fleet: OnlineFleet, path: str, body: object) -> tuple[int, str]:
+    async def call_while_leaving(
+        self, fleet: OnlineFleet, path: str, body: object
+    ) -> tuple[int, str]:
         """Call while the upstream that was chosen leaves; return the status and that upstream."""
         names = self.addresses(fleet)
 
@@ -207,7 +206,7 @@
     async def test_a_service_that_began_to_leave_meanwhile_gets_no_call(
         self, fleet: OnlineFleet
     ) -> None:
-        status, left = await self.left_meanwhile(fleet, BOOKINGS, b"{}")
+        status, left = await self.call_while_leaving(fleet, BOOKINGS, b"{}")
         self.assertEqual(status, 200)
         executions = {name: sum(item.executions.values()) for name, item in self.plain(fleet)}
         self.assertEqual(executions.pop(left), 0)
@@ -217,21 +216,21 @@
     async def test_an_engine_that_began_to_leave_meanwhile_gets_no_stream(
         self, fleet: OnlineFleet
     ) -> None:
-        status, left = await self.left_meanwhile(fleet, CHAT, chat_body())
+        status, left = await self.call_while_leaving(fleet, CHAT, chat_body())
         self.assertEqual(status, 200)
         self.assertEqual(fleet.standins.engines[left].received, 0)
 
     @with_fleet()
-    async def test_an_engine_that_began_to_leave_meanwhile_forms_no_whole_answer(
+    async def test_an_engine_that_began_to_leave_meanwhile_gives_no_complete_answer(
         self, fleet: OnlineFleet
     ) -> None:
         body = chat_body(stream=False, n=2)
-        status, left = await self.left_meanwhile(fleet, CHAT, body)
+        status, left = await self.call_while_leaving(fleet, CHAT, body)
         self.assertEqual(status, 200)
         self.assertEqual(fleet.standins.engines[left].received, 0)
 
     @with_fleet()
-    async def test_a_call_whose_deadline_passed_while_its_entry_stood_still_is_not_sent(
+    async def test_a_call_whose_deadline_passed_while_its_entry_was_suspended_is_not_sent(
         self, fleet: OnlineFleet
     ) -> None:
         async def stand_still_for_long(_address: Address) -> None:
--- a/tests/test_owner_confirmation.py
+++ b/tests/test_owner_confirmation.py
@@ -10,11 +10,11 @@
 from fescuedock.core.stored_jobs.cache import JobCache
 from fescuedock.core.stored_jobs.ownership import OwnerIdentity
 from fescuedock.node.owner_reads import OwnerReads
-from fescuedock.node.replicas import Replicas, Watched
+from fescuedock.node.replicas import Replicas, WatchedPrefix
 from fescuedock.schema.replicas import ReplicaNews
 from fescuedock.schema.stored_jobs import ResultGroup, StoredResult
 from tests.builders.forwarding import job_record
-from tests.test_replica_knowledge import AWAY, FakeSpread, FakeStore
+from tests.test_replica_knowledge import UNAVAILABLE, FakeBroadcaster, FakeStore
 
 PREFIX = "live/"
 RECORD = job_record(total=3, owner_id="n-1", owner_boot=1)
@@ -35,11 +35,11 @@
 
         async def run() -> None:
             replicas = Replicas(
-                FakeStore(0.0, AWAY),
-                [Watched(PREFIX, 900, 300)],
+                FakeStore(0.0, UNAVAILABLE),
+                [WatchedPrefix(PREFIX, 900, 300)],
                 self.silent,
                 lambda: (),
-                FakeSpread(),
+                FakeBroadcaster(),
                 random.Random(1),
             )
             replicas.tables[PREFIX].replace([], 5, now_ms())
@@ -58,7 +58,7 @@
                 OwnerIdentity("n-1", 1),
                 call_neighbour=self.silent,
                 address_of=lambda _vm_id: None,
-                listed_of=lambda _job_id: 2,
+                listed_count=lambda _job_id: 2,
             )
             found.append((await reads.read(RECORD, 2)).current)
 
@@ -66,7 +66,7 @@
         return found[0]
 
     async def silent(self, *_call: object) -> object:
-        return AWAY
+        return UNAVAILABLE
 
     def test_late_updates_of_a_known_sender_confirm_nothing(self) -> None:
         self.assertFalse(self.confirms(known_sender=True))
--- a/tests/test_replica_agreement.py
+++ b/tests/test_replica_agreement.py
@@ -11,9 +11,9 @@
 from fescuedock.address import Address
 from fescuedock.clock import now_ms
 from fescuedock.kv import KvEntry
-from fescuedock.node.replicas import Replicas, Watched
+from fescuedock.node.replicas import Replicas, WatchedPrefix
 from fescuedock.schema.replicas import ReplicaRequest
-from tests.test_replica_knowledge import AWAY, NEIGHBOUR, FakeSpread, FakeStore
+from tests.test_replica_knowledge import NEIGHBOUR, UNAVAILABLE, FakeBroadcaster, FakeStore
 
 PREFIX = "live/"
 
@@ -45,7 +45,7 @@
                 return Ok(await neighbour.handlers()[ReplicaRequest](message, None))
 
             requester._call_neighbour = call
-            await requester._ask(NEIGHBOUR)
+            await requester._query(NEIGHBOUR)
             agreed.append(requester.agreed_age_ms(PREFIX) < float("inf"))
 
         trio.run(run, clock=trio.testing.MockClock())
@@ -53,14 +53,14 @@
 
     def replicas(self) -> Replicas:
         async def silent(*_call: object) -> object:
-            return AWAY
+            return UNAVAILABLE
 
         return Replicas(
-            FakeStore(0.0, AWAY),
-            [Watched(PREFIX, 900, 300)],
+            FakeStore(0.0, UNAVAILABLE),
+            [WatchedPrefix(PREFIX, 900, 300)],
             silent,
             lambda: (NEIGHBOUR,),
-            FakeSpread(),
+            FakeBroadcaster(),
             random.Random(1),
         )
 
--- a/tests/test_spool_service.py
+++ b/tests/test_spool_service.py
@@ -35,7 +35,7 @@
 from fescuedock.standin.kv_state import KvState
 from tests.builders.disk import MemoryDisk
 from tests.builders.forwarding import job_record, stored_item
-from tests.builders.runner_world import StoreWay
+from tests.builders.runner_simulation import StoreLink
 
 KEYS = JobKeys("p/")
 FOLDER = Path("/data/spool")
@@ -45,7 +45,7 @@
 JOB = SpoolJob(job_record("job-1", total=1), [stored_item("a")])
 
 
-class SpoolWay(StoreWay):
+class SpoolWay(StoreLink):
     """A way to the store by which a spool can register."""
 
     async def put_if(self, key: str, value: bytes, revision: int) -> Result[int, Fault]:
@@ -151,7 +151,7 @@
             self.assertEqual((await ask(service, EmptySpool("to be removed"))).pending, 1)
             again = opened(disk, way)
             nursery.start_soon(again.run)
-            way.mend()
+            way.repair()
             await trio.sleep(1.0)
             self.assertIsNotNone(way.state.get(OWN_KEY))
             self.assertEqual((await ask(again, EmptySpool("to be removed"))).pending, 0)
@@ -166,11 +166,11 @@
                 disk.failing = lambda step, name=failing_step: step == name
                 reply = await ask(service, EmptySpool("to be removed"))
                 self.assertNotEqual(reply.code, ResultCode.OK)
-                self.assertIsNone(await self.spools(reply).pending_at("s-1"))
+                self.assertIsNone(await self.spools(reply).drain("s-1"))
                 self.assertEqual((await ask(service, JOB)).code, ResultCode.STORES_UNAVAILABLE)
                 disk.failing = lambda _step: False
                 reply = await ask(service, EmptySpool("to be removed"))
-                self.assertEqual(await self.spools(reply).pending_at("s-1"), 0)
+                self.assertEqual(await self.spools(reply).drain("s-1"), 0)
 
         self.run_test(test)
 
@@ -191,7 +191,7 @@
             self.assertTrue(await spools.may_hold("job-1"))
             self.assertTrue(await spools.end("job-1"))
             # Nor does it say that a machine which may be a spool holds nothing.
-            self.assertIsNone(await spools.pending_at("s-1"))
+            self.assertIsNone(await spools.drain("s-1"))
 
         self.run_test(test)
 
--- a/tests/test_uneven_load.py
+++ b/tests/test_uneven_load.py
@@ -1,7 +1,7 @@
-"""Calls at 1.9 times the mean on upstreams of uneven speed, played in virtual time.
+"""Calls at 1.9 times the mean rate on upstreams of uneven speed, in virtual time.
 
-15 upstreams and 23 nodes stand for 45 and 69.  Speeds are 0.6, 1.0 and 1.6, and 0.15 of the
-upstreams at a time are 2.5 times slower for about 600 ms.
+15 upstreams and 23 nodes represent 45 and 69.  Speeds are 0.6, 1.0 and 1.6, and at any time a share
+of 0.15 of the upstreams is 2.5 times slower for about 600 ms.
 """
 
 import random
@@ -19,21 +19,25 @@
 
 SEEDS = (1, 2, 4)
 SLOTS = 8
-# 80 ms to a first event at speed 1 are what a node takes for usual (``_FIRST_EVENT_MS``).
+# At speed 1 a first event takes the 80 ms that a node assumes at first (``_FIRST_EVENT_MS``).
 TIMES = CallTimes(
     target_ms=311.0, deadline_ms=5200.0, patience_ms=3200.0, first_event_ms=80.0, events=20
 )
 MEAN_PER_S = 67.0
-# Nodes get to know the upstreams first; the calls of the step count.
+# Nodes first learn the upstreams' speeds; only the calls of the load step are evaluated.
 CALM_S, STEP_S = 5.0, 6.0
 
-_Turn = Callable[[PlayedFleet, random.Random], None]
+_FleetChange = Callable[[PlayedFleet, random.Random], None]
 
 
 def play(
-    way: str, seed: int, turn: _Turn | None = None, *, speeds: Callable = PlayedSpeeds.uneven
+    policy: str,
+    seed: int,
+    change: _FleetChange | None = None,
+    *,
+    speeds: Callable = PlayedSpeeds.uneven,
 ) -> list[CallOutcome]:
-    """Return the calls of a demand step; ``turn`` changes the fleet at its begin."""
+    """Return the calls of a load step; ``change`` modifies the fleet at its start."""
 
     async def run() -> list[CallOutcome]:
         async with trio.open_nursery() as nursery:
@@ -42,18 +46,18 @@
                 nodes=23,
                 upstreams=15,
                 slots=SLOTS,
-                routing=replace(ONLINE_ROUTING, rank=POLICIES.get(way)),
+                routing=replace(ONLINE_ROUTING, rank=POLICIES.get(policy)),
                 seed=seed,
                 hop_ms=0.9,
                 domains=3,
             )
             rng = random.Random(seed)
             fleet.speeds = speeds(fleet.nodes[0].view.upstreams, SLOTS, random.Random(seed))
-            if way == "oracle":
+            if policy == "oracle":
                 fleet.set_ranking(oracle(fleet))
             await play_calls(fleet, ((CALM_S, MEAN_PER_S),), rng, TIMES)
-            if turn is not None:
-                turn(fleet, rng)
+            if change is not None:
+                change(fleet, rng)
             outcomes = await play_calls(fleet, ((STEP_S, 1.9 * MEAN_PER_S),), rng, TIMES)
             nursery.cancel_scope.cancel()
         return outcomes
@@ -62,7 +66,7 @@
 
 
 def break_a_third(fleet: PlayedFleet, rng: random.Random) -> None:
-    """Of 15 upstreams two turn slow, two are restarted under new identities, and one goes."""
+    """Slow down two of 15 upstreams, restart two under new identities, and remove one."""
     records = list(fleet.nodes[0].view.upstreams.values())
     chosen = rng.sample(records, 5)
     for record in chosen[:2]:
@@ -76,13 +80,13 @@
     fleet.spoil_reports(rng, lost_share=1 / 3, age_ms=1000.0)
 
 
-def on_time_share(way: str, turn: _Turn | None = None) -> float:
-    outcomes = [item for seed in SEEDS for item in play(way, seed, turn)]
+def on_time_share(policy: str, change: _FleetChange | None = None) -> float:
+    outcomes = [item for seed in SEEDS for item in play(policy, seed, change)]
     return sum(item.on_time for item in outcomes) / len(outcomes)
 
 
 class UnevenSpeedTest(unittest.TestCase):
-    """Today's choice, the one that ships, and one that knows all speeds."""
+    """Compares choice by load, by prediction (the production default), and by known speeds."""
 
     def test_the_prediction_is_nearly_as_good_as_an_oracle(self) -> None:
         self.assertGreaterEqual(on_time_share("predicted"), 0.99)
