--- a/src/fescuedock/agent/permit_client.py
+++ b/src/fescuedock/agent/permit_client.py
@@ -489,7 +489,9 @@
         self._record_loads(renewed.loads)
         self._revoke(renewed.revoked)
         owned_ids = {load.upstream_id for load in renewed.loads}
-        renewed_ids = [held.request.attempt_id for held in group if held.request.upstream_id in owned_ids]
+        renewed_ids = [
+            held.request.attempt_id for held in group if held.request.upstream_id in owned_ids
+        ]
         renew_at_ms = sent_ms + renewed.valid_ms / _RENEWALS_PER_VALIDITY
         self._book.record_renewal(renewed_ids, sent_ms + renewed.valid_ms, renew_at_ms)
 
--- a/src/fescuedock/core/stored_jobs/pool.py
+++ b/src/fescuedock/core/stored_jobs/pool.py
@@ -147,7 +147,9 @@
         version = None if versions is None else versions.software_version
         choices = self._ranked(upstream_id, service, now_ms, version)
         if not self._none_restricted():
-            choices = [item for item in choices if self._has_restriction(item.run, Restriction.FREE)]
+            choices = [
+                item for item in choices if self._has_restriction(item.run, Restriction.FREE)
+            ]
         return [item for item in choices if versions is None or self._may_start(item, versions)]
 
     def _may_start(self, choice: ItemChoice, versions: UpstreamVersions) -> bool:
--- a/src/fescuedock/entry/online_permits.py
+++ b/src/fescuedock/entry/online_permits.py
@@ -426,7 +426,11 @@
 
 
 def _should_move(
-    state: PermitSearch, call: OnlineCall, request: PlannedRequest, other: PlannedRequest, choices: Sequence[Choice]
+    state: PermitSearch,
+    call: OnlineCall,
+    request: PlannedRequest,
+    other: PlannedRequest,
+    choices: Sequence[Choice],
 ) -> bool:
     if state.routing.rank is None or request.local or other.local:
         return False
@@ -574,7 +578,10 @@
 
 
 def _record_reply(
-    state: PermitSearch, request: PlannedRequest, granted: Result[Grant, Fault], round_trip_ms: float
+    state: PermitSearch,
+    request: PlannedRequest,
+    granted: Result[Grant, Fault],
+    round_trip_ms: float,
 ) -> None:
     owner = state.view.owner_of(request.upstream_id)
     if owner is None:
--- a/src/fescuedock/node/online_call.py
+++ b/src/fescuedock/node/online_call.py
@@ -263,7 +263,10 @@
 
     def _has_no_upstream_left(self) -> bool:
         """Whether every upstream that could continue the stream has refused it."""
-        if self.software_version is None or self.progress.consecutive_refusals < _MAX_REFUSED_CONNECTIONS:
+        if (
+            self.software_version is None
+            or self.progress.consecutive_refusals < _MAX_REFUSED_CONNECTIONS
+        ):
             return False
         return not any(
             item.software_version == self.software_version and item.upstream_id not in self.avoided
--- a/src/fescuedock/node/stream_origins.py
+++ b/src/fescuedock/node/stream_origins.py
@@ -145,8 +145,12 @@
             return
         ranked = self._origin_nodes(key, live_only=True)
         spools = self._origin_spools(key)[: self._policy.notified_disks]
-        for first in range(0, _SEND_ROUNDS * self._policy.notified_nodes, self._policy.notified_nodes):
-            receivers = ranked[first : first + self._policy.notified_nodes] + (spools if not first else [])
+        for first in range(
+            0, _SEND_ROUNDS * self._policy.notified_nodes, self._policy.notified_nodes
+        ):
+            receivers = ranked[first : first + self._policy.notified_nodes] + (
+                spools if not first else []
+            )
             if not receivers:
                 return
             acknowledged = trio.Event()
