--- a/bench/batch_lean.py
+++ b/bench/batch_lean.py
@@ -184,7 +184,7 @@
         context.scheduler.add(run)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._dispatch, context, task, kill_after, nursery)
-            await task.work()
+            await task.run_to_end()
             nursery.cancel_scope.cancel()
         self.result.kv_calls = sum(self.kv.faults.calls.values())
         self.result.peak_rss_bytes = resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024
--- a/src/fescuedock/batch/attempts.py
+++ b/src/fescuedock/batch/attempts.py
@@ -30,8 +30,8 @@
 __all__ = ["Attempt", "UpstreamClients", "run_attempt"]
 
 _CHAT_URL = "/v1/chat/completions"
-_SERVICE_DEPTH = 3
-_BUSY_STATUSES = (429, 503)
+_SERVICE_PREFIX_SLASHES = 3
+_OVERLOAD_STATUSES = (429, 503)
 _FIRST_ERROR_STATUS = 300
 _MAX_ANSWER_BYTES = 16 * 1024 * 1024
 _OUTCOMES = {
@@ -82,24 +82,24 @@
     line = read_line(item.line)
     software_version = attempt.upstream.software_version
     # What two versions write of one answer does not fit together.
-    goes_on = item.software_version == software_version
-    begun = (item.text, item.tokens) if goes_on else ("", 0)
-    gathered = AnswerAssembly(line.url == _CHAT_URL, *begun)
+    can_resume = item.software_version == software_version
+    initial = (item.text, item.tokens) if can_resume else ("", 0)
+    assembly = AnswerAssembly(line.url == _CHAT_URL, *initial)
     attempt.started_ms = now_ms()
     end = AttemptEnd(EndKind.STOPPED)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(_cancel_when_revoked, attempt)
         with attempt.scope:
-            end = await _judged(upstreams, attempt, line, gathered)
+            end = await _call_and_classify(upstreams, attempt, line, assembly)
         nursery.cancel_scope.cancel()
     if end.kind is EndKind.STOPPED and attempt.grant.revoked.is_set():
         end = AttemptEnd(EndKind.REVOKED)
     if end.kind is not EndKind.DONE:
-        made = (item.text, item.tokens, item.software_version)
-        if gathered.tokens > begun[1]:
-            made = (gathered.text, gathered.tokens, software_version)
-        end = AttemptEnd(end.kind, end.status, end.body, *made)
-    _give_back(attempt, end, gathered.tokens - begun[1])
+        generated = (item.text, item.tokens, item.software_version)
+        if assembly.tokens > initial[1]:
+            generated = (assembly.text, assembly.tokens, software_version)
+        end = AttemptEnd(end.kind, end.status, end.body, *generated)
+    _end_permit(attempt, end, assembly.tokens - initial[1])
     return end
 
 
@@ -108,13 +108,13 @@
     attempt.scope.cancel()
 
 
-async def _judged(
-    upstreams: UpstreamClients, attempt: Attempt, line: ItemLine, gathered: AnswerAssembly
+async def _call_and_classify(
+    upstreams: UpstreamClients, attempt: Attempt, line: ItemLine, assembly: AnswerAssembly
 ) -> AttemptEnd:
     """Make the call and tell from its end what to think of it."""
     try:
         with trio.CancelScope() as stall:
-            answer = await _answer(upstreams, attempt, line, gathered, stall)
+            answer = await _request_answer(upstreams, attempt, line, assembly, stall)
     except WithdrawnError as error:
         return AttemptEnd(EndKind.WITHDRAWN, body=str(error).encode())
     except NotSentError as error:
@@ -122,7 +122,7 @@
     except ResponseLostError as error:
         return AttemptEnd(EndKind.DIED, body=str(error).encode())
     except EngineError as error:
-        return AttemptEnd(_kind_of(error), error.status, error.body)
+        return AttemptEnd(_end_kind(error), error.status, error.body)
     except msgspec.MsgspecError as error:
         return AttemptEnd(EndKind.SERVER_ERROR, 502, f"an event out of shape: {error}".encode())
     except Exception as error:
@@ -134,11 +134,11 @@
     return answer
 
 
-async def _answer(
+async def _request_answer(
     upstreams: UpstreamClients,
     attempt: Attempt,
     line: ItemLine,
-    gathered: AnswerAssembly,
+    assembly: AnswerAssembly,
     stall: trio.CancelScope,
 ) -> AttemptEnd:
     """Return the whole answer, moving the deadline of ``stall`` on at each token."""
@@ -150,26 +150,26 @@
     engine = upstreams.engine
     body = msgspec.json.decode(line.body)
     if not can_stream(body):
-        whole = await engine.call(attempt.upstream, line.url, body, attempt_id, attempt.check)
-        return AttemptEnd(EndKind.DONE, 200, whole)
+        full_body = await engine.call(attempt.upstream, line.url, body, attempt_id, attempt.check)
+        return AttemptEnd(EndKind.DONE, 200, full_body)
     body["stream_options"] = {"include_usage": True}
-    resume = ResumePoint(gathered.tokens, gathered.text) if gathered.tokens else None
+    resume = ResumePoint(assembly.tokens, assembly.text) if assembly.tokens else None
     async with engine.stream(
         attempt.upstream, line.url, body, attempt_id, resume, attempt.check
     ) as stream:
         async for event in stream:
             stall.deadline = trio.current_time() + stall_s
             if event.text:
-                _note_token(attempt)
-            gathered.add(event.data, event.text, event.finished)
-    return AttemptEnd(EndKind.DONE, 200, gathered.body())
+                _record_token(attempt)
+            assembly.add(event.data, event.text, event.finished)
+    return AttemptEnd(EndKind.DONE, 200, assembly.body())
 
 
 async def _call_plain(http: HttpClient, attempt: Attempt, line: ItemLine) -> AttemptEnd:
     """Send the item's body, as it stands, to a plain service."""
     address = Address(attempt.upstream.host, attempt.upstream.port)
     headers = [("content-type", "application/json"), (ATTEMPT_HEADER, attempt.grant.permit_id)]
-    path = _path_at(line.url)
+    path = _service_path(line.url)
     async with http.request(
         address, line.method, path, headers, bytes(line.body), check=attempt.check
     ) as response:
@@ -182,24 +182,24 @@
     return AttemptEnd(EndKind.DONE, response.status, answer)
 
 
-def _note_token(attempt: Attempt) -> None:
+def _record_token(attempt: Attempt) -> None:
     attempt.grant.count_tokens()
     if attempt.first_token_ms < 0:
         attempt.first_token_ms = now_ms() - attempt.started_ms
 
 
-def _path_at(url: str) -> str:
+def _service_path(url: str) -> str:
     """Return the path that a plain service knows: its own, without our prefix."""
-    return "/" + "".join(url.split("/", _SERVICE_DEPTH)[_SERVICE_DEPTH:])
+    return "/" + "".join(url.split("/", _SERVICE_PREFIX_SLASHES)[_SERVICE_PREFIX_SLASHES:])
 
 
-def _kind_of(error: EngineError) -> EndKind:
-    if error.status in _BUSY_STATUSES:
+def _end_kind(error: EngineError) -> EndKind:
+    if error.status in _OVERLOAD_STATUSES:
         return EndKind.BUSY
     return EndKind.REJECTED if error.is_permanent else EndKind.SERVER_ERROR
 
 
-def _give_back(attempt: Attempt, end: AttemptEnd, tokens: int) -> None:
+def _end_permit(attempt: Attempt, end: AttemptEnd, tokens: int) -> None:
     """End the permit, with what the attempt showed about the upstream."""
     inter_token_ms = -1.0
     if tokens > 1 and attempt.first_token_ms >= 0:
--- a/src/fescuedock/batch/context.py
+++ b/src/fescuedock/batch/context.py
@@ -54,6 +54,6 @@
     random: random.Random
     signal: WorkSignal = msgspec.field(default_factory=WorkSignal)
 
-    def work_changed(self) -> None:
+    def notify_work(self) -> None:
         """Let those who ask for permits look for work again."""
         self.signal.notify()
--- a/src/fescuedock/batch/dispatch.py
+++ b/src/fescuedock/batch/dispatch.py
@@ -35,32 +35,32 @@
 _EMPTY_GRANT_PAUSE_MS = 50.0
 _REFUSED_PAUSE_MS = 100.0
 # An ask may be late by this much beyond the time it may stay queued.
-_ASK_MARGIN_MS = 500.0
-_RECHECK_S = 1.0
+_REQUEST_MARGIN_MS = 500.0
+_UPSTREAMS_POLL_S = 1.0
 # An upstream that is being emptied for a run alone takes as long as the longest run there.
-_ALONE_WAIT_MS = 30000
+_ISOLATED_WAIT_MS = 30000
 _BYTES_PER_TOKEN = 4
 _MAX_SLACK_MS = 2**31 - 1
 
 # Finds the running job of a state machine.
-TaskOf = Callable[[str], JobTask | None]
+FindTask = Callable[[str], JobTask | None]
 
 
 class Dispatcher:
     """Keeps asks open at the owner of each upstream whose service has jobs here."""
 
-    __slots__ = ("_asking", "_context", "_nursery", "_stopping", "_task_of")
+    __slots__ = ("_context", "_find_task", "_nursery", "_requesting", "_stopping")
 
-    def __init__(self, context: RunnerContext, task_of: TaskOf) -> None:
+    def __init__(self, context: RunnerContext, find_task: FindTask) -> None:
         self._context = context
-        self._task_of = task_of
-        self._asking: set[str] = set()
+        self._find_task = find_task
+        self._requesting: set[str] = set()
         self._stopping = False
 
     def stop(self) -> None:
         """Start no further item."""
         self._stopping = True
-        self._context.work_changed()
+        self._context.notify_work()
 
     async def run(self) -> None:
         """Follow the fleet view; never returns."""
@@ -69,51 +69,51 @@
             while True:
                 self._context.scheduler.choose_loading_jobs(now_ms())
                 for upstream in list(self._context.view.upstreams.values()):
-                    if self._is_wanted(upstream.upstream_id):
-                        self._start(upstream.upstream_id)
+                    if self._is_usable(upstream.upstream_id):
+                        self._start_requests(upstream.upstream_id)
                 seen = self._context.view.version
-                with trio.move_on_after(_RECHECK_S):
+                with trio.move_on_after(_UPSTREAMS_POLL_S):
                     await self._context.view.wait_changed(seen)
 
-    def _start(self, upstream_id: str) -> None:
-        if upstream_id in self._asking:
+    def _start_requests(self, upstream_id: str) -> None:
+        if upstream_id in self._requesting:
             return
-        self._asking.add(upstream_id)
-        self._nursery.start_soon(self._ask_of, upstream_id)
+        self._requesting.add(upstream_id)
+        self._nursery.start_soon(self._request_permits, upstream_id)
 
-    def _is_wanted(self, upstream_id: str) -> bool:
+    def _is_usable(self, upstream_id: str) -> bool:
         upstream = self._context.view.upstreams.get(upstream_id)
         return upstream is not None and not upstream.leaving and not self._stopping
 
-    async def _ask_of(self, upstream_id: str) -> None:
+    async def _request_permits(self, upstream_id: str) -> None:
         async with trio.open_nursery() as nursery:
             for _ in range(self._context.settings.batch.open_asks):
-                nursery.start_soon(self._ask_forever, upstream_id)
-        self._asking.discard(upstream_id)
+                nursery.start_soon(self._request_forever, upstream_id)
+        self._requesting.discard(upstream_id)
 
-    async def _ask_forever(self, upstream_id: str) -> None:
+    async def _request_forever(self, upstream_id: str) -> None:
         """Ask for one permit after the other while the upstream is there."""
         context = self._context
-        while self._is_wanted(upstream_id):
+        while self._is_usable(upstream_id):
             upstream = context.view.upstreams[upstream_id]
             run = context.scheduler.next_run(upstream.service, upstream_id, now_ms())
             if run is None:
                 await context.signal.wait(_IDLE_WAIT_MS)
                 continue
-            result = await self._ask(upstream, run)
+            result = await self._request_permit(upstream, run)
             if isinstance(result, Ok):
-                await self._use(upstream_id, result.ok_value)
+                await self._use_grant(upstream_id, result.ok_value)
                 continue
             pause_ms = max(result.err_value.retry_after_ms, _REFUSED_PAUSE_MS)
             await trio.sleep(pause_ms * context.random.uniform(0.5, 1.5) / 1000)
 
-    async def _ask(self, upstream: UpstreamRecord, run: JobRun) -> Result[Grant, Fault]:
+    async def _request_permit(self, upstream: UpstreamRecord, run: JobRun) -> Result[Grant, Fault]:
         context = self._context
         wait_ms = context.settings.batch.ask_wait_ms
         now = now_ms()
         item = run.peek(now)
         slack_ms = context.scheduler.slack_ms(run, now)
-        ask = PermitAsk(
+        request = PermitAsk(
             upstream_id=upstream.upstream_id,
             attempt_id=token_hex(16),
             holder_id=context.permits.holder_id,
@@ -124,36 +124,38 @@
             prompt_tokens=len(item.line) // _BYTES_PER_TOKEN if item else 0,
             wait_ms=wait_ms,
         )
-        return await context.permits.request(ask, wait_ms + _ASK_MARGIN_MS)
+        return await context.permits.request(request, wait_ms + _REQUEST_MARGIN_MS)
 
-    async def _use(self, upstream_id: str, grant: Grant) -> None:
+    async def _use_grant(self, upstream_id: str, grant: Grant) -> None:
         """Run an item under ``grant``, or give it back at once when there is none any more."""
         scheduler = self._context.scheduler
         assignment = None
         # As it is known now: the ask took a while, and the address may be another's since.
         upstream = self._context.view.upstreams.get(upstream_id)
-        if self._is_wanted(upstream_id) and not grant.revoked.is_set():
-            assignment = scheduler.claim(upstream.service, upstream_id, self._share_of, now_ms())
+        if self._is_usable(upstream_id) and not grant.revoked.is_set():
+            assignment = scheduler.claim(
+                upstream.service, upstream_id, self._member_share, now_ms()
+            )
         if assignment is None:
-            grant.end(_unused(grant))
+            grant.end(_unused_permit(grant))
             await trio.sleep(_EMPTY_GRANT_PAUSE_MS / 1000)
             return
         # What is polled by the job itself, such as the next input, may be due now.
-        task = self._task_of(assignment.run.job_id)
+        task = self._find_task(assignment.run.job_id)
         task.wake()
-        work = _work_of(assignment.run, assignment.item, upstream.service)
-        standing = self._context.view.verdict_on(work.work_id, work.parts).restriction
-        if standing is Restriction.FREE and assignment.isolation is not Isolation.ALONE:
+        work = _identify_work(assignment.run, assignment.item, upstream.service)
+        restriction = self._context.view.verdict_on(work.work_id, work.parts).restriction
+        if restriction is Restriction.FREE and assignment.isolation is not Isolation.ALONE:
             grant.assign_work(work.work_id, work.parts)
-            self._begin(task, assignment, upstream, grant)
+            self._start_attempt(task, assignment, upstream, grant)
             return
         # It needs an upstream where nothing of any VM runs, or none at all.
         self._context.permits.return_unused(grant)
         scope = trio.CancelScope()
         task.attempts.add(scope)
-        self._nursery.start_soon(self._run_alone, task, assignment, work, scope)
+        self._nursery.start_soon(self._run_isolated, task, assignment, work, scope)
 
-    def _begin(
+    def _start_attempt(
         self, task: JobTask, assignment: Assignment, upstream: UpstreamRecord, grant: Grant
     ) -> None:
         timeout_ms = self._timeout_ms(upstream.service)
@@ -168,31 +170,31 @@
             end = await run_attempt(self._context.upstreams, attempt)
         finally:
             task.attempts.discard(attempt.scope)
-        self._note_end(task, assignment, end, now_ms() - attempt.started_ms)
+        self._record_end(task, assignment, end, now_ms() - attempt.started_ms)
 
-    async def _run_alone(
-        self, task: JobTask, assignment: Assignment, work: "_Work", scope: trio.CancelScope
+    async def _run_isolated(
+        self, task: JobTask, assignment: Assignment, work: "_WorkIdentity", scope: trio.CancelScope
     ) -> None:
         """Wait until an item may run alone somewhere, and run it there."""
         granted: tuple[UpstreamRecord, Grant] | None = None
         with scope:
-            granted = await self._find_alone(assignment, work)
+            granted = await self._acquire_isolated(assignment, work)
         task.attempts.discard(scope)
         if scope.cancel_called:
             if granted is not None:
                 self._context.permits.return_unused(granted[1])
-            self._note_end(task, assignment, AttemptEnd(EndKind.STOPPED), 0.0)
+            self._record_end(task, assignment, AttemptEnd(EndKind.STOPPED), 0.0)
             return
         if granted is None:
             message = b"upstreams ended each time while they ran this item"
-            self._note_end(task, assignment, AttemptEnd(EndKind.HARMFUL, body=message), 0.0)
+            self._record_end(task, assignment, AttemptEnd(EndKind.HARMFUL, body=message), 0.0)
             return
         upstream, grant = granted
         assignment.item.upstream_id = upstream.upstream_id
-        self._begin(task, assignment, upstream, grant)
+        self._start_attempt(task, assignment, upstream, grant)
 
-    async def _find_alone(
-        self, assignment: Assignment, work: "_Work"
+    async def _acquire_isolated(
+        self, assignment: Assignment, work: "_WorkIdentity"
     ) -> tuple[UpstreamRecord, Grant] | None:
         """Return an upstream with a permit to run alone there; None for work that is refused."""
         context = self._context
@@ -211,17 +213,17 @@
             # The one that all VMs choose, so that such runs take no more than one.
             upstream = context.view.upstreams.get(choose_name(assignment.service, names) or "")
             if upstream is None:
-                await trio.sleep(_RECHECK_S)
+                await trio.sleep(_UPSTREAMS_POLL_S)
                 continue
-            ask = self._alone_ask(upstream, assignment.run, work.work_id)
-            timeout_ms = _ALONE_WAIT_MS + _ASK_MARGIN_MS
-            result = await context.permits.request(ask, timeout_ms, work.parts)
+            request = self._isolated_request(upstream, assignment.run, work.work_id)
+            timeout_ms = _ISOLATED_WAIT_MS + _REQUEST_MARGIN_MS
+            result = await context.permits.request(request, timeout_ms, work.parts)
             if isinstance(result, Ok):
                 return upstream, result.ok_value
             pause_ms = max(result.err_value.retry_after_ms, _REFUSED_PAUSE_MS)
             await trio.sleep(pause_ms * context.random.uniform(0.5, 1.5) / 1000)
 
-    def _alone_ask(self, upstream: UpstreamRecord, run: JobRun, work_id: str) -> PermitAsk:
+    def _isolated_request(self, upstream: UpstreamRecord, run: JobRun, work_id: str) -> PermitAsk:
         return PermitAsk(
             upstream_id=upstream.upstream_id,
             attempt_id=token_hex(16),
@@ -230,12 +232,12 @@
             member=run.record.member,
             work_class=WorkClass.BATCH,
             slack_ms=0,
-            wait_ms=_ALONE_WAIT_MS,
+            wait_ms=_ISOLATED_WAIT_MS,
             work_id=work_id,
             alone=True,
         )
 
-    def _note_end(
+    def _record_end(
         self, task: JobTask, assignment: Assignment, end: AttemptEnd, run_ms: float
     ) -> None:
         context = self._context
@@ -247,7 +249,7 @@
             context.metrics.record_item(assignment.service, member, run_ms, code)
         task.wake()
         if was_full:
-            context.work_changed()
+            context.notify_work()
 
     def _item_check(self, run: JobRun, upstream: UpstreamRecord, grant: Grant) -> SendCheck:
         """Return the check of an item's request: that of its job again, and that of any request."""
@@ -259,27 +261,27 @@
         spec = self._context.view.configuration.services.get(service)
         return (spec or ServiceSpec(ServiceKind.MODEL)).request_timeout_ms
 
-    def _share_of(self, member: str) -> float:
+    def _member_share(self, member: str) -> float:
         spec = self._context.view.configuration.members.get(member)
         return (spec or MemberSpec()).share
 
 
-class _Work(msgspec.Struct, frozen=True):
+class _WorkIdentity(msgspec.Struct, frozen=True):
     """The identities of an item's work and of its prompt's shared parts."""
 
     work_id: str
     parts: tuple[str, ...]
 
 
-def _work_of(run: JobRun, item: Item, service: str) -> _Work:
+def _identify_work(run: JobRun, item: Item, service: str) -> _WorkIdentity:
     """Return the identities of an item's work, which are those of a call with the same request."""
     line = read_line(item.line)
     body = bytes(line.body)
     work_id = work_identity(service, line.method, line.url, run.record.member, body)
-    return _Work(work_id, message_parts(msgspec.json.decode(body, type=dict)))
+    return _WorkIdentity(work_id, message_parts(msgspec.json.decode(body, type=dict)))
 
 
-def _unused(grant: Grant) -> EndedPermit:
+def _unused_permit(grant: Grant) -> EndedPermit:
     return EndedPermit(
         permit_id=grant.permit_id,
         upstream_id=grant.upstream_id,
--- a/src/fescuedock/batch/jobs.py
+++ b/src/fescuedock/batch/jobs.py
@@ -25,8 +25,8 @@
 
 __all__ = ["JobTask", "clean_up"]
 
-_GATHER_S = 0.002
-_CLEAN_UP_TRIES = 5
+_COALESCE_S = 0.002
+_MAX_CLEAN_UP_ATTEMPTS = 5
 _CLEAN_UP_PAUSE_S = 0.5
 
 
@@ -55,10 +55,10 @@
             self.stop_attempts()
         self.wake()
 
-    async def work(self) -> None:
+    async def run_to_end(self) -> None:
         """Run until this runner has nothing more to do with the job."""
         log_event("job_taken", job_id=self.run.job_id)
-        clean = False
+        needs_clean_up = False
         async with trio.open_nursery() as nursery:
             while not self.run.over:
                 self._changed = trio.Event()
@@ -66,19 +66,19 @@
                     if isinstance(action, StopAttempts):
                         self.stop_attempts()
                     elif isinstance(action, CleanUp):
-                        clean = True
+                        needs_clean_up = True
                     else:
                         nursery.start_soon(self._execute, action)
                 if self.run.peek(now_ms()) is not None:
-                    self._context.work_changed()
-                self._count(now_ms() >= self.run.deadline_ms)
+                    self._context.notify_work()
+                self._count_once(now_ms() >= self.run.deadline_ms)
                 if not self.run.over:
                     await self._wait()
             self.stop_attempts()
             nursery.cancel_scope.cancel()
-        self._count(self.run.completed)
-        self._report_end()
-        if clean:
+        self._count_once(self.run.completed)
+        self._log_end()
+        if needs_clean_up:
             await clean_up(self._context, self.run.job_id)
 
     def stop_attempts(self) -> None:
@@ -86,7 +86,7 @@
         for scope in self.attempts:
             scope.cancel()
 
-    def _count(self, due: bool) -> None:
+    def _count_once(self, due: bool) -> None:
         """Count the job once: when it is whole, or when its deadline passes before."""
         run = self.run
         if not due or self._counted or not run.epoch:
@@ -103,9 +103,9 @@
         with trio.move_on_at(wake_at_ms / 1000):
             await self._changed.wait()
         # What is reported in quick succession is looked at together.
-        await trio.sleep(_GATHER_S)
+        await trio.sleep(_COALESCE_S)
 
-    def _report_end(self) -> None:
+    def _log_end(self) -> None:
         run = self.run
         record = run.record
         log_event(
@@ -154,11 +154,11 @@
             self.run.on_kv_failed(result.err_value.code, now_ms())
 
     async def _read_log(self) -> None:
-        def take(records: list[bytes]) -> None:
+        def on_page(records: list[bytes]) -> None:
             self.run.on_log_page(records, now_ms())
             self.wake()
 
-        result = await self._context.stores.read_log(self.run.job_id, take)
+        result = await self._context.stores.read_log(self.run.job_id, on_page)
         self.run.on_log_end(result.is_ok(), now_ms())
 
     async def _append_log(self, action: AppendLog) -> None:
@@ -195,7 +195,7 @@
     """
     await context.stores.drop_log(job_id)
     key = open_job_key(context.settings.platform.key_prefix, job_id)
-    for _ in range(_CLEAN_UP_TRIES):
+    for _ in range(_MAX_CLEAN_UP_ATTEMPTS):
         found = await context.kv.get(key)
         if isinstance(found, Ok):
             entry = found.ok_value
--- a/src/fescuedock/batch/main.py
+++ b/src/fescuedock/batch/main.py
@@ -38,10 +38,10 @@
 
 _POLL_MS = 50.0
 # Share of the stop timeout in which items in flight may still end by themselves.
-_ITEMS_SHARE = 0.5
+_ITEMS_TIMEOUT_SHARE = 0.5
 
 
-class _Front:
+class _ChannelHandler:
     """Answers messages; before the runner is there it owns no job."""
 
     def __init__(self) -> None:
@@ -67,26 +67,26 @@
     if settings.batch is None:
         raise ValueError("the settings lack section [batch]")
     codec = open_codec(settings.vm)
-    front = _Front()
+    handler = _ChannelHandler()
     async with trio.open_nursery() as nursery:
         listen = Address(settings.vm.host, settings.batch.port)
-        address = await nursery.start(serve_channel, listen, codec, front.handle)
-        link_to_agent = open_agent_link(
+        address = await nursery.start(serve_channel, listen, codec, handler.handle)
+        agent_link = open_agent_link(
             settings, codec, Program.BATCH, address.port, lambda: not stop.requested
         )
         async with (
-            link_to_agent as (link, view),
+            agent_link as (link, view),
             _open_context(settings, codec, view) as context,
             open_channel_pool(codec) as channels,
             trio.open_nursery() as jobs,
         ):
-            front.runner = Runner(context, channels, jobs)
-            dispatcher = Dispatcher(context, front.runner.task_of)
+            handler.runner = Runner(context, channels, jobs)
+            dispatcher = Dispatcher(context, handler.runner.find_task)
             jobs.start_soon(dispatcher.run)
-            jobs.start_soon(scan_forever, context, front.runner)
+            jobs.start_soon(scan_forever, context, handler.runner)
             task_status.started(address)
             await stop.wait()
-            await _leave(context, front.runner, dispatcher, link)
+            await _shut_down(context, handler.runner, dispatcher, link)
             jobs.cancel_scope.cancel()
         nursery.cancel_scope.cancel()
 
@@ -124,7 +124,7 @@
         )
 
 
-async def _leave(
+async def _shut_down(
     context: RunnerContext, runner: Runner, dispatcher: Dispatcher, link: AgentLink
 ) -> None:
     """Let items in flight end, commit all results, and name the jobs to their next runners."""
@@ -132,12 +132,12 @@
     runner.stop()
     dispatcher.stop()
     await link.hello()
-    with trio.move_on_after(timeout_s * _ITEMS_SHARE):
+    with trio.move_on_after(timeout_s * _ITEMS_TIMEOUT_SHARE):
         while any(task.run.in_flight for task in runner.tasks):
             await context.signal.wait(_POLL_MS)
     for task in runner.tasks:
         task.stop_attempts()
-    with trio.move_on_after(timeout_s * (1 - _ITEMS_SHARE)):
+    with trio.move_on_after(timeout_s * (1 - _ITEMS_TIMEOUT_SHARE)):
         while not all(task.run.all_committed or task.run.over for task in runner.tasks):
             for task in runner.tasks:
                 if not task.run.in_flight:
--- a/src/fescuedock/batch/runner.py
+++ b/src/fescuedock/batch/runner.py
@@ -29,7 +29,7 @@
 __all__ = ["Runner"]
 
 _CHECK_TIMEOUT_MS = 1000
-_SILENT_PAUSE_S = 0.5
+_SILENT_OWNER_RETRY_S = 0.5
 
 
 class Runner:
@@ -37,11 +37,11 @@
 
     __slots__ = (
         "_channels",
-        "_considering",
         "_context",
+        "_evaluating",
+        "_known_owners",
         "_nursery",
-        "_owners",
-        "_silence",
+        "_silent_owners",
         "_stopping",
         "_tasks",
     )
@@ -53,10 +53,10 @@
         self._channels = channels
         self._nursery = nursery
         self._tasks: dict[str, JobTask] = {}
-        self._considering: set[str] = set()
+        self._evaluating: set[str] = set()
         # Owners of jobs that are not ours, so that a scan costs no call of the service.
-        self._owners: dict[str, str] = {}
-        self._silence = SilentOwners()
+        self._known_owners: dict[str, str] = {}
+        self._silent_owners = SilentOwners()
         self._stopping = False
 
     async def handle(self, message: msgspec.Struct, _peer: ServerPeer) -> msgspec.Struct | None:
@@ -79,11 +79,11 @@
         task = self._tasks.get(message.job_id)
         if task is not None:
             task.push(message.cancelled)
-        elif not self._stopping and message.job_id not in self._considering:
-            self._considering.add(message.job_id)
-            self._nursery.start_soon(self._consider, message)
+        elif not self._stopping and message.job_id not in self._evaluating:
+            self._evaluating.add(message.job_id)
+            self._nursery.start_soon(self._evaluate, message)
 
-    def task_of(self, job_id: str) -> JobTask | None:
+    def find_task(self, job_id: str) -> JobTask | None:
         """Return the task of a job that runs here."""
         return self._tasks.get(job_id)
 
@@ -100,12 +100,12 @@
         others = [vm for vm in self._live_runners() if vm.vm_id != self._context.name.vm_id]
         for job_id in list(self._tasks):
             del self._tasks[job_id]
-            heir = preferred_runner(job_id, others)
-            if heir is not None:
-                channel = await self._channels.client(Address(heir.host, heir.batch_port))
+            successor = preferred_runner(job_id, others)
+            if successor is not None:
+                channel = await self._channels.client(Address(successor.host, successor.batch_port))
                 channel.push(JobPush(job_id))
 
-    async def pass_on(self, job_id: str) -> None:
+    async def notify_runner(self, job_id: str) -> None:
         """Name an open job to the runner that should own it."""
         chosen = preferred_runner(job_id, self._live_runners())
         if chosen is None or chosen.vm_id == self._context.name.vm_id:
@@ -117,61 +117,61 @@
     def _live_runners(self) -> list[VmRecord]:
         return self._context.view.live_vms(Program.BATCH)
 
-    async def _consider(self, message: JobPush) -> None:
+    async def _evaluate(self, message: JobPush) -> None:
         job_id = message.job_id
         try:
-            while not await self._is_ours_to_take(message):
-                if not self._silence.is_silent(job_id):
+            while not await self._may_claim(message):
+                if not self._silent_owners.is_silent(job_id):
                     return
                 # The owner may be gone and our view late; asking it costs the service nothing.
-                await trio.sleep(_SILENT_PAUSE_S)
+                await trio.sleep(_SILENT_OWNER_RETRY_S)
                 message = JobPush(job_id)
-            self._take(job_id)
+            self._claim(job_id)
         finally:
-            self._considering.discard(job_id)
+            self._evaluating.discard(job_id)
 
-    async def _is_ours_to_take(self, message: JobPush) -> bool:
+    async def _may_claim(self, message: JobPush) -> bool:
         """Find out whether the job has no owner that goes on with it."""
         job_id = message.job_id
-        known = self._owners.get(job_id)
-        asked = known is not None and not message.cancelled
-        if asked and await self._verdict(job_id, known) is TakeoverDecision.LEAVE:
+        known = self._known_owners.get(job_id)
+        owner_known = known is not None and not message.cancelled
+        if owner_known and await self._decide(job_id, known) is TakeoverDecision.LEAVE:
             return False
-        record = await self._read(job_id)
+        record = await self._read_record(job_id)
         # From here on the record decides; if it cannot be read, the next scan tries again.
-        self._silence.clear(job_id)
+        self._silent_owners.clear(job_id)
         if record is None:
             return False
         if is_final(record):
-            self._owners.pop(job_id, None)
+            self._known_owners.pop(job_id, None)
             await clean_up(self._context, job_id)
             return False
-        self._owners[job_id] = record.owner
-        if asked and record.owner == known:
+        self._known_owners[job_id] = record.owner
+        if owner_known and record.owner == known:
             return True
-        if await self._verdict(job_id, record.owner) is TakeoverDecision.CLAIM:
+        if await self._decide(job_id, record.owner) is TakeoverDecision.CLAIM:
             return True
         if message.cancelled:
-            await self._tell_owner(record.owner, message)
+            await self._notify_owner(record.owner, message)
         return False
 
-    async def _verdict(self, job_id: str, owner: str) -> TakeoverDecision:
+    async def _decide(self, job_id: str, owner: str) -> TakeoverDecision:
         """Decide about a job that is recorded as ``owner``'s, asking it if need be."""
         vm = self._context.view.vms.get(RunnerName.parse(owner).vm_id)
         name = self._context.name
         silence_ms = self._context.settings.batch.takeover_silence_ms
-        verdict = decide_takeover(owner, name, vm, None, 0.0, silence_ms)
-        if verdict is not TakeoverDecision.QUERY_OWNER:
-            return verdict
-        answer = await self._ask_owner(job_id, owner, Address(vm.host, vm.batch_port))
+        decision = decide_takeover(owner, name, vm, None, 0.0, silence_ms)
+        if decision is not TakeoverDecision.QUERY_OWNER:
+            return decision
+        answer = await self._query_owner(job_id, owner, Address(vm.host, vm.batch_port))
         silent_ms = 0.0
         if answer is OwnerAnswer.SILENT:
-            silent_ms = self._silence.record_silence(job_id, now_ms())
+            silent_ms = self._silent_owners.record_silence(job_id, now_ms())
         else:
-            self._silence.clear(job_id)
+            self._silent_owners.clear(job_id)
         return decide_takeover(owner, name, vm, answer, silent_ms, silence_ms)
 
-    async def _ask_owner(self, job_id: str, owner: str, address: Address) -> OwnerAnswer:
+    async def _query_owner(self, job_id: str, owner: str, address: Address) -> OwnerAnswer:
         channel = await self._channels.client(address)
         result = await channel.call(JobCheck(job_id), _CHECK_TIMEOUT_MS)
         match result:
@@ -181,13 +181,13 @@
                 return OwnerAnswer.NOT_RUNNING
         return OwnerAnswer.SILENT
 
-    async def _tell_owner(self, owner: str, message: JobPush) -> None:
+    async def _notify_owner(self, owner: str, message: JobPush) -> None:
         vm = self._context.view.vms.get(RunnerName.parse(owner).vm_id)
         if vm is not None:
             channel = await self._channels.client(Address(vm.host, vm.batch_port))
             channel.push(message)
 
-    async def _read(self, job_id: str) -> JobRecord | None:
+    async def _read_record(self, job_id: str) -> JobRecord | None:
         key = job_key(self._context.settings.platform.key_prefix, job_id)
         result = await self._context.kv.get(key)
         if isinstance(result, Err):
@@ -195,7 +195,7 @@
             return None
         return decode_record(result.ok_value.value) if result.ok_value else None
 
-    def _take(self, job_id: str) -> None:
+    def _claim(self, job_id: str) -> None:
         if self._stopping or job_id in self._tasks:
             return
         context = self._context
@@ -208,16 +208,16 @@
         )
         task = JobTask(context, run)
         self._tasks[job_id] = task
-        self._silence.clear(job_id)
-        self._nursery.start_soon(self._work, task)
+        self._silent_owners.clear(job_id)
+        self._nursery.start_soon(self._run_job, task)
 
-    async def _work(self, task: JobTask) -> None:
+    async def _run_job(self, task: JobTask) -> None:
         scheduler = self._context.scheduler
         scheduler.add(task.run)
         try:
-            await task.work()
+            await task.run_to_end()
         finally:
             scheduler.remove(task.run)
             if self._tasks.get(task.run.job_id) is task:
                 del self._tasks[task.run.job_id]
-        self._owners.pop(task.run.job_id, None)
+        self._known_owners.pop(task.run.job_id, None)
--- a/src/fescuedock/batch/scanner.py
+++ b/src/fescuedock/batch/scanner.py
@@ -17,7 +17,7 @@
 __all__ = ["scan_forever"]
 
 _PAGE_JOBS = 1000
-_LEAST_PAUSE_MS = 1000.0
+_MIN_PAUSE_MS = 1000.0
 
 
 async def scan_forever(context: RunnerContext, runner: Runner) -> None:
@@ -32,14 +32,14 @@
             await _scan(context, runner)
         # Jittered, so that the domains' scanners spread over the interval.
         pause_ms = batch.scan_interval_ms * context.random.uniform(0.75, 1.25)
-        await trio.sleep(min(pause_ms, _LEAST_PAUSE_MS) / 1000)
-        with trio.move_on_after(max(pause_ms - _LEAST_PAUSE_MS, 0.0) / 1000):
-            await _runners_changed(context, {vm.vm_id for vm in vms})
+        await trio.sleep(min(pause_ms, _MIN_PAUSE_MS) / 1000)
+        with trio.move_on_after(max(pause_ms - _MIN_PAUSE_MS, 0.0) / 1000):
+            await _wait_runners_changed(context, {vm.vm_id for vm in vms})
 
 
-async def _runners_changed(context: RunnerContext, before: set[str]) -> None:
+async def _wait_runners_changed(context: RunnerContext, known_ids: set[str]) -> None:
     view = context.view
-    while {vm.vm_id for vm in view.live_vms(Program.BATCH)} == before:
+    while {vm.vm_id for vm in view.live_vms(Program.BATCH)} == known_ids:
         await view.wait_changed(view.version)
 
 
@@ -55,7 +55,7 @@
             return
         entries = page.ok_value.entries
         for entry in entries:
-            await runner.pass_on(entry.key.rpartition("/")[2])
+            await runner.notify_runner(entry.key.rpartition("/")[2])
         if not page.ok_value.more or not entries:
             return
         start_after = entries[-1].key
--- a/tests/test_batch_attempts.py
+++ b/tests/test_batch_attempts.py
@@ -76,11 +76,11 @@
 @dataclass
 class _Http:
     response: _Response
-    seen: list = field(default_factory=list)
+    requests: list = field(default_factory=list)
 
     @asynccontextmanager
     async def request(self, address, method, path, headers, body, *, check):
-        self.seen.append((address.port, method, path, dict(headers), body))
+        self.requests.append((address.port, method, path, dict(headers), body))
         yield self.response
 
 
@@ -102,7 +102,7 @@
 
 
 class EngineAttemptTest(unittest.TestCase):
-    def test_a_whole_stream_is_the_whole_answer(self):
+    def test_a_complete_stream_is_the_full_answer(self):
         end, grant = _run(_Engine())
         self.assertIs(end.kind, EndKind.DONE)
         body = msgspec.json.decode(end.body)
@@ -111,7 +111,7 @@
         self.assertEqual((ended.outcome, ended.generated_tokens), (AttemptOutcome.COMPLETED, 3))
         self.assertEqual((ended.first_token_ms, ended.inter_token_ms), (1000.0, 1000.0))
 
-    def test_a_resume_goes_on_after_what_was_generated(self):
+    def test_a_resumed_attempt_continues_after_the_generated_text(self):
         engine = _Engine()
         end, grant = _run(engine, Item(3, input_line(3), text="t0 t1 ", tokens=2))
         self.assertEqual((engine.resume.tokens, engine.resume.text), (2, "t0 t1 "))
@@ -119,7 +119,7 @@
         self.assertEqual(content, "t0 t1 t2 ")
         self.assertEqual(grant.ended[0].generated_tokens, 1)
 
-    def test_what_another_software_version_generated_is_not_gone_on_with(self):
+    def test_text_of_another_software_version_is_not_resumed(self):
         engine, upstream = _Engine(), replace(_ENGINE, software_version="b2")
         item = Item(3, input_line(3), text="x0 x1 ", tokens=2, software_version="b1")
         end, grant = _run(engine, item, upstream=upstream)
@@ -128,13 +128,13 @@
         self.assertEqual(content, "t0 t1 t2 ")
         self.assertEqual(grant.ended[0].generated_tokens, 3)
 
-    def test_an_attempt_that_gave_nothing_leaves_what_another_version_generated(self):
+    def test_an_attempt_without_tokens_retains_the_text_of_another_version(self):
         engine = _Engine(tokens=0, failure=NotSentError("refused"))
         item = Item(3, input_line(3), text="x0 x1 ", tokens=2, software_version="b1")
         end, _ = _run(engine, item, upstream=replace(_ENGINE, software_version="b2"))
         self.assertEqual((end.text, end.tokens, end.software_version), ("x0 x1 ", 2, "b1"))
 
-    def test_each_failure_is_told_apart(self):
+    def test_each_failure_has_its_own_end_kind(self):
         cases = {
             EndKind.NOT_SENT: NotSentError("refused"),
             EndKind.WITHDRAWN: WithdrawnError(Address("127.0.0.1", 1), SendRefusal.GONE),
@@ -150,7 +150,7 @@
                 self.assertEqual((end.tokens, end.text), (3, "t0 t1 t2 "))
                 self.assertEqual(len(grant.ended), 1)
 
-    def test_a_fault_of_ours_fails_the_attempt_and_not_the_runner(self):
+    def test_an_internal_error_fails_the_attempt_and_not_the_runner(self):
         end, grant = _run(_Engine(failure=KeyError("ours")))
         self.assertIs(end.kind, EndKind.SERVER_ERROR)
         self.assertEqual(len(grant.ended), 1)
@@ -159,7 +159,7 @@
         end, _grant = _run(_Engine(silent=True))
         self.assertIs(end.kind, EndKind.DIED)
 
-    def test_a_revoked_permit_ends_the_stream_and_keeps_the_text(self):
+    def test_a_revoked_permit_ends_the_stream_and_retains_the_text(self):
         async def revoke(attempt):
             await trio.sleep(2.5)
             attempt.grant.revoked.set()
@@ -168,7 +168,7 @@
         self.assertEqual((end.kind, end.text, end.tokens), (EndKind.REVOKED, "t0 t1 ", 2))
         self.assertIs(grant.ended[0].outcome, AttemptOutcome.REVOKED)
 
-    def test_a_stopped_attempt_says_so(self):
+    def test_a_cancelled_attempt_ends_as_stopped(self):
         async def stop(attempt):
             await trio.sleep(1.5)
             attempt.scope.cancel()
@@ -184,18 +184,18 @@
     def _call(self, status: int, url: bytes = b"/services/coach-booking/bookings/7"):
         http = _Http(_Response(status, b'{"ok":true}'))
         end, _grant = _run(item=Item(0, self.LINE % url), http=http, upstream=_PLAIN)
-        return end, http.seen[0]
+        return end, http.requests[0]
 
-    def test_the_body_is_sent_as_it_stands(self):
+    def test_the_body_is_sent_unchanged(self):
         end, (port, method, path, _headers, body) = self._call(201)
         self.assertEqual((end.kind, end.status, end.body), (EndKind.DONE, 201, b'{"ok":true}'))
         self.assertEqual((port, method, path, body), (2, "POST", "/bookings/7", b'{"seat": 4}'))
 
-    def test_a_service_without_a_path_is_its_root(self):
-        _end, seen = self._call(200, b"/services/coach-booking")
-        self.assertEqual(seen[2], "/")
+    def test_a_url_without_a_path_requests_the_root(self):
+        _end, requests = self._call(200, b"/services/coach-booking")
+        self.assertEqual(requests[2], "/")
 
-    def test_errors_are_told_apart(self):
+    def test_each_error_status_has_its_own_end_kind(self):
         kinds = [self._call(status)[0].kind for status in (400, 404, 429)]
         self.assertEqual(kinds, [EndKind.REJECTED, EndKind.SERVER_ERROR, EndKind.BUSY])
 
--- a/tests/test_batch_daemon.py
+++ b/tests/test_batch_daemon.py
@@ -32,36 +32,36 @@
 _ENDPOINT = "/v1/completions"
 _OUTAGE_S = 0.7
 # The age at which a record in use is read, and as much for a busy machine.
-_STOPPED_S = 4.0
+_STOP_TIMEOUT_S = 4.0
 # What a submission that comes again may set off has begun by then.
-_AGAIN_S = 1.0
+_RESUBMISSION_S = 1.0
 # No item starts on a record of this age; half a second for those that are on their way.
-_HELD_S = 3.5
+_RECORD_EXPIRY_S = 3.5
 # Half of the time in which a configuration is confirmed, a poll of the view, and as much to spare.
-_AWAY_S = 15.0
+_KV_AWAY_S = 15.0
 
 
 @contextmanager
-def _counted_attempts() -> Iterator[list[Attempt]]:
+def _recorded_attempts() -> Iterator[list[Attempt]]:
     """Note the attempts that begin while the block runs."""
     begun: list[Attempt] = []
 
-    async def noted(upstreams: UpstreamClients, attempt: Attempt) -> AttemptEnd:
+    async def recorded(upstreams: UpstreamClients, attempt: Attempt) -> AttemptEnd:
         begun.append(attempt)
         return await run_attempt(upstreams, attempt)
 
-    with mock.patch.object(dispatch, "run_attempt", noted):
+    with mock.patch.object(dispatch, "run_attempt", recorded):
         yield begun
 
 
 @contextmanager
-def _unanswered_runners() -> Iterator[trio.Event]:
+def _failing_record_calls() -> Iterator[trio.Event]:
     """Let all calls for jobs' records fail once the event is set, and no others."""
-    cut_off = trio.Event()
+    failing_now = trio.Event()
 
     def failing(call: Callable[..., Awaitable[None]]) -> Callable[..., Awaitable[None]]:
         async def maybe_answered(task: JobTask, *action: object) -> None:
-            if not cut_off.is_set():
+            if not failing_now.is_set():
                 await call(task, *action)
                 return
             await trio.sleep(0.05)
@@ -73,11 +73,11 @@
         mock.patch.object(JobTask, "_read_record", failing(JobTask._read_record)),
         mock.patch.object(JobTask, "_write_record", failing(JobTask._write_record)),
     ):
-        yield cut_off
+        yield failing_now
 
 
 class RunnerLossTest(unittest.TestCase):
-    def test_a_job_outlives_its_runner_an_outage_and_a_crash_of_an_engine(self) -> None:
+    def test_a_job_survives_loss_of_its_runner_a_kv_outage_and_engine_crashes(self) -> None:
         async def session(system: LocalSystem) -> None:
             job_id = await self._submit(system, max_tokens=40)
             await self._until(system, job_id, lambda record: record.succeeded > 0)
@@ -109,12 +109,12 @@
 
         run_session(session)
 
-    def test_a_cancel_whose_pushes_are_lost_stops_the_job_all_the_same(self) -> None:
+    def test_a_cancel_whose_pushes_are_lost_still_stops_the_job(self) -> None:
         async def session(system: LocalSystem) -> None:
             # No item ends in the time of the test, so that nothing is committed.
             job_id = await self._submit(system, max_tokens=20_000)
             engines = [engine.core for engine in system.standins.engines.values()]
-            with _counted_attempts() as begun:
+            with _recorded_attempts() as begun:
                 await self._until_begun(begun)
                 with mock.patch.object(jobs, "push_job"):
                     answer = await post(system, f"/v1/batches/{job_id}/cancel", {})
@@ -124,31 +124,31 @@
                     idle = not any(engine.model.running for engine in engines)
                     return idle and is_final(self._record(system, job_id))
 
-                await wait_until(stopped, timeout_s=_STOPPED_S)
+                await wait_until(stopped, timeout_s=_STOP_TIMEOUT_S)
                 before = len(begun)
                 self.assertEqual(await self._submit(system, max_tokens=20_000), job_id)
-                await trio.sleep(_AGAIN_S)
+                await trio.sleep(_RESUBMISSION_S)
                 self.assertEqual(len(begun), before)
 
         run_session(session)
 
-    def test_runners_that_get_no_answer_hold_their_jobs_unless_nobody_gets_one(self) -> None:
+    def test_runners_without_kv_answers_pause_their_jobs_unless_no_vm_gets_answers(self) -> None:
         async def session(system: LocalSystem) -> None:
             job_id = await self._submit(system, max_tokens=150)
-            with _counted_attempts() as begun, _unanswered_runners() as cut_off:
+            with _recorded_attempts() as begun, _failing_record_calls() as failing_now:
                 await self._until_begun(begun)
-                cut_off.set()
-                await trio.sleep(_HELD_S)
+                failing_now.set()
+                await trio.sleep(_RECORD_EXPIRY_S)
                 held = len(begun)
                 self.assertLess(len({attempt.item.number for attempt in begun}), LINES)
-                await trio.sleep(_AGAIN_S)
+                await trio.sleep(_RESUBMISSION_S)
                 self.assertEqual(len(begun), held)
                 with kv_down(system):
 
-                    async def goes_on() -> bool:
+                    async def continues() -> bool:
                         return len(begun) > held
 
-                    await wait_until(goes_on, timeout_s=_AWAY_S)
+                    await wait_until(continues, timeout_s=_KV_AWAY_S)
             self.assertFalse(is_final(self._record(system, job_id)))
 
         # So few at once that there are always items that could begin.
@@ -165,8 +165,8 @@
     async def _submit(self, system: LocalSystem, max_tokens: int) -> str:
         lines = job_lines(TRIP_MODEL, max_tokens=max_tokens)
         file_id = (await upload(GoldenSession(system), lines)).json["id"]
-        asked = {"input_file_id": file_id, "endpoint": _ENDPOINT, "completion_window": "1h"}
-        return (await post(system, "/v1/batches", asked)).json["id"]
+        request = {"input_file_id": file_id, "endpoint": _ENDPOINT, "completion_window": "1h"}
+        return (await post(system, "/v1/batches", request)).json["id"]
 
     def _record(self, system: LocalSystem, job_id: str) -> JobRecord:
         prefix = system.standins.platform_settings().key_prefix
--- a/tests/test_batch_dispatch_address.py
+++ b/tests/test_batch_dispatch_address.py
@@ -45,7 +45,7 @@
     The runner sent the item to the address from before the ask, which may be another upstream's.
     """
 
-    def test_an_item_goes_where_its_upstream_is_when_the_permit_comes(self) -> None:
+    def test_an_item_is_sent_to_the_address_known_when_the_permit_is_granted(self) -> None:
         harness = BatchJobHarness(20, batch_settings())
         runner = Runner(harness, "vm-1/a")
         for _ in range(4):
@@ -78,14 +78,14 @@
                 permits=SimpleNamespace(holder_id="h", request=request),
                 metrics=None,
                 signal=WorkSignal(),
-                work_changed=lambda: None,
+                notify_work=lambda: None,
             )
             context.scheduler.add(runner.run)
             task = JobTask(context, runner.run)
             dispatcher = Dispatcher(context, lambda _job_id: task)
             async with trio.open_nursery() as nursery:
                 dispatcher._nursery = nursery
-                nursery.start_soon(dispatcher._ask_forever, "u1")
+                nursery.start_soon(dispatcher._request_forever, "u1")
                 await trio.sleep(1.5)
                 nursery.cancel_scope.cancel()
 
--- a/tests/test_batch_starts.py
+++ b/tests/test_batch_starts.py
@@ -229,7 +229,7 @@
         upstreams=UpstreamClients(engine, None),
         scheduler=ItemScheduler(harness.settings),
         metrics=None,
-        work_changed=lambda: None,
+        notify_work=lambda: None,
     )
 
 
@@ -265,7 +265,7 @@
             grant = _grant(ended)
             async with trio.open_nursery() as nursery:
                 dispatcher._nursery = nursery
-                await dispatcher._use(_UPSTREAM.upstream_id, grant)
+                await dispatcher._use_grant(_UPSTREAM.upstream_id, grant)
                 self.assertEqual(run.in_flight, 1)
                 if cancelled:
                     task.push(cancelled=True)
@@ -297,7 +297,7 @@
             context.grant = grant
             async with trio.open_nursery() as nursery:
                 dispatcher._nursery = nursery
-                await dispatcher._use("u1", grant)
+                await dispatcher._use_grant("u1", grant)
                 [item] = runner.run._work.items._in_flight.values()
                 await trio.sleep(0.1)
                 happens(harness, runner, context)
@@ -367,7 +367,7 @@
             async with trio.open_nursery() as nursery:
                 dispatcher._nursery = nursery
                 with trio.move_on_after(0.015):
-                    await dispatcher._ask_forever("u1")
+                    await dispatcher._request_forever("u1")
                 self.assertEqual(engine.opened, 1)
                 nursery.cancel_scope.cancel()
 
