--- a/src/fescuedock/batch/attempts.py
+++ b/src/fescuedock/batch/attempts.py
@@ -1,4 +1,4 @@
-"""Runs one item once at one upstream and reports how that ended."""
+"""Runs one attempt of an item at one upstream and reports how it ended."""
 
 import msgspec
 import trio
@@ -52,7 +52,8 @@
     """One attempt in progress; cancelling ``scope`` stops it.
 
     ``stall_timeout_ms`` bounds the wait for the next token, or for an answer that is not streamed.
-    ``check`` tells whether the attempt may still begin when its request is written.
+    ``check`` decides, just before the request is written, whether the attempt may still begin.
+    ``first_token_ms`` is the time from the start to the first token; -1 before it.
     """
 
     item: Item
@@ -66,22 +67,22 @@
 
 
 class UpstreamClients(msgspec.Struct, frozen=True):
-    """What attempts are made with."""
+    """The clients that send attempts to engines and to plain services."""
 
     engine: EngineClient
     http: HttpClient
 
 
 async def run_attempt(upstreams: UpstreamClients, attempt: Attempt) -> AttemptEnd:
-    """Run the attempt to its end, give its permit back, and return how it ended.
+    """Run the attempt, end its permit, and return how the attempt ended.
 
-    A revoked permit or a cancelled scope closes the connection, which cancels the stream; what was
-    generated till then is in the result.
+    A revoked permit or a cancelled scope closes the connection, which cancels the stream; the
+    result then holds the text generated so far.
     """
     item = attempt.item
     line = read_line(item.line)
     software_version = attempt.upstream.software_version
-    # What two versions write of one answer does not fit together.
+    # An answer is not continued by another software version: the two parts would not match.
     can_resume = item.software_version == software_version
     initial = (item.text, item.tokens) if can_resume else ("", 0)
     assembly = AnswerAssembly(line.url == _CHAT_URL, *initial)
@@ -111,7 +112,7 @@
 async def _call_and_classify(
     upstreams: UpstreamClients, attempt: Attempt, line: ItemLine, assembly: AnswerAssembly
 ) -> AttemptEnd:
-    """Make the call and tell from its end what to think of it."""
+    """Send the request and classify how it ended."""
     try:
         with trio.CancelScope() as stall:
             answer = await _request_answer(upstreams, attempt, line, assembly, stall)
@@ -124,9 +125,11 @@
     except EngineError as error:
         return AttemptEnd(_end_kind(error), error.status, error.body)
     except msgspec.MsgspecError as error:
-        return AttemptEnd(EndKind.SERVER_ERROR, 502, f"an event out of shape: {error}".encode())
+        return AttemptEnd(
+            EndKind.SERVER_ERROR, 502, f"invalid event in the stream: {error}".encode()
+        )
     except Exception as error:
-        # An item that meets a fault of ours must not take this runner down, and then the next one.
+        # An internal error must not stop this runner: the job's next runner would meet it again.
         log_event("attempt_fault", upstream_id=attempt.upstream.upstream_id, error=repr(error))
         return AttemptEnd(EndKind.SERVER_ERROR, body=repr(error).encode())
     if stall.cancelled_caught:
@@ -141,7 +144,7 @@
     assembly: AnswerAssembly,
     stall: trio.CancelScope,
 ) -> AttemptEnd:
-    """Return the whole answer, moving the deadline of ``stall`` on at each token."""
+    """Return the complete answer; each event of a stream extends the deadline of ``stall``."""
     stall_s = attempt.stall_timeout_ms / 1000
     stall.deadline = trio.current_time() + stall_s
     attempt_id = attempt.grant.permit_id
@@ -166,7 +169,7 @@
 
 
 async def _call_plain(http: HttpClient, attempt: Attempt, line: ItemLine) -> AttemptEnd:
-    """Send the item's body, as it stands, to a plain service."""
+    """Send the item's body unchanged to a plain service."""
     address = Address(attempt.upstream.host, attempt.upstream.port)
     headers = [("content-type", "application/json"), (ATTEMPT_HEADER, attempt.grant.permit_id)]
     path = _service_path(line.url)
@@ -189,7 +192,7 @@
 
 
 def _service_path(url: str) -> str:
-    """Return the path that a plain service knows: its own, without our prefix."""
+    """Return the path at the plain service: ``url`` without ``/services/NAME``."""
     return "/" + "".join(url.split("/", _SERVICE_PREFIX_SLASHES)[_SERVICE_PREFIX_SLASHES:])
 
 
@@ -200,7 +203,7 @@
 
 
 def _end_permit(attempt: Attempt, end: AttemptEnd, tokens: int) -> None:
-    """End the permit, with what the attempt showed about the upstream."""
+    """End the permit, reporting the outcome and the latencies seen at the upstream."""
     inter_token_ms = -1.0
     if tokens > 1 and attempt.first_token_ms >= 0:
         streamed_ms = now_ms() - attempt.started_ms - attempt.first_token_ms
--- a/src/fescuedock/batch/context.py
+++ b/src/fescuedock/batch/context.py
@@ -1,4 +1,4 @@
-"""What the tasks of a batch runner share."""
+"""The objects that all tasks of a batch runner share."""
 
 import random
 
@@ -39,7 +39,7 @@
 
 
 class RunnerContext(msgspec.Struct):
-    """Wired once by ``run_batch``."""
+    """Clients, settings and state of one runner process, built once by ``run_batch``."""
 
     settings: Settings
     name: RunnerName
@@ -55,5 +55,5 @@
     signal: WorkSignal = msgspec.field(default_factory=WorkSignal)
 
     def notify_work(self) -> None:
-        """Let those who ask for permits look for work again."""
+        """Wake the tasks that request permits, since there may be new items to run."""
         self.signal.notify()
--- a/src/fescuedock/batch/dispatch.py
+++ b/src/fescuedock/batch/dispatch.py
@@ -1,6 +1,7 @@
-"""Asks the owners of upstreams for permits and runs an item on each that is granted.
+"""Requests permits from the owners of upstreams and runs one item under each granted permit.
 
-The item is chosen only when the permit is there, so that it serves the most urgent one.
+The item is chosen only after the permit is granted, so that the permit serves the item that is
+most urgent at that time.
 """
 
 from collections.abc import Callable
@@ -34,20 +35,20 @@
 _IDLE_WAIT_MS = 500.0
 _EMPTY_GRANT_PAUSE_MS = 50.0
 _REFUSED_PAUSE_MS = 100.0
-# An ask may be late by this much beyond the time it may stay queued.
+# Added to the time that a request may stay queued at the owner.
 _REQUEST_MARGIN_MS = 500.0
 _UPSTREAMS_POLL_S = 1.0
-# An upstream that is being emptied for a run alone takes as long as the longest run there.
+# An upstream becomes free for an isolated run only when the longest run there has ended.
 _ISOLATED_WAIT_MS = 30000
 _BYTES_PER_TOKEN = 4
 _MAX_SLACK_MS = 2**31 - 1
 
-# Finds the running job of a state machine.
+# Returns the task of a job by its id, or None when the job does not run here.
 FindTask = Callable[[str], JobTask | None]
 
 
 class Dispatcher:
-    """Keeps asks open at the owner of each upstream whose service has jobs here."""
+    """Keeps permit requests open at the owner of each upstream whose service has jobs here."""
 
     __slots__ = ("_context", "_find_task", "_nursery", "_requesting", "_stopping")
 
@@ -58,12 +59,12 @@
         self._stopping = False
 
     def stop(self) -> None:
-        """Start no further item."""
+        """Start no more items."""
         self._stopping = True
         self._context.notify_work()
 
     async def run(self) -> None:
-        """Follow the fleet view; never returns."""
+        """Request permits at every upstream of the fleet view; never returns."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             while True:
@@ -92,7 +93,7 @@
         self._requesting.discard(upstream_id)
 
     async def _request_forever(self, upstream_id: str) -> None:
-        """Ask for one permit after the other while the upstream is there."""
+        """Request one permit after the other while the upstream is usable."""
         context = self._context
         while self._is_usable(upstream_id):
             upstream = context.view.upstreams[upstream_id]
@@ -127,10 +128,10 @@
         return await context.permits.request(request, wait_ms + _REQUEST_MARGIN_MS)
 
     async def _use_grant(self, upstream_id: str, grant: Grant) -> None:
-        """Run an item under ``grant``, or give it back at once when there is none any more."""
+        """Run an item under ``grant``, or end it at once when no item is left to run."""
         scheduler = self._context.scheduler
         assignment = None
-        # As it is known now: the ask took a while, and the address may be another's since.
+        # Read again: while the request was queued, the address may have passed to another upstream.
         upstream = self._context.view.upstreams.get(upstream_id)
         if self._is_usable(upstream_id) and not grant.revoked.is_set():
             assignment = scheduler.claim(
@@ -140,7 +141,7 @@
             grant.end(_unused_permit(grant))
             await trio.sleep(_EMPTY_GRANT_PAUSE_MS / 1000)
             return
-        # What is polled by the job itself, such as the next input, may be due now.
+        # Claiming an item may make other actions of the job due, such as reading the next input.
         task = self._find_task(assignment.run.job_id)
         task.wake()
         work = _identify_work(assignment.run, assignment.item, upstream.service)
@@ -149,7 +150,7 @@
             grant.assign_work(work.work_id, work.parts)
             self._start_attempt(task, assignment, upstream, grant)
             return
-        # It needs an upstream where nothing of any VM runs, or none at all.
+        # The item needs an upstream where no VM runs anything else, or is refused.
         self._context.permits.return_unused(grant)
         scope = trio.CancelScope()
         task.attempts.add(scope)
@@ -161,7 +162,7 @@
         timeout_ms = self._timeout_ms(upstream.service)
         check = self._item_check(assignment.run, upstream, grant)
         attempt = Attempt(assignment.item, upstream, grant, timeout_ms, check)
-        # Known before its task runs, so that a stop in between reaches it.
+        # Registered before its task starts, so that a stop in between cancels it.
         task.attempts.add(attempt.scope)
         self._nursery.start_soon(self._run_item, task, assignment, attempt)
 
@@ -175,7 +176,7 @@
     async def _run_isolated(
         self, task: JobTask, assignment: Assignment, work: "_WorkIdentity", scope: trio.CancelScope
     ) -> None:
-        """Wait until an item may run alone somewhere, and run it there."""
+        """Wait for a permit to run the item in isolation, and run it under that permit."""
         granted: tuple[UpstreamRecord, Grant] | None = None
         with scope:
             granted = await self._acquire_isolated(assignment, work)
@@ -196,7 +197,7 @@
     async def _acquire_isolated(
         self, assignment: Assignment, work: "_WorkIdentity"
     ) -> tuple[UpstreamRecord, Grant] | None:
-        """Return an upstream with a permit to run alone there; None for work that is refused."""
+        """Return an upstream and a permit for an isolated run there; None if work is refused."""
         context = self._context
         while True:
             verdict = context.view.verdict_on(work.work_id, work.parts)
@@ -210,7 +211,7 @@
                 for item in context.view.upstreams_of(assignment.service)
                 if not item.leaving
             ]
-            # The one that all VMs choose, so that such runs take no more than one.
+            # All VMs choose the same upstream, so that isolated runs occupy no more than one.
             upstream = context.view.upstreams.get(choose_name(assignment.service, names) or "")
             if upstream is None:
                 await trio.sleep(_UPSTREAMS_POLL_S)
@@ -252,12 +253,13 @@
             context.notify_work()
 
     def _item_check(self, run: JobRun, upstream: UpstreamRecord, grant: Grant) -> SendCheck:
-        """Return the check of an item's request: that of its job again, and that of any request."""
+        """Return a check that asks the job again and then applies the check of every request."""
         may_send = send_check(self._context.view, upstream, grant)
         return lambda: run.start_refusal(now_ms()) or may_send()
 
     def _timeout_ms(self, service: str) -> float:
-        # A job outlives its service's entry in the configuration; the default is that of any kind.
+        # A job may outlive its service's configuration; the default timeout is the same for all
+        # kinds of service.
         spec = self._context.view.configuration.services.get(service)
         return (spec or ServiceSpec(ServiceKind.MODEL)).request_timeout_ms
 
@@ -267,14 +269,14 @@
 
 
 class _WorkIdentity(msgspec.Struct, frozen=True):
-    """The identities of an item's work and of its prompt's shared parts."""
+    """The identity of an item's unit of work and those of the parts its prompt may share."""
 
     work_id: str
     parts: tuple[str, ...]
 
 
 def _identify_work(run: JobRun, item: Item, service: str) -> _WorkIdentity:
-    """Return the identities of an item's work, which are those of a call with the same request."""
+    """Return the identities of an item's work, equal to those of an online call."""
     line = read_line(item.line)
     body = bytes(line.body)
     work_id = work_identity(service, line.method, line.url, run.record.member, body)
--- a/src/fescuedock/batch/jobs.py
+++ b/src/fescuedock/batch/jobs.py
@@ -1,4 +1,4 @@
-"""Runs the state machine of one job: carries out its actions and reports their answers to it."""
+"""Runs the state machine of one job: executes its actions and reports their results to it."""
 
 import trio
 from result import Err, Ok
@@ -37,26 +37,26 @@
 
     def __init__(self, context: RunnerContext, run: JobRun) -> None:
         self.run = run
-        # Scopes of the attempts in progress.
+        # Cancel scopes of the attempts in progress.
         self.attempts: set[trio.CancelScope] = set()
         self._context = context
         self._changed = trio.Event()
-        # Whether the metrics have the job.
+        # Whether the job was counted in the metrics.
         self._counted = False
 
     def wake(self) -> None:
-        """Look at the state machine again soon: something was reported to it."""
+        """Poll the state machine again soon, since something was reported to it."""
         self._changed.set()
 
     def push(self, cancelled: bool) -> None:
-        """Take the news that the job was named; a cancel stops its attempts now."""
+        """Handle a push that names the job; a cancel stops its attempts at once."""
         self.run.on_pushed(cancelled)
         if cancelled:
             self.stop_attempts()
         self.wake()
 
     async def run_to_end(self) -> None:
-        """Run until this runner has nothing more to do with the job."""
+        """Run until the job is final or this runner no longer owns it."""
         log_event("job_taken", job_id=self.run.job_id)
         needs_clean_up = False
         async with trio.open_nursery() as nursery:
@@ -87,7 +87,7 @@
             scope.cancel()
 
     def _count_once(self, due: bool) -> None:
-        """Count the job once: when it is whole, or when its deadline passes before."""
+        """Count the job once: when it is complete, or when its deadline passes before that."""
         run = self.run
         if not due or self._counted or not run.epoch:
             return
@@ -102,7 +102,7 @@
         wake_at_ms = self.run.wake_at_ms(now_ms())
         with trio.move_on_at(wake_at_ms / 1000):
             await self._changed.wait()
-        # What is reported in quick succession is looked at together.
+        # Results that are reported in quick succession are handled by one poll.
         await trio.sleep(_COALESCE_S)
 
     def _log_end(self) -> None:
@@ -144,8 +144,8 @@
         self.run.on_record(record, entry.mod_revision if entry else 0)
 
     async def _write_record(self, action: WriteRecord) -> None:
-        # What became of a write without an answer is for the state machine to find out: it knows
-        # from the epoch and the items what is its own.
+        # The outcome of a write without an answer is resolved by the state machine, which
+        # recognizes its own record by the epoch and the items.
         value = encode_record(action.record)
         result = await self._context.kv.put_if(self._key(), value, action.expected_revision)
         if isinstance(result, Ok):
@@ -189,9 +189,9 @@
 
 
 async def clean_up(context: RunnerContext, job_id: str) -> None:
-    """Take a final job off the index of open jobs and drop its log.
+    """Remove a final job from the index of open jobs and delete its log.
 
-    What fails here is done again by the next scan that finds the job in the index.
+    A step that fails is repeated by the next scan that finds the job in the index.
     """
     await context.stores.drop_log(job_id)
     key = open_job_key(context.settings.platform.key_prefix, job_id)
--- a/src/fescuedock/batch/main.py
+++ b/src/fescuedock/batch/main.py
@@ -37,12 +37,12 @@
 __all__ = ["main", "run_batch"]
 
 _POLL_MS = 50.0
-# Share of the stop timeout in which items in flight may still end by themselves.
+# Share of the stop timeout during which items in flight may end by themselves.
 _ITEMS_TIMEOUT_SHARE = 0.5
 
 
 class _ChannelHandler:
-    """Answers messages; before the runner is there it owns no job."""
+    """Answers messages on the channel; before ``runner`` is set this process owns no job."""
 
     def __init__(self) -> None:
         self.runner: Runner | None = None
@@ -50,7 +50,7 @@
     async def handle(self, message: object, peer: ServerPeer) -> object:
         if self.runner is not None:
             return await self.runner.handle(message, peer)
-        # A push that is lost here is repeated by the next scan.
+        # A push that is dropped here is repeated by the next scan.
         return JobCheckReply(running=False) if isinstance(message, JobCheck) else None
 
 
@@ -60,9 +60,9 @@
     *,
     task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Run jobs until ``stop``; then end what is in flight, commit it, and hand the jobs over.
+    """Run jobs until ``stop``; then end and commit the items in flight, and hand the jobs over.
 
-    Needs the sections [batch] and [agent] of ``settings``.
+    Requires the sections [batch] and [agent] of ``settings``; raise ``ValueError`` without [batch].
     """
     if settings.batch is None:
         raise ValueError("the settings lack section [batch]")
@@ -127,7 +127,7 @@
 async def _shut_down(
     context: RunnerContext, runner: Runner, dispatcher: Dispatcher, link: AgentLink
 ) -> None:
-    """Let items in flight end, commit all results, and name the jobs to their next runners."""
+    """Let items in flight end, commit all results, and push the jobs to their next runners."""
     timeout_s = context.settings.vm.stop_timeout_ms / 1000
     runner.stop()
     dispatcher.stop()
--- a/src/fescuedock/batch/runner.py
+++ b/src/fescuedock/batch/runner.py
@@ -1,4 +1,4 @@
-"""The jobs of one runner: which it takes, and what it answers when asked about them."""
+"""The jobs of one runner: which of them it claims, and its answers to queries about them."""
 
 import msgspec
 import trio
@@ -33,7 +33,7 @@
 
 
 class Runner:
-    """Takes the jobs that are pushed to it, unless their owners still run them."""
+    """Claims the jobs that are pushed to it, unless their owners still run them."""
 
     __slots__ = (
         "_channels",
@@ -54,13 +54,14 @@
         self._nursery = nursery
         self._tasks: dict[str, JobTask] = {}
         self._evaluating: set[str] = set()
-        # Owners of jobs that are not ours, so that a scan costs no call of the service.
+        # Owners of jobs that run elsewhere, so that a scan needs no call of the key-value service
+        # for them.
         self._known_owners: dict[str, str] = {}
         self._silent_owners = SilentOwners()
         self._stopping = False
 
     async def handle(self, message: msgspec.Struct, _peer: ServerPeer) -> msgspec.Struct | None:
-        """Answer one message of an entry, a scanner or another runner."""
+        """Return the reply to a message of an entry, a scanner or another runner, if it has one."""
         match message:
             case JobPush():
                 self.push(message)
@@ -75,7 +76,7 @@
         return None
 
     def push(self, message: JobPush) -> None:
-        """Look at a job that was named; a cancel of a running one takes effect at once."""
+        """Evaluate the job that ``message`` names; cancel a running job at once if asked to."""
         task = self._tasks.get(message.job_id)
         if task is not None:
             task.push(message.cancelled)
@@ -84,7 +85,7 @@
             self._nursery.start_soon(self._evaluate, message)
 
     def find_task(self, job_id: str) -> JobTask | None:
-        """Return the task of a job that runs here."""
+        """Return the task of a job; None when it does not run here."""
         return self._tasks.get(job_id)
 
     @property
@@ -92,11 +93,11 @@
         return list(self._tasks.values())
 
     def stop(self) -> None:
-        """Take no further job."""
+        """Claim no more jobs."""
         self._stopping = True
 
     async def hand_over(self) -> None:
-        """Name this runner's jobs to the runners that come next, and forget them."""
+        """Push each of this runner's jobs to the runner that should own it next, and drop it."""
         others = [vm for vm in self._live_runners() if vm.vm_id != self._context.name.vm_id]
         for job_id in list(self._tasks):
             del self._tasks[job_id]
@@ -106,7 +107,7 @@
                 channel.push(JobPush(job_id))
 
     async def notify_runner(self, job_id: str) -> None:
-        """Name an open job to the runner that should own it."""
+        """Push an open job to the runner that should own it, which may be this one."""
         chosen = preferred_runner(job_id, self._live_runners())
         if chosen is None or chosen.vm_id == self._context.name.vm_id:
             self.push(JobPush(job_id))
@@ -123,7 +124,8 @@
             while not await self._may_claim(message):
                 if not self._silent_owners.is_silent(job_id):
                     return
-                # The owner may be gone and our view late; asking it costs the service nothing.
+                # The owner may be gone before the view shows it; querying it again needs no call
+                # of the key-value service.
                 await trio.sleep(_SILENT_OWNER_RETRY_S)
                 message = JobPush(job_id)
             self._claim(job_id)
@@ -131,14 +133,14 @@
             self._evaluating.discard(job_id)
 
     async def _may_claim(self, message: JobPush) -> bool:
-        """Find out whether the job has no owner that goes on with it."""
+        """Return whether no owner continues the job; clean up if the job is final."""
         job_id = message.job_id
         known = self._known_owners.get(job_id)
         owner_known = known is not None and not message.cancelled
         if owner_known and await self._decide(job_id, known) is TakeoverDecision.LEAVE:
             return False
         record = await self._read_record(job_id)
-        # From here on the record decides; if it cannot be read, the next scan tries again.
+        # From here on only the record counts; if it cannot be read, the next scan tries again.
         self._silent_owners.clear(job_id)
         if record is None:
             return False
@@ -156,7 +158,7 @@
         return False
 
     async def _decide(self, job_id: str, owner: str) -> TakeoverDecision:
-        """Decide about a job that is recorded as ``owner``'s, asking it if need be."""
+        """Decide whether to claim a job recorded as ``owner``'s, querying the owner if needed."""
         vm = self._context.view.vms.get(RunnerName.parse(owner).vm_id)
         name = self._context.name
         silence_ms = self._context.settings.batch.takeover_silence_ms
--- a/src/fescuedock/batch/scanner.py
+++ b/src/fescuedock/batch/scanner.py
@@ -1,7 +1,7 @@
-"""Reads the index of open jobs and names each job to the runner that should own it.
+"""Reads the index of open jobs and pushes each job to the runner that should own it.
 
-Only a few runners of each failure domain do so; the others make no call of the key-value service
-for jobs that are not theirs.
+Only a few runners of each failure domain scan; the others make no call of the key-value service
+for jobs that they don't own.
 """
 
 import trio
@@ -21,16 +21,16 @@
 
 
 async def scan_forever(context: RunnerContext, runner: Runner) -> None:
-    """Scan while this VM is one of its domain's scanners.
+    """Scan at the configured interval, and soon after a runner has joined or left.
 
-    That is at the interval of the settings, and soon after a runner has come or gone.
+    Does nothing while this VM is not one of its failure domain's scanners.
     """
     batch = context.settings.batch
     while True:
         vms = context.view.live_vms(Program.BATCH)
         if is_scanner(context.name.vm_id, vms, batch.scanners_per_domain):
             await _scan(context, runner)
-        # Jittered, so that the domains' scanners spread over the interval.
+        # Jitter spreads the scanners of the failure domains over the interval.
         pause_ms = batch.scan_interval_ms * context.random.uniform(0.75, 1.25)
         await trio.sleep(min(pause_ms, _MIN_PAUSE_MS) / 1000)
         with trio.move_on_after(max(pause_ms - _MIN_PAUSE_MS, 0.0) / 1000):
--- a/tests/test_batch_attempts.py
+++ b/tests/test_batch_attempts.py
@@ -1,4 +1,4 @@
-"""One attempt at one upstream, in virtual time: how it may end and what that means."""
+"""One attempt at one upstream, in virtual time: how each way to end is classified and reported."""
 
 import unittest
 from contextlib import asynccontextmanager
@@ -40,7 +40,7 @@
 
 @dataclass
 class _Engine:
-    """Streams ``tokens``, one a second; after them it ends as told."""
+    """Streams ``tokens``, one a second, then raises ``failure``, stays silent or finishes."""
 
     tokens: int = 3
     failure: Exception | None = None
@@ -85,7 +85,7 @@
 
 
 def _run(engine=None, item=None, *, http=None, upstream=_ENGINE, during=None):
-    """Run one attempt in virtual time; returns its end and its grant."""
+    """Run one attempt in virtual time; return its end and its grant."""
     grant = _Grant()
     item = item or Item(3, input_line(3))
     attempt = Attempt(item, upstream, grant, _STALL_MS, unchecked)
--- a/tests/test_batch_daemon.py
+++ b/tests/test_batch_daemon.py
@@ -1,4 +1,4 @@
-"""The runner's program over a local system: its VM is lost, the key-value service goes away."""
+"""The batch program in a local system: loss of its VM, outages of the key-value service."""
 
 import functools
 import unittest
@@ -31,19 +31,20 @@
 
 _ENDPOINT = "/v1/completions"
 _OUTAGE_S = 0.7
-# The age at which a record in use is read, and as much for a busy machine.
+# The age at which a record in use is read again, and as much for a busy machine.
 _STOP_TIMEOUT_S = 4.0
-# What a submission that comes again may set off has begun by then.
+# Any work that a repeated submission may start has begun by then.
 _RESUBMISSION_S = 1.0
-# No item starts on a record of this age; half a second for those that are on their way.
+# No item starts on a record of this age; includes half a second for items being started.
 _RECORD_EXPIRY_S = 3.5
-# Half of the time in which a configuration is confirmed, a poll of the view, and as much to spare.
+# Half the time in which a configuration is confirmed plus a poll of the view, and the same again
+# as a margin.
 _KV_AWAY_S = 15.0
 
 
 @contextmanager
 def _recorded_attempts() -> Iterator[list[Attempt]]:
-    """Note the attempts that begin while the block runs."""
+    """Record the attempts that begin while the block runs."""
     begun: list[Attempt] = []
 
     async def recorded(upstreams: UpstreamClients, attempt: Attempt) -> AttemptEnd:
@@ -56,7 +57,7 @@
 
 @contextmanager
 def _failing_record_calls() -> Iterator[trio.Event]:
-    """Let all calls for jobs' records fail once the event is set, and no others."""
+    """Make calls for jobs' records fail once the event is set, and no other calls."""
     failing_now = trio.Event()
 
     def failing(call: Callable[..., Awaitable[None]]) -> Callable[..., Awaitable[None]]:
@@ -151,7 +152,7 @@
                     await wait_until(continues, timeout_s=_KV_AWAY_S)
             self.assertFalse(is_final(self._record(system, job_id)))
 
-        # So few at once that there are always items that could begin.
+        # The limit is so low that there are always items that could begin.
         few_at_once = functools.partial(BatchSettings, max_items_in_flight=10)
         with mock.patch.object(local_vm, "BatchSettings", few_at_once):
             run_session(session)
--- a/tests/test_batch_dispatch_address.py
+++ b/tests/test_batch_dispatch_address.py
@@ -1,4 +1,4 @@
-"""Where an item goes whose upstream moved while its runner waited for a permit."""
+"""The address of an item whose upstream moved while its runner waited for a permit."""
 
 import unittest
 from collections.abc import AsyncIterator
@@ -26,7 +26,7 @@
 
 
 class _Engine:
-    """Notes the ports that streams are opened at; none gets a token."""
+    """Records the ports at which streams are opened; no stream yields a token."""
 
     def __init__(self) -> None:
         self.ports: list[int] = []
@@ -40,9 +40,10 @@
 
 
 class MovedUpstreamTest(unittest.TestCase):
-    """An ask waited at its owner for a second; meanwhile the upstream came back elsewhere.
+    """Guards against sending an item to the address known before its permit request.
 
-    The runner sent the item to the address from before the ask, which may be another upstream's.
+    While the request is queued at the owner, the upstream may restart at another address, and the
+    old address may belong to another upstream.
     """
 
     def test_an_item_is_sent_to_the_address_known_when_the_permit_is_granted(self) -> None:
