--- a/src/fescuedock/spool/files.py
+++ b/src/fescuedock/spool/files.py
@@ -23,10 +23,10 @@
 __all__ = ["SpoolFiles"]
 
 _SUFFIX = ".job"
-_PART_SUFFIX = ".part"
+_TEMPORARY_SUFFIX = ".part"
 _DIGEST_BYTES = 32
 # A file that is there once the machine is to be removed; all jobs' names have another suffix.
-_EMPTYING = "emptying"
+_EMPTYING_MARKER = "emptying"
 
 
 class SpoolFiles:
@@ -38,9 +38,9 @@
         self._max_bytes = max_bytes
         self._jobs: dict[str, SpoolJob] = {}
         # Those whose names a loss of power may take away; a restart without one finds them.
-        self._unsynced: set[str] = set()
+        self._unsynced_names: set[str] = set()
         # Those whose end is not in their files, as these could not be written.
-        self._unwritten: set[str] = set()
+        self._unwritten_ends: set[str] = set()
         self._sizes_bytes: dict[str, int] = {}
         self.is_emptying = False
 
@@ -64,12 +64,12 @@
             path = self._folder / status.name
             if status.name.endswith(_SUFFIX):
                 self._read(path)
-            elif status.name.endswith(_PART_SUFFIX):
+            elif status.name.endswith(_TEMPORARY_SUFFIX):
                 self._disk.remove(path)
-            elif status.name == _EMPTYING:
+            elif status.name == _EMPTYING_MARKER:
                 self.is_emptying = True
         # A former process may have ended between naming a file and syncing the name.
-        self._unsynced.update(self._jobs)
+        self._unsynced_names.update(self._jobs)
 
     def put(self, job: SpoolJob) -> Result[None, Fault]:
         """Keep a job; when it returns ``Ok`` the job survives a loss of power.
@@ -82,7 +82,7 @@
         if known is not None and not is_same_submission(known.record, job.record):
             return Err(Fault(ResultCode.KEY_REUSED, f"job {job_id} is here with other items"))
         if known is not None:
-            return self._sync_names(job_id)
+            return self._sync_folder_for(job_id)
         body = msgspec.msgpack.encode(job)
         if sum(self._sizes_bytes.values()) + len(body) > self._max_bytes:
             return Err(Fault(ResultCode.DISK_FULL, f"no room for job {job_id}: {len(body)} bytes"))
@@ -94,54 +94,54 @@
         The job's file is replaced as a whole.  After a fault the end is known until a restart.
         """
         job = self._jobs[job_id]
-        if job.record.ended and job_id not in self._unwritten:
-            return self._sync_names(job_id)
+        if job.record.ended and job_id not in self._unwritten_ends:
+            return self._sync_folder_for(job_id)
         ended = SpoolJob(msgspec.structs.replace(job.record, ended=True), job.items)
         # Whatever becomes of the file, this process stores the job as ended.
         self._jobs[job_id] = ended
-        self._unwritten.add(job_id)
+        self._unwritten_ends.add(job_id)
         return self._write(ended, msgspec.msgpack.encode(ended))
 
     def _write(self, job: SpoolJob, body: bytes) -> Result[None, Fault]:
         """Write a job's file, in place of an older one."""
         job_id = job.record.job_id
         path = self._path(job_id)
-        part = path.with_suffix(_PART_SUFFIX)
+        temporary = path.with_suffix(_TEMPORARY_SUFFIX)
         try:
-            with self._disk.create(part) as file:
+            with self._disk.create(temporary) as file:
                 file.write(hashlib.sha256(body).digest() + body)
                 file.sync()
-            self._disk.rename(part, path)
+            self._disk.rename(temporary, path)
         except OSError as error:
             return Err(Fault(ResultCode.STORES_UNAVAILABLE, f"job {job_id} not written: {error}"))
         # From its name on the job comes back with a restart, so it counts as being here.
         self._jobs[job_id] = job
         self._sizes_bytes[job_id] = len(body)
-        self._unwritten.discard(job_id)
-        self._unsynced.add(job_id)
-        return self._sync_names(job_id)
+        self._unwritten_ends.discard(job_id)
+        self._unsynced_names.add(job_id)
+        return self._sync_folder_for(job_id)
 
-    def keep_emptying(self) -> Result[None, Fault]:
+    def record_emptying(self) -> Result[None, Fault]:
         """Keep that nothing more is to be taken; ``Ok`` when that survives a loss of power."""
         self.is_emptying = True
         try:
             # Each time anew: a file that a former process left may not be on disk yet.
-            with self._disk.create(self._folder / _EMPTYING) as file:
+            with self._disk.create(self._folder / _EMPTYING_MARKER) as file:
                 file.sync()
             self._disk.sync_folder(self._folder)
         except OSError as error:
             return Err(Fault(ResultCode.STORES_UNAVAILABLE, f"not kept on disk: {error}"))
         return Ok(None)
 
-    def _sync_names(self, job_id: str) -> Result[None, Fault]:
+    def _sync_folder_for(self, job_id: str) -> Result[None, Fault]:
         """Let the job's name survive a loss of power, and with it those of all others."""
-        if job_id not in self._unsynced:
+        if job_id not in self._unsynced_names:
             return Ok(None)
         try:
             self._disk.sync_folder(self._folder)
         except OSError as error:
             return Err(Fault(ResultCode.KV_UNKNOWN, f"job {job_id} may be lost: {error}"))
-        self._unsynced.clear()
+        self._unsynced_names.clear()
         return Ok(None)
 
     def remove(self, job_id: str) -> None:
@@ -151,8 +151,8 @@
         """
         self._jobs.pop(job_id, None)
         self._sizes_bytes.pop(job_id, None)
-        self._unsynced.discard(job_id)
-        self._unwritten.discard(job_id)
+        self._unsynced_names.discard(job_id)
+        self._unwritten_ends.discard(job_id)
         try:
             self._disk.remove(self._path(job_id))
         except OSError as error:
--- a/src/fescuedock/spool/main.py
+++ b/src/fescuedock/spool/main.py
@@ -25,7 +25,7 @@
 __all__ = ["main", "run_spool"]
 
 _SETTINGS_VARIABLE = "FESCUEDOCK_SETTINGS"
-_CONNECT_MS = 400
+_CONNECT_TIMEOUT_MS = 400
 _FOLDER = "spool"
 _ORIGINS_FOLDER = "origins"
 
@@ -40,7 +40,7 @@
     origins = OriginService(OsDisk(), Path(spool.data_dir) / _ORIGINS_FOLDER)
     origins.open()
     log_event("spool_opened", pending=len(files))
-    http = HttpClient(_CONNECT_MS)
+    http = HttpClient(_CONNECT_TIMEOUT_MS)
     kv = MetadataStore(http, Address.parse(spool.store_address), spool.store_timeout_ms)
     keys = JobKeys(spool.key_prefix)
     port = settings.agent.port
--- a/src/fescuedock/spool/origins.py
+++ b/src/fescuedock/spool/origins.py
@@ -26,23 +26,23 @@
 
 __all__ = ["OriginLog", "OriginService"]
 
-_NAMES = ("origins-0.log", "origins-1.log")
+_LOG_NAMES = ("origins-0.log", "origins-1.log")
 # Length and checksum before each record.
-_HEAD_BYTES = 8
+_HEADER_BYTES = 8
 _FIELD_BYTES = 4
 
 
 class OriginLog:
     """Appends to one log of ``folder`` until ``turn_ms`` have passed, then to the other."""
 
-    def __init__(self, disk: Disk, folder: Path, turn_ms: float) -> None:
+    def __init__(self, disk: Disk, folder: Path, rotation_ms: float) -> None:
         self._disk = disk
         self._folder = folder
-        self._turn_ms = turn_ms
-        self._number = 0
-        self._since_ms = float("-inf")
+        self._rotation_ms = rotation_ms
+        self._current = 0
+        self._current_since_ms = float("-inf")
         # Read at the start, to be carried over into the first log that begins.
-        self._carried: list[KnownStream] = []
+        self._recovered: list[KnownStream] = []
 
     def read(self) -> list[KnownStream]:
         """Return what the logs hold; ``OSError`` when the disk cannot be read.
@@ -50,51 +50,51 @@
         What was being written as the power went is left out: nobody was told that it is kept.
         """
         self._disk.make_folder(self._folder)
-        self._carried = []
+        self._recovered = []
         newest = (-1, -1)
-        for number, name in enumerate(_NAMES):
+        for number, name in enumerate(_LOG_NAMES):
             status = self._disk.status(self._folder / name)
             if status is None:
                 continue
             if (status.modified_s, status.size_bytes) > newest:
-                newest, self._number = (status.modified_s, status.size_bytes), number
-            for body in _records_in(self._disk.read(self._folder / name)):
-                self._carried += msgspec.msgpack.decode(body, type=list[KnownStream])
-        return list(self._carried)
+                newest, self._current = (status.modified_s, status.size_bytes), number
+            for body in _read_records(self._disk.read(self._folder / name)):
+                self._recovered += msgspec.msgpack.decode(body, type=list[KnownStream])
+        return list(self._recovered)
 
     def append(self, streams: Sequence[KnownStream], now_ms: float) -> None:
         """Return when ``streams`` survive a loss of power; ``OSError`` when they may not."""
-        if now_ms - self._since_ms < self._turn_ms:
-            since_ms, self._since_ms = self._since_ms, float("-inf")
+        if now_ms - self._current_since_ms < self._rotation_ms:
+            since_ms, self._current_since_ms = self._current_since_ms, float("-inf")
             with self._disk.append(self._path()) as file:
-                file.write(_record(streams))
+                file.write(_encode_record(streams))
                 file.sync()
-            self._since_ms = since_ms
+            self._current_since_ms = since_ms
             return
         # Also after a start or a fault: a torn record would hide those that follow it.
-        self._number = 1 - self._number
+        self._current = 1 - self._current
         with self._disk.create(self._path()) as file:
-            file.write(_record([*self._carried, *streams]))
+            file.write(_encode_record([*self._recovered, *streams]))
             file.sync()
         self._disk.sync_folder(self._folder)
-        self._since_ms, self._carried = now_ms, []
+        self._current_since_ms, self._recovered = now_ms, []
 
     def _path(self) -> Path:
-        return self._folder / _NAMES[self._number]
+        return self._folder / _LOG_NAMES[self._current]
 
 
-def _record(streams: Sequence[KnownStream]) -> bytes:
+def _encode_record(streams: Sequence[KnownStream]) -> bytes:
     body = msgspec.msgpack.encode(list(streams))
     return len(body).to_bytes(_FIELD_BYTES) + zlib.crc32(body).to_bytes(_FIELD_BYTES) + body
 
 
-def _records_in(data: bytes) -> Iterator[bytes]:
+def _read_records(data: bytes) -> Iterator[bytes]:
     """Yield the records of a log up to one that is not whole."""
     start = 0
-    while start + _HEAD_BYTES <= len(data):
+    while start + _HEADER_BYTES <= len(data):
         size_bytes = int.from_bytes(data[start : start + _FIELD_BYTES])
-        checksum = int.from_bytes(data[start + _FIELD_BYTES : start + _HEAD_BYTES])
-        start += _HEAD_BYTES
+        checksum = int.from_bytes(data[start + _FIELD_BYTES : start + _HEADER_BYTES])
+        start += _HEADER_BYTES
         body = data[start : start + size_bytes]
         if len(body) < size_bytes or zlib.crc32(body) != checksum:
             return
--- a/src/fescuedock/spool/service.py
+++ b/src/fescuedock/spool/service.py
@@ -30,9 +30,9 @@
 # Between two tries to reach the store: an outage of 5 s costs some 15 calls, and a job waits for
 # no longer than this after the store's return.
 _FIRST_PAUSE_MS = 100.0
-_MOST_PAUSE_MS = 400.0
+_MAX_PAUSE_MS = 400.0
 # A job's transaction takes 20 ms at the most seen; two tries of the store's client.
-_STORE_JOB_S = 1.0
+_STORE_JOB_TIMEOUT_S = 1.0
 
 
 class SpoolService:
@@ -47,13 +47,13 @@
         self._key = key
         self._record = record
         # Whether a restart would know that the machine is to be emptied.
-        self._emptying_kept = False
-        self._kept = trio.Event()
+        self._emptying_durable = False
+        self._job_written = trio.Event()
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
         """Handlers by message type."""
         return {
-            SpoolJob: self._keep,
+            SpoolJob: self._spool_job,
             FindSpooled: self._find,
             EndSpooled: self._end,
             EmptySpool: self._empty,
@@ -65,26 +65,26 @@
             nursery.start_soon(self._register)
             nursery.start_soon(self._store_forever)
 
-    async def _keep(self, message: SpoolJob, _peer: ServerPeer) -> SpoolJobReply:
-        kept = self._put(message)
-        code = ResultCode.OK if isinstance(kept, Ok) else kept.err_value.code
+    async def _spool_job(self, message: SpoolJob, _peer: ServerPeer) -> SpoolJobReply:
+        written = self._write_job(message)
+        code = ResultCode.OK if isinstance(written, Ok) else written.err_value.code
         log_event(
             "job_spooled",
             job_id=message.record.job_id,
             outcome=code.name,
-            reason="" if isinstance(kept, Ok) else kept.err_value.message,
+            reason="" if isinstance(written, Ok) else written.err_value.message,
             pending=len(self._files),
         )
         return SpoolJobReply(code)
 
-    def _put(self, message: SpoolJob) -> Result[None, Fault]:
+    def _write_job(self, message: SpoolJob) -> Result[None, Fault]:
         # Of a job that is here the refusal, which promises that there is no copy, would be wrong.
         if self._files.is_emptying and message.record.job_id not in self._files:
             return Err(Fault(ResultCode.STORES_UNAVAILABLE, "the machine is to be removed"))
-        kept = self._files.put(message)
+        written = self._files.put(message)
         # Also after a fault there may be a copy, which is stored like all others.
-        self._kept.set()
-        return kept
+        self._job_written.set()
+        return written
 
     async def _find(self, message: FindSpooled, _peer: ServerPeer) -> FindSpooledReply:
         return FindSpooledReply(message.job_id in self._files)
@@ -94,36 +94,36 @@
         if message.job_id not in self._files:
             return EndSpooledReply(False, ResultCode.OK)
         was_ended = self._files.is_ended(message.job_id)
-        kept = self._files.end(message.job_id)
-        code = ResultCode.OK if isinstance(kept, Ok) else kept.err_value.code
+        written = self._files.end(message.job_id)
+        code = ResultCode.OK if isinstance(written, Ok) else written.err_value.code
         log_event(
             "spooled_job_ended",
             # Nodes tell it again until the job is stored.
-            routine=was_ended and isinstance(kept, Ok),
+            routine=was_ended and isinstance(written, Ok),
             job_id=message.job_id,
             outcome=code.name,
-            reason="" if isinstance(kept, Ok) else kept.err_value.message,
+            reason="" if isinstance(written, Ok) else written.err_value.message,
         )
         return EndSpooledReply(True, code)
 
     async def _empty(self, message: EmptySpool, _peer: ServerPeer) -> EmptySpoolReply:
         """Take no more jobs, also after a restart: the machine goes once it was found empty."""
-        if not self._emptying_kept:
-            kept = self._files.keep_emptying()
-            self._emptying_kept = isinstance(kept, Ok)
+        if not self._emptying_durable:
+            written = self._files.record_emptying()
+            self._emptying_durable = isinstance(written, Ok)
             log_event(
                 "spool_emptying",
                 reason=message.reason,
                 pending=len(self._files),
-                fault="" if isinstance(kept, Ok) else kept.err_value.message,
+                fault="" if isinstance(written, Ok) else written.err_value.message,
             )
-        code = ResultCode.OK if self._emptying_kept else ResultCode.STORES_UNAVAILABLE
+        code = ResultCode.OK if self._emptying_durable else ResultCode.STORES_UNAVAILABLE
         return EmptySpoolReply(len(self._files), code)
 
     async def _register(self) -> None:
         """Write the record without a lease: jobs wait here however long nobody hears of this VM."""
         value = msgspec.msgpack.encode(self._record)
-        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MOST_PAUSE_MS)
+        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         # A machine that was emptied may be off the list already, and gone soon.
         while len(self._files) or not self._files.is_emptying:
             found = await self._kv.get(self._key)
@@ -141,18 +141,18 @@
 
     async def _store_forever(self) -> None:
         while True:
-            pauses = GrowingPauses(_FIRST_PAUSE_MS, _MOST_PAUSE_MS)
+            pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
             while len(self._files):
                 stored = [await self._store_job(job) for job in self._files]
                 if not all(stored):
                     await pauses.wait()
-            self._kept = trio.Event()
-            await self._kept.wait()
+            self._job_written = trio.Event()
+            await self._job_written.wait()
 
     async def _store_job(self, job: SpoolJob) -> bool:
         """Enter a job into the store, or find it there; one that is there may go from the disk."""
         job_id = job.record.job_id
-        with trio.move_on_after(_STORE_JOB_S):
+        with trio.move_on_after(_STORE_JOB_TIMEOUT_S):
             stored = await self._store.accept(job.record, job.items)
             if isinstance(stored, Err) and stored.err_value.code is ResultCode.KEY_REUSED:
                 # The store was away when it was accepted, and nobody could know of the other one.
--- a/tests/test_node_spools.py
+++ b/tests/test_node_spools.py
@@ -150,7 +150,7 @@
         async def test(fleet: NodeFleet, spools: Spools) -> None:
             name = spools[0].vm_id
             self.assertEqual(await self.submit_in_outage(fleet), 202)
-            with mock.patch.object(service, "_STORE_JOB_S", 0.0):
+            with mock.patch.object(service, "_STORE_JOB_TIMEOUT_S", 0.0):
                 fleet.store.refuse_status = 0
                 fleet.store.state.put(f"op/retire/{name}", b'{"deadlineS": 8}')
                 await self.wait_status(fleet, name, "running")
--- a/tests/test_spool_emptied.py
+++ b/tests/test_spool_emptied.py
@@ -10,7 +10,7 @@
 from tests.builders.disk import MemoryDisk
 from tests.builders.kv import MemoryKv
 from tests.builders.standins import run_async
-from tests.test_spool_files import job, opened
+from tests.test_spool_files import job, open_spool
 
 KEYS = JobKeys("p/")
 RECORD = NodeRecord("spool-1", "caldas", "sala-1", "127.0.1.1", 1)
@@ -26,9 +26,9 @@
     def service(self, disk: MemoryDisk) -> SpoolService:
         kv = MemoryKv()
         store = JobStore(kv, KEYS, 100_000)
-        return SpoolService(opened(disk), kv, store, KEYS.spools + RECORD.vm_id, RECORD)
+        return SpoolService(open_spool(disk), kv, store, KEYS.spools + RECORD.vm_id, RECORD)
 
-    def code_of_a_job(self, *, restarted: bool) -> ResultCode:
+    def answer_code_for_a_job(self, *, restarted: bool) -> ResultCode:
         codes: list[ResultCode] = []
 
         async def run() -> None:
@@ -38,17 +38,17 @@
             self.assertEqual(reply.pending, 0)
             if restarted:
                 service = self.service(disk)
-            kept = await service.handlers()[SpoolJob](job(), None)
-            codes.append(ResultCode(kept.code))
+            reply = await service.handlers()[SpoolJob](job(), None)
+            codes.append(ResultCode(reply.code))
 
         run_async(run)
         return codes[0]
 
-    def test_a_machine_that_is_being_emptied_takes_nothing(self) -> None:
-        self.assertEqual(self.code_of_a_job(restarted=False), ResultCode.STORES_UNAVAILABLE)
+    def test_a_machine_that_is_being_emptied_accepts_no_job(self) -> None:
+        self.assertEqual(self.answer_code_for_a_job(restarted=False), ResultCode.STORES_UNAVAILABLE)
 
-    def test_nor_does_it_after_its_program_has_started_again(self) -> None:
-        self.assertNotEqual(self.code_of_a_job(restarted=True), ResultCode.OK)
+    def test_it_still_accepts_no_job_after_a_restart_of_its_program(self) -> None:
+        self.assertNotEqual(self.answer_code_for_a_job(restarted=True), ResultCode.OK)
 
 
 if __name__ == "__main__":
--- a/tests/test_spool_origins.py
+++ b/tests/test_spool_origins.py
@@ -8,60 +8,60 @@
 from tests.builders.disk import MemoryDisk, PowerCutError
 
 FOLDER = Path("/data/origins")
-TURN_MS = 1000.0
+ROTATION_MS = 1000.0
 
 
 def stream(name: str, version: str = "v1") -> KnownStream:
     return KnownStream(name, StreamOrigin("desk", version))
 
 
-def opened(disk: MemoryDisk) -> OriginLog:
-    log = OriginLog(disk, FOLDER, TURN_MS)
+def open_log(disk: MemoryDisk) -> OriginLog:
+    log = OriginLog(disk, FOLDER, ROTATION_MS)
     log.read()
     return log
 
 
-def names_on(disk: MemoryDisk) -> set[str]:
-    return {item.stream_key for item in OriginLog(disk, FOLDER, TURN_MS).read()}
+def stream_keys_on(disk: MemoryDisk) -> set[str]:
+    return {item.stream_key for item in OriginLog(disk, FOLDER, ROTATION_MS).read()}
 
 
 class OriginLogTest(unittest.TestCase):
-    def test_what_was_acknowledged_survives_a_loss_of_power_at_any_step(self) -> None:
+    def test_acknowledged_origins_survive_a_loss_of_power_at_any_step(self) -> None:
         for step in range(1, 60):
             disk = MemoryDisk()
-            kept: list[str] = []
+            acknowledged: list[str] = []
             disk.cut_at = step
             try:
-                log = opened(disk)
+                log = open_log(disk)
                 for number in range(8):
                     log.append([stream(f"s-{number}")], 300.0 * number)
-                    kept.append(f"s-{number}")
+                    acknowledged.append(f"s-{number}")
             except PowerCutError:
                 pass
             disk.lose_power(step)
             with self.subTest(step=step):
                 # Those of the log before the last one are older than origins are kept for.
-                self.assertLessEqual(set(kept[-4:]), names_on(disk))
+                self.assertLessEqual(set(acknowledged[-4:]), stream_keys_on(disk))
 
-    def test_a_torn_record_hides_nothing_that_is_written_after_a_restart(self) -> None:
+    def test_a_torn_record_hides_no_record_written_after_a_restart(self) -> None:
         disk = MemoryDisk()
-        log = opened(disk)
+        log = open_log(disk)
         log.append([stream("before")], 0.0)
         for name in ("origins-0.log", "origins-1.log"):
             if disk.status(FOLDER / name) is not None:
                 with disk.append(FOLDER / name) as file:
                     file.write(b"\x00\x00\x00\x50torn")
                     file.sync()
-        opened(disk).append([stream("after")], 0.0)
-        self.assertEqual(names_on(disk), {"before", "after"})
+        open_log(disk).append([stream("after")], 0.0)
+        self.assertEqual(stream_keys_on(disk), {"before", "after"})
 
-    def test_logs_do_not_grow_beyond_two_turns(self) -> None:
+    def test_logs_do_not_grow_beyond_two_rotations(self) -> None:
         disk = MemoryDisk()
-        log = opened(disk)
+        log = open_log(disk)
         for number in range(100):
             log.append([stream(f"s-{number}")], 200.0 * number)
-        self.assertLessEqual(len(names_on(disk)), 10)
-        self.assertIn("s-99", names_on(disk))
+        self.assertLessEqual(len(stream_keys_on(disk)), 10)
+        self.assertIn("s-99", stream_keys_on(disk))
 
 
 if __name__ == "__main__":
--- a/tests/test_spool_service.py
+++ b/tests/test_spool_service.py
@@ -45,20 +45,20 @@
 JOB = SpoolJob(job_record("job-1", total=1), [stored_item("a")])
 
 
-class SpoolWay(StoreLink):
+class SpoolStoreConnection(StoreLink):
     """A way to the store by which a spool can register."""
 
     async def put_if(self, key: str, value: bytes, revision: int) -> Result[int, Fault]:
         return await self.transact(KvTransaction({key: revision}, writes={key: value}))
 
 
-def opened(disk: MemoryDisk, way: SpoolWay) -> SpoolService:
+def open_service(disk: MemoryDisk, connection: SpoolStoreConnection) -> SpoolService:
     files = SpoolFiles(disk, FOLDER, VALUE_BYTES)
     files.open()
-    return SpoolService(files, way, JobStore(way, KEYS, VALUE_BYTES), OWN_KEY, RECORD)
+    return SpoolService(files, connection, JobStore(connection, KEYS, VALUE_BYTES), OWN_KEY, RECORD)
 
 
-async def ask(service: SpoolService, message: msgspec.Struct) -> msgspec.Struct:
+async def call(service: SpoolService, message: msgspec.Struct) -> msgspec.Struct:
     return await service.handlers()[type(message)](message, None)
 
 
@@ -75,101 +75,101 @@
     def record(self, state: KvState) -> StoredJobRecord:
         return msgspec.msgpack.decode(state.get(KEYS.record("job-1")).value, type=StoredJobRecord)
 
-    def test_a_job_whose_id_another_one_has_is_dropped(self) -> None:
+    def test_a_job_whose_id_belongs_to_another_job_is_dropped(self) -> None:
         async def test(nursery: trio.Nursery) -> None:
             state = KvState()
-            way = SpoolWay(state)
+            connection = SpoolStoreConnection(state)
             other = job_record("job-1", total=2)
-            await JobStore(way, KEYS, VALUE_BYTES).accept(
+            await JobStore(connection, KEYS, VALUE_BYTES).accept(
                 other, [stored_item("x"), stored_item("y")]
             )
-            service = opened(MemoryDisk(), way)
+            service = open_service(MemoryDisk(), connection)
             nursery.start_soon(service.run)
-            await ask(service, JOB)
+            await call(service, JOB)
             await trio.sleep(5.0)
-            self.assertFalse((await ask(service, FindSpooled("job-1"))).held)
+            self.assertFalse((await call(service, FindSpooled("job-1"))).held)
             self.assertEqual(self.record(state).total, 2)
 
         self.run_test(test)
 
-    def test_an_end_that_comes_while_the_job_is_on_its_way_to_the_store_is_recorded(self) -> None:
+    def test_an_end_received_while_the_job_is_being_stored_is_recorded(self) -> None:
         async def test(nursery: trio.Nursery) -> None:
-            way = SpoolWay(KvState())
-            service = opened(MemoryDisk(), way)
-            way.after_s = 0.2
-            await ask(service, JOB)
+            connection = SpoolStoreConnection(KvState())
+            service = open_service(MemoryDisk(), connection)
+            connection.after_s = 0.2
+            await call(service, JOB)
             nursery.start_soon(service.run)
             await trio.sleep(0.1)
             # The job is in the store, and the spool has not heard so yet.
-            self.assertFalse(self.record(way.state).ended)
-            reply = await ask(service, EndSpooled("job-1"))
+            self.assertFalse(self.record(connection.state).ended)
+            reply = await call(service, EndSpooled("job-1"))
             self.assertEqual((reply.held, reply.code), (True, ResultCode.OK))
             await trio.sleep(2.0)
-            self.assertTrue(self.record(way.state).ended)
-            self.assertFalse((await ask(service, EndSpooled("job-1"))).held)
+            self.assertTrue(self.record(connection.state).ended)
+            self.assertFalse((await call(service, EndSpooled("job-1"))).held)
 
         self.run_test(test)
 
-    def test_a_spool_that_is_emptied_takes_no_job_after_a_restart(self) -> None:
+    def test_a_spool_that_is_emptied_accepts_no_job_after_a_restart(self) -> None:
         async def test(_nursery: trio.Nursery) -> None:
             for seed in range(5):
-                disk, way = MemoryDisk(), SpoolWay(KvState())
-                reply = await ask(opened(disk, way), EmptySpool("to be removed"))
+                disk, connection = MemoryDisk(), SpoolStoreConnection(KvState())
+                reply = await call(open_service(disk, connection), EmptySpool("to be removed"))
                 self.assertEqual((reply.pending, reply.code), (0, ResultCode.OK))
                 disk.lose_power(seed)
-                reply = await ask(opened(disk, way), JOB)
+                reply = await call(open_service(disk, connection), JOB)
                 self.assertEqual(reply.code, ResultCode.STORES_UNAVAILABLE)
 
         self.run_test(test)
 
-    def test_a_spool_that_is_emptied_denies_no_job_that_it_holds(self) -> None:
+    def test_a_spool_that_is_emptied_still_acknowledges_a_job_it_holds(self) -> None:
         async def test(_nursery: trio.Nursery) -> None:
-            service = opened(MemoryDisk(), SpoolWay(KvState()))
-            await ask(service, JOB)
-            await ask(service, EmptySpool("to be removed"))
+            service = open_service(MemoryDisk(), SpoolStoreConnection(KvState()))
+            await call(service, JOB)
+            await call(service, EmptySpool("to be removed"))
             # A refusal would promise that there is no copy; this one is stored before the end.
-            self.assertEqual((await ask(service, JOB)).code, ResultCode.OK)
+            self.assertEqual((await call(service, JOB)).code, ResultCode.OK)
 
         self.run_test(test)
 
-    def test_a_spool_that_was_emptied_does_not_come_back_to_the_list(self) -> None:
+    def test_a_spool_that_was_emptied_does_not_register_again(self) -> None:
         async def test(nursery: trio.Nursery) -> None:
-            disk, way = MemoryDisk(), SpoolWay(KvState())
-            await ask(opened(disk, way), EmptySpool("to be removed"))
+            disk, connection = MemoryDisk(), SpoolStoreConnection(KvState())
+            await call(open_service(disk, connection), EmptySpool("to be removed"))
             # The node that emptied it removes its record, and the process starts again.
-            nursery.start_soon(opened(disk, way).run)
+            nursery.start_soon(open_service(disk, connection).run)
             await trio.sleep(1.0)
-            self.assertIsNone(way.state.get(OWN_KEY))
+            self.assertIsNone(connection.state.get(OWN_KEY))
 
         self.run_test(test)
 
     def test_a_spool_that_still_holds_a_job_registers_though_it_is_emptied(self) -> None:
         async def test(nursery: trio.Nursery) -> None:
-            disk, way = MemoryDisk(), SpoolWay(KvState(), refuses=True)
-            service = opened(disk, way)
-            await ask(service, JOB)
-            self.assertEqual((await ask(service, EmptySpool("to be removed"))).pending, 1)
-            again = opened(disk, way)
+            disk, connection = MemoryDisk(), SpoolStoreConnection(KvState(), refuses=True)
+            service = open_service(disk, connection)
+            await call(service, JOB)
+            self.assertEqual((await call(service, EmptySpool("to be removed"))).pending, 1)
+            again = open_service(disk, connection)
             nursery.start_soon(again.run)
-            way.repair()
+            connection.repair()
             await trio.sleep(1.0)
-            self.assertIsNotNone(way.state.get(OWN_KEY))
-            self.assertEqual((await ask(again, EmptySpool("to be removed"))).pending, 0)
+            self.assertIsNotNone(connection.state.get(OWN_KEY))
+            self.assertEqual((await call(again, EmptySpool("to be removed"))).pending, 0)
 
         self.run_test(test)
 
-    def test_a_spool_that_cannot_keep_that_it_is_emptied_does_not_count_as_empty(self) -> None:
+    def test_a_spool_that_cannot_record_that_it_is_emptied_does_not_count_as_empty(self) -> None:
         async def test(_nursery: trio.Nursery) -> None:
             for failing_step in ("create", "sync", "sync_folder"):
-                disk, way = MemoryDisk(), SpoolWay(KvState())
-                service = opened(disk, way)
+                disk, connection = MemoryDisk(), SpoolStoreConnection(KvState())
+                service = open_service(disk, connection)
                 disk.failing = lambda step, name=failing_step: step == name
-                reply = await ask(service, EmptySpool("to be removed"))
+                reply = await call(service, EmptySpool("to be removed"))
                 self.assertNotEqual(reply.code, ResultCode.OK)
                 self.assertIsNone(await self.spools(reply).drain("s-1"))
-                self.assertEqual((await ask(service, JOB)).code, ResultCode.STORES_UNAVAILABLE)
+                self.assertEqual((await call(service, JOB)).code, ResultCode.STORES_UNAVAILABLE)
                 disk.failing = lambda _step: False
-                reply = await ask(service, EmptySpool("to be removed"))
+                reply = await call(service, EmptySpool("to be removed"))
                 self.assertEqual(await self.spools(reply).drain("s-1"), 0)
 
         self.run_test(test)
@@ -185,7 +185,7 @@
             table.replace([KvEntry(OWN_KEY, msgspec.msgpack.encode(RECORD), 2)], 2, 0.0)
         return Spools(table, KEYS.spools, 1, call)
 
-    def test_a_node_that_has_not_read_who_is_a_spool_denies_nothing(self) -> None:
+    def test_a_node_that_has_not_read_the_list_of_spools_denies_no_job(self) -> None:
         async def test(_nursery: trio.Nursery) -> None:
             spools = self.spools(EmptySpoolReply(0), known=False)
             self.assertTrue(await spools.may_hold("job-1"))
