--- a/src/fescuedock/core/batch/items.py
+++ b/src/fescuedock/core/batch/items.py
@@ -20,7 +20,7 @@
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.settings import BatchSettings
 
-__all__ = ["AttemptEnd", "EndKind", "Isolation", "Item", "ItemQueue", "ItemFailure"]
+__all__ = ["AttemptEnd", "EndKind", "Isolation", "Item", "ItemFailure", "ItemQueue"]
 
 # Suspicion added to an item by the death of its worker, without and with tokens received from it.
 _DEATH_SUSPICION = 1.0
--- a/src/fescuedock/core/batch/record.py
+++ b/src/fescuedock/core/batch/record.py
@@ -14,8 +14,8 @@
 __all__ = [
     "DuplicateItemError",
     "OwnerChange",
-    "cancel_requested",
     "apply_change",
+    "cancel_requested",
     "claimed",
     "decode_record",
     "encode_record",
--- a/src/fescuedock/core/batch/takeover.py
+++ b/src/fescuedock/core/batch/takeover.py
@@ -16,9 +16,9 @@
     "RunnerName",
     "SilentOwners",
     "TakeoverDecision",
-    "preferred_runner",
     "decide_takeover",
     "is_scanner",
+    "preferred_runner",
 ]
 
 
--- a/src/fescuedock/core/config/spread.py
+++ b/src/fescuedock/core/config/spread.py
@@ -18,9 +18,9 @@
 __all__ = [
     "ConfirmationState",
     "SpreadLimits",
+    "confirmation_state",
     "is_serving",
     "pick_targets",
-    "confirmation_state",
     "watchers_of",
 ]
 
--- a/src/fescuedock/core/job_identity.py
+++ b/src/fescuedock/core/job_identity.py
@@ -12,11 +12,11 @@
 
 __all__ = [
     "JobRequest",
+    "check_same_job",
+    "check_same_job_by_file",
     "file_identity",
     "job_identity",
     "new_record",
-    "check_same_job",
-    "check_same_job_by_file",
 ]
 
 _IDENTITY_CHARS = 32
--- a/src/fescuedock/core/orders/steps.py
+++ b/src/fescuedock/core/orders/steps.py
@@ -6,7 +6,7 @@
 
 from fescuedock.schema.orders import OrderRecord, PlannedOrder
 
-__all__ = ["SendOrder", "SendOutcome", "ReadRecord", "Step", "Wait", "Write"]
+__all__ = ["ReadRecord", "SendOrder", "SendOutcome", "Step", "Wait", "Write"]
 
 
 class SendOutcome(StrEnum):
--- a/src/fescuedock/core/stored_jobs/pending_ends.py
+++ b/src/fescuedock/core/stored_jobs/pending_ends.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-__all__ = ["UnresolvedAcceptances", "PendingEnds"]
+__all__ = ["PendingEnds", "UnresolvedAcceptances"]
 
 # 100 clients that each end 40 jobs during one outage, at about 150 bytes each.
 _MAX_ENDS = 4000
--- a/src/fescuedock/core/stored_jobs/run_estimates.py
+++ b/src/fescuedock/core/stored_jobs/run_estimates.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-__all__ = ["RunShare", "RunEstimate"]
+__all__ = ["RunEstimate", "RunShare"]
 
 
 class RunEstimate(msgspec.Struct):
--- a/src/fescuedock/store/client.py
+++ b/src/fescuedock/store/client.py
@@ -38,12 +38,12 @@
 )
 from fescuedock.schema.view import Program, VmRecord
 
-__all__ = ["StoreClient", "TakeRecords", "open_store_client"]
+__all__ = ["HandleRecords", "StoreClient", "open_store_client"]
 
 # Gets one page of log records.
-TakeRecords = Callable[[Sequence[bytes]], None]
+HandleRecords = Callable[[Sequence[bytes]], None]
 
-LOG_COPIES = 2
+_LOG_COPIES = 2
 _CALL_TIMEOUT_MS = 3000
 # How long a put that is safe already waits for the copies beyond the needed ones.
 _EXTRA_COPIES_WAIT_MS = 300
@@ -58,14 +58,14 @@
 class StoreClient:
     """Calls the stores that the fleet view shows.  Make it with ``open_store_client``."""
 
-    __slots__ = ("_avoided_until_ms", "_settings", "_turns", "_view", "channels")
+    __slots__ = ("_avoided_until_ms", "_put_lock", "_settings", "_view", "channels")
 
     def __init__(self, channels: ChannelPool, view: FleetView, settings: BatchSettings) -> None:
         self.channels = channels
         self._view = view
         self._settings = settings
         self._avoided_until_ms: dict[str, float] = {}
-        self._turns = trio.Lock()
+        self._put_lock = trio.Lock()
 
     async def put_segment(
         self, body: bytes, items: int = 0, exclude: Collection[str] = ()
@@ -79,7 +79,7 @@
         plan = self._plan(segment_hash, self._settings.copies, self._settings.min_copies, exclude)
         await self._write(plan, PutSegment(segment_hash=segment_hash, body=body))
         if not plan.is_sufficient:
-            return Err(_too_few(plan, f"segment {segment_hash[:12]}"))
+            return Err(_too_few_copies(plan, f"segment {segment_hash[:12]}"))
         copies = [site.vm_id for site in plan.held]
         return Ok(
             SegmentRef(segment_hash=segment_hash, items=items, size_bytes=len(body), copies=copies)
@@ -117,7 +117,7 @@
                     holders[segment_hash].append(vm)
 
         async with trio.open_nursery() as nursery:
-            for vm in self._stores() if hashes else ():
+            for vm in self._live_stores() if hashes else ():
                 nursery.start_soon(ask, vm)
         return holders
 
@@ -126,31 +126,33 @@
 
         Returns the number of stores that have ``records`` on disk, at least one.
         """
-        plan = self._plan(job_id, LOG_COPIES, 1, ())
+        plan = self._plan(job_id, _LOG_COPIES, 1, ())
         await self._write(plan, AppendLog(job_id=job_id, records=list(records)))
-        return Ok(len(plan.held)) if plan.held else Err(_too_few(plan, f"the log of {job_id}"))
+        return (
+            Ok(len(plan.held)) if plan.held else Err(_too_few_copies(plan, f"the log of {job_id}"))
+        )
 
-    async def read_log(self, job_id: str, take: TakeRecords) -> Result[int, Fault]:
+    async def read_log(self, job_id: str, handle: HandleRecords) -> Result[int, Fault]:
         """Give ``take`` the records that any reachable store has, page by page.
 
         Most come twice, and their order between stores means nothing.  Returns the number of
         stores read to the end; ``STORES_UNAVAILABLE`` when that is none.
         """
-        read = 0
-        for vm in self._readable():
-            read += await self._read_log_of(vm, job_id, take)
-        if not read:
+        stores_read = 0
+        for vm in self._readable_stores():
+            stores_read += await self._read_log_from(vm, job_id, handle)
+        if not stores_read:
             message = f"no store answers with the log of {job_id}"
             return Err(Fault(ResultCode.STORES_UNAVAILABLE, message, _RETRY_AFTER_MS))
-        return Ok(read)
+        return Ok(stores_read)
 
     async def drop_log(self, job_id: str) -> None:
         """Delete the job's log on every reachable store; what remains expires by retention."""
         async with trio.open_nursery() as nursery:
-            for vm in self._stores():
+            for vm in self._live_stores():
                 nursery.start_soon(self.call, vm, DropLog(job_id=job_id))
 
-    async def _read_log_of(self, vm: VmRecord, job_id: str, take: TakeRecords) -> bool:
+    async def _read_log_from(self, vm: VmRecord, job_id: str, handle: HandleRecords) -> bool:
         offset_bytes = 0
         while True:
             page = ReadLog(job_id=job_id, offset_bytes=offset_bytes, limit_bytes=_PAGE_BYTES)
@@ -159,15 +161,15 @@
                 return False
             if not reply.records:
                 return True
-            take(reply.records)
+            handle(reply.records)
             offset_bytes = reply.next_offset_bytes
 
-    def _stores(self) -> list[VmRecord]:
+    def _live_stores(self) -> list[VmRecord]:
         return self._view.live_vms(Program.STORE)
 
-    def _readable(self) -> list[VmRecord]:
+    def _readable_stores(self) -> list[VmRecord]:
         """Return every store that may answer, those that take no new work last."""
-        live = self._stores()
+        live = self._live_stores()
         names = {vm.vm_id for vm in live}
         return live + [
             vm for vm in self._view.vms.values() if vm.store_port and vm.vm_id not in names
@@ -180,15 +182,15 @@
     def _plan(self, key: str, copies: int, min_copies: int, exclude: Collection[str]) -> CopyPlan:
         sites = [
             StoreSite(vm.vm_id, vm.failure_domain)
-            for vm in self._stores()
+            for vm in self._live_stores()
             if vm.vm_id not in exclude
         ]
         return CopyPlan(rank_stores(key, sites), copies, min_copies, self._avoided())
 
     def _read_order(self, ref: SegmentRef) -> list[VmRecord]:
-        stores = {vm.vm_id: vm for vm in self._readable()}
+        stores = {vm.vm_id: vm for vm in self._readable_stores()}
         sites = [StoreSite(vm.vm_id, vm.failure_domain) for vm in stores.values()]
-        live = {vm.vm_id for vm in self._stores()}
+        live = {vm.vm_id for vm in self._live_stores()}
         avoided = self._avoided().union(stores.keys() - live)
         ranked = rank_stores(ref.segment_hash, sites, avoided)
         ranked.sort(key=lambda site: (site.vm_id in avoided, site.vm_id not in ref.copies))
@@ -196,7 +198,7 @@
 
     async def _write(self, plan: CopyPlan, message: msgspec.Struct) -> None:
         """Carry ``plan`` out: until it is complete, enough for long enough, or out of stores."""
-        vms = {vm.vm_id: vm for vm in self._stores()}
+        vms = {vm.vm_id: vm for vm in self._live_stores()}
         async with trio.open_nursery() as nursery:
 
             async def ask(site: StoreSite) -> None:
@@ -204,7 +206,7 @@
                     reply = await self.call(vms[site.vm_id], message)
                 except trio.Cancelled:
                     if plan.is_sufficient:
-                        self._give_up(vms[site.vm_id])
+                        self._mark_silent(vms[site.vm_id])
                     raise
                 code = reply.code if isinstance(reply, StoreReply) else ResultCode.PEER_UNKNOWN
                 if code == ResultCode.OK:
@@ -229,16 +231,16 @@
         """Return the store's answer; None when there is none in time."""
         if isinstance(message, PutSegment):
             # Signing and queueing a copy takes milliseconds: one copy in each pass of the loop.
-            async with self._turns:
+            async with self._put_lock:
                 await trio.lowlevel.checkpoint()
         client = await self.channels.client(_address(vm))
         result = await client.call(message, _CALL_TIMEOUT_MS)
         if isinstance(result, Ok):
             return result.ok_value
-        self._give_up(vm)
+        self._mark_silent(vm)
         return None
 
-    def _give_up(self, vm: VmRecord) -> None:
+    def _mark_silent(self, vm: VmRecord) -> None:
         """Ask the silent store last from now on, and drop what waits to be sent to it."""
         self._avoid(vm.vm_id)
         self.channels.discard(_address(vm))
@@ -270,7 +272,7 @@
     return Address(vm.host, vm.store_port)
 
 
-def _too_few(plan: CopyPlan, what: str) -> Fault:
+def _too_few_copies(plan: CopyPlan, subject: str) -> Fault:
     held = len(plan.held)
-    message = f"{what}: {held} of {plan.min_copies} needed copies written"
+    message = f"{subject}: {held} of {plan.min_copies} needed copies written"
     return Fault(plan.failure_code, message, _RETRY_AFTER_MS)
--- a/src/fescuedock/store/logs.py
+++ b/src/fescuedock/store/logs.py
@@ -26,7 +26,7 @@
 _SCAN_BYTES = 1048576
 _MAX_PAGE_BYTES = 4 * 1048576
 # How long a round of fsync waits for more appends.
-_GATHER_MS = 2
+_APPEND_WAIT_MS = 2
 
 
 def is_job_id(text: str) -> bool:
@@ -41,7 +41,7 @@
     synced_bytes: int
 
 
-class _Round:
+class _SyncRound:
     """One round of fsync; the appends that wait for it see which logs failed."""
 
     __slots__ = ("done", "failed", "jobs")
@@ -55,16 +55,16 @@
 class LogFolder:
     """The logs under one folder.  ``run`` must be running for appends to be acknowledged."""
 
-    __slots__ = ("_disk", "_folder", "_folder_dirty", "_logs", "_round", "_usage", "_wake")
+    __slots__ = ("_disk", "_folder", "_folder_unsynced", "_logs", "_round", "_usage", "_wake")
 
     def __init__(self, disk: Disk, folder: Path, usage: Usage) -> None:
         self._disk = disk
         self._folder = folder / "logs"
         self._usage = usage
         self._logs: dict[str, _Log] = {}
-        self._round = _Round()
+        self._round = _SyncRound()
         self._wake = trio.Event()
-        self._folder_dirty = False
+        self._folder_unsynced = False
 
     def open(self) -> None:
         """Make the folder, find the logs and cut a torn last write off each."""
@@ -88,9 +88,9 @@
             self._write(job_id, data)
         except OSError as error:
             # A part of it may be there, and whatever followed that would be unreadable.
-            self._cut_to(job_id, self._logs[job_id].size_bytes)
+            self._truncate(job_id, self._logs[job_id].size_bytes)
             return Err(Fault(ResultCode.DISK_FULL, f"the disk refused: {error}"))
-        return await self._synced(job_id)
+        return await self._wait_synced(job_id)
 
     def read(self, request: ReadLog) -> LogReply:
         """Return whole records from an offset that an earlier answer gave, at least one if any."""
@@ -126,9 +126,9 @@
         """Make appends durable, round by round, until cancelled."""
         while True:
             await self._wake.wait()
-            await trio.sleep(_GATHER_MS / 1000)
+            await trio.sleep(_APPEND_WAIT_MS / 1000)
             self._wake = trio.Event()
-            finished, self._round = self._round, _Round()
+            finished, self._round = self._round, _SyncRound()
             for job_id in finished.jobs:
                 self._sync(job_id, finished)
                 # Between two fsyncs other work of the store gets a turn.
@@ -139,23 +139,23 @@
         if job_id not in self._logs:
             self._logs[job_id] = _Log(0, 0)
             self._usage.add(0)
-            self._folder_dirty = True
+            self._folder_unsynced = True
         with self._disk.append(self._path(job_id)) as file:
             file.write(data)
         self._logs[job_id].size_bytes += len(data)
         self._usage.used_bytes += len(data)
 
-    async def _synced(self, job_id: str) -> Result[None, Fault]:
-        joined = self._round
-        joined.jobs.add(job_id)
+    async def _wait_synced(self, job_id: str) -> Result[None, Fault]:
+        sync_round = self._round
+        sync_round.jobs.add(job_id)
         self._wake.set()
-        await joined.done.wait()
-        error = joined.failed.get(job_id)
+        await sync_round.done.wait()
+        error = sync_round.failed.get(job_id)
         if error is None:
             return Ok(None)
         return Err(Fault(ResultCode.STORES_UNAVAILABLE, f"the disk refused: {error}"))
 
-    def _sync(self, job_id: str, finished: _Round) -> None:
+    def _sync(self, job_id: str, finished: _SyncRound) -> None:
         log = self._logs.get(job_id)
         if log is None:
             # Dropped in between, so that nobody needs its records.
@@ -163,31 +163,31 @@
         try:
             with self._disk.append(self._path(job_id)) as file:
                 file.sync()
-            if self._folder_dirty:
+            if self._folder_unsynced:
                 self._disk.sync_folder(self._folder)
-                self._folder_dirty = False
+                self._folder_unsynced = False
         except OSError as error:
             # After a failed fsync nobody knows what is on disk; a later one could wrongly succeed.
             finished.failed[job_id] = error
-            self._fail_waiting(job_id, error)
-            self._cut_to(job_id, log.synced_bytes)
+            self._fail_pending(job_id, error)
+            self._truncate(job_id, log.synced_bytes)
             return
         log.synced_bytes = log.size_bytes
 
-    def _cut_to(self, job_id: str, size_bytes: int) -> None:
+    def _truncate(self, job_id: str, size_bytes: int) -> None:
         """Cut the log to ``size_bytes``; a log that cannot be cut is given up."""
         log = self._logs[job_id]
         try:
             with self._disk.append(self._path(job_id)) as file:
                 file.truncate(size_bytes)
         except OSError as error:
-            self._fail_waiting(job_id, error)
+            self._fail_pending(job_id, error)
             self.drop(job_id)
             return
         self._usage.used_bytes -= log.size_bytes - size_bytes
         log.size_bytes = size_bytes
 
-    def _fail_waiting(self, job_id: str, error: OSError) -> None:
+    def _fail_pending(self, job_id: str, error: OSError) -> None:
         """Refuse the appends whose records have just been cut off."""
         if job_id in self._round.jobs:
             self._round.failed[job_id] = error
--- a/src/fescuedock/store/main.py
+++ b/src/fescuedock/store/main.py
@@ -55,9 +55,9 @@
             open_store_client(codec, view, settings.batch) as client,
             open_http_client() as http,
         ):
-            repair = _repair(settings, service, client, view, http)
+            repair = _build_repair(settings, service, client, view, http)
             folders.on_damage = repair.on_damage
-            service.on_sweep_asked = repair.on_sweep_asked
+            service.on_sweep_requested = repair.on_sweep_requested
             nursery.start_soon(repair.run)
             task_status.started(address)
             await stop.wait()
@@ -89,7 +89,7 @@
     return folders
 
 
-def _repair(
+def _build_repair(
     settings: Settings,
     service: StoreService,
     client: StoreClient,
--- a/src/fescuedock/store/repair.py
+++ b/src/fescuedock/store/repair.py
@@ -43,10 +43,10 @@
 
 __all__ = ["Repair", "RepairCounts"]
 
-_ASKED_AT_ONCE = 500
-_LOOK_S = 1.0
+_MAX_SEGMENTS_PER_QUERY = 500
+_POLL_S = 1.0
 # The first full sweep comes early, so that a store which is replaced often makes one too.
-_FIRST_FULL_S = 600
+_MAX_FIRST_FULL_SWEEP_S = 600
 # Of all stores, the choice for this key deletes old records.
 _RETENTION_KEY = "retention"
 
@@ -77,8 +77,8 @@
     counts: RepairCounts = field(default_factory=RepairCounts)
     _damaged: set[str] = field(default_factory=set)
     _wake: trio.Event = field(default_factory=trio.Event)
-    _sweep_asked: bool = False
-    _others_asked: bool = False
+    _sweep_requested: bool = False
+    _others_notified: bool = False
     _rate_limiter: ByteRateLimiter = field(init=False)
     _sites: StableSites = field(init=False)
 
@@ -92,9 +92,9 @@
         self._damaged.add(segment_hash)
         self._wake.set()
 
-    def on_sweep_asked(self) -> None:
+    def on_sweep_requested(self) -> None:
         """Sweep soon: another store has started, perhaps with an empty disk."""
-        self._sweep_asked = True
+        self._sweep_requested = True
 
     async def run(self) -> None:
         """Repair until cancelled."""
@@ -103,7 +103,7 @@
             nursery.start_soon(self._sweep_forever)
 
     async def _sweep_forever(self) -> None:
-        first_s = min(_FIRST_FULL_S, self.settings.sweep_interval_s)
+        first_s = min(_MAX_FIRST_FULL_SWEEP_S, self.settings.sweep_interval_s)
         next_full_s = trio.current_time() + first_s
         while True:
             await self._wait_due(next_full_s)
@@ -112,54 +112,54 @@
                 next_full_s = trio.current_time() + self.settings.sweep_interval_s
                 await self.expire()
             self._sites.accept_change()
-            self._sweep_asked = False
-            await self._ask_others()
+            self._sweep_requested = False
+            await self._request_sweeps()
             await self.sweep(check_content=full)
 
     async def _wait_due(self, next_full_s: float) -> None:
         """Wait for the next full sweep or for a change of the stores that has lasted."""
         while trio.current_time() < next_full_s:
-            left_ms = self._sites.observe(self._other_sites(), now_ms())
-            if left_ms == 0 or self._sweep_asked:
+            remaining_ms = self._sites.observe(self._other_sites(), now_ms())
+            if remaining_ms == 0 or self._sweep_requested:
                 return
-            wait_s = _LOOK_S if left_ms is None else min(_LOOK_S, left_ms / 1000)
+            wait_s = _POLL_S if remaining_ms is None else min(_POLL_S, remaining_ms / 1000)
             await trio.sleep(min(wait_s, max(0.0, next_full_s - trio.current_time())))
 
-    async def _ask_others(self) -> None:
+    async def _request_sweeps(self) -> None:
         """Ask every other store for a sweep, once after the start.
 
         The others cannot see from the membership that a store came back without its segments.
         """
-        if self._others_asked:
+        if self._others_notified:
             return
-        self._others_asked = True
-        for vm in self._others():
+        self._others_notified = True
+        for vm in self._other_stores():
             await self.client.call(vm, AskSweep(vm_id=self.view.vm_id))
 
     async def sweep(self, *, check_content: bool = False) -> None:
         """Compare what is here with the other stores once and copy what is short."""
         names = [file.name for file in self.segments.files()]
-        for part in _parts(names, _ASKED_AT_ONCE):
+        for chunk in _chunks(names, _MAX_SEGMENTS_PER_QUERY):
             if check_content:
-                await self._check(part)
-            await self._sweep_part([name for name in part if self.segments.status(name)])
+                await self._check_content(chunk)
+            await self._sweep_chunk([name for name in chunk if self.segments.status(name)])
         self.counts.sweeps += 1
         log_event("sweep_done", segments=len(names), **asdict(self.counts))
 
-    async def _check(self, names: Iterable[str]) -> None:
+    async def _check_content(self, names: Iterable[str]) -> None:
         for name in names:
             file = self.segments.status(name)
             if file is not None:
-                await self._wait_pace(file.size_bytes)
+                await self._limit_rate(file.size_bytes)
                 # A damaged one reports itself.
                 self.segments.get(name)
 
-    async def _sweep_part(self, names: Sequence[str]) -> None:
-        me = self.view.vm_id
-        holders: dict[str, set[str]] = {name: {me} for name in names}
-        answered: set[str] = {me}
+    async def _sweep_chunk(self, names: Sequence[str]) -> None:
+        own_vm_id = self.view.vm_id
+        holders: dict[str, set[str]] = {name: {own_vm_id} for name in names}
+        answered: set[str] = {own_vm_id}
 
-        async def ask(vm: VmRecord) -> None:
+        async def query(vm: VmRecord) -> None:
             reply = await self.client.call(vm, HaveSegments(segment_hashes=list(names)))
             if isinstance(reply, HaveSegmentsReply):
                 answered.add(vm.vm_id)
@@ -167,10 +167,10 @@
                     holders[name].add(vm.vm_id)
 
         async with trio.open_nursery() as nursery:
-            for vm in self._others():
-                nursery.start_soon(ask, vm)
+            for vm in self._other_stores():
+                nursery.start_soon(query, vm)
         sites = [site for site in self._all_sites() if site.vm_id in answered]
-        for shortage in find_shortages(me, holders, sites, self.batch.copies):
+        for shortage in find_shortages(own_vm_id, holders, sites, self.batch.copies):
             await self._copy(shortage)
 
     async def _copy(self, shortage: Shortage) -> None:
@@ -183,19 +183,19 @@
             body=body.ok_value,
             kept_since_s=file.modified_s,
         )
-        vms = {vm.vm_id: vm for vm in self._others()}
-        made = 0
+        vms = {vm.vm_id: vm for vm in self._other_stores()}
+        copied = 0
         for site in shortage.targets:
-            if made == shortage.missing or site.vm_id not in vms:
+            if copied == shortage.missing or site.vm_id not in vms:
                 continue
-            await self._wait_pace(file.size_bytes)
+            await self._limit_rate(file.size_bytes)
             reply = await self.client.call(vms[site.vm_id], message)
             if isinstance(reply, StoreReply) and reply.code == ResultCode.OK:
-                made += 1
+                copied += 1
                 self.counts.copied += 1
                 self.counts.copied_bytes += file.size_bytes
-        if made < shortage.missing:
-            log_event("copies_missing", segment_hash=file.name, missing=shortage.missing - made)
+        if copied < shortage.missing:
+            log_event("copies_missing", segment_hash=file.name, missing=shortage.missing - copied)
 
     async def _fetch_forever(self) -> None:
         while True:
@@ -205,7 +205,7 @@
                 await self._fetch(self._damaged.pop())
 
     async def _fetch(self, segment_hash: str) -> None:
-        for vm in self._others():
+        for vm in self._other_stores():
             reply = await self.client.call(vm, GetSegment(segment_hash=segment_hash))
             if not isinstance(reply, SegmentReply) or reply.code != ResultCode.OK:
                 continue
@@ -224,30 +224,30 @@
         before_s = self.unix_clock() - self.settings.segment_retention_s
         self.counts.expired += self.segments.drop_older(before_s)
         self.counts.expired += self.logs.drop_older(before_s)
-        names = {self.view.vm_id, *(vm.vm_id for vm in self._others())}
+        names = {self.view.vm_id, *(vm.vm_id for vm in self._other_stores())}
         if is_responsible(self.view.vm_id, _RETENTION_KEY, names):
             self.counts.expired += await self.records.expire(self.unix_clock())
 
-    async def _wait_pace(self, size_bytes: int) -> None:
+    async def _limit_rate(self, size_bytes: int) -> None:
         await trio.sleep(self._rate_limiter.delay_ms(size_bytes, now_ms()) / 1000)
 
-    def _others(self) -> list[VmRecord]:
+    def _other_stores(self) -> list[VmRecord]:
         stores = self.view.live_vms(Program.STORE)
         return [vm for vm in stores if vm.vm_id != self.view.vm_id]
 
     def _other_sites(self) -> list[StoreSite]:
-        return [_site(vm) for vm in self._others()]
+        return [_site(vm) for vm in self._other_stores()]
 
     def _all_sites(self) -> list[StoreSite]:
-        me = self.view.vms.get(self.view.vm_id)
-        return [*self._other_sites(), *([_site(me)] if me else [])]
+        own_record = self.view.vms.get(self.view.vm_id)
+        return [*self._other_sites(), *([_site(own_record)] if own_record else [])]
 
 
 def _site(vm: VmRecord) -> StoreSite:
     return StoreSite(vm.vm_id, vm.failure_domain)
 
 
-def _parts(names: Sequence[str], size: int) -> Iterator[list[str]]:
+def _chunks(names: Sequence[str], size: int) -> Iterator[list[str]]:
     iterator = iter(names)
-    while part := list(islice(iterator, size)):
-        yield part
+    while chunk := list(islice(iterator, size)):
+        yield chunk
--- a/src/fescuedock/store/retention.py
+++ b/src/fescuedock/store/retention.py
@@ -63,14 +63,14 @@
             return False
         record = decode_record(entry.value)
         if not is_final(record):
-            await self._list_again(record)
+            await self._restore_open_entry(record)
             return False
         if record.finished_at_s >= before_s or not await self._delete(key, entry.mod_revision):
             return False
         await self._delete(listed.key, listed.mod_revision)
         return True
 
-    async def _list_again(self, record: JobRecord) -> None:
+    async def _restore_open_entry(self, record: JobRecord) -> None:
         """Put an old job that still runs into the index of open jobs if it is not there.
 
         It is missing when the entry that created the record stopped before its acknowledgement.
--- a/src/fescuedock/store/segments.py
+++ b/src/fescuedock/store/segments.py
@@ -26,9 +26,9 @@
 # The file system's own needs for one file, so that many small ones count too.
 _FILE_OVERHEAD_BYTES = 512
 # Damaged files that are kept for a look at them.
-_MAX_ASIDE = 16
+_MAX_DAMAGED_FILES = 16
 _SEGMENT_NAME = re.compile("[0-9a-f]{64}")
-_FULL = (errno.ENOSPC, errno.EDQUOT)
+_DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
 
 class Usage(msgspec.Struct):
@@ -60,7 +60,15 @@
     moved aside first.
     """
 
-    __slots__ = ("_aside", "_disk", "_folder", "_index", "_on_damage", "_temporary", "_usage")
+    __slots__ = (
+        "_damaged_folder",
+        "_disk",
+        "_folder",
+        "_index",
+        "_on_damage",
+        "_temporary",
+        "_usage",
+    )
 
     def __init__(
         self, disk: Disk, folder: Path, usage: Usage, on_damage: Callable[[str], None]
@@ -68,7 +76,7 @@
         self._disk = disk
         self._folder = folder / "segments"
         self._temporary = folder / "temporary"
-        self._aside = folder / "aside"
+        self._damaged_folder = folder / "aside"
         self._usage = usage
         self._on_damage = on_damage
         self._index: dict[str, FileStatus] = {}
@@ -79,7 +87,7 @@
         Everything found is made durable, since a segment may be found that was never acknowledged
         and will be now.
         """
-        for path in (self._temporary, self._aside, self._folder):
+        for path in (self._temporary, self._damaged_folder, self._folder):
             self._disk.make_folder(path)
         for file in list(self._disk.list_files(self._temporary)):
             self._disk.remove(self._temporary / file.name)
@@ -101,11 +109,11 @@
             return Err(Fault(ResultCode.CORRUPT_SEGMENT, text))
         kept_since_s = message.kept_since_s or unix_clock()
         if segment_hash in self._index and isinstance(self.get(segment_hash), Ok):
-            return self._guarded(lambda: self._renew(segment_hash, kept_since_s))
+            return self._catch_disk_errors(lambda: self._renew(segment_hash, kept_since_s))
         if not self._usage.has_room(len(body)):
             text = f"no room for {len(body)} bytes, {self._usage.free_bytes} are free"
             return Err(Fault(ResultCode.DISK_FULL, text))
-        return self._guarded(lambda: self._write(segment_hash, body, kept_since_s))
+        return self._catch_disk_errors(lambda: self._write(segment_hash, body, kept_since_s))
 
     def get(self, segment_hash: str) -> Result[bytes, Fault]:
         """Return the checked content; a file that does not match its name is moved aside."""
@@ -118,7 +126,7 @@
             body = b""
         if sha256(body).hexdigest() == segment_hash:
             return Ok(body)
-        self._move_aside(segment_hash)
+        self._set_damaged_aside(segment_hash)
         self._on_damage(segment_hash)
         return Err(Fault(ResultCode.CORRUPT_SEGMENT, f"segment {segment_hash[:12]} was damaged"))
 
@@ -129,7 +137,7 @@
         """
         missing = self.missing(segment_hashes)
         for segment_hash in set(segment_hashes).difference(missing):
-            result = self._guarded(lambda name=segment_hash: self._renew(name, now_s))
+            result = self._catch_disk_errors(lambda name=segment_hash: self._renew(name, now_s))
             if isinstance(result, Err):
                 missing.append(segment_hash)
         return missing
@@ -187,22 +195,26 @@
         # The write that made the file may have stopped before this.
         self._disk.sync_folder(self._folder)
 
-    def _guarded(self, action: Callable[[], None]) -> Result[None, Fault]:
+    def _catch_disk_errors(self, action: Callable[[], None]) -> Result[None, Fault]:
         try:
             action()
         except OSError as error:
-            code = ResultCode.DISK_FULL if error.errno in _FULL else ResultCode.STORES_UNAVAILABLE
+            code = (
+                ResultCode.DISK_FULL
+                if error.errno in _DISK_FULL_ERRNOS
+                else ResultCode.STORES_UNAVAILABLE
+            )
             return Err(Fault(code, f"the disk refused: {error}"))
         return Ok(None)
 
-    def _move_aside(self, segment_hash: str) -> None:
+    def _set_damaged_aside(self, segment_hash: str) -> None:
         file = self._index.pop(segment_hash)
         self._usage.subtract(file.size_bytes)
         path = self._path(segment_hash)
-        if sum(1 for _ in self._disk.list_files(self._aside)) >= _MAX_ASIDE:
+        if sum(1 for _ in self._disk.list_files(self._damaged_folder)) >= _MAX_DAMAGED_FILES:
             self._disk.remove(path)
             return
-        self._disk.rename(path, self._aside / segment_hash)
+        self._disk.rename(path, self._damaged_folder / segment_hash)
 
     def _path(self, segment_hash: str) -> Path:
         return self._folder / segment_hash
--- a/src/fescuedock/store/service.py
+++ b/src/fescuedock/store/service.py
@@ -36,7 +36,7 @@
     usage: Usage
     unix_clock: UnixClock
     # Called when another store wants this one to compare its segments with the others'.
-    on_sweep_asked: Callable[[], None] = lambda: None
+    on_sweep_requested: Callable[[], None] = lambda: None
 
     async def handle(
         self, message: msgspec.Struct, _peer: ServerPeer | None = None
@@ -55,7 +55,7 @@
             case GetSegment():
                 return self._get(message.segment_hash)
             case HaveSegments():
-                return self._have(message)
+                return self._find_missing(message)
             case AppendLog():
                 return self._reply(await self.logs.append(message.job_id, message.records))
             case ReadLog():
@@ -65,7 +65,7 @@
                     self.segments.drop(segment_hash)
                 return self._reply(Ok(None))
             case AskSweep():
-                self.on_sweep_asked()
+                self.on_sweep_requested()
                 return self._reply(Ok(None))
             case DropLog():
                 self.logs.drop(message.job_id)
@@ -79,7 +79,7 @@
             return SegmentReply(body=result.ok_value, kept_since_s=file.modified_s)
         return SegmentReply(body=b"", code=result.err_value.code)
 
-    def _have(self, message: HaveSegments) -> HaveSegmentsReply:
+    def _find_missing(self, message: HaveSegments) -> HaveSegmentsReply:
         if message.renew:
             missing = self.segments.renew(message.segment_hashes, self.unix_clock())
         else:
--- a/tests/builders/disk.py
+++ b/tests/builders/disk.py
@@ -93,21 +93,21 @@
 
         Of what was not synced, chance keeps any part: names one by one, content any prefix.
         """
-        chance = random.Random(seed)
+        rng = random.Random(seed)
         names = dict(self._durable)
         for path in sorted(self._names.keys() | self._durable.keys()):
-            if self._names.get(path) is not self._durable.get(path) and chance.random() < 0.5:
+            if self._names.get(path) is not self._durable.get(path) and rng.random() < 0.5:
                 names[path] = self._names.get(path)
         self._names = {path: inode for path, inode in names.items() if inode is not None}
         for path in sorted(self._names):
-            self._forget(self._names[path], chance)
+            self._lose_unsynced(self._names[path], rng)
         self._durable = dict(self._names)
         self.cut_at = 0
 
-    def _forget(self, inode: _Inode, chance: random.Random) -> None:
+    def _lose_unsynced(self, inode: _Inode, rng: random.Random) -> None:
         if inode.data.startswith(inode.synced):
-            kept = chance.randint(len(inode.synced), len(inode.data))
-            inode.data = inode.data[:kept]
+            retained = rng.randint(len(inode.synced), len(inode.data))
+            inode.data = inode.data[:retained]
         else:
             inode.data = inode.synced
         inode.synced = inode.data
--- a/tests/builders/store.py
+++ b/tests/builders/store.py
@@ -54,9 +54,9 @@
         self.disk = OsDisk() if disk is None else disk
         self.usage = Usage(max_bytes)
         self.damaged: list[str] = []
-        self.garbled = False
+        self.corrupts_replies = False
         self.on_damage: Callable[[str], None] = self.damaged.append
-        self.on_sweep_asked: Callable[[], None] = lambda: None
+        self.on_sweep_requested: Callable[[], None] = lambda: None
         self.segments = SegmentFolder(
             self.disk, folder, self.usage, lambda segment_hash: self.on_damage(segment_hash)
         )
@@ -70,11 +70,11 @@
         self, codec: Codec, *, task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED
     ) -> None:
         service = StoreService(self.segments, self.logs, self.usage, lambda: NOW_S)
-        service.on_sweep_asked = lambda: self.on_sweep_asked()
+        service.on_sweep_requested = lambda: self.on_sweep_requested()
 
         async def handle(message: msgspec.Struct, peer: ServerPeer) -> msgspec.Struct | None:
             reply = await service.handle(message, peer)
-            if self.garbled and isinstance(reply, SegmentReply):
+            if self.corrupts_replies and isinstance(reply, SegmentReply):
                 reply.body += b"garbled"
             return reply
 
@@ -121,14 +121,14 @@
             unix_clock=lambda: NOW_S,
         )
         node.on_damage = repair.on_damage
-        node.on_sweep_asked = repair.on_sweep_asked
+        node.on_sweep_requested = repair.on_sweep_requested
         self._nursery.start_soon(repair.run)
         return repair
 
-    def lose(self, vm_id: str, *, seen: bool = True) -> None:
+    def lose(self, vm_id: str, *, in_view: bool = True) -> None:
         """Stop a store for good; ``seen`` says whether the fleet view knows already."""
         self.nodes.pop(vm_id).scope.cancel()
-        if seen:
+        if in_view:
             self._show([vm for vm in self.view.vms.values() if vm.vm_id != vm_id])
 
     def add_runner(self, vm_id: str, port: int) -> None:
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -39,7 +39,7 @@
             self.assertEqual((ref.items, ref.size_bytes), (100, len(body)))
 
     @at_stores(SITES)
-    async def test_damaged_copies_are_passed_over(self, fleet: StoreFleet) -> None:
+    async def test_damaged_copies_are_skipped(self, fleet: StoreFleet) -> None:
         ref = (await fleet.client.put_segment(BODY)).unwrap()
         for vm_id in ref.copies[:2]:
             damage(fleet.nodes[vm_id], ref)
@@ -49,12 +49,12 @@
         self.assertEqual(lost.err_value.code, ResultCode.STORES_UNAVAILABLE)
 
     @at_stores(SITES)
-    async def test_answer_with_other_bytes_is_not_taken(self, fleet: StoreFleet) -> None:
+    async def test_reply_with_other_bytes_is_rejected(self, fleet: StoreFleet) -> None:
         ref = (await fleet.client.put_segment(BODY)).unwrap()
         for vm_id in ref.copies[:2]:
-            fleet.nodes[vm_id].garbled = True
+            fleet.nodes[vm_id].corrupts_replies = True
         self.assertEqual(await fleet.client.get_segment(ref), Ok(BODY))
-        fleet.nodes[ref.copies[2]].garbled = True
+        fleet.nodes[ref.copies[2]].corrupts_replies = True
         self.assertTrue((await fleet.client.get_segment(ref)).is_err())
 
     @at_stores(SITES)
@@ -68,9 +68,7 @@
         self.assertEqual(lost.err_value.code, ResultCode.STORES_UNAVAILABLE)
 
     @at_stores(SITES)
-    async def test_leaving_store_gets_nothing_new_and_is_still_read(
-        self, fleet: StoreFleet
-    ) -> None:
+    async def test_leaving_store_gets_no_writes_and_is_still_read(self, fleet: StoreFleet) -> None:
         ref = (await fleet.client.put_segment(BODY)).unwrap()
         await fleet.client.append_log("job-1", [b"record"])
         for vm_id in fleet.nodes:
@@ -85,7 +83,7 @@
     async def test_store_that_died_unnoticed_is_replaced_and_then_avoided(
         self, fleet: StoreFleet
     ) -> None:
-        fleet.lose("vm-3", seen=False)
+        fleet.lose("vm-3", in_view=False)
         ref = (await fleet.client.put_segment(BODY)).unwrap()
         self.assertEqual(domains(fleet, ref), {"chipre", "villamaria"})
         # Now the silent store is asked last, so that nothing waits for it.
@@ -98,7 +96,7 @@
         self.assertEqual(refused.err_value.code, ResultCode.STORES_UNAVAILABLE)
 
     @at_stores(SITES)
-    async def test_full_store_is_passed_over_and_full_stores_are_named(
+    async def test_full_store_is_skipped_and_full_stores_are_reported(
         self, fleet: StoreFleet
     ) -> None:
         fleet.nodes["vm-3"].usage.max_bytes = 0
@@ -110,7 +108,7 @@
         self.assertEqual(refused.err_value.code, ResultCode.DISK_FULL)
 
     @at_stores(SITES)
-    async def test_renewal_says_who_holds_what(self, fleet: StoreFleet) -> None:
+    async def test_renewal_returns_the_holders_of_each_segment(self, fleet: StoreFleet) -> None:
         ref = (await fleet.client.put_segment(BODY)).unwrap()
         other = SegmentRef(segment_hash="0" * 64, items=0, size_bytes=0, copies=[])
         held = await fleet.client.have_segments([ref, other], renew=True)
@@ -127,11 +125,11 @@
     async def test_log_survives_the_loss_of_a_store(self, fleet: StoreFleet) -> None:
         records = [b"%d" % number for number in range(50)]
         for start in range(0, 50, 10):
-            part = records[start : start + 10]
-            self.assertEqual(await fleet.client.append_log("job-1", part), Ok(2))
-        keepers = [name for name, node in fleet.nodes.items() if records_of(node)]
-        self.assertEqual(len({SITES[vm_id] for vm_id in keepers}), 2)
-        fleet.lose(keepers[0])
+            chunk = records[start : start + 10]
+            self.assertEqual(await fleet.client.append_log("job-1", chunk), Ok(2))
+        holders = [name for name, node in fleet.nodes.items() if records_of(node)]
+        self.assertEqual(len({SITES[vm_id] for vm_id in holders}), 2)
+        fleet.lose(holders[0])
         found: list[bytes] = []
         self.assertEqual(await fleet.client.read_log("job-1", found.extend), Ok(3))
         self.assertEqual(found, records)
@@ -143,7 +141,7 @@
 
 class RepairTest(unittest.TestCase):
     @at_stores(SITES | {"vm-5": "palermo", "vm-6": "villamaria"})
-    async def test_lost_stores_are_made_up_for_one_and_two_at_a_time(
+    async def test_copies_are_restored_after_the_loss_of_one_and_of_two_stores(
         self, fleet: StoreFleet
     ) -> None:
         refs = [
@@ -185,7 +183,7 @@
         self.assertEqual(node.segments.get(ref.segment_hash), Ok(BODY))
 
     @at_stores(SITES)
-    async def test_check_of_the_content_finds_damage_that_nobody_read(
+    async def test_content_check_finds_damage_in_segments_that_are_not_read(
         self, fleet: StoreFleet
     ) -> None:
         ref = (await fleet.client.put_segment(BODY)).unwrap()
@@ -196,7 +194,7 @@
         self.assertEqual(len(fleet.holders(ref.segment_hash)), 3)
 
     @at_stores(SITES)
-    async def test_copy_keeps_the_age_of_the_segment(self, fleet: StoreFleet) -> None:
+    async def test_copy_retains_the_age_of_the_segment(self, fleet: StoreFleet) -> None:
         segment_hash = sha256(BODY).hexdigest()
         old = PutSegment(segment_hash=segment_hash, body=BODY, kept_since_s=1000)
         fleet.nodes["vm-1"].segments.put(old, lambda: NOW_S)
@@ -209,7 +207,9 @@
             self.assertEqual(file.modified_s, 1000)
 
     @at_stores({"vm-1": "chipre", "vm-2": "palermo", "vm-3": "villamaria"})
-    async def test_store_back_with_an_empty_disk_is_filled_again(self, fleet: StoreFleet) -> None:
+    async def test_store_that_returns_with_an_empty_disk_is_refilled(
+        self, fleet: StoreFleet
+    ) -> None:
         ref = (await fleet.client.put_segment(BODY)).unwrap()
         repairs = [fleet.start_repair(vm_id, repair_after_ms=0) for vm_id in fleet.nodes]
         await until(lambda: all(repair.counts.sweeps for repair in repairs))
@@ -219,7 +219,7 @@
         await until(lambda: len(fleet.holders(ref.segment_hash)) == 3)
 
     @at_stores(SITES)
-    async def test_lasting_loss_starts_a_sweep_by_itself(self, fleet: StoreFleet) -> None:
+    async def test_lasting_loss_of_a_store_starts_a_sweep(self, fleet: StoreFleet) -> None:
         ref = (await fleet.client.put_segment(BODY)).unwrap()
         fleet.lose(ref.copies[0])
         for vm_id in fleet.nodes:
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -43,7 +43,7 @@
         offset = reply.next_offset_bytes
 
 
-class Session:
+class WriteSession:
     """Writes everything once and notes what was acknowledged."""
 
     def __init__(self, disk: MemoryDisk) -> None:
@@ -53,12 +53,12 @@
 
     def run(self) -> bool:
         """Return whether the power held to the end."""
-        held = True
+        completed = True
         try:
             trio.run(self._run, clock=MockClock(autojump_threshold=0))
         except* PowerCutError:
-            held = False
-        return held
+            completed = False
+        return completed
 
     async def _run(self) -> None:
         node = StoreNode(FOLDER, self.disk)
@@ -73,12 +73,12 @@
 
 
 class PowerCutTest(unittest.TestCase):
-    def test_whatever_was_acknowledged_survives_a_cut_at_each_step(self) -> None:
-        whole = Session(MemoryDisk())
-        self.assertTrue(whole.run())
-        self.assertEqual(whole.logged, [record for group in RECORDS for record in group])
-        self.assertGreaterEqual(whole.disk.steps, 25)
-        for cut_at in range(1, whole.disk.steps + 1):
+    def test_acknowledged_writes_survive_a_power_cut_at_each_step(self) -> None:
+        complete = WriteSession(MemoryDisk())
+        self.assertTrue(complete.run())
+        self.assertEqual(complete.logged, [record for group in RECORDS for record in group])
+        self.assertGreaterEqual(complete.disk.steps, 25)
+        for cut_at in range(1, complete.disk.steps + 1):
             for seed in SEEDS:
                 with self.subTest(cut_at=cut_at, seed=seed):
                     self._cut(cut_at, seed)
@@ -86,7 +86,7 @@
     def _cut(self, cut_at: int, seed: int) -> None:
         disk = MemoryDisk()
         disk.cut_at = cut_at
-        session = Session(disk)
+        session = WriteSession(disk)
         self.assertFalse(session.run())
         disk.lose_power(seed)
         node = StoreNode(FOLDER, disk)
@@ -96,13 +96,13 @@
             self.assertEqual(node.segments.get(hash_of(body)), Ok(body))
         self.assertEqual(records_of(node)[: len(session.logged)], session.logged)
         # A second session and a second cut, this time right after the last step.
-        again = Session(disk)
-        self.assertTrue(again.run())
+        second = WriteSession(disk)
+        self.assertTrue(second.run())
         disk.lose_power(seed)
         node = StoreNode(FOLDER, disk)
         for body in BODIES:
             self.assertEqual(node.segments.get(hash_of(body)), Ok(body))
-        self.assertEqual(records_of(node)[-len(again.logged) :], again.logged)
+        self.assertEqual(records_of(node)[-len(second.logged) :], second.logged)
 
     def test_segment_found_after_a_crash_of_the_program_is_made_durable(self) -> None:
         disk = MemoryDisk()
@@ -118,18 +118,18 @@
             disk.lose_power(seed)
             self.assertEqual(StoreNode(FOLDER, disk).segments.missing([hash_of(BODIES[0])]), [])
 
-    def test_torn_last_write_of_a_log_is_cut_off(self) -> None:
+    def test_torn_last_write_of_a_log_is_truncated(self) -> None:
         frames = encode_frames([b"whole", b"torn" * 100])
-        for kept in range(len(encode_frames([b"whole"])), len(frames)):
+        for kept_bytes in range(len(encode_frames([b"whole"])), len(frames)):
             disk = MemoryDisk()
-            disk.append(FOLDER / "logs" / "job.log").write(frames[:kept] + bytes(7))
+            disk.append(FOLDER / "logs" / "job.log").write(frames[:kept_bytes] + bytes(7))
             node = StoreNode(FOLDER, disk)
             self.assertEqual(records_of(node), [b"whole"])
             self.assertEqual(node.usage.used_bytes, len(encode_frames([b"whole"])) + 512)
 
 
 class FullDiskTest(unittest.TestCase):
-    def test_bound_of_the_settings_is_kept(self) -> None:
+    def test_configured_size_limit_is_enforced(self) -> None:
         node = StoreNode(FOLDER, MemoryDisk(), max_bytes=2000)
         self.assertIsInstance(put(node, bytes(1000)), Ok)
         self.assertEqual(put(node, bytes(1001)).err_value.code, ResultCode.DISK_FULL)
@@ -137,7 +137,7 @@
         node.segments.drop(hash_of(bytes(1000)))
         self.assertIsInstance(put(node, bytes(1001)), Ok)
 
-    def test_full_disk_is_said_and_leaves_nothing_behind(self) -> None:
+    def test_full_disk_is_reported_and_leaves_no_files(self) -> None:
         disk = MemoryDisk()
         node = StoreNode(FOLDER, disk)
         disk.capacity_bytes = 700
@@ -190,7 +190,7 @@
         trio.run(test, clock=MockClock(autojump_threshold=0))
         self.assertEqual([isinstance(item, Ok) for item in results], [True, False, False, True])
 
-    def test_failed_fsync_of_a_segment_is_said(self) -> None:
+    def test_failed_fsync_of_a_segment_is_reported(self) -> None:
         disk = MemoryDisk()
         node = StoreNode(FOLDER, disk)
         for step in ("create", "write", "sync", "rename", "sync_folder"):
@@ -262,7 +262,7 @@
         self.assertIsInstance(put(node, body), Ok)
         self.assertEqual(node.segments.get(hash_of(body)), Ok(body))
 
-    def test_put_over_a_damaged_segment_writes_it_anew(self) -> None:
+    def test_put_over_a_damaged_segment_writes_it_again(self) -> None:
         disk = MemoryDisk()
         node = StoreNode(FOLDER, disk)
         put(node, BODIES[0])
@@ -296,13 +296,13 @@
 
 class LogFramesTest(unittest.TestCase):
     @given(st.lists(st.binary(max_size=40)), st.integers(0, 400), st.binary(max_size=12))
-    def test_any_beginning_gives_whole_records_only(
-        self, records: list[bytes], kept: int, tail: bytes
+    def test_any_prefix_gives_only_complete_records(
+        self, records: list[bytes], kept_bytes: int, tail: bytes
     ) -> None:
         data = encode_frames(records)
-        frames = read_frames(data[:kept])
+        frames = read_frames(data[:kept_bytes])
         self.assertEqual(frames.records, records[: len(frames.records)])
-        if kept >= len(data):
+        if kept_bytes >= len(data):
             self.assertEqual(frames.records, records)
         self.assertEqual(read_frames(data + bytes(len(tail))).records, records)
 
--- a/tests/test_store_retention.py
+++ b/tests/test_store_retention.py
@@ -48,10 +48,10 @@
     def put(self, key: str, value: bytes) -> None:
         self.assertTrue(self.kv.state.put_if(key, value, 0, 0))
 
-    def there(self, key: str) -> bool:
+    def exists(self, key: str) -> bool:
         return self.kv.state.get(key) is not None
 
-    def test_only_jobs_that_ended_long_ago_go(self) -> None:
+    def test_only_jobs_that_ended_long_ago_are_deleted(self) -> None:
         old = self.add_job("old", JobState.COMPLETED, age_days=45, finished_days=31)
         late = self.add_job("late", JobState.CANCELLED, age_days=45, finished_days=29)
         young = self.add_job("young", JobState.COMPLETED, age_days=3, finished_days=3)
@@ -60,23 +60,23 @@
         # The key of a young job says its age, so that its record need not be read.
         self.assertEqual(self.kv.faults.calls[CallKind.GET], 3)
         self.assertEqual(
-            [self.there(key) for key in (old, late, young, running)], [False, True, True, True]
+            [self.exists(key) for key in (old, late, young, running)], [False, True, True, True]
         )
         listed = self.kv.state.page(f"{PREFIX}member-jobs/", f"{PREFIX}member-jobs0", 10).entries
         self.assertEqual(len(listed), 3)
 
-    def test_old_job_that_nobody_can_find_is_listed_again(self) -> None:
+    def test_old_running_job_without_an_index_entry_is_listed_again(self) -> None:
         self.add_job("running", JobState.RUNNING, age_days=45)
         self.expire()
-        self.assertTrue(self.there(open_job_key(PREFIX, "running")))
+        self.assertTrue(self.exists(open_job_key(PREFIX, "running")))
 
-    def test_leftover_of_a_deleted_job_goes(self) -> None:
+    def test_index_entry_of_a_deleted_job_is_deleted(self) -> None:
         key = member_job_key(PREFIX, "m", NOW_S - 60 * DAY_S, "gone")
         self.put(key, b"")
         self.expire()
-        self.assertFalse(self.there(key))
+        self.assertFalse(self.exists(key))
 
-    def test_only_old_files_go(self) -> None:
+    def test_only_old_files_are_deleted(self) -> None:
         keys = {}
         for file_id, age_days in (("old", 31), ("young", 29)):
             record = FileRecord(
@@ -91,14 +91,14 @@
             keys[file_id] = file_key(PREFIX, "m", file_id)
             self.put(keys[file_id], msgspec.msgpack.encode(record))
         self.assertEqual(self.expire(), 1)
-        self.assertEqual([self.there(keys["old"]), self.there(keys["young"])], [False, True])
+        self.assertEqual([self.exists(keys["old"]), self.exists(keys["young"])], [False, True])
 
-    def test_outage_leaves_everything_to_the_next_time(self) -> None:
+    def test_records_are_deleted_by_the_next_run_after_an_outage(self) -> None:
         old = self.add_job("old", JobState.COMPLETED, age_days=45, finished_days=31)
         self.kv.down = True
         self.assertEqual(self.expire(), 0)
         self.kv.down = False
-        self.assertTrue(self.there(old))
+        self.assertTrue(self.exists(old))
         self.assertEqual(self.expire(), 1)
 
 
