--- a/src/fescuedock/spool/__init__.py
+++ b/src/fescuedock/spool/__init__.py
@@ -1,1 +1,1 @@
-"""The program on VMs with a disk: a place holder that keeps nothing yet."""
+"""The program on VMs with a disk: stores jobs during outages, and the origins of streams."""
--- a/src/fescuedock/spool/files.py
+++ b/src/fescuedock/spool/files.py
@@ -1,9 +1,9 @@
-"""Jobs on the disk of one VM, each a file that is removed when the job is stored.
+"""Jobs on the disk of one VM, one file each, removed once the job is in the metadata store.
 
-A file is written once, and replaced as a whole when the job is ended before it is stored.
+A file is written once, and replaced atomically if the job is ended before it is stored.
 
-A file has the checksum of its content before it.  One that a loss of power has torn was never
-acknowledged, so it is dropped.
+Each file starts with the checksum of its content.  A file that was torn by a loss of power was
+never acknowledged, so it is removed.
 """
 
 import hashlib
@@ -25,21 +25,22 @@
 _SUFFIX = ".job"
 _TEMPORARY_SUFFIX = ".part"
 _DIGEST_BYTES = 32
-# A file that is there once the machine is to be removed; all jobs' names have another suffix.
+# This file exists once the machine is to be removed; names of jobs' files end in ``_SUFFIX``.
 _EMPTYING_MARKER = "emptying"
 
 
 class SpoolFiles:
-    """The jobs in ``folder``; all are in memory too, up to ``max_bytes`` together."""
+    """The jobs in ``folder``, also held in memory; their total size is at most ``max_bytes``."""
 
     def __init__(self, disk: Disk, folder: Path, max_bytes: int) -> None:
         self._disk = disk
         self._folder = folder
         self._max_bytes = max_bytes
         self._jobs: dict[str, SpoolJob] = {}
-        # Those whose names a loss of power may take away; a restart without one finds them.
+        # Jobs whose file names are not synced: a loss of power may remove them, while a restart
+        # of the process still finds them.
         self._unsynced_names: set[str] = set()
-        # Those whose end is not in their files, as these could not be written.
+        # Ended jobs whose files do not record the end yet, since writing them failed.
         self._unwritten_ends: set[str] = set()
         self._sizes_bytes: dict[str, int] = {}
         self.is_emptying = False
@@ -54,11 +55,11 @@
         return iter(tuple(self._jobs.values()))
 
     def is_ended(self, job_id: str) -> bool:
-        """Whether a job that is here was ended."""
+        """Return whether the job is here and was ended."""
         return job_id in self._jobs and self._jobs[job_id].record.ended
 
     def open(self) -> None:
-        """Read what was kept before; ``OSError`` when the disk cannot be read."""
+        """Load the jobs on the disk; raise ``OSError`` when it cannot be read."""
         self._disk.make_folder(self._folder)
         for status in list(self._disk.list_files(self._folder)):
             path = self._folder / status.name
@@ -68,19 +69,19 @@
                 self._disk.remove(path)
             elif status.name == _EMPTYING_MARKER:
                 self.is_emptying = True
-        # A former process may have ended between naming a file and syncing the name.
+        # An earlier process may have stopped between renaming a file and syncing the folder.
         self._unsynced_names.update(self._jobs)
 
     def put(self, job: SpoolJob) -> Result[None, Fault]:
-        """Keep a job; when it returns ``Ok`` the job survives a loss of power.
+        """Write a job to the disk; after ``Ok`` the job survives a loss of power.
 
-        ``KV_UNKNOWN`` says that it may not, and that it is stored like all others while it is here;
-        after any other fault there is no copy of it.
+        After ``KV_UNKNOWN`` it may not survive one, but is still stored like any other job if it
+        does; after any other fault no copy of it exists here.
         """
         job_id = job.record.job_id
         known = self._jobs.get(job_id)
         if known is not None and not is_same_submission(known.record, job.record):
-            return Err(Fault(ResultCode.KEY_REUSED, f"job {job_id} is here with other items"))
+            return Err(Fault(ResultCode.KEY_REUSED, f"job {job_id} exists with other items"))
         if known is not None:
             return self._sync_folder_for(job_id)
         body = msgspec.msgpack.encode(job)
@@ -89,21 +90,21 @@
         return self._write(job, body)
 
     def end(self, job_id: str) -> Result[None, Fault]:
-        """Keep that a job which is here was ended; ``Ok`` when that survives a loss of power.
+        """Record that a job which is here was ended; after ``Ok`` the end survives a loss of power.
 
-        The job's file is replaced as a whole.  After a fault the end is known until a restart.
+        The job's file is replaced atomically.  After a fault the end is known until a restart.
         """
         job = self._jobs[job_id]
         if job.record.ended and job_id not in self._unwritten_ends:
             return self._sync_folder_for(job_id)
         ended = SpoolJob(msgspec.structs.replace(job.record, ended=True), job.items)
-        # Whatever becomes of the file, this process stores the job as ended.
+        # Even if the file cannot be written, this process stores the job as ended.
         self._jobs[job_id] = ended
         self._unwritten_ends.add(job_id)
         return self._write(ended, msgspec.msgpack.encode(ended))
 
     def _write(self, job: SpoolJob, body: bytes) -> Result[None, Fault]:
-        """Write a job's file, in place of an older one."""
+        """Write a job's file, replacing an older one."""
         job_id = job.record.job_id
         path = self._path(job_id)
         temporary = path.with_suffix(_TEMPORARY_SUFFIX)
@@ -114,7 +115,7 @@
             self._disk.rename(temporary, path)
         except OSError as error:
             return Err(Fault(ResultCode.STORES_UNAVAILABLE, f"job {job_id} not written: {error}"))
-        # From its name on the job comes back with a restart, so it counts as being here.
+        # Once renamed, the file is found again after a restart, so the job counts as being here.
         self._jobs[job_id] = job
         self._sizes_bytes[job_id] = len(body)
         self._unwritten_ends.discard(job_id)
@@ -122,19 +123,19 @@
         return self._sync_folder_for(job_id)
 
     def record_emptying(self) -> Result[None, Fault]:
-        """Keep that nothing more is to be taken; ``Ok`` when that survives a loss of power."""
+        """Record that no more jobs are accepted; after ``Ok`` that survives a loss of power."""
         self.is_emptying = True
         try:
-            # Each time anew: a file that a former process left may not be on disk yet.
+            # Written each time: a file left by an earlier process may not be synced yet.
             with self._disk.create(self._folder / _EMPTYING_MARKER) as file:
                 file.sync()
             self._disk.sync_folder(self._folder)
         except OSError as error:
-            return Err(Fault(ResultCode.STORES_UNAVAILABLE, f"not kept on disk: {error}"))
+            return Err(Fault(ResultCode.STORES_UNAVAILABLE, f"marker not written to disk: {error}"))
         return Ok(None)
 
     def _sync_folder_for(self, job_id: str) -> Result[None, Fault]:
-        """Let the job's name survive a loss of power, and with it those of all others."""
+        """Sync the folder unless the job's name is synced; this makes all jobs' names durable."""
         if job_id not in self._unsynced_names:
             return Ok(None)
         try:
@@ -145,9 +146,10 @@
         return Ok(None)
 
     def remove(self, job_id: str) -> None:
-        """Forget a job that is in the store.
+        """Remove a job that is in the store.
 
-        A name that comes back after a loss of power does no harm: the job is found stored again.
+        The removal is not synced: if a loss of power restores the file, the job is found to be
+        stored and is removed again.
         """
         self._jobs.pop(job_id, None)
         self._sizes_bytes.pop(job_id, None)
@@ -170,5 +172,5 @@
         self._sizes_bytes[job.record.job_id] = len(body)
 
     def _path(self, job_id: str) -> Path:
-        # Clients name jobs, so their names are no file names.
+        # Clients choose job ids, so the ids are hashed to get safe file names.
         return self._folder / (hashlib.sha256(job_id.encode()).hexdigest() + _SUFFIX)
--- a/src/fescuedock/spool/main.py
+++ b/src/fescuedock/spool/main.py
@@ -1,4 +1,7 @@
-"""The program on VMs with a disk: it keeps jobs that come while the metadata store is away."""
+"""The program on VMs with a disk: accepts jobs while the metadata store is unavailable.
+
+It also stores the origins of streams.
+"""
 
 import os
 from pathlib import Path
@@ -33,7 +36,7 @@
 async def run_spool(
     settings: Settings, stop: Stop, *, task_status: trio.TaskStatus[Address]
 ) -> None:
-    """Run until ``stop``.  What is kept then stays on disk, and is stored after the next start."""
+    """Run until ``stop``.  Jobs left on the disk are stored after the next start."""
     spool, vm = settings.spool, settings.vm
     files = SpoolFiles(OsDisk(), Path(spool.data_dir) / _FOLDER, spool.max_bytes)
     files.open()
@@ -53,7 +56,7 @@
         handler = handlers.get(type(message))
         return None if handler is None else await handler(message, peer)
 
-    # Also when it is cancelled, not asked to stop.
+    # The client is closed also when this task is cancelled instead of stopped.
     try:
         async with trio.open_nursery() as nursery:
             address = await nursery.start(
--- a/src/fescuedock/spool/origins.py
+++ b/src/fescuedock/spool/origins.py
@@ -1,7 +1,7 @@
-"""What began streams, on the disk of one VM, so that it is known after all nodes have lost power.
+"""Stores the origins of streams on the disk of one VM, for the case that all nodes lose power.
 
-Origins are appended to a log of checked records.  Two logs take turns: one that is older than
-origins are kept for begins anew.
+Origins are appended to a log of records with checksums.  Two logs are used alternately: after the
+retention time of origins the older log is overwritten, since all its origins have expired.
 """
 
 import zlib
@@ -27,7 +27,7 @@
 __all__ = ["OriginLog", "OriginService"]
 
 _LOG_NAMES = ("origins-0.log", "origins-1.log")
-# Length and checksum before each record.
+# Each record is preceded by its length and its checksum.
 _HEADER_BYTES = 8
 _FIELD_BYTES = 4
 
@@ -41,13 +41,13 @@
         self._rotation_ms = rotation_ms
         self._current = 0
         self._current_since_ms = float("-inf")
-        # Read at the start, to be carried over into the first log that begins.
+        # Read at the start, to be copied into the first log that this process creates.
         self._recovered: list[KnownStream] = []
 
     def read(self) -> list[KnownStream]:
-        """Return what the logs hold; ``OSError`` when the disk cannot be read.
+        """Return the streams in the logs; raise ``OSError`` when the disk cannot be read.
 
-        What was being written as the power went is left out: nobody was told that it is kept.
+        A record torn by a loss of power is left out, as it was never acknowledged.
         """
         self._disk.make_folder(self._folder)
         self._recovered = []
@@ -63,7 +63,7 @@
         return list(self._recovered)
 
     def append(self, streams: Sequence[KnownStream], now_ms: float) -> None:
-        """Return when ``streams`` survive a loss of power; ``OSError`` when they may not."""
+        """Return once ``streams`` survive a loss of power; raise ``OSError`` if they may not."""
         if now_ms - self._current_since_ms < self._rotation_ms:
             since_ms, self._current_since_ms = self._current_since_ms, float("-inf")
             with self._disk.append(self._path()) as file:
@@ -71,7 +71,7 @@
                 file.sync()
             self._current_since_ms = since_ms
             return
-        # Also after a start or a fault: a torn record would hide those that follow it.
+        # A start or a fault also begins a new log: records after a torn one could not be read.
         self._current = 1 - self._current
         with self._disk.create(self._path()) as file:
             file.write(_encode_record([*self._recovered, *streams]))
@@ -89,7 +89,7 @@
 
 
 def _read_records(data: bytes) -> Iterator[bytes]:
-    """Yield the records of a log up to one that is not whole."""
+    """Yield the records of a log up to the first incomplete or damaged one."""
     start = 0
     while start + _HEADER_BYTES <= len(data):
         size_bytes = int.from_bytes(data[start : start + _FIELD_BYTES])
@@ -103,7 +103,7 @@
 
 
 class OriginService:
-    """Answers nodes by what it was told, in this process or before it."""
+    """Answers nodes' queries from the origins reported to this process or to an earlier one."""
 
     def __init__(self, disk: Disk, folder: Path, policy: OriginPolicy | None = None) -> None:
         self._policy = policy or OriginPolicy()
@@ -111,12 +111,12 @@
         self._memory = OriginMemory(self._policy)
 
     def open(self) -> None:
-        """Read what was kept before; ``OSError`` when the disk cannot be read."""
+        """Load the origins on the disk; raise ``OSError`` when it cannot be read."""
         for stream in self._log.read():
             self._memory.record(stream.stream_key, stream.origin, now_ms())
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
-        """Handlers by message type."""
+        """Return the handlers by message type."""
         return {KeepOrigins: self._on_keep, FindOrigin: self._on_find}
 
     async def _on_keep(self, message: KeepOrigins, _peer: ServerPeer) -> KeepOriginsReply:
--- a/src/fescuedock/spool/service.py
+++ b/src/fescuedock/spool/service.py
@@ -1,4 +1,4 @@
-"""Keeps jobs for nodes that cannot reach the metadata store, and stores them on its return."""
+"""Accepts jobs from nodes that cannot reach the metadata store, and stores them once it returns."""
 
 import msgspec
 import trio
@@ -27,16 +27,16 @@
 
 __all__ = ["SpoolService"]
 
-# Between two tries to reach the store: an outage of 5 s costs some 15 calls, and a job waits for
-# no longer than this after the store's return.
+# Between two attempts to reach the store: an outage of 5 s costs some 15 calls, and a job waits
+# no longer than the maximum after the store's return.
 _FIRST_PAUSE_MS = 100.0
 _MAX_PAUSE_MS = 400.0
-# A job's transaction takes 20 ms at the most seen; two tries of the store's client.
+# A job's transaction takes up to 20 ms; this leaves time for two attempts of the store's client.
 _STORE_JOB_TIMEOUT_S = 1.0
 
 
 class SpoolService:
-    """What one VM with a disk does; ``key`` is where its record lies in the store."""
+    """The spool of one VM with a disk; ``key`` is the key of its record in the store."""
 
     def __init__(
         self, files: SpoolFiles, kv: KvStore, store: JobStore, key: str, record: NodeRecord
@@ -46,12 +46,12 @@
         self._store = store
         self._key = key
         self._record = record
-        # Whether a restart would know that the machine is to be emptied.
+        # Whether the disk records that the machine is being emptied, so that a restart knows it.
         self._emptying_durable = False
         self._job_written = trio.Event()
 
     def handlers(self) -> dict[type[msgspec.Struct], CallHandler]:
-        """Handlers by message type."""
+        """Return the handlers by message type."""
         return {
             SpoolJob: self._spool_job,
             FindSpooled: self._find,
@@ -60,7 +60,7 @@
         }
 
     async def run(self) -> None:
-        """Register, and store what is kept, until cancelled."""
+        """Register in the store, and store the jobs on the disk, until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._register)
             nursery.start_soon(self._store_forever)
@@ -78,11 +78,11 @@
         return SpoolJobReply(code)
 
     def _write_job(self, message: SpoolJob) -> Result[None, Fault]:
-        # Of a job that is here the refusal, which promises that there is no copy, would be wrong.
+        # A refusal promises that there is no copy here, so a job that is here is not refused.
         if self._files.is_emptying and message.record.job_id not in self._files:
             return Err(Fault(ResultCode.STORES_UNAVAILABLE, "the machine is to be removed"))
         written = self._files.put(message)
-        # Also after a fault there may be a copy, which is stored like all others.
+        # Set also after a fault, as there may be a copy, which is stored like any other.
         self._job_written.set()
         return written
 
@@ -90,7 +90,7 @@
         return FindSpooledReply(message.job_id in self._files)
 
     async def _end(self, message: EndSpooled, _peer: ServerPeer) -> EndSpooledReply:
-        """Have a copy that waits here enter the store as ended."""
+        """Mark a copy that is here, so that it is stored as ended."""
         if message.job_id not in self._files:
             return EndSpooledReply(False, ResultCode.OK)
         was_ended = self._files.is_ended(message.job_id)
@@ -98,7 +98,7 @@
         code = ResultCode.OK if isinstance(written, Ok) else written.err_value.code
         log_event(
             "spooled_job_ended",
-            # Nodes tell it again until the job is stored.
+            # Nodes repeat the message until the job is stored.
             routine=was_ended and isinstance(written, Ok),
             job_id=message.job_id,
             outcome=code.name,
@@ -107,7 +107,10 @@
         return EndSpooledReply(True, code)
 
     async def _empty(self, message: EmptySpool, _peer: ServerPeer) -> EmptySpoolReply:
-        """Take no more jobs, also after a restart: the machine goes once it was found empty."""
+        """Accept no more jobs, not even after a restart.
+
+        The machine is removed once a reply says that it is empty.
+        """
         if not self._emptying_durable:
             written = self._files.record_emptying()
             self._emptying_durable = isinstance(written, Ok)
@@ -121,10 +124,13 @@
         return EmptySpoolReply(len(self._files), code)
 
     async def _register(self) -> None:
-        """Write the record without a lease: jobs wait here however long nobody hears of this VM."""
+        """Write this VM's record.
+
+        The record has no lease, since jobs stay on the disk however long the VM is unreachable.
+        """
         value = msgspec.msgpack.encode(self._record)
         pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
-        # A machine that was emptied may be off the list already, and gone soon.
+        # The record of a machine that was emptied may be removed already; it must not come back.
         while len(self._files) or not self._files.is_emptying:
             found = await self._kv.get(self._key)
             if isinstance(found, Ok) and await self._write_record(found.ok_value, value):
@@ -150,19 +156,19 @@
             await self._job_written.wait()
 
     async def _store_job(self, job: SpoolJob) -> bool:
-        """Enter a job into the store, or find it there; one that is there may go from the disk."""
+        """Make sure that a job is in the store and remove it here; return whether that is done."""
         job_id = job.record.job_id
         with trio.move_on_after(_STORE_JOB_TIMEOUT_S):
             stored = await self._store.accept(job.record, job.items)
             if isinstance(stored, Err) and stored.err_value.code is ResultCode.KEY_REUSED:
-                # The store was away when it was accepted, and nobody could know of the other one.
+                # It was accepted while the store was unavailable, so the conflict was unknown then.
                 log_event("spooled_job_dropped", job_id=job_id, reason=stored.err_value.message)
                 self._files.remove(job_id)
                 return True
             if isinstance(stored, Err):
                 return False
-            # The end may have come while the job was on its way, or another disk, which knows
-            # nothing of it, may have been first.
+            # The end may have been received while the job was being stored, or another spool
+            # without knowledge of the end may have stored the job first.
             if self._files.is_ended(job_id) and is_open(stored.ok_value.record):
                 await self._store.end(job_id)
             log_event(
--- a/tests/test_spool_emptied.py
+++ b/tests/test_spool_emptied.py
@@ -1,4 +1,4 @@
-"""A machine that is being emptied and whose program starts again on the way."""
+"""A machine that is being emptied and whose program restarts meanwhile."""
 
 import unittest
 
@@ -17,10 +17,10 @@
 
 
 class EmptiedSpoolTest(unittest.TestCase):
-    """A node had asked a machine to take nothing more and heard that it held nothing.
+    """Guards against the loss of a job accepted after its machine was reported empty.
 
-    Before the machine was taken away its program started again, which knew nothing of that: it
-    acknowledged another job, on a disk that went with the machine.
+    If the program restarts before the machine is removed and forgets that it is being emptied, it
+    acknowledges another job, whose only copy is lost with the machine's disk.
     """
 
     def service(self, disk: MemoryDisk) -> SpoolService:
--- a/tests/test_spool_files.py
+++ b/tests/test_spool_files.py
@@ -1,4 +1,4 @@
-"""Jobs on the disk of one VM: durable when acknowledged, whole or dropped after a loss of power."""
+"""Jobs on one VM's disk: durable once acknowledged, complete or absent after a loss of power."""
 
 import unittest
 from pathlib import Path
@@ -129,7 +129,7 @@
             disk.failing = lambda step: step == "sync_folder"
             self.assertTrue(files.put(job()).is_err())
             disk.failing = lambda _step: False
-            # The process starts again, and the power stays.
+            # The process restarts without a loss of power.
             self.assertEqual(open_spool(disk).put(job()), Ok(None))
             disk.lose_power(seed)
             self.assertEqual(len(open_spool(disk)), 1)
@@ -166,7 +166,7 @@
 
 
 class SpoolChoiceTest(unittest.TestCase):
-    """Which spools keep a job, and what their silence means."""
+    """Which spools a job is sent to, and how their silence is interpreted."""
 
     def spools(self) -> list[NodeRecord]:
         domains = ("a", "a", "b", "b", "c", "c")
--- a/tests/test_spool_origins.py
+++ b/tests/test_spool_origins.py
@@ -1,4 +1,4 @@
-"""What disks keep of streams' origins over a loss of power."""
+"""Which origins of streams survive a loss of power on a disk."""
 
 import unittest
 from pathlib import Path
@@ -40,7 +40,7 @@
                 pass
             disk.lose_power(step)
             with self.subTest(step=step):
-                # Those of the log before the last one are older than origins are kept for.
+                # Origins in the log before the last one are past their retention time.
                 self.assertLessEqual(set(acknowledged[-4:]), stream_keys_on(disk))
 
     def test_a_torn_record_hides_no_record_written_after_a_restart(self) -> None:
--- a/tests/test_spool_service.py
+++ b/tests/test_spool_service.py
@@ -1,9 +1,8 @@
-"""What a spool promises holds whatever comes between: an end that overtakes a job, a restart.
+"""A spool's promises hold when an end overtakes a job and when the spool restarts.
 
-What happened: a spool said that it held nothing, was started again before its removal from the
-list, and took jobs: that it was being emptied was kept in memory only.  The machine, and its disk
-with the only copies, may be taken away by then.  A node that had not read yet who is a spool
-answered that there is no such job.
+Guards against two faults.  A spool that replies that it is empty, restarts before its removal from
+the list and accepts jobs, loses them: the machine may be removed with the only copies on its disk.
+A node that has not read the list of spools yet must not answer that a job does not exist.
 """
 
 import unittest
@@ -46,7 +45,7 @@
 
 
 class SpoolStoreConnection(StoreLink):
-    """A way to the store by which a spool can register."""
+    """A connection to the store that also supports the registration of a spool."""
 
     async def put_if(self, key: str, value: bytes, revision: int) -> Result[int, Fault]:
         return await self.transact(KvTransaction({key: revision}, writes={key: value}))
@@ -100,7 +99,7 @@
             await call(service, JOB)
             nursery.start_soon(service.run)
             await trio.sleep(0.1)
-            # The job is in the store, and the spool has not heard so yet.
+            # The job is in the store, but the spool has not received the answer yet.
             self.assertFalse(self.record(connection.state).ended)
             reply = await call(service, EndSpooled("job-1"))
             self.assertEqual((reply.held, reply.code), (True, ResultCode.OK))
@@ -127,7 +126,7 @@
             service = open_service(MemoryDisk(), SpoolStoreConnection(KvState()))
             await call(service, JOB)
             await call(service, EmptySpool("to be removed"))
-            # A refusal would promise that there is no copy; this one is stored before the end.
+            # A refusal would promise that no copy exists, but this copy is going to be stored.
             self.assertEqual((await call(service, JOB)).code, ResultCode.OK)
 
         self.run_test(test)
@@ -136,7 +135,7 @@
         async def test(nursery: trio.Nursery) -> None:
             disk, connection = MemoryDisk(), SpoolStoreConnection(KvState())
             await call(open_service(disk, connection), EmptySpool("to be removed"))
-            # The node that emptied it removes its record, and the process starts again.
+            # The node that emptied it removes its record, and the process restarts.
             nursery.start_soon(open_service(disk, connection).run)
             await trio.sleep(1.0)
             self.assertIsNone(connection.state.get(OWN_KEY))
@@ -175,7 +174,7 @@
         self.run_test(test)
 
     def spools(self, reply: EmptySpoolReply, *, known: bool = True) -> Spools:
-        """Return a node's way to the one spool, which answers with ``reply``."""
+        """Return a node's client of the only spool, which answers with ``reply``."""
 
         async def call(*_arguments: object) -> Result:
             return Ok(reply)
@@ -190,7 +189,7 @@
             spools = self.spools(EmptySpoolReply(0), known=False)
             self.assertTrue(await spools.may_hold("job-1"))
             self.assertTrue(await spools.end("job-1"))
-            # Nor does it say that a machine which may be a spool holds nothing.
+            # Nor does it report that a machine which may be a spool is empty.
             self.assertIsNone(await spools.drain("s-1"))
 
         self.run_test(test)
