--- a/src/fescuedock/store/client.py
+++ b/src/fescuedock/store/client.py
@@ -1,8 +1,7 @@
 """Writes and reads copies on the stores of the fleet.
 
-Which stores hold a segment is found by its hash alone: the copies that a ``SegmentRef`` names are
-asked first, then every other store, so that a copy made by repair is found without a change of any
-record.
+Segments are found by their hash alone: a read queries the stores that the ``SegmentRef`` names
+first, then every other store, so that a copy made by repair is found without changing any record.
 """
 
 from collections.abc import AsyncIterator, Callable, Collection, Iterable, Sequence
@@ -40,14 +39,14 @@
 
 __all__ = ["HandleRecords", "StoreClient", "open_store_client"]
 
-# Gets one page of log records.
+# Handles one page of log records.
 HandleRecords = Callable[[Sequence[bytes]], None]
 
 _LOG_COPIES = 2
 _CALL_TIMEOUT_MS = 3000
-# How long a put that is safe already waits for the copies beyond the needed ones.
+# How long a put that has the minimum of copies waits for the remaining ones.
 _EXTRA_COPIES_WAIT_MS = 300
-# A store that failed is asked last for this long.
+# A store that failed is tried last for this long.
 _AVOID_MS = 5000
 _RETRY_AFTER_MS = 2000
 _PAGE_BYTES = 1048576
@@ -56,7 +55,7 @@
 
 
 class StoreClient:
-    """Calls the stores that the fleet view shows.  Make it with ``open_store_client``."""
+    """Calls the stores in the fleet view.  Created by ``open_store_client``."""
 
     __slots__ = ("_avoided_until_ms", "_put_lock", "_settings", "_view", "channels")
 
@@ -70,10 +69,11 @@
     async def put_segment(
         self, body: bytes, items: int = 0, exclude: Collection[str] = ()
     ) -> Result[SegmentRef, Fault]:
-        """Write copies of ``body``; ``Ok`` only when enough failure domains have it on disk.
+        """Write copies of ``body`` to stores in distinct failure domains.
 
-        ``items`` is the number of lines for the reference; the VMs in ``exclude`` are not asked.
-        ``STORES_UNAVAILABLE`` or ``DISK_FULL`` when there are fewer than ``min_copies``.
+        ``items`` is the number of lines for the reference; the VMs in ``exclude`` get no copy.
+        Return ``Ok`` only when at least ``min_copies`` failure domains have the body on disk, else
+        ``STORES_UNAVAILABLE`` or ``DISK_FULL``.
         """
         segment_hash = await _hash_of(body)
         plan = self._plan(segment_hash, self._settings.copies, self._settings.min_copies, exclude)
@@ -86,9 +86,9 @@
         )
 
     async def get_segment(self, ref: SegmentRef) -> Result[bytes, Fault]:
-        """Return the checked bytes of ``ref`` from any store that has them.
+        """Return the content of ``ref`` from any store that has it, verified by its hash.
 
-        ``STORES_UNAVAILABLE`` when none of those that answered has a whole copy.
+        Return ``STORES_UNAVAILABLE`` when no store that answers has an intact copy.
         """
         for vm in self._read_order(ref):
             reply = await self.call(vm, GetSegment(segment_hash=ref.segment_hash))
@@ -103,9 +103,9 @@
     async def have_segments(
         self, refs: Iterable[SegmentRef], *, renew: bool = False
     ) -> dict[str, list[VmRecord]]:
-        """Return the VMs that hold each segment, by its hash; silent ones are left out.
+        """Return the VMs that hold each segment, by its hash; VMs that don't answer are left out.
 
-        With ``renew`` the retention of the segments counts from now on those VMs.
+        With ``renew`` the segments' retention time starts again on those VMs.
         """
         hashes = sorted({ref.segment_hash for ref in refs})
         holders: dict[str, list[VmRecord]] = {segment_hash: [] for segment_hash in hashes}
@@ -122,9 +122,9 @@
         return holders
 
     async def append_log(self, job_id: str, records: Sequence[bytes]) -> Result[int, Fault]:
-        """Append to the job's log on two stores in distinct failure domains if there are.
+        """Append to the job's log on two stores, in distinct failure domains if possible.
 
-        Returns the number of stores that have ``records`` on disk, at least one.
+        Return the number of stores that have ``records`` on disk, at least one, or a fault.
         """
         plan = self._plan(job_id, _LOG_COPIES, 1, ())
         await self._write(plan, AppendLog(job_id=job_id, records=list(records)))
@@ -133,10 +133,10 @@
         )
 
     async def read_log(self, job_id: str, handle: HandleRecords) -> Result[int, Fault]:
-        """Give ``take`` the records that any reachable store has, page by page.
+        """Pass the records of all reachable stores to ``handle``, page by page.
 
-        Most come twice, and their order between stores means nothing.  Returns the number of
-        stores read to the end; ``STORES_UNAVAILABLE`` when that is none.
+        Most records are passed twice, and records of different stores are in no order.  Return the
+        number of stores read to the end, or ``STORES_UNAVAILABLE`` when there is none.
         """
         stores_read = 0
         for vm in self._readable_stores():
@@ -147,7 +147,7 @@
         return Ok(stores_read)
 
     async def drop_log(self, job_id: str) -> None:
-        """Delete the job's log on every reachable store; what remains expires by retention."""
+        """Delete the job's log on every reachable store; remaining copies expire by retention."""
         async with trio.open_nursery() as nursery:
             for vm in self._live_stores():
                 nursery.start_soon(self.call, vm, DropLog(job_id=job_id))
@@ -168,7 +168,7 @@
         return self._view.live_vms(Program.STORE)
 
     def _readable_stores(self) -> list[VmRecord]:
-        """Return every store that may answer, those that take no new work last."""
+        """Return every store that may answer; those that accept no new work are last."""
         live = self._live_stores()
         names = {vm.vm_id for vm in live}
         return live + [
@@ -197,7 +197,10 @@
         return [stores[site.vm_id] for site in ranked]
 
     async def _write(self, plan: CopyPlan, message: msgspec.Struct) -> None:
-        """Carry ``plan`` out: until it is complete, enough for long enough, or out of stores."""
+        """Send ``message`` to the stores of ``plan`` until it is complete or has no stores left.
+
+        Once the plan is sufficient, wait ``_EXTRA_COPIES_WAIT_MS`` for the remaining copies.
+        """
         vms = {vm.vm_id: vm for vm in self._live_stores()}
         async with trio.open_nursery() as nursery:
 
@@ -228,9 +231,10 @@
             proceed()
 
     async def call(self, vm: VmRecord, message: msgspec.Struct) -> msgspec.Struct | None:
-        """Return the store's answer; None when there is none in time."""
+        """Return the store's reply; None when it does not arrive in time."""
         if isinstance(message, PutSegment):
-            # Signing and queueing a copy takes milliseconds: one copy in each pass of the loop.
+            # Signing and queueing a copy takes milliseconds, so each pass of the event loop
+            # handles only one copy.
             async with self._put_lock:
                 await trio.lowlevel.checkpoint()
         client = await self.channels.client(_address(vm))
@@ -241,7 +245,7 @@
         return None
 
     def _mark_silent(self, vm: VmRecord) -> None:
-        """Ask the silent store last from now on, and drop what waits to be sent to it."""
+        """Try the silent store last for a while, and discard the messages queued for it."""
         self._avoid(vm.vm_id)
         self.channels.discard(_address(vm))
 
@@ -253,13 +257,13 @@
 async def open_store_client(
     codec: Codec, view: FleetView, settings: BatchSettings
 ) -> AsyncIterator[StoreClient]:
-    """Give a client whose channels are closed when the block is left."""
+    """Yield a client whose channels are closed when the block is left."""
     async with open_channel_pool(codec) as channels:
         yield StoreClient(channels, view, settings)
 
 
 async def _hash_of(body: bytes) -> str:
-    """Return SHA-256 in hex; other tasks of the loop, such as online requests, go between."""
+    """Return SHA-256 in hex, yielding to other tasks, such as online requests, between steps."""
     digest = sha256()
     view = memoryview(body)
     for start in range(0, len(body), _HASH_STEP_BYTES):
--- a/src/fescuedock/store/disk.py
+++ b/src/fescuedock/store/disk.py
@@ -1,7 +1,7 @@
-"""What a store needs of a file system, as an interface, and the real one.
+"""The file system interface of a store, and its implementation by the operating system.
 
-Everything here blocks.  It is small enough that a test can put a disk in its place which loses
-power between any two steps.
+All calls block.  The interface is small, so that a test can substitute a disk that loses power
+between any two steps.
 """
 
 import os
@@ -15,7 +15,7 @@
 
 
 class FileStatus(msgspec.Struct, frozen=True):
-    """A file as a folder lists it."""
+    """A file in a folder listing."""
 
     name: str
     size_bytes: int
@@ -26,7 +26,7 @@
     """An open file; leaving its block closes it without making anything durable."""
 
     def write(self, data: bytes) -> None:
-        """Append all of ``data``; ``OSError`` may leave a part of it."""
+        """Append all of ``data``; after ``OSError`` a part of it may be written."""
 
     def truncate(self, size_bytes: int) -> None:
         """Cut the file to ``size_bytes``."""
@@ -35,7 +35,7 @@
         """Set the file's time of modification, in Unix seconds."""
 
     def sync(self) -> None:
-        """Return when content and status of the file survive a loss of power."""
+        """Return once the file's content and metadata survive a loss of power."""
 
     def __enter__(self) -> Self: ...
 
@@ -46,7 +46,7 @@
     """A file system.  Every method may raise ``OSError``."""
 
     def make_folder(self, path: Path) -> None:
-        """Make the folder and its parents unless they exist."""
+        """Create the folder and its parents unless they exist."""
 
     def list_files(self, path: Path) -> Iterator[FileStatus]:
         """Yield the files of a folder."""
@@ -55,13 +55,13 @@
         """Return the file's status; None when there is no such file."""
 
     def create(self, path: Path) -> DiskFile:
-        """Open a new, empty file for writing, in place of an old one."""
+        """Open an empty file for writing, truncating an existing one."""
 
     def append(self, path: Path) -> DiskFile:
         """Open a file for writing at its end, creating it if needed."""
 
     def read(self, path: Path, offset_bytes: int = 0, limit_bytes: int = -1) -> bytes:
-        """Return up to ``limit_bytes`` (-1: all) from ``offset_bytes`` on."""
+        """Return up to ``limit_bytes`` (-1 for all), starting at ``offset_bytes``."""
 
     def rename(self, source: Path, target: Path) -> None:
         """Rename within one file system, replacing ``target``."""
@@ -70,7 +70,7 @@
         """Delete the file if it exists."""
 
     def sync_folder(self, path: Path) -> None:
-        """Return when the folder's entries survive a loss of power."""
+        """Return once the folder's entries survive a loss of power."""
 
 
 class _OsFile:
--- a/src/fescuedock/store/logs.py
+++ b/src/fescuedock/store/logs.py
@@ -1,7 +1,7 @@
-"""Append-only logs of result records, a file for each job.
+"""Append-only logs of result records, one file for each job.
 
-Appends to any number of jobs that come while one round of fsync is due share that round, so that
-the disk is asked once for each file and not once for each call.
+Appends that arrive before a round of fsync starts share that round (group commit), so that there
+is one fsync for each file and not one for each call.
 """
 
 import re
@@ -25,24 +25,24 @@
 _JOB_ID = re.compile(r"[A-Za-z0-9][A-Za-z0-9_-]{0,127}")
 _SCAN_BYTES = 1048576
 _MAX_PAGE_BYTES = 4 * 1048576
-# How long a round of fsync waits for more appends.
+# How long a round of fsync waits for further appends before it starts.
 _APPEND_WAIT_MS = 2
 
 
 def is_job_id(text: str) -> bool:
-    """Whether ``text`` can name a log; nothing else gets near the file system."""
+    """Return whether ``text`` is a valid name of a log; no other name is used as a path."""
     return _JOB_ID.fullmatch(text) is not None
 
 
 class _Log(msgspec.Struct):
-    """One log: ``size_bytes`` are written, the first ``synced_bytes`` survive a loss of power."""
+    """One log of ``size_bytes``, of which the first ``synced_bytes`` survive a loss of power."""
 
     size_bytes: int
     synced_bytes: int
 
 
 class _SyncRound:
-    """One round of fsync; the appends that wait for it see which logs failed."""
+    """One round of fsync; the appends that wait for it read which logs failed."""
 
     __slots__ = ("done", "failed", "jobs")
 
@@ -53,7 +53,7 @@
 
 
 class LogFolder:
-    """The logs under one folder.  ``run`` must be running for appends to be acknowledged."""
+    """The logs under one folder.  Appends are acknowledged only while ``run`` is running."""
 
     __slots__ = ("_disk", "_folder", "_folder_unsynced", "_logs", "_round", "_usage", "_wake")
 
@@ -67,7 +67,7 @@
         self._folder_unsynced = False
 
     def open(self) -> None:
-        """Make the folder, find the logs and cut a torn last write off each."""
+        """Create the folder, index the logs and truncate a torn last write of each."""
         self._disk.make_folder(self._folder)
         for file in list(self._disk.list_files(self._folder)):
             job_id = file.name.removesuffix(_SUFFIX)
@@ -77,7 +77,7 @@
         self._disk.sync_folder(self._folder.parent)
 
     async def append(self, job_id: str, records: Sequence[bytes]) -> Result[None, Fault]:
-        """Append ``records``; returns when they survive a loss of power, all or none."""
+        """Append all of ``records`` or none; return once they survive a loss of power."""
         if not is_job_id(job_id):
             return Err(Fault(ResultCode.BAD_REQUEST, f"not a job identity: {job_id!r}"))
         data = encode_frames(records)
@@ -87,13 +87,13 @@
         try:
             self._write(job_id, data)
         except OSError as error:
-            # A part of it may be there, and whatever followed that would be unreadable.
+            # A part may be written; records appended after it would be unreadable.
             self._truncate(job_id, self._logs[job_id].size_bytes)
             return Err(Fault(ResultCode.DISK_FULL, f"the disk refused: {error}"))
         return await self._wait_synced(job_id)
 
     def read(self, request: ReadLog) -> LogReply:
-        """Return whole records from an offset that an earlier answer gave, at least one if any."""
+        """Return complete records, at least one if any, from an offset that a reply gave."""
         log = self._logs.get(request.job_id)
         offset = request.offset_bytes
         if log is None or offset >= log.size_bytes:
@@ -107,7 +107,7 @@
         return LogReply(records=frames.records, next_offset_bytes=next_offset)
 
     def drop(self, job_id: str) -> None:
-        """Delete the log if it is here."""
+        """Delete the log if it exists."""
         log = self._logs.pop(job_id, None)
         if log is not None:
             self._disk.remove(self._path(job_id))
@@ -131,7 +131,7 @@
             finished, self._round = self._round, _SyncRound()
             for job_id in finished.jobs:
                 self._sync(job_id, finished)
-                # Between two fsyncs other work of the store gets a turn.
+                # Lets other tasks of the store run between two fsyncs.
                 await trio.lowlevel.checkpoint()
             finished.done.set()
 
@@ -158,7 +158,7 @@
     def _sync(self, job_id: str, finished: _SyncRound) -> None:
         log = self._logs.get(job_id)
         if log is None:
-            # Dropped in between, so that nobody needs its records.
+            # The log was deleted meanwhile, so its records are not needed.
             return
         try:
             with self._disk.append(self._path(job_id)) as file:
@@ -167,7 +167,8 @@
                 self._disk.sync_folder(self._folder)
                 self._folder_unsynced = False
         except OSError as error:
-            # After a failed fsync nobody knows what is on disk; a later one could wrongly succeed.
+            # After a failed fsync it is unknown what is on disk, and a later fsync may succeed
+            # without writing the lost data.
             finished.failed[job_id] = error
             self._fail_pending(job_id, error)
             self._truncate(job_id, log.synced_bytes)
@@ -175,7 +176,7 @@
         log.synced_bytes = log.size_bytes
 
     def _truncate(self, job_id: str, size_bytes: int) -> None:
-        """Cut the log to ``size_bytes``; a log that cannot be cut is given up."""
+        """Truncate the log to ``size_bytes``; a log that cannot be truncated is deleted."""
         log = self._logs[job_id]
         try:
             with self._disk.append(self._path(job_id)) as file:
@@ -188,7 +189,7 @@
         log.size_bytes = size_bytes
 
     def _fail_pending(self, job_id: str, error: OSError) -> None:
-        """Refuse the appends whose records have just been cut off."""
+        """Fail the appends whose records were just truncated."""
         if job_id in self._round.jobs:
             self._round.failed[job_id] = error
 
@@ -202,7 +203,7 @@
         self._usage.add(valid_bytes)
 
     def _valid_bytes(self, job_id: str, size_bytes: int) -> int:
-        """Return where the last whole record ends, reading in bounded pieces."""
+        """Return where the last complete record ends, reading chunks of bounded size."""
         offset = 0
         limit = _SCAN_BYTES
         while True:
--- a/src/fescuedock/store/main.py
+++ b/src/fescuedock/store/main.py
@@ -1,4 +1,4 @@
-"""The program ``fescuedock-store``: keeps segments and result logs on this VM's disk."""
+"""The program ``fescuedock-store``: stores segments and result logs on this VM's disk."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -27,7 +27,7 @@
 
 __all__ = ["main", "run_store"]
 
-# After the agent has taken this store off the fleet view, callers get this long to finish.
+# Time for callers to finish after the agent has removed this store from the fleet view.
 _DRAIN_MS = 1000
 
 
@@ -38,7 +38,7 @@
     disk: Disk | None = None,
     task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve until ``stop``; ``OSError`` when the data folder cannot be opened."""
+    """Serve until ``stop``; raise ``OSError`` when the data folder cannot be opened."""
     if settings.store is None or settings.batch is None:
         raise ValueError("the settings lack section [store] or [batch]")
     codec = open_codec(settings.vm)
@@ -68,7 +68,7 @@
 
 @dataclass(slots=True)
 class _Folders:
-    """What is on the disk; damage is reported to ``on_damage`` once there is somebody to act."""
+    """The segments and logs on the disk; ``on_damage`` does nothing until repair is set up."""
 
     usage: Usage
     segments: SegmentFolder = field(init=False)
--- a/src/fescuedock/store/repair.py
+++ b/src/fescuedock/store/repair.py
@@ -1,8 +1,9 @@
-"""Keeps up the copies of what this store holds, at a bounded rate.
+"""Maintains the number of copies of this store's segments, at a bounded rate.
 
-A sweep asks the other stores which of this store's segments they hold and copies what is short.  It
-follows a lasting change of the stores, and runs at the interval of the settings, then also checking
-the content of every segment.  A damaged segment is fetched from another store at once.
+A sweep queries the other stores which of this store's segments they hold and makes the missing
+copies.  A sweep runs after a lasting change of the set of stores, and a full sweep, which also
+verifies the content of every segment, at the configured interval.  A damaged segment is fetched
+from another store at once.
 """
 
 from collections.abc import Iterable, Iterator, Sequence
@@ -45,15 +46,15 @@
 
 _MAX_SEGMENTS_PER_QUERY = 500
 _POLL_S = 1.0
-# The first full sweep comes early, so that a store which is replaced often makes one too.
+# The first full sweep is early, so that a store that is replaced often makes one as well.
 _MAX_FIRST_FULL_SWEEP_S = 600
-# Of all stores, the choice for this key deletes old records.
+# The store that rendezvous hashing chooses for this key deletes old records.
 _RETENTION_KEY = "retention"
 
 
 @dataclass(slots=True)
 class RepairCounts:
-    """What a store has done for its copies since it started."""
+    """Sweeps, repaired segments and expired files or records of a store since it started."""
 
     sweeps: int = 0
     copied: int = 0
@@ -64,7 +65,7 @@
 
 @dataclass(slots=True)
 class Repair:
-    """The work of one store; ``run`` must be running."""
+    """The repair and retention of one store; effective only while ``run`` is running."""
 
     segments: SegmentFolder
     logs: LogFolder
@@ -87,13 +88,13 @@
         self._sites = StableSites(self.settings.repair_after_ms)
 
     def on_damage(self, segment_hash: str) -> None:
-        """Fetch a segment that was found damaged and is gone from this store."""
+        """Schedule the fetch of a segment that was found damaged and removed from this store."""
         log_event("segment_damaged", segment_hash=segment_hash)
         self._damaged.add(segment_hash)
         self._wake.set()
 
     def on_sweep_requested(self) -> None:
-        """Sweep soon: another store has started, perhaps with an empty disk."""
+        """Sweep soon, since another store has started, perhaps with an empty disk."""
         self._sweep_requested = True
 
     async def run(self) -> None:
@@ -126,9 +127,9 @@
             await trio.sleep(min(wait_s, max(0.0, next_full_s - trio.current_time())))
 
     async def _request_sweeps(self) -> None:
-        """Ask every other store for a sweep, once after the start.
+        """Request a sweep from every other store, once after the start.
 
-        The others cannot see from the membership that a store came back without its segments.
+        The membership does not show the others that a store returned without its segments.
         """
         if self._others_notified:
             return
@@ -137,7 +138,7 @@
             await self.client.call(vm, AskSweep(vm_id=self.view.vm_id))
 
     async def sweep(self, *, check_content: bool = False) -> None:
-        """Compare what is here with the other stores once and copy what is short."""
+        """Compare the segments here with those of the other stores once; make missing copies."""
         names = [file.name for file in self.segments.files()]
         for chunk in _chunks(names, _MAX_SEGMENTS_PER_QUERY):
             if check_content:
@@ -151,7 +152,7 @@
             file = self.segments.status(name)
             if file is not None:
                 await self._limit_rate(file.size_bytes)
-                # A damaged one reports itself.
+                # Reading a damaged segment calls ``on_damage``.
                 self.segments.get(name)
 
     async def _sweep_chunk(self, names: Sequence[str]) -> None:
@@ -220,7 +221,7 @@
         log_event("segment_not_fetched", segment_hash=segment_hash)
 
     async def expire(self) -> None:
-        """Apply the retention to what is here, and to the records if it is this store's turn."""
+        """Delete expired segments and logs, and expired records if this store is responsible."""
         before_s = self.unix_clock() - self.settings.segment_retention_s
         self.counts.expired += self.segments.drop_older(before_s)
         self.counts.expired += self.logs.drop_older(before_s)
--- a/src/fescuedock/store/retention.py
+++ b/src/fescuedock/store/retention.py
@@ -1,7 +1,7 @@
 """Deletes the records of old files and finished jobs from the key-value service.
 
-One store does so for all, and which one it is does not matter: a record is deleted only under the
-revision under which it was found old.  The segments go by themselves, by their own retention.
+One store does this for all, and it does not matter which: a record is deleted only at the revision
+at which it was found to be old.  Segments expire independently on each store.
 """
 
 from collections.abc import AsyncIterator
@@ -29,16 +29,16 @@
 
 
 class RecordRetention(msgspec.Struct, frozen=True):
-    """Finds and deletes what is older than ``retention_s``."""
+    """Finds and deletes records older than ``retention_s``."""
 
     kv: KvStore
     key_prefix: str
     retention_s: int
 
     async def expire(self, now_s: int) -> int:
-        """Delete what is old at Unix time ``now_s``; returns how many records that was.
+        """Delete records that are expired at Unix time ``now_s``; return their number.
 
-        What cannot be read or deleted now is left to the next time.
+        Records that cannot be read or deleted now are left to the next run.
         """
         before_s = now_s - self.retention_s
         expired = 0
@@ -71,9 +71,9 @@
         return True
 
     async def _restore_open_entry(self, record: JobRecord) -> None:
-        """Put an old job that still runs into the index of open jobs if it is not there.
+        """Add an old job that is not final to the index of open jobs unless it is listed.
 
-        It is missing when the entry that created the record stopped before its acknowledgement.
+        It is missing if the entry that created its record stopped before the acknowledgement.
         """
         await self.kv.put_if(open_job_key(self.key_prefix, record.job_id), b"", 0)
 
--- a/src/fescuedock/store/segments.py
+++ b/src/fescuedock/store/segments.py
@@ -1,8 +1,8 @@
 """Write-once segments on disk, each a file named by the SHA-256 of its content.
 
 A segment is acknowledged after four steps in this order: write a temporary file, fsync it, rename
-it to its name, fsync the folder.  So a file under a segment's name is whole after any loss of
-power, and an acknowledged one is there.
+it to its final name, fsync the folder.  So after any loss of power a file under a segment's name is
+complete, and every acknowledged segment exists.
 """
 
 import errno
@@ -23,16 +23,16 @@
 __all__ = ["MAX_SEGMENT_BYTES", "SegmentFolder", "Usage"]
 
 MAX_SEGMENT_BYTES = 8 * 1024 * 1024
-# The file system's own needs for one file, so that many small ones count too.
+# Space that the file system itself needs for each file, so that many small files count as well.
 _FILE_OVERHEAD_BYTES = 512
-# Damaged files that are kept for a look at them.
+# Damaged files that are retained for inspection.
 _MAX_DAMAGED_FILES = 16
 _SEGMENT_NAME = re.compile("[0-9a-f]{64}")
 _DISK_FULL_ERRNOS = (errno.ENOSPC, errno.EDQUOT)
 
 
 class Usage(msgspec.Struct):
-    """Bytes that the store keeps, against the bound of its settings."""
+    """The bytes that the store uses on disk, and their configured limit."""
 
     max_bytes: int
     used_bytes: int = 0
@@ -49,15 +49,15 @@
         self.used_bytes += size_bytes + _FILE_OVERHEAD_BYTES
 
     def subtract(self, size_bytes: int) -> None:
-        """Count a file no longer."""
+        """Stop counting a deleted file."""
         self.used_bytes -= size_bytes + _FILE_OVERHEAD_BYTES
 
 
 class SegmentFolder:
     """The segments under one folder, with an index in memory.
 
-    ``on_damage`` gets the hash of each segment whose file was found not to match it; the file is
-    moved aside first.
+    ``on_damage`` is called with the hash of each segment whose file does not match it, after the
+    file was moved to the folder of damaged files.
     """
 
     __slots__ = (
@@ -82,10 +82,10 @@
         self._index: dict[str, FileStatus] = {}
 
     def open(self) -> None:
-        """Make the folders, delete what was not finished and index what there is.
+        """Create the folders, delete unfinished files and index the segments.
 
-        Everything found is made durable, since a segment may be found that was never acknowledged
-        and will be now.
+        The folder is synced, since a segment that is found here may not have been acknowledged
+        before, and counts as stored from now on.
         """
         for path in (self._temporary, self._damaged_folder, self._folder):
             self._disk.make_folder(path)
@@ -99,7 +99,7 @@
         self._disk.sync_folder(self._folder.parent)
 
     def put(self, message: PutSegment, unix_clock: UnixClock) -> Result[None, Fault]:
-        """Write the segment, or make sure that it is there; idempotent."""
+        """Write the segment, or renew its retention if an intact copy exists; idempotent."""
         segment_hash, body = message.segment_hash, message.body
         if len(body) > MAX_SEGMENT_BYTES:
             text = f"segment of {len(body)} bytes is over {MAX_SEGMENT_BYTES}"
@@ -116,13 +116,13 @@
         return self._catch_disk_errors(lambda: self._write(segment_hash, body, kept_since_s))
 
     def get(self, segment_hash: str) -> Result[bytes, Fault]:
-        """Return the checked content; a file that does not match its name is moved aside."""
+        """Return the verified content; a file that does not match its name is moved away."""
         if segment_hash not in self._index:
             return Err(Fault(ResultCode.NOT_FOUND, f"no segment {segment_hash[:12]!r}"))
         try:
             body = self._disk.read(self._path(segment_hash))
         except OSError:
-            # An unreadable file is as lost as a damaged one.
+            # An unreadable file is handled like a damaged one.
             body = b""
         if sha256(body).hexdigest() == segment_hash:
             return Ok(body)
@@ -131,9 +131,9 @@
         return Err(Fault(ResultCode.CORRUPT_SEGMENT, f"segment {segment_hash[:12]} was damaged"))
 
     def renew(self, segment_hashes: Iterable[str], now_s: int) -> list[str]:
-        """Let the retention of the segments count from ``now_s``, durably.
+        """Start the segments' retention time again at ``now_s``, durably.
 
-        Returns those that are not here.
+        Return the segments that are not here or could not be renewed.
         """
         missing = self.missing(segment_hashes)
         for segment_hash in set(segment_hashes).difference(missing):
@@ -143,18 +143,18 @@
         return missing
 
     def missing(self, segment_hashes: Iterable[str]) -> list[str]:
-        """Return those of ``segment_hashes`` that are not here."""
+        """Return the hashes of ``segment_hashes`` that are not stored here."""
         return [name for name in segment_hashes if name not in self._index]
 
     def drop(self, segment_hash: str) -> None:
-        """Delete the segment if it is here."""
+        """Delete the segment if it exists."""
         file = self._index.pop(segment_hash, None)
         if file is not None:
             self._disk.remove(self._path(segment_hash))
             self._usage.subtract(file.size_bytes)
 
     def drop_older(self, before_s: int) -> int:
-        """Delete the segments whose retention began before ``before_s``; return how many."""
+        """Delete the segments whose retention began before ``before_s``; return their number."""
         old = [file.name for file in self._index.values() if file.modified_s < before_s]
         for segment_hash in old:
             self.drop(segment_hash)
@@ -165,7 +165,7 @@
         yield from tuple(self._index.values())
 
     def status(self, segment_hash: str) -> FileStatus | None:
-        """Return the segment's size and the start of its retention; None when it is not here."""
+        """Return the segment's size and the start of its retention; None if it is not here."""
         return self._index.get(segment_hash)
 
     def _write(self, segment_hash: str, body: bytes, kept_since_s: int) -> None:
@@ -192,7 +192,7 @@
                 file.set_modified(kept_since_s)
                 file.sync()
             self._index[segment_hash] = FileStatus(segment_hash, known.size_bytes, kept_since_s)
-        # The write that made the file may have stopped before this.
+        # The call that created the file may have failed before it synced the folder.
         self._disk.sync_folder(self._folder)
 
     def _catch_disk_errors(self, action: Callable[[], None]) -> Result[None, Fault]:
--- a/src/fescuedock/store/service.py
+++ b/src/fescuedock/store/service.py
@@ -1,4 +1,4 @@
-"""Answers the messages of a store from its folders."""
+"""Handles the messages to a store by means of its segments and logs."""
 
 from collections.abc import Callable
 
@@ -29,19 +29,19 @@
 
 
 class StoreService(msgspec.Struct):
-    """The handler of a store's channel; every message may be repeated."""
+    """The handler of a store's channel; every message is safe to repeat."""
 
     segments: SegmentFolder
     logs: LogFolder
     usage: Usage
     unix_clock: UnixClock
-    # Called when another store wants this one to compare its segments with the others'.
+    # Called when another store requests that this one compare its segments with the others'.
     on_sweep_requested: Callable[[], None] = lambda: None
 
     async def handle(
         self, message: msgspec.Struct, _peer: ServerPeer | None = None
     ) -> msgspec.Struct:
-        """Return the answer to ``message``; an error of the disk is an answer too."""
+        """Return the reply to ``message``; a disk error is returned as a ``StoreReply``."""
         try:
             return await self._answer(message)
         except OSError as error:
--- a/tests/builders/disk.py
+++ b/tests/builders/disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that loses power, fills up, fails and forgets on command."""
+"""A disk in memory that loses power, fills up, fails and loses data on command."""
 
 import errno
 import os
@@ -12,16 +12,16 @@
 
 
 def memory_folder() -> TemporaryDirectory:
-    """Return a folder that is in memory where the system has one, and removed with its block.
+    """Return a temporary folder, in memory if the system provides that.
 
-    A sync there takes no time, so that other programs' use of the real disk costs a test nothing.
+    A sync there takes no time, so that other programs' use of the real disk does not slow a test.
     """
     shared = Path("/dev/shm")
     return TemporaryDirectory(dir=shared if os.access(shared, os.W_OK) else None)
 
 
 class PowerCutError(Exception):
-    """The power went before the step took effect."""
+    """The power was cut before the step took effect."""
 
 
 class _Inode:
@@ -64,9 +64,10 @@
 
 
 class MemoryDisk:
-    """``cut_at`` is the step, counted from 1, before which the power goes.
+    """A ``Disk`` in memory.
 
-    ``failing`` gets each step's name and may say that it fails with an I/O error.
+    The power is cut before step ``cut_at``, counted from 1; 0 means never.  ``failing`` is called
+    with each step's name and returns whether the step fails with an I/O error.
     """
 
     def __init__(self) -> None:
@@ -89,9 +90,10 @@
             raise OSError(errno.EIO, f"{name} failed on command")
 
     def lose_power(self, seed: int) -> None:
-        """Come back as a disk may after a loss of power.
+        """Change to a state in which a disk may be after a loss of power.
 
-        Of what was not synced, chance keeps any part: names one by one, content any prefix.
+        Data that was not synced is retained at random: each name separately, and any prefix of
+        each file's content.
         """
         rng = random.Random(seed)
         names = dict(self._durable)
--- a/tests/builders/store.py
+++ b/tests/builders/store.py
@@ -1,4 +1,4 @@
-"""Stores for tests: real ones behind real channels, over any disk, in a fleet view of their own."""
+"""Stores for tests: real stores with real channels, on any disk, in a separate fleet view."""
 
 from collections.abc import AsyncIterator, Callable
 from contextlib import asynccontextmanager
@@ -33,7 +33,7 @@
 
 
 def store_vm(vm_id: str, failure_domain: str, port: int = 1) -> VmRecord:
-    """Return a VM that runs nothing but a store."""
+    """Return a VM that runs only a store."""
     return VmRecord(
         vm_id=vm_id,
         region="caldas",
@@ -47,7 +47,7 @@
 
 
 class StoreNode:
-    """One store of a test, as ``run_store`` puts it together, without an agent."""
+    """One store, assembled like in ``run_store``, but without an agent."""
 
     def __init__(self, folder: Path, disk: Disk | None = None, max_bytes: int = MAX_BYTES) -> None:
         self.folder = folder
@@ -85,7 +85,7 @@
 
 
 class StoreFleet:
-    """Several stores and a client that sees them."""
+    """Several stores and a client with all of them in its fleet view."""
 
     def __init__(self, codec: Codec, nursery: trio.Nursery, root: Path) -> None:
         self.codec = codec
@@ -104,7 +104,7 @@
         return node
 
     def start_repair(self, vm_id: str, **settings: object) -> Repair:
-        """Let a store look after its copies; its own sweeps come only if ``settings`` say so."""
+        """Start a store's repair, which does not sweep by itself unless ``settings`` say so."""
         node = self.nodes[vm_id]
         options = {"repair_after_ms": 3_600_000} | settings
         view = FleetView(vm_id)
@@ -126,20 +126,20 @@
         return repair
 
     def lose(self, vm_id: str, *, in_view: bool = True) -> None:
-        """Stop a store for good; ``seen`` says whether the fleet view knows already."""
+        """Stop a store permanently; ``in_view`` says whether the fleet view shows the loss."""
         self.nodes.pop(vm_id).scope.cancel()
         if in_view:
             self._show([vm for vm in self.view.vms.values() if vm.vm_id != vm_id])
 
     def add_runner(self, vm_id: str, port: int) -> None:
-        """Show a batch runner on a VM that has a store."""
+        """Add a batch runner to the view, on a VM that has a store."""
         vms = dict(self.view.vms)
         ready = [*vms[vm_id].ready, Program.BATCH]
         vms[vm_id] = msgspec.structs.replace(vms[vm_id], batch_port=port, ready=ready)
         self._show(list(vms.values()))
 
     def leave(self, vm_id: str) -> None:
-        """Show a store as leaving."""
+        """Mark a store as leaving in the view."""
         vms = dict(self.view.vms)
         vms[vm_id] = msgspec.structs.replace(vms[vm_id], state=VmState.LEAVING)
         self._show(list(vms.values()))
@@ -156,7 +156,7 @@
 async def open_stores(
     root: Path, sites: dict[str, str], settings: BatchSettings | None = None
 ) -> AsyncIterator[StoreFleet]:
-    """Run a store for each VM of ``sites``, which gives the failure domains."""
+    """Run a store for each VM of ``sites``, which maps VM ids to failure domains."""
     codec = Codec((batch, store))
     async with trio.open_nursery() as nursery:
         fleet = StoreFleet(codec, nursery, root)
@@ -169,7 +169,7 @@
 
 
 def run(test: Callable, *arguments: object) -> None:
-    """Run an async test, bounded so that a hang is a failure."""
+    """Run an async test with a timeout, so that a hang is a failure."""
 
     async def bounded() -> None:
         with trio.fail_after(30):
@@ -179,7 +179,7 @@
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Wait until ``condition`` holds; the bound is that of ``run``."""
+    """Wait until ``condition`` holds; the timeout is that of ``run``."""
     while not condition():  # noqa: ASYNC110, real sockets and files give no event
         await trio.sleep(0.005)
 
--- a/tests/test_store_client.py
+++ b/tests/test_store_client.py
@@ -1,4 +1,4 @@
-"""Copies on several real stores: losses, damage, full disks, logs, repair."""
+"""Copies on several real stores: lost stores, damage, full disks, logs and repair."""
 
 import unittest
 from hashlib import sha256
@@ -86,7 +86,7 @@
         fleet.lose("vm-3", in_view=False)
         ref = (await fleet.client.put_segment(BODY)).unwrap()
         self.assertEqual(domains(fleet, ref), {"chipre", "villamaria"})
-        # Now the silent store is asked last, so that nothing waits for it.
+        # Now the silent store is tried last, so that no call waits for it.
         ref = (await fleet.client.put_segment(BODY + b"more")).unwrap()
         self.assertEqual(len(ref.copies), 3)
 
@@ -213,7 +213,7 @@
         ref = (await fleet.client.put_segment(BODY)).unwrap()
         repairs = [fleet.start_repair(vm_id, repair_after_ms=0) for vm_id in fleet.nodes]
         await until(lambda: all(repair.counts.sweeps for repair in repairs))
-        # The membership never shows the change.
+        # The membership does not show this change.
         fleet.nodes["vm-2"].segments.drop(ref.segment_hash)
         fleet.start_repair("vm-2", repair_after_ms=0)
         await until(lambda: len(fleet.holders(ref.segment_hash)) == 3)
--- a/tests/test_store_disk.py
+++ b/tests/test_store_disk.py
@@ -1,4 +1,4 @@
-"""A store's folders on a disk that loses power at every step, fills up, fails and rots."""
+"""A store's folders on a disk that loses power at every step, fills up, fails and is damaged."""
 
 import unittest
 from hashlib import sha256
@@ -44,7 +44,7 @@
 
 
 class WriteSession:
-    """Writes everything once and notes what was acknowledged."""
+    """Writes all bodies and records once and records which were acknowledged."""
 
     def __init__(self, disk: MemoryDisk) -> None:
         self.disk = disk
@@ -52,7 +52,7 @@
         self.logged: list[bytes] = []
 
     def run(self) -> bool:
-        """Return whether the power held to the end."""
+        """Return whether the session ended without a power cut."""
         completed = True
         try:
             trio.run(self._run, clock=MockClock(autojump_threshold=0))
@@ -95,7 +95,7 @@
         for body in session.put:
             self.assertEqual(node.segments.get(hash_of(body)), Ok(body))
         self.assertEqual(records_of(node)[: len(session.logged)], session.logged)
-        # A second session and a second cut, this time right after the last step.
+        # A second session, with a power cut right after its last step.
         second = WriteSession(disk)
         self.assertTrue(second.run())
         disk.lose_power(seed)
@@ -111,7 +111,7 @@
         with self.assertRaises(PowerCutError):
             put(node, BODIES[0])
         disk.cut_at = 0
-        # The program alone went: the file is there, its name not yet durable.
+        # Only the program ended: the file exists, but its name is not durable yet.
         node = StoreNode(FOLDER, disk)
         self.assertEqual(node.segments.missing([hash_of(BODIES[0])]), [])
         for seed in SEEDS:
@@ -203,7 +203,7 @@
             self.assertEqual(StoreNode(FOLDER, disk).segments.missing([hash_of(BODIES[0])]), [])
 
     def test_append_during_a_round_that_fails_is_not_acknowledged_either(self) -> None:
-        # The loop's order of ready tasks is random; several tries take all of them.
+        # The event loop runs ready tasks in random order; several attempts cover all orders.
         for attempt in range(20):
             with self.subTest(attempt=attempt):
                 self._append_during_a_failing_round()
--- a/tests/test_store_retention.py
+++ b/tests/test_store_retention.py
@@ -1,4 +1,4 @@
-"""Retention of records in the key-value service and of what is on a store's disk."""
+"""Retention of the records of files and jobs in the key-value service."""
 
 import unittest
 
@@ -57,7 +57,7 @@
         young = self.add_job("young", JobState.COMPLETED, age_days=3, finished_days=3)
         running = self.add_job("running", JobState.RUNNING, age_days=45)
         self.assertEqual(self.expire(), 1)
-        # The key of a young job says its age, so that its record need not be read.
+        # The key of a young job contains its age, so that its record need not be read.
         self.assertEqual(self.kv.faults.calls[CallKind.GET], 3)
         self.assertEqual(
             [self.exists(key) for key in (old, late, young, running)], [False, True, True, True]
