--- a/src/fescuedock/backing/engine.py
+++ b/src/fescuedock/backing/engine.py
@@ -34,12 +34,12 @@
 
 ATTEMPT_HEADER = "x-attempt-id"
 _EVENT_END = b"\n\n"
-_DATA = b"data: "
-_DONE = b"data: [DONE]"
+_DATA_PREFIX = b"data: "
+_DONE_EVENT = b"data: [DONE]"
 _MAX_ANSWER_BYTES = 64 * 1024 * 1024
-_PERMANENT = (400, 413, 422)
+_PERMANENT_ERROR_STATUSES = (400, 413, 422)
 _MAX_EVENT_BYTES = 1024 * 1024
-_TAIL_S = 0.1
+_TAIL_TIMEOUT_S = 0.1
 
 
 class EngineError(Exception):
@@ -59,7 +59,7 @@
 
         A 404 is not: the model may be loaded elsewhere.
         """
-        return self.status in _PERMANENT
+        return self.status in _PERMANENT_ERROR_STATUSES
 
 
 class ResumePoint(msgspec.Struct, frozen=True):
@@ -107,12 +107,12 @@
     that ends before raises ``ResponseLostError``.
     """
 
-    __slots__ = ("_events", "_response", "_rest", "done", "headers")
+    __slots__ = ("_events", "_partial_event", "_response", "done", "headers")
 
     def __init__(self, response: ClientResponse) -> None:
         self._response = response
         self._events: list[bytes] = []
-        self._rest = b""
+        self._partial_event = b""
         self.headers = response.headers
         self.done = False
 
@@ -129,7 +129,7 @@
             except StopAsyncIteration:
                 message = "stream ended before [DONE]"
                 raise ResponseLostError(message, head_received=True) from None
-            self._split(chunk)
+            self._add_chunk(chunk)
         return _read_event(self._events.pop())
 
     async def _read_tail(self) -> None:
@@ -137,19 +137,19 @@
 
         The answer is whole already: an engine that does not end the body costs a connection.
         """
-        with trio.move_on_after(_TAIL_S), suppress(ResponseLostError):
+        with trio.move_on_after(_TAIL_TIMEOUT_S), suppress(ResponseLostError):
             async for _ in self._response:
                 pass
 
-    def _split(self, chunk: bytes) -> None:
+    def _add_chunk(self, chunk: bytes) -> None:
         """Take the events that ``chunk`` completes; the last of them comes first."""
-        *events, self._rest = (self._rest + chunk).split(_EVENT_END)
+        *events, self._partial_event = (self._partial_event + chunk).split(_EVENT_END)
         for event in events:
-            if event == _DONE:
+            if event == _DONE_EVENT:
                 self.done = True
-            elif event.startswith(_DATA) and not self.done:
+            elif event.startswith(_DATA_PREFIX) and not self.done:
                 self._events.insert(0, event)
-        if len(self._rest) > _MAX_EVENT_BYTES:
+        if len(self._partial_event) > _MAX_EVENT_BYTES:
             raise ResponseLostError("event without an end", head_received=True)
 
 
@@ -179,7 +179,7 @@
             document["resume"] = resume
         async with self._post(upstream, path, document, attempt_id, check) as response:
             if response.status != 200:
-                raise EngineError(response.status, await _read(response))
+                raise EngineError(response.status, await _read_answer(response))
             yield EngineStream(response)
 
     async def call(
@@ -193,7 +193,7 @@
         """Return the JSON of an answer that is not streamed.  Raises as ``stream`` does."""
         document = {**body, "stream": False}
         async with self._post(upstream, path, document, attempt_id, check) as response:
-            answer = await _read(response)
+            answer = await _read_answer(response)
         if response.status != 200:
             raise EngineError(response.status, answer)
         return answer
@@ -202,7 +202,7 @@
         """End an attempt whose connection may hang; whether the engine knew it."""
         path = f"/v1/streams/{attempt_id}/cancel"
         async with self._post(upstream, path, {}, attempt_id) as response:
-            await _read(response)
+            await _read_answer(response)
         return response.status == 200
 
     @asynccontextmanager
@@ -223,7 +223,7 @@
             yield response
 
 
-async def _read(response: ClientResponse) -> bytes:
+async def _read_answer(response: ClientResponse) -> bytes:
     try:
         return await response.read(_MAX_ANSWER_BYTES)
     except ResponseTooLargeError as error:
@@ -231,7 +231,7 @@
 
 
 def _read_event(event: bytes) -> EngineEvent:
-    payload = event[len(_DATA) :]
+    payload = event[len(_DATA_PREFIX) :]
     try:
         chunk = _decode_chunk(payload)
     except msgspec.MsgspecError as error:
--- a/src/fescuedock/backing/engine_control.py
+++ b/src/fescuedock/backing/engine_control.py
@@ -53,12 +53,12 @@
     async def load(self, upstream: UpstreamRecord) -> Result[EngineLoad, Fault]:
         """Read the engine's load report."""
         result = await self._call(upstream, "GET", "/metrics")
-        return result.map(_load)
+        return result.map(_parse_load)
 
     async def models(self, upstream: UpstreamRecord) -> Result[frozenset[str], Fault]:
         """Read the names of the models and adapters that the engine serves."""
         result = await self._call(upstream, "GET", "/v1/models")
-        return result.and_then(lambda body: _decoded(body, _ModelList)).map(
+        return result.and_then(lambda body: _decode(body, _ModelList)).map(
             lambda listed: frozenset(item.id for item in listed.data)
         )
 
@@ -67,7 +67,7 @@
     ) -> Result[CacheEvents, Fault]:
         """Read the prefix cache's events after number ``after_seq``."""
         result = await self._call(upstream, "GET", f"/v1/cache/events?after={after_seq}")
-        return result.and_then(lambda body: _decoded(body, CacheEvents))
+        return result.and_then(lambda body: _decode(body, CacheEvents))
 
     async def order(
         self, upstream: UpstreamRecord, order: EngineOrder, timeout_ms: float
@@ -87,7 +87,7 @@
         """Take the blocks out of an engine that it has cached."""
         body = msgspec.json.encode(KvBlocks(hashes))
         result = await self._call(upstream, "POST", "/v1/kv/export", body)
-        return result.and_then(lambda answer: _decoded(answer, KvBlocks))
+        return result.and_then(lambda answer: _decode(answer, KvBlocks))
 
     async def import_kv(self, upstream: UpstreamRecord, blocks: KvBlocks) -> Result[None, Fault]:
         """Put exported blocks into an engine's cache."""
@@ -114,7 +114,7 @@
         if response.status == 200:
             return Ok(answer)
         text = answer[:200].decode("utf-8", "replace")
-        return Err(Fault(_code_of(response.status), f"{name}: HTTP {response.status}: {text}"))
+        return Err(Fault(_result_code(response.status), f"{name}: HTTP {response.status}: {text}"))
 
     @asynccontextmanager
     async def _open(
@@ -128,7 +128,7 @@
             yield response
 
 
-def _code_of(status: int) -> ResultCode:
+def _result_code(status: int) -> ResultCode:
     if status == _CONFLICT:
         return ResultCode.SUPERSEDED_ORDER
     if _BAD_REQUEST <= status < _SERVER_ERROR:
@@ -136,7 +136,7 @@
     return ResultCode.UPSTREAM_ERROR
 
 
-def _load(body: bytes) -> EngineLoad:
+def _parse_load(body: bytes) -> EngineLoad:
     # Imported at the first page: 45 ms of the start of programs that read none.
     from prometheus_client.parser import text_string_to_metric_families
 
@@ -152,7 +152,7 @@
     )
 
 
-def _decoded(body: bytes, kind: type) -> Result:
+def _decode(body: bytes, kind: type) -> Result:
     try:
         return Ok(msgspec.json.decode(body, type=kind))
     except msgspec.MsgspecError as error:
--- a/src/fescuedock/backing/etcd.py
+++ b/src/fescuedock/backing/etcd.py
@@ -59,7 +59,7 @@
         """See ``KvStore.get``."""
         request = wire.RangeRequest(key=key.encode(), revision=at_revision)
         result = await self._read("/v3/kv/range", request, wire.RangeAnswer)
-        return result.map(lambda answer: _entry(answer.kvs[0]) if answer.kvs else None)
+        return result.map(lambda answer: _to_entry(answer.kvs[0]) if answer.kvs else None)
 
     async def get_range(
         self, prefix: str, *, start_after: str = "", limit: int = 1000, keys_only: bool = False
@@ -72,16 +72,16 @@
             keys_only=keys_only,
         )
         result = await self._read("/v3/kv/range", request, wire.RangeAnswer)
-        return result.map(_page)
+        return result.map(_to_page)
 
     async def put_if(
         self, key: str, value: bytes, expected_revision: int, *, lease_id: int = 0
     ) -> Result[int, Fault]:
         """See ``KvStore.put_if``."""
         put = wire.PutRequest(key=key.encode(), value=value, lease=lease_id)
-        request = _conditional(key, expected_revision, wire.Operation(request_put=put))
+        request = _conditional_request(key, expected_revision, wire.Operation(request_put=put))
         result = await self._write("/v3/kv/txn", request, wire.TxnAnswer)
-        return result.and_then(lambda answer: _swapped(answer, key, expected_revision))
+        return result.and_then(lambda answer: _written_revision(answer, key, expected_revision))
 
     async def transact(self, transaction: KvTransaction) -> Result[int, Fault]:
         """See ``KvTransactions.transact``."""
@@ -93,16 +93,18 @@
             success=[*_puts(transaction), *_deletes(transaction)],
         )
         result = await self._write("/v3/kv/txn", request, wire.TxnAnswer)
-        named = ", ".join(transaction.expected_revisions)
-        return result.and_then(lambda answer: _swapped(answer, named, 0))
+        keys = ", ".join(transaction.expected_revisions)
+        return result.and_then(lambda answer: _written_revision(answer, keys, 0))
 
     async def delete_if(self, key: str, expected_revision: int) -> Result[None, Fault]:
         """See ``KvStore.delete_if``."""
         delete = wire.DeleteRequest(key=key.encode())
-        request = _conditional(key, expected_revision, wire.Operation(request_delete_range=delete))
+        request = _conditional_request(
+            key, expected_revision, wire.Operation(request_delete_range=delete)
+        )
         result = await self._write("/v3/kv/txn", request, wire.TxnAnswer)
-        swapped = result.and_then(lambda answer: _swapped(answer, key, expected_revision))
-        return swapped.map(lambda _: None)
+        written = result.and_then(lambda answer: _written_revision(answer, key, expected_revision))
+        return written.map(lambda _: None)
 
     async def grant_lease(self, ttl_s: int) -> Result[int, Fault]:
         """See ``KvStore.grant_lease``."""
@@ -132,7 +134,7 @@
         sender, receiver = trio.open_memory_channel(_WATCH_BUFFER_EVENTS)
         error: Exception | None = None
         async with trio.open_nursery() as nursery:
-            await self._begin_watch(nursery, prefix, from_revision, sender)
+            await self._start_watch(nursery, prefix, from_revision, sender)
             try:
                 yield receiver
             except Exception as raised:
@@ -142,7 +144,7 @@
         if error is not None:
             raise error
 
-    async def _begin_watch(
+    async def _start_watch(
         self,
         nursery: trio.Nursery,
         prefix: str,
@@ -151,14 +153,14 @@
     ) -> None:
         """Wait until the service is watching; close ``sender`` when it does not begin in time."""
         address = self._addresses[0]
-        begun = False
+        started = False
         with trio.move_on_after((self._http.connect_timeout_ms + 2 * self._timeout_ms) / 1000):
-            begun = await nursery.start(
+            started = await nursery.start(
                 run_watch, self._http, address, prefix, from_revision, self._timeout_ms, sender
             )
-        if not begun:
+        if not started:
             sender.close()
-            self._try_last(address)
+            self._move_to_end(address)
 
     async def _read(self, path: str, request: msgspec.Struct, kind: type) -> Result:
         """Ask each address in turn; a read that failed at one may be repeated at the next."""
@@ -169,12 +171,12 @@
                 answer = await self._post(address, path, body)
             except (NotSentError, ResponseLostError) as error:
                 reasons.append(f"{address}: {error}")
-                self._try_last(address)
+                self._move_to_end(address)
                 continue
             if answer.status < 500:
-                return _decoded(answer, kind)
-            reasons.append(f"{address}: {_reason(answer)}")
-            self._try_last(address)
+                return _decode(answer, kind)
+            reasons.append(f"{address}: {_error_text(answer)}")
+            self._move_to_end(address)
         return _fault(ResultCode.KV_UNAVAILABLE, "; ".join(reasons))
 
     async def _write(self, path: str, request: msgspec.Struct, kind: type) -> Result:
@@ -186,15 +188,15 @@
                 answer = await self._post(address, path, body)
             except NotSentError as error:
                 reasons.append(str(error))
-                self._try_last(address)
+                self._move_to_end(address)
                 continue
             except ResponseLostError as error:
-                self._try_last(address)
+                self._move_to_end(address)
                 return _fault(ResultCode.KV_UNKNOWN, f"{address}: {error}")
             if answer.status >= 500:
-                self._try_last(address)
-                return _fault(ResultCode.KV_UNKNOWN, f"{address}: {_reason(answer)}")
-            return _decoded(answer, kind, code_of_bad_body=ResultCode.KV_UNKNOWN)
+                self._move_to_end(address)
+                return _fault(ResultCode.KV_UNKNOWN, f"{address}: {_error_text(answer)}")
+            return _decode(answer, kind, invalid_body_code=ResultCode.KV_UNKNOWN)
         return _fault(ResultCode.KV_UNAVAILABLE, "; ".join(reasons))
 
     async def _post(self, address: Address, path: str, body: bytes) -> _Answer:
@@ -209,12 +211,14 @@
             except (trio.TooSlowError, ResponseTooLargeError) as error:
                 raise ResponseLostError(repr(error), head_received=True) from error
 
-    def _try_last(self, address: Address) -> None:
+    def _move_to_end(self, address: Address) -> None:
         if self._addresses[0] == address:
             self._addresses.append(self._addresses.pop(0))
 
 
-def _conditional(key: str, expected_revision: int, operation: wire.Operation) -> wire.TxnRequest:
+def _conditional_request(
+    key: str, expected_revision: int, operation: wire.Operation
+) -> wire.TxnRequest:
     compare = wire.Compare(key=key.encode(), mod_revision=expected_revision)
     return wire.TxnRequest(compare=[compare], success=[operation])
 
@@ -235,15 +239,17 @@
     ]
 
 
-def _swapped(answer: wire.TxnAnswer, key: str, expected_revision: int) -> Result[int, Fault]:
+def _written_revision(
+    answer: wire.TxnAnswer, key: str, expected_revision: int
+) -> Result[int, Fault]:
     if answer.succeeded:
         return Ok(answer.header.revision)
     message = f"{key} is not at revision {expected_revision}"
     return Err(Fault(ResultCode.KV_CONFLICT, message))
 
 
-def _decoded(
-    answer: _Answer, kind: type, code_of_bad_body: ResultCode = ResultCode.KV_UNAVAILABLE
+def _decode(
+    answer: _Answer, kind: type, invalid_body_code: ResultCode = ResultCode.KV_UNAVAILABLE
 ) -> Result:
     """Decode an answer that the service gave; its refusals promise that nothing was done."""
     if answer.status >= 400:
@@ -251,18 +257,18 @@
     try:
         return Ok(msgspec.json.decode(answer.body, type=kind, strict=False))
     except msgspec.MsgspecError as error:
-        return _fault(code_of_bad_body, f"answer cannot be read: {error}")
+        return _fault(invalid_body_code, f"answer cannot be read: {error}")
 
 
 def _refusal(answer: _Answer) -> Err[Fault]:
-    reason = _reason(answer)
+    reason = _error_text(answer)
     for text, code in _REFUSALS:
         if text in reason:
             return Err(Fault(code, reason))
     return _fault(ResultCode.KV_UNAVAILABLE, reason)
 
 
-def _reason(answer: _Answer) -> str:
+def _error_text(answer: _Answer) -> str:
     try:
         message = msgspec.json.decode(answer.body, type=wire.ErrorAnswer, strict=False).message
     except msgspec.MsgspecError:
@@ -274,10 +280,10 @@
     return Err(Fault(code, message, _RETRY_AFTER_MS))
 
 
-def _page(answer: wire.RangeAnswer) -> KvPage:
-    entries = tuple(_entry(kv) for kv in answer.kvs)
+def _to_page(answer: wire.RangeAnswer) -> KvPage:
+    entries = tuple(_to_entry(kv) for kv in answer.kvs)
     return KvPage(entries, answer.header.revision, answer.more)
 
 
-def _entry(kv: wire.KeyValue) -> KvEntry:
+def _to_entry(kv: wire.KeyValue) -> KvEntry:
     return KvEntry(kv.key.decode(), kv.value, kv.mod_revision, kv.lease)
--- a/src/fescuedock/backing/etcd_watch.py
+++ b/src/fescuedock/backing/etcd_watch.py
@@ -42,10 +42,10 @@
                 "POST",
                 "/v3/watch",
                 [("content-type", "application/json")],
-                _request(prefix, from_revision),
+                _encode_request(prefix, from_revision),
                 answer_timeout_ms=timeout_ms,
             ) as response:
-                await watch.follow(response)
+                await watch.forward_events(response)
         except (NotSentError, ResponseLostError, msgspec.MsgspecError, trio.BrokenResourceError):
             # The reader sees the end of the channel and watches anew.
             pass
@@ -67,27 +67,27 @@
         self._task_status = task_status
         self.created = False
 
-    async def follow(self, response: ClientResponse) -> None:
+    async def forward_events(self, response: ClientResponse) -> None:
         """Pass on events until the service ends the watch."""
-        lines = _Lines()
+        lines = _LineSplitter()
         async for chunk in response.chunks():
             for line in lines.split(chunk):
-                if await self._take(_decoder.decode(line).result):
+                if await self._forward(_decoder.decode(line).result):
                     return
 
-    async def _take(self, result: wire.WatchResult) -> bool:
+    async def _forward(self, result: wire.WatchResult) -> bool:
         """Pass on one message; whether it was the last."""
         if result.created and not self.created:
             self.created = True
             self._task_status.started(True)
         for event in result.events:
-            await self._sender.send(_event(event))
+            await self._sender.send(_to_event(event))
         if result.canceled and result.compact_revision:
             await self._sender.send(KvWatchGap(result.compact_revision))
         return result.canceled
 
 
-def _request(prefix: str, from_revision: int) -> bytes:
+def _encode_request(prefix: str, from_revision: int) -> bytes:
     create = wire.WatchCreate(
         key=prefix.encode(),
         range_end=wire.prefix_end(prefix),
@@ -97,23 +97,23 @@
     return msgspec.json.encode(wire.WatchRequest(create_request=create))
 
 
-class _Lines:
+class _LineSplitter:
     """Joins the lines that chunks cut apart."""
 
-    __slots__ = ("_rest",)
+    __slots__ = ("_partial_line",)
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._partial_line = b""
 
     def split(self, chunk: bytes) -> list[bytes]:
         """Return the lines that ``chunk`` completes."""
-        *lines, self._rest = (self._rest + chunk).split(b"\n")
-        if len(self._rest) > _MAX_LINE_BYTES:
+        *lines, self._partial_line = (self._partial_line + chunk).split(b"\n")
+        if len(self._partial_line) > _MAX_LINE_BYTES:
             raise ResponseLostError("watch line too long", head_received=True)
         return [line for line in lines if line]
 
 
-def _event(event: wire.Event) -> KvEvent:
+def _to_event(event: wire.Event) -> KvEvent:
     kv = event.kv
     key = kv.key.decode()
     if event.type == wire.DELETE:
--- a/src/fescuedock/backing/etcd_wire.py
+++ b/src/fescuedock/backing/etcd_wire.py
@@ -33,7 +33,7 @@
 ]
 
 # A range end that means "to the last key".
-_NO_END = b"\0"
+_LAST_KEY_END = b"\0"
 DELETE = "DELETE"
 
 
@@ -165,5 +165,5 @@
 
 def prefix_end(prefix: str) -> bytes:
     """Return the end of the range of all keys that begin with ``prefix``."""
-    stem = prefix.encode().rstrip(b"\xff")
-    return stem[:-1] + bytes([stem[-1] + 1]) if stem else _NO_END
+    prefix_bytes = prefix.encode().rstrip(b"\xff")
+    return prefix_bytes[:-1] + bytes([prefix_bytes[-1] + 1]) if prefix_bytes else _LAST_KEY_END
--- a/src/fescuedock/backing/kv_writes.py
+++ b/src/fescuedock/backing/kv_writes.py
@@ -12,12 +12,12 @@
 
 __all__ = ["put_resolved"]
 
-_ATTEMPTS = 6
+_MAX_ATTEMPTS = 6
 _FIRST_PAUSE_MS = 50
-_MAX_STEPS_BACK = 32
+_MAX_REVISIONS_BACK = 32
 
 # Tells whether a value is the one that this write was to put there.
-IsOurs = Callable[[bytes], bool]
+IsOwnValue = Callable[[bytes], bool]
 
 
 async def put_resolved(
@@ -25,10 +25,10 @@
     key: str,
     value: bytes,
     expected_revision: int,
-    is_ours: IsOurs,
+    is_own_value: IsOwnValue,
     lease_id: int = 0,
     *,
-    attempts: int = _ATTEMPTS,
+    attempts: int = _MAX_ATTEMPTS,
 ) -> Result[int, Fault]:
     """Write ``key`` as ``put_if`` does, and find out what became of a write without an answer.
 
@@ -41,7 +41,7 @@
     (``expected_revision`` 0), deleted and may not come back needs a ``lease_id``: only the end of
     the lease keeps a copy that is still under way from creating it again.
     """
-    write = _Write(kv, key, value, expected_revision, is_ours, lease_id)
+    write = _Write(kv, key, value, expected_revision, is_own_value, lease_id)
     pause_ms = _FIRST_PAUSE_MS
     for attempt in range(attempts):
         if attempt:
@@ -61,9 +61,9 @@
     key: str
     value: bytes
     expected_revision: int
-    is_ours: IsOurs
+    is_own_value: IsOwnValue
     lease_id: int
-    unsure: bool = False
+    may_be_pending: bool = False
 
     async def try_once(self) -> Result[int, Fault] | None:
         """Send the write; None when it is not known yet what became of it."""
@@ -74,9 +74,9 @@
             return result
         fault = result.err_value
         if fault.code is ResultCode.KV_UNKNOWN:
-            self.unsure = True
+            self.may_be_pending = True
             return None
-        if not self.unsure:
+        if not self.may_be_pending:
             return result
         if fault.code is ResultCode.KV_CONFLICT:
             # The key has moved on, so no copy of the write can take effect any more.
@@ -89,17 +89,17 @@
         if isinstance(found, Err):
             return None
         entry = found.ok_value
-        for _ in range(_MAX_STEPS_BACK):
+        for _ in range(_MAX_REVISIONS_BACK):
             if entry is None or entry.mod_revision <= self.expected_revision:
                 # Deleted since: nothing says who was first.
                 return None
-            before = await self.kv.get(self.key, at_revision=entry.mod_revision - 1)
-            if isinstance(before, Err):
+            previous = await self.kv.get(self.key, at_revision=entry.mod_revision - 1)
+            if isinstance(previous, Err):
                 # The past may be compacted, but an entry that is ours is proof by itself.
-                return Ok(entry.mod_revision) if self.is_ours(entry.value) else None
-            if _revision_of(before.ok_value) == self.expected_revision:
-                return Ok(entry.mod_revision) if self.is_ours(entry.value) else conflict
-            entry = before.ok_value
+                return Ok(entry.mod_revision) if self.is_own_value(entry.value) else None
+            if _revision_of(previous.ok_value) == self.expected_revision:
+                return Ok(entry.mod_revision) if self.is_own_value(entry.value) else conflict
+            entry = previous.ok_value
         return None
 
 
--- a/tests/test_kv_contract.py
+++ b/tests/test_kv_contract.py
@@ -46,7 +46,7 @@
 
                 run_async(run)
 
-    def test_a_key_is_written_only_at_the_revision_that_was_expected(self) -> None:
+    def test_a_key_is_written_only_at_the_expected_revision(self) -> None:
         async def test(kv: KvStore, _service: Service) -> None:
             revision = (await kv.put_if("a/1", b"one", 0)).unwrap()
             self.assertEqual((await kv.get("a/1")).unwrap().value, b"one")
@@ -57,13 +57,13 @@
 
         self.check(test)
 
-    def test_a_key_that_is_not_there_reads_as_none(self) -> None:
+    def test_a_missing_key_reads_as_none(self) -> None:
         async def test(kv: KvStore, _service: Service) -> None:
             self.assertIsNone((await kv.get("a/none")).unwrap())
 
         self.check(test)
 
-    def test_a_range_comes_in_pages_and_in_order(self) -> None:
+    def test_a_range_is_read_in_pages_and_in_order(self) -> None:
         async def test(kv: KvStore, _service: Service) -> None:
             for number in (2, 0, 1):
                 (await kv.put_if(f"a/{number}", b"%d" % number, 0)).unwrap()
@@ -75,7 +75,7 @@
 
         self.check(test)
 
-    def test_a_key_is_deleted_only_at_the_revision_that_was_expected(self) -> None:
+    def test_a_key_is_deleted_only_at_the_expected_revision(self) -> None:
         async def test(kv: KvStore, _service: Service) -> None:
             revision = (await kv.put_if("a/1", b"one", 0)).unwrap()
             wrong = await kv.delete_if("a/1", revision + 1)
@@ -85,7 +85,7 @@
 
         self.check(test)
 
-    def test_the_end_of_a_lease_takes_its_keys_and_says_so(self) -> None:
+    def test_the_end_of_a_lease_deletes_its_keys_and_is_reported(self) -> None:
         async def test(kv: KvStore, _service: Service) -> None:
             lease_id = (await kv.grant_lease(30)).unwrap()
             (await kv.put_if("a/1", b"one", 0, lease_id=lease_id)).unwrap()
@@ -109,7 +109,7 @@
 
         self.check(test)
 
-    def test_a_write_whose_answer_is_lost_is_unknown_and_may_have_been_done(self) -> None:
+    def test_a_write_whose_answer_is_lost_is_unknown_and_may_have_taken_effect(self) -> None:
         async def test(kv: KvStore, service: Service) -> None:
             service.faults.lose_answer(LostAnswer.AFTER_EFFECT)
             lost = await kv.put_if("a/1", b"one", 0)
@@ -125,7 +125,7 @@
 
         self.check(test)
 
-    def test_a_transaction_is_done_as_a_whole_or_not_at_all(self) -> None:
+    def test_a_transaction_is_atomic(self) -> None:
         async def test(kv: KvStore, _service: Service) -> None:
             first = KvTransaction({"a/1": 0}, writes={"a/1": b"one", "a/2": b"two"})
             revision = (await kv.transact(first)).unwrap()
@@ -153,7 +153,7 @@
 
         run_async(run)
 
-    def test_changes_come_at_once_and_from_where_they_were_read_to(self) -> None:
+    def test_changes_are_returned_at_once_and_from_the_last_revision_read(self) -> None:
         async def test(_service, store) -> None:
             first = (await store.put_if("a/1", b"one", 0)).unwrap()
             changes = (await store.changes("a/", first - 1, 1000)).unwrap()
@@ -172,7 +172,7 @@
 
         self.run_with_store(test)
 
-    def test_history_that_is_gone_is_said_to_be(self) -> None:
+    def test_compacted_history_is_reported(self) -> None:
         async def test(service, store) -> None:
             for _ in range(5):
                 service.state.put("a/1", b"")
@@ -182,7 +182,7 @@
 
         self.run_with_store(test)
 
-    def test_a_watch_that_is_cut_is_no_answer(self) -> None:
+    def test_a_watch_that_is_cut_returns_an_error(self) -> None:
         async def test(service, store) -> None:
             results = []
 
@@ -197,7 +197,7 @@
 
         self.run_with_store(test)
 
-    def test_a_call_that_the_store_turns_away_is_unavailable(self) -> None:
+    def test_a_call_that_the_store_rejects_is_unavailable(self) -> None:
         async def test(service, store) -> None:
             for status in (429, 503):
                 service.refuse_status = status
@@ -206,7 +206,7 @@
 
         self.run_with_store(test)
 
-    def test_a_silent_store_is_given_up_after_its_time(self) -> None:
+    def test_calls_of_a_silent_store_time_out(self) -> None:
         async def test(service, store) -> None:
             service.faults.silent = True
             write = await store.put_if("a/1", b"", 0)
