--- a/src/fescuedock/backing/engine.py
+++ b/src/fescuedock/backing/engine.py
@@ -1,7 +1,7 @@
 """Requests to a model engine or a plain service, and the stream of an engine's answer.
 
-Engines speak the OpenAI HTTP interface; a stream has one event for each token.  The stream hands
-every event on as the bytes that came, so a relay costs one read of the token's text.
+Engines implement the OpenAI HTTP interface; a stream has one event for each token.  Each event
+holds the received bytes unchanged, so a relay only decodes it to read the token's text.
 """
 
 from collections.abc import AsyncIterator
@@ -55,15 +55,15 @@
 
     @property
     def is_permanent(self) -> bool:
-        """Whether the request can never succeed, so that a retry is of no use.
+        """Whether the request can never succeed, so that a retry is useless.
 
-        A 404 is not: the model may be loaded elsewhere.
+        A 404 is not permanent, since the model may be loaded elsewhere.
         """
         return self.status in _PERMANENT_ERROR_STATUSES
 
 
 class ResumePoint(msgspec.Struct, frozen=True):
-    """How much of an answer was delivered: its ``tokens`` and their ``text``."""
+    """The delivered part of an answer: the number of its ``tokens`` and their ``text``."""
 
     tokens: int
     text: str
@@ -72,9 +72,9 @@
 class EngineEvent(msgspec.Struct, gc=False):
     """One event of a stream.
 
-    ``data`` is the whole event as it came, ``data: {...}`` with its empty line, fit to be relayed
-    as it is.  ``text`` is the token's text, empty in events that carry none.  ``finished`` marks
-    the event with the finish reason; one with the usage may follow it.
+    ``data`` is the complete event as received, ``data: {...}`` with its empty line, and can be
+    relayed unchanged.  ``text`` is the token's text, empty in events without one.  ``finished``
+    marks the event with the finish reason; one with the usage may follow it.
     """
 
     data: bytes
@@ -101,10 +101,10 @@
 
 
 class EngineStream:
-    """The events of one streamed answer, in order, to be iterated once.
+    """The events of one streamed answer, in order; can be iterated once.
 
-    Iteration ends normally only after the engine's ``[DONE]``, which is not given out; a stream
-    that ends before raises ``ResponseLostError``.
+    Iteration ends normally only after the engine's ``[DONE]``, which is not yielded; a stream that
+    ends before it raises ``ResponseLostError``.
     """
 
     __slots__ = ("_events", "_partial_event", "_response", "done", "headers")
@@ -133,16 +133,17 @@
         return _read_event(self._events.pop())
 
     async def _read_tail(self) -> None:
-        """Read to the body's end, so that the connection can be used again.
+        """Read to the end of the body, so that the connection can be reused.
 
-        The answer is whole already: an engine that does not end the body costs a connection.
+        The answer is complete already: if the engine does not end the body in time, only the
+        connection is lost.
         """
         with trio.move_on_after(_TAIL_TIMEOUT_S), suppress(ResponseLostError):
             async for _ in self._response:
                 pass
 
     def _add_chunk(self, chunk: bytes) -> None:
-        """Take the events that ``chunk`` completes; the last of them comes first."""
+        """Add the events that ``chunk`` completes, in reverse order, so that the next is last."""
         *events, self._partial_event = (self._partial_event + chunk).split(_EVENT_END)
         for event in events:
             if event == _DONE_EVENT:
@@ -150,7 +151,7 @@
             elif event.startswith(_DATA_PREFIX) and not self.done:
                 self._events.insert(0, event)
         if len(self._partial_event) > _MAX_EVENT_BYTES:
-            raise ResponseLostError("event without an end", head_received=True)
+            raise ResponseLostError("event exceeds the size limit", head_received=True)
 
 
 class EngineClient:
@@ -169,10 +170,10 @@
         resume: ResumePoint | None = None,
         check: SendCheck = unchecked,
     ) -> AsyncIterator[EngineStream]:
-        """Open a streamed answer; leaving the block early cuts the connection, which cancels it.
+        """Open a streamed answer; leaving the block early closes the connection and cancels it.
 
-        ``resume`` continues an answer after what was delivered.  Raises ``NotSentError`` (not
-        run), ``WithdrawnError`` when ``check`` refuses, ``ResponseLostError`` or ``EngineError``.
+        ``resume`` continues an answer after its delivered part.  Raise ``NotSentError`` (not run),
+        ``WithdrawnError`` when ``check`` refuses, ``ResponseLostError`` or ``EngineError``.
         """
         document = {**body, "stream": True}
         if resume is not None:
@@ -190,7 +191,7 @@
         attempt_id: str,
         check: SendCheck = unchecked,
     ) -> bytes:
-        """Return the JSON of an answer that is not streamed.  Raises as ``stream`` does."""
+        """Return the JSON of an answer that is not streamed.  Raise the errors of ``stream``."""
         document = {**body, "stream": False}
         async with self._post(upstream, path, document, attempt_id, check) as response:
             answer = await _read_answer(response)
@@ -199,7 +200,7 @@
         return answer
 
     async def cancel(self, upstream: UpstreamRecord, attempt_id: str) -> bool:
-        """End an attempt whose connection may hang; whether the engine knew it."""
+        """Cancel an attempt whose connection may hang; return whether the engine knew it."""
         path = f"/v1/streams/{attempt_id}/cancel"
         async with self._post(upstream, path, {}, attempt_id) as response:
             await _read_answer(response)
@@ -235,7 +236,7 @@
     try:
         chunk = _decode_chunk(payload)
     except msgspec.MsgspecError as error:
-        raise ResponseLostError(f"event cannot be read: {error}", head_received=True) from error
+        raise ResponseLostError(f"invalid event: {error}", head_received=True) from error
     if chunk.error is not None:
         raise EngineError(500, payload)
     if not chunk.choices:
--- a/src/fescuedock/backing/engine_control.py
+++ b/src/fescuedock/backing/engine_control.py
@@ -1,4 +1,4 @@
-"""The model engines' control interface: load, cache events, orders and KV cache transfer."""
+"""Client of the model engines' control interface: load, cache events, orders, KV cache transfer."""
 
 from collections.abc import AsyncIterator
 from contextlib import asynccontextmanager
@@ -44,19 +44,19 @@
 
     Errors: ``PEER_UNREACHABLE`` when nothing was sent, ``PEER_UNKNOWN`` when the answer was lost,
     ``UPSTREAM_REJECTED`` for a status of 4xx (nothing was done), ``UPSTREAM_ERROR`` for any other
-    answer than success.
+    unsuccessful status.
     """
 
     def __init__(self, http: HttpClient) -> None:
         self._http = http
 
     async def load(self, upstream: UpstreamRecord) -> Result[EngineLoad, Fault]:
-        """Read the engine's load report."""
+        """Return the engine's load report."""
         result = await self._call(upstream, "GET", "/metrics")
         return result.map(_parse_load)
 
     async def models(self, upstream: UpstreamRecord) -> Result[frozenset[str], Fault]:
-        """Read the names of the models and adapters that the engine serves."""
+        """Return the names of the models and adapters that the engine serves."""
         result = await self._call(upstream, "GET", "/v1/models")
         return result.and_then(lambda body: _decode(body, _ModelList)).map(
             lambda listed: frozenset(item.id for item in listed.data)
@@ -65,17 +65,17 @@
     async def cache_events(
         self, upstream: UpstreamRecord, after_seq: int
     ) -> Result[CacheEvents, Fault]:
-        """Read the prefix cache's events after number ``after_seq``."""
+        """Return the prefix cache's events with numbers above ``after_seq``."""
         result = await self._call(upstream, "GET", f"/v1/cache/events?after={after_seq}")
         return result.and_then(lambda body: _decode(body, CacheEvents))
 
     async def order(
         self, upstream: UpstreamRecord, order: EngineOrder, timeout_ms: float
     ) -> Result[None, Fault]:
-        """Give an order and wait until it is carried out.
+        """Send an order and wait until it is executed.
 
-        ``SUPERSEDED_ORDER`` when the engine has seen a higher fencing number.  The order may run
-        on after ``PEER_UNKNOWN``.
+        Return ``SUPERSEDED_ORDER`` when the engine has seen a higher fencing number.  After
+        ``PEER_UNKNOWN`` the order may still be executed.
         """
         body = msgspec.json.encode(order)
         result = await self._call(upstream, "POST", "/v1/orders", body, timeout_ms)
@@ -84,13 +84,13 @@
     async def export_kv(
         self, upstream: UpstreamRecord, hashes: tuple[str, ...]
     ) -> Result[KvBlocks, Fault]:
-        """Take the blocks out of an engine that it has cached."""
+        """Return those of the blocks that the engine has cached."""
         body = msgspec.json.encode(KvBlocks(hashes))
         result = await self._call(upstream, "POST", "/v1/kv/export", body)
         return result.and_then(lambda answer: _decode(answer, KvBlocks))
 
     async def import_kv(self, upstream: UpstreamRecord, blocks: KvBlocks) -> Result[None, Fault]:
-        """Put exported blocks into an engine's cache."""
+        """Add exported blocks to an engine's cache."""
         body = msgspec.json.encode(blocks)
         result = await self._call(upstream, "POST", "/v1/kv/import", body)
         return result.map(lambda _: None)
@@ -137,7 +137,7 @@
 
 
 def _parse_load(body: bytes) -> EngineLoad:
-    # Imported at the first page: 45 ms of the start of programs that read none.
+    # Imported on first use, since it would add 45 ms to the start of programs that read no load.
     from prometheus_client.parser import text_string_to_metric_families
 
     values = {
@@ -156,4 +156,4 @@
     try:
         return Ok(msgspec.json.decode(body, type=kind))
     except msgspec.MsgspecError as error:
-        return Err(Fault(ResultCode.UPSTREAM_ERROR, f"answer cannot be read: {error}"))
+        return Err(Fault(ResultCode.UPSTREAM_ERROR, f"invalid answer: {error}"))
--- a/src/fescuedock/backing/engine_wire.py
+++ b/src/fescuedock/backing/engine_wire.py
@@ -21,7 +21,7 @@
 
 
 class EngineLoad(msgspec.Struct, frozen=True):
-    """An engine's own report, which lags behind the truth."""
+    """An engine's report of its load, which lags behind the actual load."""
 
     running: int
     waiting: int
@@ -29,7 +29,7 @@
 
 
 class CacheEvent(msgspec.Struct, frozen=True):
-    """Blocks that entered or left the prefix cache; numbers that are skipped were lost."""
+    """Blocks added to or removed from the prefix cache; a gap in ``seq`` means lost events."""
 
     seq: int
     stored: tuple[str, ...] = ()
@@ -37,7 +37,7 @@
 
 
 class CacheEvents(msgspec.Struct, frozen=True):
-    """Events after the number asked for; those before ``first_kept`` are gone."""
+    """Events after the requested number; the engine no longer has those before ``first_kept``."""
 
     events: tuple[CacheEvent, ...]
     last_seq: int
@@ -45,7 +45,7 @@
 
 
 class EngineOrder(msgspec.Struct, frozen=True, omit_defaults=True):
-    """An order with its fencing number; which fields count depends on ``order``.
+    """An order with its fencing number; ``order`` decides which other fields are used.
 
     Orders: ``load_model``, ``unload_model``, ``load_adapter``, ``unload_adapter``, ``set_role``.
     """
@@ -59,14 +59,14 @@
 
 
 class KvBlocks(msgspec.Struct, frozen=True):
-    """Blocks of KV cache on their way from one engine to another."""
+    """Blocks of KV cache in transfer from one engine to another."""
 
     hashes: tuple[str, ...]
     payload: bytes = b""
 
 
 def prefix_hashes(prompt: str) -> Iterator[str]:
-    """Yield the name of each whole block of ``prompt``; a name covers all text up to its end."""
+    """Yield each full block's hash, computed over all text of ``prompt`` up to the block's end."""
     digest = blake2b(digest_size=_HASH_BYTES)
     for end in range(BLOCK_CHARS, len(prompt) + 1, BLOCK_CHARS):
         digest.update(prompt[end - BLOCK_CHARS : end].encode())
--- a/src/fescuedock/backing/etcd.py
+++ b/src/fescuedock/backing/etcd.py
@@ -1,6 +1,6 @@
-"""The key-value service in the dialect of etcd v3's HTTP/JSON gateway.
+"""Client of a key-value service with the HTTP/JSON gateway of etcd v3.
 
-Only the calls that we use.  What matters most is that a fault never promises too much: a write is
+It implements only the calls in use.  A fault never promises too much: a write returns
 ``KV_UNAVAILABLE`` only when no byte of it reached the service or the service refused it.
 """
 
@@ -32,7 +32,7 @@
 _RETRY_AFTER_MS = 1000
 _WATCH_BUFFER_EVENTS = 256
 _JSON = ("content-type", "application/json")
-# What etcd says when it refuses a call, and what that means to us.
+# Texts of etcd's refusals and the result codes for them.
 _REFUSALS = (
     ("required revision has been compacted", ResultCode.KV_COMPACTED),
     ("request is too large", ResultCode.KV_VALUE_TOO_LARGE),
@@ -41,14 +41,14 @@
 
 
 class _Answer(msgspec.Struct, frozen=True):
-    """What one address said."""
+    """The HTTP response of one address."""
 
     status: int
     body: bytes
 
 
 class EtcdKv:
-    """A ``KvStore`` over one HTTP client; the address that answered last is tried first."""
+    """A ``KvStore`` over one HTTP client; an address that fails is tried last from then on."""
 
     def __init__(self, http: HttpClient, settings: PlatformSettings) -> None:
         self._http = http
@@ -119,7 +119,7 @@
         return result.map(lambda answer: answer.result.ttl)
 
     async def revoke_lease(self, lease_id: int) -> Result[None, Fault]:
-        """See ``KvStore.revoke_lease``; a lease that has lapsed already is no fault."""
+        """See ``KvStore.revoke_lease``; an expired lease is no fault."""
         request = wire.LeaseRequest(lease_id=lease_id)
         result = await self._write("/v3/lease/revoke", request, wire.Empty)
         if isinstance(result, Err) and result.err_value.code is ResultCode.KV_CONFLICT:
@@ -130,7 +130,7 @@
     async def watch(
         self, prefix: str, from_revision: int
     ) -> AsyncIterator["trio.MemoryReceiveChannel[KvEvent | KvWatchGap]"]:
-        """See ``KvStore.watch``; when the block is entered the service is watching already."""
+        """See ``KvStore.watch``; the block is entered once the service is watching."""
         sender, receiver = trio.open_memory_channel(_WATCH_BUFFER_EVENTS)
         error: Exception | None = None
         async with trio.open_nursery() as nursery:
@@ -138,7 +138,7 @@
             try:
                 yield receiver
             except Exception as raised:
-                # Raised again below: leaving the nursery would wrap it in a group.
+                # Raised again below, since the nursery would wrap it in an exception group.
                 error = raised
             nursery.cancel_scope.cancel()
         if error is not None:
@@ -151,7 +151,7 @@
         from_revision: int,
         sender: "trio.MemorySendChannel[KvEvent | KvWatchGap]",
     ) -> None:
-        """Wait until the service is watching; close ``sender`` when it does not begin in time."""
+        """Wait until the service is watching; close ``sender`` if it does not start in time."""
         address = self._addresses[0]
         started = False
         with trio.move_on_after((self._http.connect_timeout_ms + 2 * self._timeout_ms) / 1000):
@@ -163,7 +163,7 @@
             self._move_to_end(address)
 
     async def _read(self, path: str, request: msgspec.Struct, kind: type) -> Result:
-        """Ask each address in turn; a read that failed at one may be repeated at the next."""
+        """Try each address in order; a read that failed at one is repeated at the next."""
         body = msgspec.json.encode(request)
         reasons: list[str] = []
         for address in tuple(self._addresses):
@@ -180,7 +180,7 @@
         return _fault(ResultCode.KV_UNAVAILABLE, "; ".join(reasons))
 
     async def _write(self, path: str, request: msgspec.Struct, kind: type) -> Result:
-        """Send to the first address that can be reached; what was sent once is not repeated."""
+        """Send to the first reachable address; a request that was sent is not repeated."""
         body = msgspec.json.encode(request)
         reasons: list[str] = []
         for address in tuple(self._addresses):
@@ -200,7 +200,7 @@
         return _fault(ResultCode.KV_UNAVAILABLE, "; ".join(reasons))
 
     async def _post(self, address: Address, path: str, body: bytes) -> _Answer:
-        """Make one call; ``NotSentError`` and ``ResponseLostError`` as of the HTTP client."""
+        """Make one call; raise ``NotSentError`` or ``ResponseLostError`` like the HTTP client."""
         timeout_ms = self._timeout_ms
         async with self._http.request(
             address, "POST", path, [_JSON], body, answer_timeout_ms=timeout_ms
@@ -251,13 +251,13 @@
 def _decode(
     answer: _Answer, kind: type, invalid_body_code: ResultCode = ResultCode.KV_UNAVAILABLE
 ) -> Result:
-    """Decode an answer that the service gave; its refusals promise that nothing was done."""
+    """Decode an answer of the service; a refusal promises that nothing was done."""
     if answer.status >= 400:
         return _refusal(answer)
     try:
         return Ok(msgspec.json.decode(answer.body, type=kind, strict=False))
     except msgspec.MsgspecError as error:
-        return _fault(invalid_body_code, f"answer cannot be read: {error}")
+        return _fault(invalid_body_code, f"invalid answer: {error}")
 
 
 def _refusal(answer: _Answer) -> Err[Fault]:
--- a/src/fescuedock/backing/etcd_watch.py
+++ b/src/fescuedock/backing/etcd_watch.py
@@ -15,7 +15,7 @@
 
 __all__ = ["run_watch"]
 
-# Events of one revision come in one line; a transaction of ours changes one key.
+# All events of one revision are in one line; a transaction changes only a few keys.
 _MAX_LINE_BYTES = 64 * 1024 * 1024
 _decoder = msgspec.json.Decoder(wire.WatchAnswer, strict=False)
 
@@ -32,7 +32,7 @@
 ) -> None:
     """Send the changes under ``prefix`` until the connection is lost, then close ``sender``.
 
-    Reports True once the service is watching, False when that failed.
+    Report True to ``task_status`` once the service is watching, False if that failed.
     """
     watch = _Watch(sender, task_status)
     with sender:
@@ -47,14 +47,14 @@
             ) as response:
                 await watch.forward_events(response)
         except (NotSentError, ResponseLostError, msgspec.MsgspecError, trio.BrokenResourceError):
-            # The reader sees the end of the channel and watches anew.
+            # The reader sees the end of the channel and starts another watch.
             pass
     if not watch.created:
         task_status.started(False)
 
 
 class _Watch:
-    """One watch: whether the service has begun it, and where its events go."""
+    """One watch: whether the service has created it, and the channel for its events."""
 
     __slots__ = ("_sender", "_task_status", "created")
 
@@ -68,7 +68,7 @@
         self.created = False
 
     async def forward_events(self, response: ClientResponse) -> None:
-        """Pass on events until the service ends the watch."""
+        """Forward events until the service ends the watch."""
         lines = _LineSplitter()
         async for chunk in response.chunks():
             for line in lines.split(chunk):
@@ -76,7 +76,7 @@
                     return
 
     async def _forward(self, result: wire.WatchResult) -> bool:
-        """Pass on one message; whether it was the last."""
+        """Forward the events of one message; return whether it is the last."""
         if result.created and not self.created:
             self.created = True
             self._task_status.started(True)
@@ -98,7 +98,7 @@
 
 
 class _LineSplitter:
-    """Joins the lines that chunks cut apart."""
+    """Splits chunks into lines, joining lines that span chunks."""
 
     __slots__ = ("_partial_line",)
 
@@ -109,7 +109,7 @@
         """Return the lines that ``chunk`` completes."""
         *lines, self._partial_line = (self._partial_line + chunk).split(b"\n")
         if len(self._partial_line) > _MAX_LINE_BYTES:
-            raise ResponseLostError("watch line too long", head_received=True)
+            raise ResponseLostError("watch line exceeds the size limit", head_received=True)
         return [line for line in lines if line]
 
 
--- a/src/fescuedock/backing/etcd_wire.py
+++ b/src/fescuedock/backing/etcd_wire.py
@@ -1,7 +1,7 @@
-"""The JSON messages of etcd v3's HTTP gateway, as far as we use them.
+"""The JSON messages of etcd v3's HTTP gateway, limited to the messages and fields in use.
 
-Keys and values are base64, which msgspec does for ``bytes``; 64-bit integers may come as strings,
-so answers are decoded with ``strict=False``.
+Keys and values are base64, as msgspec encodes ``bytes``; 64-bit integers may be sent as strings, so
+answers are decoded with ``strict=False``.
 """
 
 import msgspec
@@ -32,7 +32,7 @@
     "prefix_end",
 ]
 
-# A range end that means "to the last key".
+# A range end that means "up to and including the last key".
 _LAST_KEY_END = b"\0"
 DELETE = "DELETE"
 
@@ -42,7 +42,7 @@
 
 
 class Empty(msgspec.Struct):
-    """An answer of which we use nothing."""
+    """An answer whose content is not used."""
 
     header: Header = msgspec.field(default_factory=Header)
 
@@ -70,7 +70,7 @@
 
 
 class Compare(msgspec.Struct):
-    """That a key's mod revision is the one given."""
+    """The condition that a key's mod revision is the given one."""
 
     key: bytes
     mod_revision: int
@@ -89,7 +89,7 @@
 
 
 class Operation(msgspec.Struct, omit_defaults=True):
-    """One of the two is set."""
+    """Either a put or a delete; exactly one field is set."""
 
     request_put: PutRequest | None = None
     request_delete_range: DeleteRequest | None = None
@@ -119,7 +119,7 @@
 
 
 class LeaseState(msgspec.Struct):
-    """A TTL that is missing or 0 says that the lease has lapsed."""
+    """The state of a lease; a missing or zero TTL means that it has expired."""
 
     ttl: int = msgspec.field(name="TTL", default=0)
 
@@ -145,7 +145,7 @@
 
 
 class WatchResult(msgspec.Struct):
-    """One message of a watch; one without events only tells the revision."""
+    """One message of a watch; one without events only reports the revision."""
 
     header: Header = msgspec.field(default_factory=Header)
     created: bool = False
--- a/src/fescuedock/backing/kv_writes.py
+++ b/src/fescuedock/backing/kv_writes.py
@@ -1,4 +1,4 @@
-"""Writes whose answer may be lost, carried on until it is known which write won."""
+"""Conditional writes that are retried after a lost answer until their outcome is known."""
 
 from collections.abc import Callable
 
@@ -16,7 +16,7 @@
 _FIRST_PAUSE_MS = 50
 _MAX_REVISIONS_BACK = 32
 
-# Tells whether a value is the one that this write was to put there.
+# Returns whether a value was written by this write.
 IsOwnValue = Callable[[bytes], bool]
 
 
@@ -30,16 +30,16 @@
     *,
     attempts: int = _MAX_ATTEMPTS,
 ) -> Result[int, Fault]:
-    """Write ``key`` as ``put_if`` does, and find out what became of a write without an answer.
+    """Write ``key`` like ``put_if``, and resolve the outcome if the answer is lost.
 
-    Returns the revision that the write got, also when another write has followed it since.
-    ``KV_CONFLICT`` and ``KV_UNAVAILABLE`` promise that this write is not there and that no copy of
-    it can land later; ``KV_UNKNOWN`` says that neither could be found out in ``attempts`` tries.
+    Return the revision of the write, even if another write has followed it.  ``KV_CONFLICT`` and
+    ``KV_UNAVAILABLE`` promise that this write did not take effect and that no copy of it can take
+    effect later; ``KV_UNKNOWN`` means that the outcome was not resolved in ``attempts`` attempts.
 
-    ``is_ours`` must tell this write's value from that of any other writer, so the value needs
-    something unique, such as an epoch with the writer's name.  A key that is created
-    (``expected_revision`` 0), deleted and may not come back needs a ``lease_id``: only the end of
-    the lease keeps a copy that is still under way from creating it again.
+    ``is_own_value`` must distinguish this write's value from that of any other writer, so the value
+    needs a unique part, such as an epoch with the writer's name.  A key that is created
+    (``expected_revision`` 0), then deleted and must not be created again needs a ``lease_id``: only
+    the end of the lease prevents a delayed copy of the write from creating the key again.
     """
     write = _Write(kv, key, value, expected_revision, is_own_value, lease_id)
     pause_ms = _FIRST_PAUSE_MS
@@ -55,7 +55,7 @@
 
 
 class _Write(msgspec.Struct):
-    """One write and whether a copy of it may be under way."""
+    """One write, and whether a copy of it may have been sent and not been resolved."""
 
     kv: KvStore
     key: str
@@ -66,7 +66,7 @@
     may_be_pending: bool = False
 
     async def try_once(self) -> Result[int, Fault] | None:
-        """Send the write; None when it is not known yet what became of it."""
+        """Send the write once; return None while its outcome is unknown."""
         result = await self.kv.put_if(
             self.key, self.value, self.expected_revision, lease_id=self.lease_id
         )
@@ -79,23 +79,23 @@
         if not self.may_be_pending:
             return result
         if fault.code is ResultCode.KV_CONFLICT:
-            # The key has moved on, so no copy of the write can take effect any more.
+            # The key has another revision now, so no copy of the write can take effect any more.
             return await self._read_back(result)
         return None
 
     async def _read_back(self, conflict: Err[Fault]) -> Result[int, Fault] | None:
-        """Walk back to the write that followed ``expected_revision`` and see whose it is."""
+        """Find the write that followed ``expected_revision`` and check whether it is this one."""
         found = await self.kv.get(self.key)
         if isinstance(found, Err):
             return None
         entry = found.ok_value
         for _ in range(_MAX_REVISIONS_BACK):
             if entry is None or entry.mod_revision <= self.expected_revision:
-                # Deleted since: nothing says who was first.
+                # Deleted since then, so it is unknown which write was first.
                 return None
             previous = await self.kv.get(self.key, at_revision=entry.mod_revision - 1)
             if isinstance(previous, Err):
-                # The past may be compacted, but an entry that is ours is proof by itself.
+                # The history may be compacted, but this write's own value is sufficient proof.
                 return Ok(entry.mod_revision) if self.is_own_value(entry.value) else None
             if _revision_of(previous.ok_value) == self.expected_revision:
                 return Ok(entry.mod_revision) if self.is_own_value(entry.value) else conflict
--- a/src/fescuedock/backing/vm_list.py
+++ b/src/fescuedock/backing/vm_list.py
@@ -1,4 +1,4 @@
-"""The platform's VM list: which VMs there are, as far as it knows by now."""
+"""Client of the platform's VM list, which may lag behind the actual set of VMs."""
 
 import msgspec
 import trio
@@ -27,7 +27,7 @@
 
 
 class ListedVm(msgspec.Struct, frozen=True):
-    """One VM as the list shows it; ``port`` is the agent's on a VM of ours."""
+    """One VM of the list; on a VM of this system ``port`` is that of the agent."""
 
     vm_id: str
     role: str
@@ -38,7 +38,7 @@
     state: str = STATE_LIVE
     kind: str = ""
     service: str = ""
-    # Of an upstream; empty where the list does not say.
+    # Of an upstream; empty if the list does not contain it.
     software_version: str = ""
 
     @property
@@ -47,14 +47,14 @@
 
 
 class VmList(msgspec.Struct, frozen=True):
-    """The VM list of one read, and its tag."""
+    """The VM list of one read, and its entity tag."""
 
     vms: tuple[ListedVm, ...] = ()
     etag: str = ""
 
     @property
     def system(self) -> tuple[ListedVm, ...]:
-        """The VMs of ours."""
+        """The VMs that belong to this system."""
         return tuple(vm for vm in self.vms if vm.role == ROLE_SYSTEM)
 
     @property
@@ -63,7 +63,7 @@
 
 
 class VmListClient:
-    """Reads the list; an unchanged one costs an empty answer."""
+    """Reads the list; if it is unchanged, the answer has no body."""
 
     def __init__(self, http: HttpClient, settings: PlatformSettings) -> None:
         self._http = http
@@ -72,7 +72,7 @@
         self._last = VmList()
 
     async def read(self) -> Result[VmList, Fault]:
-        """Return the list; the very object of the last read when nothing has changed.
+        """Return the list; the same object as at the last read when nothing has changed.
 
         Errors: ``PLATFORM_UNAVAILABLE``.
         """
@@ -106,7 +106,7 @@
 
 
 def upstream_record(vm: ListedVm) -> UpstreamRecord:
-    """Return a listed upstream as the record that the fleet view carries."""
+    """Return the fleet view's record of a listed upstream."""
     return UpstreamRecord(
         upstream_id=vm.vm_id,
         region=vm.region,
--- a/src/fescuedock/backing/weight_store.py
+++ b/src/fescuedock/backing/weight_store.py
@@ -1,4 +1,4 @@
-"""The platform's weight store: which weights it has, and the rate at which it gives them."""
+"""Client of the platform's weight store: the catalog of weights and the total load rate."""
 
 import msgspec
 import trio
@@ -31,13 +31,13 @@
 
 
 class WeightCatalog(msgspec.Struct, frozen=True):
-    """What the store holds and the bytes per second that all loads together get."""
+    """The weights in the store, and the bytes per second shared by all loads."""
 
     weights: tuple[WeightRecord, ...]
     bytes_per_s: int
 
     def size_bytes(self, model: str, version: str, adapter: str = "") -> int | None:
-        """Return the size of some weights, None when the store does not have them."""
+        """Return the size of the given weights; None when the store does not have them."""
         for record in self.weights:
             if (record.model, record.version, record.adapter) == (model, version, adapter):
                 return record.size_bytes
@@ -45,7 +45,7 @@
 
 
 class WeightStoreClient:
-    """Reads the catalog; the weights themselves go from the store to the engines."""
+    """Reads the catalog; the engines load the weights directly from the store."""
 
     def __init__(self, http: HttpClient, settings: PlatformSettings) -> None:
         self._http = http
--- a/tests/test_kv_contract.py
+++ b/tests/test_kv_contract.py
@@ -1,4 +1,4 @@
-"""What every dialect of the key-value service promises, shown on both over HTTP."""
+"""The contract that both clients of a key-value service fulfil, tested over HTTP."""
 
 import unittest
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -143,7 +143,7 @@
 
 
 class ChangeLogTest(unittest.TestCase):
-    """The metadata store's own call for changes."""
+    """The call for changes, which only the metadata store has."""
 
     def run_with_store(self, test) -> None:
         async def run() -> None:
