--- a/src/fescuedock/batch/dispatch.py
+++ b/src/fescuedock/batch/dispatch.py
@@ -253,7 +253,7 @@
             context.notify_work()
 
     def _item_check(self, run: JobRun, upstream: UpstreamRecord, grant: Grant) -> SendCheck:
-        """Return a check that asks the job again and then applies the check of every request."""
+        """Return a check that queries the job again and then applies the check of every request."""
         may_send = send_check(self._context.view, upstream, grant)
         return lambda: run.start_refusal(now_ms()) or may_send()
 
@@ -276,7 +276,10 @@
 
 
 def _identify_work(run: JobRun, item: Item, service: str) -> _WorkIdentity:
-    """Return the identities of an item's work, equal to those of an online call."""
+    """Return the identities of an item's work.
+
+    They equal those of an online call with the same request.
+    """
     line = read_line(item.line)
     body = bytes(line.body)
     work_id = work_identity(service, line.method, line.url, run.record.member, body)
--- a/src/fescuedock/batch/runner.py
+++ b/src/fescuedock/batch/runner.py
@@ -76,7 +76,7 @@
         return None
 
     def push(self, message: JobPush) -> None:
-        """Evaluate the job that ``message`` names; cancel a running job at once if asked to."""
+        """Evaluate the job that ``message`` names; cancel a running job at once if requested."""
         task = self._tasks.get(message.job_id)
         if task is not None:
             task.push(message.cancelled)
--- a/src/fescuedock/spool/origins.py
+++ b/src/fescuedock/spool/origins.py
@@ -33,7 +33,7 @@
 
 
 class OriginLog:
-    """Appends to one log of ``folder`` until ``turn_ms`` have passed, then to the other."""
+    """Appends to one log of ``folder`` until ``rotation_ms`` have passed, then to the other."""
 
     def __init__(self, disk: Disk, folder: Path, rotation_ms: float) -> None:
         self._disk = disk
--- a/src/fescuedock/store/client.py
+++ b/src/fescuedock/store/client.py
@@ -110,7 +110,7 @@
         hashes = sorted({ref.segment_hash for ref in refs})
         holders: dict[str, list[VmRecord]] = {segment_hash: [] for segment_hash in hashes}
 
-        async def ask(vm: VmRecord) -> None:
+        async def query(vm: VmRecord) -> None:
             reply = await self.call(vm, HaveSegments(segment_hashes=hashes, renew=renew))
             if isinstance(reply, HaveSegmentsReply):
                 for segment_hash in set(hashes).difference(reply.missing):
@@ -118,7 +118,7 @@
 
         async with trio.open_nursery() as nursery:
             for vm in self._live_stores() if hashes else ():
-                nursery.start_soon(ask, vm)
+                nursery.start_soon(query, vm)
         return holders
 
     async def append_log(self, job_id: str, records: Sequence[bytes]) -> Result[int, Fault]:
@@ -204,7 +204,7 @@
         vms = {vm.vm_id: vm for vm in self._live_stores()}
         async with trio.open_nursery() as nursery:
 
-            async def ask(site: StoreSite) -> None:
+            async def write_copy(site: StoreSite) -> None:
                 try:
                     reply = await self.call(vms[site.vm_id], message)
                 except trio.Cancelled:
@@ -217,18 +217,18 @@
                 else:
                     self._avoid(site.vm_id)
                     plan.record_refusal(site, ResultCode(code))
-                proceed()
+                start_next_writes()
 
-            def proceed() -> None:
+            def start_next_writes() -> None:
                 for site in plan.next_sites():
-                    nursery.start_soon(ask, site)
+                    nursery.start_soon(write_copy, site)
                 if plan.is_sufficient:
                     extra_s = _EXTRA_COPIES_WAIT_MS / 1000
                     deadline = trio.current_time() + extra_s
                     scope = nursery.cancel_scope
                     scope.deadline = min(scope.deadline, deadline)
 
-            proceed()
+            start_next_writes()
 
     async def call(self, vm: VmRecord, message: msgspec.Struct) -> msgspec.Struct | None:
         """Return the store's reply; None when it does not arrive in time."""
--- a/tests/test_batch_attempts.py
+++ b/tests/test_batch_attempts.py
@@ -151,7 +151,7 @@
                 self.assertEqual(len(grant.ended), 1)
 
     def test_an_internal_error_fails_the_attempt_and_not_the_runner(self):
-        end, grant = _run(_Engine(failure=KeyError("ours")))
+        end, grant = _run(_Engine(failure=KeyError("internal")))
         self.assertIs(end.kind, EndKind.SERVER_ERROR)
         self.assertEqual(len(grant.ended), 1)
 
--- a/tests/test_spool_emptied.py
+++ b/tests/test_spool_emptied.py
@@ -34,7 +34,7 @@
         async def run() -> None:
             disk = MemoryDisk()
             service = self.service(disk)
-            reply = await service.handlers()[EmptySpool](EmptySpool("it goes"), None)
+            reply = await service.handlers()[EmptySpool](EmptySpool("to be removed"), None)
             self.assertEqual(reply.pending, 0)
             if restarted:
                 service = self.service(disk)
