--- a/tests/test_node_attempt.py
+++ b/tests/test_node_attempt.py
@@ -96,7 +96,7 @@
 
         run_async(test)
 
-    def test_an_item_whose_permit_or_job_was_taken_back_is_not_sent(self) -> None:
+    def test_an_item_whose_permit_or_job_was_revoked_is_not_sent(self) -> None:
         for revoked in ("permit", "job", "check", ""):
             with self.subTest(revoked or "nothing"):
                 run_async(lambda revoked=revoked: self.run_item(revoked))
