--- a/src/fescuedock/agent/crash_service.py
+++ b/src/fescuedock/agent/crash_service.py
@@ -26,7 +26,7 @@
 from fescuedock.net.channel import CallHandler, ServerPeer
 from fescuedock.net.channel_pool import ChannelPool
 from fescuedock.net.http_client import ConnectResult, HttpClient
-from fescuedock.pauses import GrowingPauses
+from fescuedock.pauses import ExponentialBackoff
 from fescuedock.schema.crashes import (
     BrokenRun,
     CrashedRun,
@@ -367,7 +367,7 @@
     async def _write(self, facts: list[CrashFact]) -> None:
         key = f"{self._prefix}{_new_id()}"
         value = msgspec.msgpack.encode(message_of(facts))
-        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
+        pauses = ExponentialBackoff(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         while True:
             written = await self._kv.put_if(key, value, 0)
             # A conflict means that an earlier write was applied and only its answer was lost.
--- a/src/fescuedock/cli/burn_command.py
+++ b/src/fescuedock/cli/burn_command.py
@@ -18,7 +18,7 @@
 
 __all__ = ["BURN_COMMAND"]
 
-_MAX_AT_ONCE = 16
+_MAX_CONCURRENT_REQUESTS = 16
 _HELP = """\
 fescuedock burn: how fast each service uses up the failures its objectives allow.
 
@@ -73,9 +73,9 @@
     """Ask each VM's entry, a few at once; return the reports and the VMs that did not answer."""
     reports: list[MetricsReport] = []
     missing: list[str] = []
-    limit = trio.CapacityLimiter(_MAX_AT_ONCE)
+    limit = trio.CapacityLimiter(_MAX_CONCURRENT_REQUESTS)
 
-    async def ask(vm: VmStatus) -> None:
+    async def fetch(vm: VmStatus) -> None:
         async with limit:
             address = Address(vm.host, vm.entry_port)
             match await session.get("/admin/metrics", MetricsReport, address):
@@ -87,7 +87,7 @@
     async with trio.open_nursery() as nursery:
         for vm in vms:
             if vm.entry_port:
-                nursery.start_soon(ask, vm)
+                nursery.start_soon(fetch, vm)
     return reports, sorted(missing)
 
 
@@ -103,10 +103,10 @@
             Path(html).write_text(burn_html(report), encoding="utf-8")
     except OSError as error:
         return Err(Failure(str(error)))
-    return Ok(_shown(report, json))
+    return Ok(_report_text(report, json))
 
 
-def _shown(report: BurnReport, json: bool) -> str:
+def _report_text(report: BurnReport, json: bool) -> str:
     return show_json(report) if json else burn_text(report)
 
 
--- a/src/fescuedock/cli/config_commands.py
+++ b/src/fescuedock/cli/config_commands.py
@@ -110,12 +110,12 @@
 
 
 def _history_text(history: HistoryAnswer) -> str:
-    heads = ("VERSION", "ACCEPTED (UNIX TIME)", "ACTOR", "PATCH")
+    headers = ("VERSION", "ACCEPTED (UNIX TIME)", "ACTOR", "PATCH")
     rows = [
         (patch.version, patch.accepted_at_s, patch.actor or "-", patch.patch_id)
         for patch in history.patches
     ]
-    return table(heads, rows)
+    return table(headers, rows)
 
 
 def _republish(actor: str = "", entry: str = "", json: bool = False) -> int:
@@ -147,12 +147,12 @@
 
 
 def _versions_text(versions: VersionsAnswer) -> str:
-    heads = ("VM", "DOMAIN", "STATE", "VERSION", "CONFIRMED")
+    headers = ("VM", "DOMAIN", "STATE", "VERSION", "CONFIRMED")
     rows = [
         (vm.vm_id, vm.failure_domain, vm.state.value, vm.version, "yes" if vm.confirmed else "no")
         for vm in versions.vms
     ]
-    return table(heads, rows)
+    return table(headers, rows)
 
 
 def _read_object(file: str) -> Result[dict[str, object], str]:
--- a/src/fescuedock/cli/config_patches.py
+++ b/src/fescuedock/cli/config_patches.py
@@ -20,8 +20,8 @@
 ]
 
 # Other operators may patch between our read and our patch.
-_MAX_TRIES = 5
-_STALE = "STALE_VERSION"
+_MAX_ATTEMPTS = 5
+_STALE_VERSION_NAME = "STALE_VERSION"
 
 
 class CurrentConfig(msgspec.Struct):
@@ -70,7 +70,7 @@
     Read and patch again when others were faster.
     """
     refused: Result[int, Failure] = Err(Failure("not tried"))
-    for _ in range(_MAX_TRIES):
+    for _ in range(_MAX_ATTEMPTS):
         match await session.get("/admin/config", CurrentConfig):
             case Ok(CurrentConfig() as current):
                 identity = patch_id_of(current.version, patch)
@@ -78,6 +78,6 @@
                 refused = await submit_patch(session, request)
             case other:
                 return other
-        if refused.is_ok() or not refused.unwrap_err().text.startswith(_STALE):
+        if refused.is_ok() or not refused.unwrap_err().text.startswith(_STALE_VERSION_NAME):
             return refused
     return refused
--- a/src/fescuedock/cli/entry_session.py
+++ b/src/fescuedock/cli/entry_session.py
@@ -79,7 +79,9 @@
         except NotSentError as error:
             return Err(Failure(str(error)))
         except (ResponseLostError, ResponseTooLargeError, trio.TooSlowError) as error:
-            return Err(Failure(f"no whole answer from {entry}: {error!r}", _lost_code(method)))
+            return Err(
+                Failure(f"no whole answer from {entry}: {error!r}", _lost_answer_exit_code(method))
+            )
         if response.status >= 400:
             return Err(_failure(entry, response.status, data))
         try:
@@ -132,7 +134,7 @@
     return headers
 
 
-def _lost_code(method: str) -> ExitCode:
+def _lost_answer_exit_code(method: str) -> ExitCode:
     """A read changed nothing; anything else may have been done."""
     return ExitCode.FAILED if method == "GET" else ExitCode.UNKNOWN
 
--- a/src/fescuedock/cli/explain_command.py
+++ b/src/fescuedock/cli/explain_command.py
@@ -34,7 +34,7 @@
     if not lines:
         print(f"fescuedock explain: no line names {identity}", file=sys.stderr)
         return ExitCode.FAILED
-    for text in _shown_as_json(lines) if json else _shown(lines):
+    for text in _as_json(lines) if json else _as_text(lines):
         print(text)
     return ExitCode.OK
 
@@ -48,11 +48,11 @@
             yield from file
 
 
-def _shown(lines: list[LogLine]) -> Iterable[str]:
+def _as_text(lines: list[LogLine]) -> Iterable[str]:
     return [line.text(lines[0].at_s) for line in lines]
 
 
-def _shown_as_json(lines: list[LogLine]) -> Iterable[str]:
+def _as_json(lines: list[LogLine]) -> Iterable[str]:
     for line in lines:
         fields = {"at_s": line.at_s, "vm_id": line.vm_id, "event": line.event, **line.fields}
         yield msgspec.json.encode(fields).decode()
--- a/src/fescuedock/cli/fleet_commands.py
+++ b/src/fescuedock/cli/fleet_commands.py
@@ -66,7 +66,7 @@
 
 
 def _status_text(status: FleetStatus) -> str:
-    heads = ("VM", "DOMAIN", "REGION", "ADDRESS", "STATE", "CONFIG", "READY")
+    headers = ("VM", "DOMAIN", "REGION", "ADDRESS", "STATE", "CONFIG", "READY")
     rows = [
         (
             vm.vm_id,
@@ -84,7 +84,7 @@
         f"{status.config_age_ms} ms ago; VM list read {status.membership_age_ms} ms ago; "
         f"{len(status.upstreams)} upstreams"
     )
-    return f"{table(heads, rows)}\n{seen}"
+    return f"{table(headers, rows)}\n{seen}"
 
 
 def _customers(entry: str = "", json: bool = False) -> int:
@@ -96,12 +96,12 @@
 
 
 def _customers_text(customers: list[CustomerStatus]) -> str:
-    heads = ("CUSTOMER", "RATE/S", "BURST", "ADMITTED", "REFUSED", "OWNER")
+    headers = ("CUSTOMER", "RATE/S", "BURST", "ADMITTED", "REFUSED", "OWNER")
     rows = [
         (item.customer, item.rate_per_s, item.burst, item.admitted, item.refused, item.owner or "-")
         for item in sorted(customers, key=lambda item: (-item.refused, -item.admitted))
     ]
-    return table(heads, rows)
+    return table(headers, rows)
 
 
 def _upstreams(service: str = "", entry: str = "", json: bool = False) -> int:
@@ -116,7 +116,7 @@
 
 
 def _upstreams_text(upstreams: list[UpstreamStatus]) -> str:
-    heads = (
+    headers = (
         "UPSTREAM",
         "SERVICE",
         "KIND",
@@ -143,7 +143,7 @@
         )
         for item in upstreams
     ]
-    return table(heads, rows)
+    return table(headers, rows)
 
 
 def _upstream_state(upstream: UpstreamStatus) -> str:
@@ -175,8 +175,8 @@
     if not vm.entry_port:
         return Err(Failure(f"{vm.vm_id} runs no entry; stop its programs with SIGTERM instead"))
     address = Address(vm.host, vm.entry_port)
-    told = await session.post("/admin/leave", {}, dict[str, object], address)
-    return told.map(lambda _answer: f"{vm.vm_id} has announced that it leaves")
+    answer = await session.post("/admin/leave", {}, dict[str, object], address)
+    return answer.map(lambda _answer: f"{vm.vm_id} has announced that it leaves")
 
 
 async def _drain_upstream(
@@ -184,8 +184,8 @@
 ) -> Result[str, Failure]:
     patch = {"upstreams": {upstream_id: {"drain": drain}}}
     done = await submit_on_current(session, patch, actor="fescuedock drain")
-    what = "gets no new work" if drain else "may get work again"
-    return done.map(lambda version: f"{upstream_id} {what} from configuration {version} on")
+    effect = "gets no new work" if drain else "may get work again"
+    return done.map(lambda version: f"{upstream_id} {effect} from configuration {version} on")
 
 
 CUSTOMERS_COMMAND = Command(_customers, _CUSTOMERS_HELP)
--- a/src/fescuedock/cli/job_commands.py
+++ b/src/fescuedock/cli/job_commands.py
@@ -69,7 +69,7 @@
 
 
 def _list_text(jobs: _JobList) -> str:
-    heads = ("JOB", "STATUS", "ITEMS", "SUCCEEDED", "FAILED", "ENDPOINT")
+    headers = ("JOB", "STATUS", "ITEMS", "SUCCEEDED", "FAILED", "ENDPOINT")
     rows = [
         (
             job.id,
@@ -81,7 +81,7 @@
         )
         for job in jobs.data
     ]
-    return table(heads, rows)
+    return table(headers, rows)
 
 
 def _job_text(job: _Job) -> str:
--- a/src/fescuedock/cli/words.py
+++ b/src/fescuedock/cli/words.py
@@ -23,20 +23,22 @@
     name: str, commands: Command | Mapping[str, Command | Mapping], words: Sequence[str]
 ) -> Result[Callable[[], int], str]:
     """Return the call that ``words`` mean, or one line that says what is wrong with them."""
-    chosen: list[Callable[[], int]] = []
-    shown = io.StringIO()
+    recorded_calls: list[Callable[[], int]] = []
+    output = io.StringIO()
     try:
-        with contextlib.redirect_stderr(shown), contextlib.redirect_stdout(shown):
-            fire.Fire(_recording(commands, chosen), command=list(words), name=name)
+        with contextlib.redirect_stderr(output), contextlib.redirect_stdout(output):
+            fire.Fire(_recording(commands, recorded_calls), command=list(words), name=name)
     except FireExit:
-        chosen.clear()
-    return Ok(chosen[0]) if chosen else Err(_usage_error(shown.getvalue()))
+        recorded_calls.clear()
+    return Ok(recorded_calls[0]) if recorded_calls else Err(_usage_error(output.getvalue()))
 
 
-def _recording(commands: Command | Mapping, chosen: list) -> object:
+def _recording(commands: Command | Mapping, recorded_calls: list) -> object:
     """Return what fire shall call: the commands' signatures, which only note the call."""
     if not isinstance(commands, Command):
-        return {name: _recording(command, chosen) for name, command in commands.items() if name}
+        return {
+            name: _recording(command, recorded_calls) for name, command in commands.items() if name
+        }
     # Left alone, fire would read numbers and lists out of plain words.
     parsers = {
         name: _PARSERS.get(parameter.annotation, str)
@@ -45,10 +47,10 @@
 
     @fire.decorators.SetParseFns(**parsers)
     @functools.wraps(commands.run)
-    def note(*args: object, **kwargs: object) -> None:
-        chosen.append(functools.partial(commands.run, *args, **kwargs))
+    def record(*args: object, **kwargs: object) -> None:
+        recorded_calls.append(functools.partial(commands.run, *args, **kwargs))
 
-    return note
+    return record
 
 
 def _parse_bool(text: str) -> bool:
@@ -67,9 +69,9 @@
 _PARSERS = {bool: _parse_bool, int: _parse_int}
 
 
-def _usage_error(shown: str) -> str:
+def _usage_error(output: str) -> str:
     """Return the one line of fire's output that says what is wrong."""
-    for line in shown.splitlines():
+    for line in output.splitlines():
         if line.startswith(_FIRE_ERROR):
             text = line.removeprefix(_FIRE_ERROR).rstrip(".")
             return text.replace(_FIRE_MISSING, "missing argument")
--- a/src/fescuedock/clock.py
+++ b/src/fescuedock/clock.py
@@ -22,7 +22,7 @@
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 # A sleep is cut into pieces of this length: the kernel's timers stand still as well, and would keep
 # what was due during a suspension waiting for the whole rest.
-_LONGEST_SLEEP_S = 1.0
+_MAX_SLEEP_S = 1.0
 
 
 class _LoopClock(trio.abc.Clock):
@@ -37,7 +37,7 @@
         return time.clock_gettime(_CLOCK)
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
-        return min(deadline - self.current_time(), _LONGEST_SLEEP_S)
+        return min(deadline - self.current_time(), _MAX_SLEEP_S)
 
 
 def loop_clock() -> trio.abc.Clock:
--- a/src/fescuedock/daemon.py
+++ b/src/fescuedock/daemon.py
@@ -47,7 +47,7 @@
 
 
 # What a program may still do after the bound of its graceful shutdown.
-_LAST_STEPS_MS = 2000
+_FORCED_STOP_DELAY_MS = 2000
 
 
 class CutOffError(OSError):
@@ -182,7 +182,7 @@
                 break
             log_event("stop_requested", signal=signal.Signals(number).name)
             stop.request()
-            limit_ms = stop_timeout_ms + _LAST_STEPS_MS
+            limit_ms = stop_timeout_ms + _FORCED_STOP_DELAY_MS
             scope.deadline = trio.current_time() + limit_ms / 1000
     log_event("stopped_at_once")
     scope.cancel()
--- a/src/fescuedock/log_writer.py
+++ b/src/fescuedock/log_writer.py
@@ -12,57 +12,57 @@
 __all__ = ["BoundedWriter"]
 
 # What a reader may lag behind: about half a minute of one busy node's lines.
-_MAX_HELD_BYTES = 1024 * 1024
+_MAX_BUFFERED_BYTES = 1024 * 1024
 
 
 class BoundedWriter:
     """A binary file for log lines over descriptor ``fd``, which is made non-blocking."""
 
-    __slots__ = ("_dropped", "_fd", "_held", "_held_bytes", "_max_bytes")
+    __slots__ = ("_buffer", "_buffered_bytes", "_dropped", "_fd", "_max_bytes")
 
-    def __init__(self, fd: int, max_bytes: int = _MAX_HELD_BYTES) -> None:
+    def __init__(self, fd: int, max_bytes: int = _MAX_BUFFERED_BYTES) -> None:
         os.set_blocking(fd, False)
         self._fd = fd
         self._max_bytes = max_bytes
-        self._held: deque[bytes] = deque()
-        self._held_bytes = 0
+        self._buffer: deque[bytes] = deque()
+        self._buffered_bytes = 0
         self._dropped = 0
 
     def write(self, data: bytes) -> int:
         """Keep a line for ``flush``, or drop it."""
-        if self._held_bytes + len(data) > self._max_bytes:
+        if self._buffered_bytes + len(data) > self._max_bytes:
             self.flush()
-        if self._held_bytes + len(data) > self._max_bytes:
+        if self._buffered_bytes + len(data) > self._max_bytes:
             self._dropped += 1
             return len(data)
         if self._dropped:
-            self._hold(_dropped_line(self._dropped))
+            self._append(_dropped_line(self._dropped))
             self._dropped = 0
-        self._hold(data)
+        self._append(data)
         return len(data)
 
     def flush(self) -> None:
         """Write as much as the reader takes now."""
-        while self._held:
-            data = self._held[0]
+        while self._buffer:
+            data = self._buffer[0]
             try:
                 written = os.write(self._fd, data)
             except BlockingIOError:
                 return
             except OSError:
                 # Nobody reads any more; there is no place left to say so.
-                self._held.clear()
-                self._held_bytes = 0
+                self._buffer.clear()
+                self._buffered_bytes = 0
                 return
-            self._held_bytes -= written
+            self._buffered_bytes -= written
             if written < len(data):
-                self._held[0] = data[written:]
+                self._buffer[0] = data[written:]
                 return
-            self._held.popleft()
+            self._buffer.popleft()
 
-    def _hold(self, data: bytes) -> None:
-        self._held.append(data)
-        self._held_bytes += len(data)
+    def _append(self, data: bytes) -> None:
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
 
 
 def _dropped_line(count: int) -> bytes:
--- a/src/fescuedock/node/job_runner.py
+++ b/src/fescuedock/node/job_runner.py
@@ -628,7 +628,7 @@
         self._metrics.record_run(
             upstream.service,
             ran_ms,
-            gained=end is ItemEnd.COMPLETED or item.last_event > first_event,
+            with_events=end is ItemEnd.COMPLETED or item.last_event > first_event,
         )
         code = _ITEM_CODES.get(end)
         if code is not None:
--- a/src/fescuedock/node/job_store.py
+++ b/src/fescuedock/node/job_store.py
@@ -14,7 +14,7 @@
 from fescuedock.core.stored_jobs.ownership import is_open
 from fescuedock.faults import Fault
 from fescuedock.kv import KvEntry, KvStore, KvTransaction, KvTransactions
-from fescuedock.pauses import GrowingPauses
+from fescuedock.pauses import ExponentialBackoff
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.stored_jobs import (
     ItemProgress,
@@ -97,7 +97,7 @@
         key, ended_key = self.keys.record(record.job_id), self.keys.ended(record.job_id)
         transaction = KvTransaction({key: 0, ended_key: 0}, writes=writes)
         may_be_stored = False
-        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
+        pauses = ExponentialBackoff(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         while True:
             result = await self._kv.transact(transaction)
             if isinstance(result, Ok):
@@ -206,7 +206,7 @@
         if group is not None:
             key = self.keys.group(updated.job_id, group.first_position)
             extra_writes[key] = msgspec.msgpack.encode(group)
-        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
+        pauses = ExponentialBackoff(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         while True:
             result = await self._write(updated, revision, extra_writes)
             if isinstance(result, Ok):
@@ -262,7 +262,7 @@
         A job whose results are all listed is not changed.  Runs until the service answers; the
         caller bounds the time.
         """
-        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
+        pauses = ExponentialBackoff(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         while True:
             found = await self.read_record(job_id)
             if isinstance(found, Ok):
--- a/src/fescuedock/node/retirement.py
+++ b/src/fescuedock/node/retirement.py
@@ -51,7 +51,11 @@
             return
         pending = await self._spools.drain(node)
         is_empty = pending == 0
-        value = records.encode_emptied() if is_empty else records.encode_emptying()
+        value = (
+            records.encode_retirement_completed()
+            if is_empty
+            else records.encode_retirement_running()
+        )
         log_event("machine_emptying", node=node, pending=pending)
         if is_empty and not await self._unregister(node):
             return
@@ -86,4 +90,4 @@
 
 def _reports_empty(status: KvEntry, revision: int) -> bool:
     """Whether a status reports the machine empty in answer to the request of ``revision``."""
-    return status.value == records.encode_emptied() and status.mod_revision > revision
+    return status.value == records.encode_retirement_completed() and status.mod_revision > revision
--- a/src/fescuedock/pauses.py
+++ b/src/fescuedock/pauses.py
@@ -2,18 +2,18 @@
 
 import trio
 
-__all__ = ["GrowingPauses"]
+__all__ = ["ExponentialBackoff"]
 
 
-class GrowingPauses:
-    """Each pause is twice as long as the one before it, up to ``most_ms``."""
+class ExponentialBackoff:
+    """Each pause is twice as long as the one before it, up to ``max_ms``."""
 
-    __slots__ = ("_most_ms", "_next_ms")
+    __slots__ = ("_max_ms", "_next_ms")
 
-    def __init__(self, first_ms: float, most_ms: float) -> None:
-        self._next_ms = first_ms
-        self._most_ms = most_ms
+    def __init__(self, initial_ms: float, max_ms: float) -> None:
+        self._next_ms = initial_ms
+        self._max_ms = max_ms
 
     async def wait(self) -> None:
         await trio.sleep(self._next_ms / 1000)
-        self._next_ms = min(self._next_ms * 2, self._most_ms)
+        self._next_ms = min(self._next_ms * 2, self._max_ms)
--- a/src/fescuedock/platform/calls.py
+++ b/src/fescuedock/platform/calls.py
@@ -44,7 +44,9 @@
 HEALTH_ID_HEADER = "x-instance-id"
 
 # Set anew for each attempt.
-_REPLACED = frozenset(("host", "content-length", _DEADLINE, _EXPECTED_UPSTREAM, _LAST_EVENT))
+_REPLACED_HEADERS = frozenset(
+    ("host", "content-length", _DEADLINE, _EXPECTED_UPSTREAM, _LAST_EVENT)
+)
 
 
 def api_keys(headers: Headers) -> list[str]:
@@ -62,7 +64,7 @@
         prompt_tokens=prompt_tokens,
         max_tokens=max_tokens,
         prompt_parts=tuple(_prompt_parts(fields.get(_PROMPT_PARTS, ""))),
-        last_event=_whole_number(fields.get(_LAST_EVENT, "")),
+        last_event=_integer(fields.get(_LAST_EVENT, "")),
         resumed_request_id=fields.get(_RESUMES, "").strip(),
     )
 
@@ -85,12 +87,12 @@
     ``last_event`` is the number of the last event that the client has, below 0 for none.
     ``customer`` is whom the call counts for, empty for nobody; None where there are no customers.
     """
-    passed = _for_customer(_without_hops(headers, _REPLACED), customer)
-    passed.append((_DEADLINE, str(max(int(left_ms), 1))))
-    passed.append((_EXPECTED_UPSTREAM, registered_id(upstream_id)))
+    forwarded = _with_customer(_without_hop_headers(headers, _REPLACED_HEADERS), customer)
+    forwarded.append((_DEADLINE, str(max(int(left_ms), 1))))
+    forwarded.append((_EXPECTED_UPSTREAM, registered_id(upstream_id)))
     if last_event >= 0:
-        passed.append((_LAST_EVENT, str(last_event)))
-    return passed
+        forwarded.append((_LAST_EVENT, str(last_event)))
+    return forwarded
 
 
 def item_headers(
@@ -106,11 +108,13 @@
     ``customer`` is whom its job belongs to, as in ``upstream_headers``.
     """
     fields = [(name.lower(), value) for name, value in headers]
-    passed = _for_customer(_without_hops(fields, _REPLACED | {_REQUEST_ID}), customer)
-    passed += [(_REQUEST_ID, item_id), (_EXPECTED_UPSTREAM, registered_id(upstream_id))]
+    forwarded = _with_customer(
+        _without_hop_headers(fields, _REPLACED_HEADERS | {_REQUEST_ID}), customer
+    )
+    forwarded += [(_REQUEST_ID, item_id), (_EXPECTED_UPSTREAM, registered_id(upstream_id))]
     if last_event >= 0:
-        passed.append((_LAST_EVENT, str(last_event)))
-    return passed
+        forwarded.append((_LAST_EVENT, str(last_event)))
+    return forwarded
 
 
 def answer_head(status: int, headers: Headers) -> AnswerHead:
@@ -126,7 +130,7 @@
 
 def client_headers(headers: Headers) -> list[tuple[str, str]]:
     """Return an upstream's headers as the client is to get them."""
-    return _without_hops(headers, frozenset(("content-length",)))
+    return _without_hop_headers(headers, frozenset(("content-length",)))
 
 
 def refusal_headers(fault: Fault) -> list[tuple[str, str]]:
@@ -136,34 +140,34 @@
     return [(_RETRY_AFTER, f"{fault.retry_after_ms / 1000:.3f}")]
 
 
-def _for_customer(fields: list[tuple[str, str]], customer: str | None) -> list[tuple[str, str]]:
+def _with_customer(fields: list[tuple[str, str]], customer: str | None) -> list[tuple[str, str]]:
     """Put the customer's name in place of the key, whatever the client sent of either."""
     if customer is None:
         return fields
-    passed = [(name, value) for name, value in fields if name not in (_KEY, _CUSTOMER)]
-    return [*passed, (_CUSTOMER, customer)] if customer else passed
+    forwarded = [(name, value) for name, value in fields if name not in (_KEY, _CUSTOMER)]
+    return [*forwarded, (_CUSTOMER, customer)] if customer else forwarded
 
 
-def _without_hops(headers: Headers, dropped: frozenset[str]) -> list[tuple[str, str]]:
-    named = {
+def _without_hop_headers(headers: Headers, removed: frozenset[str]) -> list[tuple[str, str]]:
+    connection_options = {
         name.strip().lower()
         for field, value in headers
         if field == "connection"
         for name in value.split(",")
     }
-    gone = HOP_HEADERS | dropped | named
-    return [(name, value) for name, value in headers if name not in gone]
+    excluded = HOP_HEADERS | removed | connection_options
+    return [(name, value) for name, value in headers if name not in excluded]
 
 
 def _token_counts(text: str) -> tuple[int, int]:
     prompt, _, output = text.partition(",")
-    return _whole_number(prompt, 0), _whole_number(output, 0)
+    return _integer(prompt, 0), _integer(output, 0)
 
 
 def _prompt_parts(text: str) -> Iterable[tuple[str, int]]:
     for part in text.split(",") if text else ():
         name, _, tokens = part.strip().partition(":")
-        yield name, _whole_number(tokens, 0)
+        yield name, _integer(tokens, 0)
 
 
 def _number(text: str) -> float | None:
@@ -174,6 +178,6 @@
     return value if value >= 0 else None
 
 
-def _whole_number(text: str, default: int = -1) -> int:
+def _integer(text: str, default: int = -1) -> int:
     text = text.strip()
     return int(text) if text.isascii() and text.isdigit() else default
--- a/src/fescuedock/platform/job_calls.py
+++ b/src/fescuedock/platform/job_calls.py
@@ -20,7 +20,7 @@
 MAX_JOB_ITEMS = 200
 _RESULTS_PATH = "/api/lots/"
 _BODIES_PATH = "/api/items/"
-_WAIT = "x-wait-ms"
+_WAIT_HEADER = "x-wait-ms"
 
 
 class _Item(msgspec.Struct):
@@ -77,15 +77,17 @@
         return JobCall("end", job_id)
     if method != "GET":
         return None
-    after = _whole("after", query.get("after", "0"))
-    return JobCall("read", job_id, after, wait_ms=_whole(_WAIT, headers.get(_WAIT, "0")))
+    after = _integer("after", query.get("after", "0"))
+    return JobCall(
+        "read", job_id, after, wait_ms=_integer(_WAIT_HEADER, headers.get(_WAIT_HEADER, "0"))
+    )
 
 
 def read_submission(body: bytes) -> Result[list[StoredItem], str]:
     """Decode the items of a job; ``Err`` says what is wrong."""
     try:
         submission = msgspec.json.decode(body, type=_Submission)
-        items = [_stored(item) for item in submission.items]
+        items = [_stored_item(item) for item in submission.items]
     except (msgspec.DecodeError, binascii.Error, ValueError) as error:
         return Err(f"the job cannot be read: {error}")
     if not items:
@@ -106,13 +108,13 @@
     return msgspec.json.encode(_Results(total, listed, after + len(listed)))
 
 
-def _stored(item: _Item) -> StoredItem:
+def _stored_item(item: _Item) -> StoredItem:
     headers = [[name, value] for name, value in item.headers.items()]
     body = base64.b64decode(item.body, validate=True)
     return StoredItem(item.id, item.path, headers, body, item.tokens)
 
 
-def _whole(name: str, text: str) -> int:
+def _integer(name: str, text: str) -> int:
     if not (text.isascii() and text.isdigit()):
         raise ValueError(f"{name} = {text!r} is not a whole number")
     return int(text)
--- a/src/fescuedock/platform/records.py
+++ b/src/fescuedock/platform/records.py
@@ -21,8 +21,8 @@
     "CONFIG_KEY",
     "OPERATOR_PREFIX",
     "UPSTREAM_PREFIX",
-    "encode_emptied",
-    "encode_emptying",
+    "encode_retirement_completed",
+    "encode_retirement_running",
     "is_heartbeat",
     "read_route_table",
     "read_upstream",
@@ -35,12 +35,12 @@
 CONFIG_KEY = "op/config"
 UPSTREAM_PREFIX = "servers/"
 # Clients of the platform leave a stream after the longest of these without an event.
-_LEAST_PATIENCE_MS = 2000.0
-_TARGETS_OF_PATIENCE = 4
-_GAPS_OF_PATIENCE = 8
+_MIN_PATIENCE_MS = 2000.0
+_PATIENCE_LATENCY_TARGETS = 4
+_PATIENCE_GAP_TARGETS = 8
 _RETIRE_PREFIX = "op/retire/"
 # Between a worker's identity and its start, in the identity of an upstream.
-_BORN = "@"
+_START_SEPARATOR = "@"
 _MAX_PORT = 65535
 _RETIRE_STATUS_PREFIX = "status/retire/"
 
@@ -183,13 +183,13 @@
 
 def registered_id(upstream_id: str) -> str:
     """Return the identity that an upstream registered under, which it checks requests by."""
-    return upstream_id.partition(_BORN)[0]
+    return upstream_id.partition(_START_SEPARATOR)[0]
 
 
 def _incarnation_id(name: str, born: int) -> str:
-    if not name or _BORN in name:
+    if not name or _START_SEPARATOR in name:
         raise ValueError(f"{name!r} is no identity")
-    return f"{name}{_BORN}{born}" if born else name
+    return f"{name}{_START_SEPARATOR}{born}" if born else name
 
 
 def _host_and_port(address: str) -> tuple[str, int]:
@@ -211,12 +211,12 @@
     return _RETIRE_STATUS_PREFIX + node
 
 
-def encode_emptying() -> bytes:
+def encode_retirement_running() -> bytes:
     """Return the status of a node that still holds something."""
     return msgspec.json.encode(_RetireStatus("running"))
 
 
-def encode_emptied() -> bytes:
+def encode_retirement_completed() -> bytes:
     """Return the status of a node that holds nothing any more."""
     return msgspec.json.encode(_RetireStatus("completed"))
 
@@ -226,7 +226,7 @@
         name=item.name,
         host=item.host,
         prefix=item.prefix,
-        kind=RouteKind(item.kind) if item.kind in _KINDS else RouteKind.UNSAFE,
+        kind=RouteKind(item.kind) if item.kind in _KNOWN_KINDS else RouteKind.UNSAFE,
         services=tuple(_services(item)),
         timeout_ms=item.timeout_ms,
         target_latency_ms=item.target_latency_ms,
@@ -246,9 +246,9 @@
     if item.kind != RouteKind.STREAM.value:
         return 0.0
     return max(
-        _LEAST_PATIENCE_MS,
-        _TARGETS_OF_PATIENCE * item.target_latency_ms,
-        _GAPS_OF_PATIENCE * item.gap_target_ms,
+        _MIN_PATIENCE_MS,
+        _PATIENCE_LATENCY_TARGETS * item.target_latency_ms,
+        _PATIENCE_GAP_TARGETS * item.gap_target_ms,
     )
 
 
@@ -272,7 +272,7 @@
     return priority
 
 
-_KINDS = {kind.value for kind in RouteKind}
+_KNOWN_KINDS = {kind.value for kind in RouteKind}
 
 
 def _services(item: _Route) -> Iterable[tuple[str, float]]:
--- a/src/fescuedock/platform/standin/event_upstream.py
+++ b/src/fescuedock/platform/standin/event_upstream.py
@@ -24,7 +24,7 @@
 
 DEFAULT_VERSION = "v1"
 _MAX_BODY_BYTES = 16 * 1024 * 1024
-_VERSION_MARK = " by "
+_VERSION_SEPARATOR = " by "
 
 
 @dataclass(slots=True)
@@ -49,9 +49,9 @@
     """What a request with a harmful part of its prompt gets of its answer before the crash."""
 
     HEAD = enum.auto()
-    HALF_AN_EVENT = enum.auto()
+    PARTIAL_EVENT = enum.auto()
     # One event, and the plain end of an answer that ends with its connection.
-    WHOLE_EVENT = enum.auto()
+    COMPLETE_EVENT = enum.auto()
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
     request_ids: tuple[str, ...]
 
 
-def _nobody(_upstream: "EventUpstream") -> None:
+def _ignore(_upstream: "EventUpstream") -> None:
     """Tell nobody."""
 
 
@@ -92,18 +92,18 @@
     started: list[tuple[str, float]] = field(default_factory=list)
     # Paths that always fail, and those that can never be done.
     failing: set[str] = field(default_factory=set)
-    impossible: set[str] = field(default_factory=set)
+    unprocessable: set[str] = field(default_factory=set)
     harmful: set[str] = field(default_factory=set)
     harmful_parts: set[str] = field(default_factory=set)
     crash_form: CrashForm = CrashForm.HEAD
     unframed: bool = False
     crash_after_ms: float = 20.0
     # Whether a harmful request crashes it also when its caller has left.
-    goes_on: bool = False
+    crashes_without_caller: bool = False
     restart_ms: float = 300.0
     crashes: list[UpstreamCrash] = field(default_factory=list)
-    on_crash: Callable[["EventUpstream"], None] = _nobody
-    on_restart: Callable[["EventUpstream"], None] = _nobody
+    on_crash: Callable[["EventUpstream"], None] = _ignore
+    on_restart: Callable[["EventUpstream"], None] = _ignore
     # Identities of the requests that run now.
     in_progress: list[str] = field(default_factory=list)
     listener: Listener = field(init=False)
@@ -136,9 +136,9 @@
         self.crashes.append(UpstreamCrash(path, trio.current_time(), running))
         self.listener.take_down()
         self.on_crash(self)
-        self._background.start_soon(self._come_back)
+        self._background.start_soon(self._restart_later)
 
-    async def _come_back(self) -> None:
+    async def _restart_later(self) -> None:
         await trio.sleep(self.restart_ms / 1000)
         name = self.upstream_id.partition("+")[0]
         self.upstream_id = f"{name}+{len(self.crashes)}"
@@ -166,7 +166,7 @@
         self.in_progress.append(request_id)
         try:
             if request.path in self.harmful:
-                with trio.CancelScope(shield=self.goes_on):
+                with trio.CancelScope(shield=self.crashes_without_caller):
                     await trio.sleep(self.crash_after_ms / 1000)
                     self.crash(request.path)
                 await trio.sleep_forever()
@@ -188,14 +188,14 @@
         status = fault.fail_status
         if request.path in self.failing:
             status = 500
-        if request.path in self.impossible:
+        if request.path in self.unprocessable:
             status = 422
         if status:
             await responder.send(status, b"it failed", headers)
             return
         if fault.lose:
             raise DroppedConnectionError("lost on command")
-        first = int(request.headers.get("last-event-id", "-1")) + 1
+        first_event = int(request.headers.get("last-event-id", "-1")) + 1
         headers.append(("content-type", "text/event-stream"))
         if self.unframed:
             # An answer to a client of HTTP/1.0 ends with its connection.
@@ -205,7 +205,7 @@
         if self._is_harmful(request):
             await self._crash_in_answer(request, responder, headers)
         async with responder.stream(200, headers) as out:
-            for number in range(first, self.event_count):
+            for number in range(first_event, self.event_count):
                 if number == fault.cut_after:
                     await out.write(b"id: %d\ndata: ha" % number)
                     raise DroppedConnectionError("cut on command")
@@ -223,9 +223,9 @@
     ) -> None:
         """Begin an answer and crash ``crash_after_ms`` after that."""
         out = await responder.begin(200, headers)
-        if self.crash_form is CrashForm.HALF_AN_EVENT:
+        if self.crash_form is CrashForm.PARTIAL_EVENT:
             await out.write(b"id: 0\ndata: ha")
-        if self.crash_form is CrashForm.WHOLE_EVENT:
+        if self.crash_form is CrashForm.COMPLETE_EVENT:
             await out.write(event_bytes(0, request.path, 0, self.version))
             await responder.end()
             self._background.start_soon(self._crash_later, request.path)
@@ -243,10 +243,10 @@
     """Return the event that every upstream of a software version makes of a request."""
     text = f"{path} {body_bytes} {number}"
     if version != DEFAULT_VERSION:
-        text += f"{_VERSION_MARK}{version}"
+        text += f"{_VERSION_SEPARATOR}{version}"
     return f"id: {number}\ndata: {text}\n\n".encode()
 
 
 def versions_in(texts: Iterable[str]) -> set[str]:
     """Return the software versions that wrote the data of events, ``event_bytes`` each."""
-    return {text.partition(_VERSION_MARK)[2] or DEFAULT_VERSION for text in texts}
+    return {text.partition(_VERSION_SEPARATOR)[2] or DEFAULT_VERSION for text in texts}
--- a/src/fescuedock/platform/standin/metadata_store.py
+++ b/src/fescuedock/platform/standin/metadata_store.py
@@ -22,8 +22,8 @@
 MAX_VALUE_BYTES = 1024 * 1024
 MAX_ENTRIES = 32
 _MAX_BODY_BYTES = 64 * 1024 * 1024
-_PAGE_ITEMS = 500
-_PAGE_BYTES = 1024 * 1024
+_MAX_PAGE_ITEMS = 500
+_MAX_PAGE_BYTES = 1024 * 1024
 
 _KINDS = {
     ("GET", "kv-key"): CallKind.GET,
@@ -54,7 +54,7 @@
 
     def __post_init__(self) -> None:
         KvHost.__post_init__(self)
-        self.state.listeners.append(self._note_change)
+        self.state.listeners.append(self._signal_change)
 
     async def handle(self, request: Request, responder: Responder) -> None:
         """Execute one call; returning without an answer cuts its connection."""
@@ -112,12 +112,12 @@
 
     def _range(self, prefix: str, after: str) -> _Answer:
         start = max(prefix, after + "\0") if after else prefix
-        page = self.state.page(start, prefix_end(prefix), _PAGE_ITEMS)
+        page = self.state.page(start, prefix_end(prefix), _MAX_PAGE_ITEMS)
         items: list[wire.Item] = []
         size_bytes = 0
         for entry in page.entries:
             size_bytes += len(entry.value)
-            if items and size_bytes > _PAGE_BYTES:
+            if items and size_bytes > _MAX_PAGE_BYTES:
                 break
             items.append(_item(entry))
         cut = page.more or len(items) < len(page.entries)
@@ -174,7 +174,7 @@
             for event in (self._changed, cut):
                 nursery.start_soon(_cancel_after, event, nursery.cancel_scope)
 
-    def _note_change(self, _event: KvEvent) -> None:
+    def _signal_change(self, _event: KvEvent) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
--- a/src/fescuedock/platform/store.py
+++ b/src/fescuedock/platform/store.py
@@ -72,16 +72,16 @@
         """See ``KvStore.get``; the store gives no past state, so any is ``KV_COMPACTED``."""
         if at_revision:
             return Err(Fault(ResultCode.KV_COMPACTED, f"{key}: the store keeps no past state"))
-        result = await self._call("get", "GET", f"/api/kv-key?key={_quoted(key)}", absent=True)
+        result = await self._call("get", "GET", f"/api/kv-key?key={_quote(key)}", missing_ok=True)
         return result.and_then(_decoder(wire.Item, _entry_or_none))
 
     async def get_range(
         self, prefix: str, *, start_after: str = "", limit: int = 1000, keys_only: bool = False
     ) -> Result[KvPage, Fault]:
         """See ``KvStore.get_range``; the store sets the size of a page, ``limit`` does not."""
-        target = f"/api/kv-range?prefix={_quoted(prefix)}"
+        target = f"/api/kv-range?prefix={_quote(prefix)}"
         if start_after:
-            target += f"&after={_quoted(start_after)}"
+            target += f"&after={_quote(start_after)}"
         result = await self._call("range", "GET", target)
         return result.and_then(_decoder(wire.RangeAnswer, _page))
 
@@ -89,7 +89,7 @@
         self, prefix: str, after_revision: int, wait_ms: int
     ) -> Result[KvChanges, Fault]:
         """See ``KvChangeLog.changes``."""
-        target = f"/api/kv-watch?prefix={_quoted(prefix)}&after={after_revision}&waitMs={wait_ms}"
+        target = f"/api/kv-watch?prefix={_quote(prefix)}&after={after_revision}&waitMs={wait_ms}"
         timeout_ms = wait_ms + min(self._timeout_ms, _WATCH_MARGIN_MS)
         result = await self._call("watch", "GET", target, timeout_ms=timeout_ms)
         return result.and_then(_decoder(wire.WatchAnswer, _changes))
@@ -131,13 +131,13 @@
 
     async def keep_lease(self, lease_id: int) -> Result[int, Fault]:
         """See ``KvStore.keep_lease``."""
-        result = await self._call("keep", "POST", f"/api/kv-keep/{lease_id}", absent=True)
+        result = await self._call("keep", "POST", f"/api/kv-keep/{lease_id}", missing_ok=True)
         return result.and_then(_decoder(wire.LeaseAnswer, _ttl_s))
 
     async def revoke_lease(self, lease_id: int) -> Result[None, Fault]:
         """See ``KvStore.revoke_lease``; a lease that has lapsed already is no fault."""
         target = f"/api/kv-lease-end/{lease_id}"
-        return (await self._call("revoke", "DELETE", target, absent=True)).map(lambda _: None)
+        return (await self._call("revoke", "DELETE", target, missing_ok=True)).map(lambda _: None)
 
     @asynccontextmanager
     async def watch(
@@ -175,10 +175,10 @@
         target: str,
         body: msgspec.Struct | None = None,
         *,
-        absent: bool = False,
+        missing_ok: bool = False,
         timeout_ms: float = 0.0,
     ) -> Result[bytes, Fault]:
-        """Make one call; ``absent`` turns a 404 into an empty answer."""
+        """Make one call; ``missing_ok`` turns a 404 into an empty answer."""
         self._on_call(name)
         writes = method != "GET"
         limit_ms = timeout_ms or self._timeout_ms
@@ -193,28 +193,28 @@
             return Err(_unavailable(str(error)))
         except (ResponseLostError, ResponseTooLargeError, trio.TooSlowError) as error:
             text = str(error) or f"no answer to {name} in {limit_ms:g} ms"
-            return Err(_unknown(text) if writes else _unavailable(text))
+            return Err(_unknown_outcome(text) if writes else _unavailable(text))
         if answer.status == 200:
             return Ok(content)
-        if answer.status == 404 and absent:
+        if answer.status == 404 and missing_ok:
             return Ok(b"")
-        return Err(_refused(name, answer.status, writes))
+        return Err(_status_fault(name, answer.status, writes))
 
 
-def _refused(name: str, status: int, writes: bool) -> Fault:
+def _status_fault(name: str, status: int, writes: bool) -> Fault:
     text = f"the store answered {status} to {name}"
     if status in _STATUS_CODES:
         return Fault(_STATUS_CODES[status], text)
     if status in _REFUSALS or not writes:
         return _unavailable(text)
-    return _unknown(text)
+    return _unknown_outcome(text)
 
 
 def _unavailable(text: str) -> Fault:
     return Fault(ResultCode.KV_UNAVAILABLE, text, _RETRY_AFTER_MS)
 
 
-def _unknown(text: str) -> Fault:
+def _unknown_outcome(text: str) -> Fault:
     return Fault(ResultCode.KV_UNKNOWN, text, _RETRY_AFTER_MS)
 
 
@@ -228,7 +228,7 @@
             return Ok(convert(msgspec.json.decode(content, type=kind)))
         except (msgspec.DecodeError, ValueError) as error:
             # An answer that can't be read says nothing of what a write did.
-            return Err(_unknown(f"the store's answer cannot be read: {error}"))
+            return Err(_unknown_outcome(f"the store's answer cannot be read: {error}"))
 
     return decode
 
@@ -258,5 +258,5 @@
     return 0 if answer is None else max(answer.ttl_ms // 1000, 1)
 
 
-def _quoted(text: str) -> str:
+def _quote(text: str) -> str:
     return quote(text, safe="/")
--- a/src/fescuedock/report/burn_html.py
+++ b/src/fescuedock/report/burn_html.py
@@ -89,11 +89,12 @@
 
 
 def _objectives(service: ServiceReport) -> str:
-    wanted = service.objectives
+    objectives = service.objectives
     return (
-        f"Promised: first token within {wanted.first_token_ms:g} ms and "
-        f"{wanted.inter_token_ms:g} ms between tokens for {share_text(wanted.online_share)} of "
-        f"online queries; {share_text(wanted.batch_share)} of jobs whole by their deadline."
+        f"Promised: first token within {objectives.first_token_ms:g} ms and "
+        f"{objectives.inter_token_ms:g} ms between tokens for "
+        f"{share_text(objectives.online_share)} of online queries; "
+        f"{share_text(objectives.batch_share)} of jobs whole by their deadline."
     )
 
 
--- a/src/fescuedock/report/burn_plots.py
+++ b/src/fescuedock/report/burn_plots.py
@@ -16,18 +16,18 @@
 _RATE_MARKS = 4
 _MINUTE_S = 60
 _DAY_S = 86400
-_LEAST_TOP_RATE = 2.0
+_MIN_TOP_RATE = 2.0
 # An objective of 100% makes any failure an endless rate.
-_MOST_TOP_RATE = 1e6
+_MAX_TOP_RATE = 1e6
 _STYLES = ("one", "two", "three", "four")
 
 
 def latency_plot(service: ServiceReport) -> str:
     """Return latency by percentile, on a logarithmic scale, with the objectives."""
-    wanted = service.objectives
+    objectives = service.objectives
     guides = (
-        Guide("first token objective", "one", wanted.first_token_ms),
-        Guide("inter token objective", "two", wanted.inter_token_ms),
+        Guide("first token objective", "one", objectives.first_token_ms),
+        Guide("inter token objective", "two", objectives.inter_token_ms),
     )
     series = [
         Series(
@@ -38,7 +38,7 @@
         for item in service.latencies
     ]
     values = [value for line in series for _, value in line.points if value]
-    y = log_axis("milliseconds", [*values, wanted.first_token_ms, wanted.inter_token_ms])
+    y = log_axis("milliseconds", [*values, objectives.first_token_ms, objectives.inter_token_ms])
     names = [f"p{point:g}" if point < 100 else "max" for point in PERCENTILES]
     x = linear_axis("percentile", 0, len(names) - 1, list(enumerate(names)))
     return plot(x, y, series, guides, f"latency of {service.service} by percentile")
@@ -55,9 +55,9 @@
     series = [line for line in series if any(rate is not None for _, rate in line.points)]
     top = max(
         [rate for line in series for _, rate in line.points if rate is not None],
-        default=_LEAST_TOP_RATE,
+        default=_MIN_TOP_RATE,
     )
-    step = _round_up(max(min(top, _MOST_TOP_RATE), _LEAST_TOP_RATE) / _RATE_MARKS)
+    step = _round_up_step(max(min(top, _MAX_TOP_RATE), _MIN_TOP_RATE) / _RATE_MARKS)
     top = step * _RATE_MARKS
     guides = [Guide("budget used up exactly", "limit", 1.0)]
     fast = fast_rate(shares[Promise.ONLINE])
@@ -68,7 +68,7 @@
     return plot(_time_axis(bins, at_s), y, series, guides, f"burn rate of {service.service}")
 
 
-def _round_up(step: float) -> float:
+def _round_up_step(step: float) -> float:
     """Return the next of 1, 2, 2.5, 5 and their multiples by ten."""
     power = 10.0 ** math.floor(math.log10(step))
     return power * next(nice for nice in (1, 2, 2.5, 5, 10) if nice * power >= step)
@@ -106,7 +106,9 @@
 def _time_axis(bins: Sequence[tuple[int, list[SlotCounts]]], at_s: int) -> Axis:
     low = bins[0][0] if bins else at_s - _MINUTE_S
     high = max(bins[-1][0] if bins else at_s, low + _MINUTE_S)
-    form = "%d %b %H:%M" if high - low > _DAY_S else "%H:%M"
+    time_format = "%d %b %H:%M" if high - low > _DAY_S else "%H:%M"
     times = [low + (high - low) * step // (_TIME_MARKS - 1) for step in range(_TIME_MARKS)]
-    marks = [(time_s, datetime.fromtimestamp(time_s, UTC).strftime(form)) for time_s in times]
+    marks = [
+        (time_s, datetime.fromtimestamp(time_s, UTC).strftime(time_format)) for time_s in times
+    ]
     return linear_axis("time (UTC)", low, high, marks)
--- a/src/fescuedock/report/burn_report.py
+++ b/src/fescuedock/report/burn_report.py
@@ -117,11 +117,11 @@
     latencies: tuple[Latency, ...],
     at_s: int,
 ) -> ServiceReport:
-    objectives = newest.objectives.get(name, _DEFAULT)
+    objectives = newest.objectives.get(name, _DEFAULT_OBJECTIVES)
     burns = assess_burn(name, objectives, slots, at_s)
     return ServiceReport(name, objectives, burns, latencies, tuple(slots))
 
 
-_DEFAULT = ServiceObjectives(
+_DEFAULT_OBJECTIVES = ServiceObjectives(
     first_token_ms=1000, inter_token_ms=31, online_share=0.95, batch_share=0.99
 )
--- a/src/fescuedock/report/burn_text.py
+++ b/src/fescuedock/report/burn_text.py
@@ -8,7 +8,7 @@
 
 __all__ = ["burn_text", "share_text"]
 
-_SHOWN = (50.0, 95.0, 99.0, 100.0)
+_SHOWN_PERCENTILES = (50.0, 95.0, 99.0, 100.0)
 
 
 def burn_text(report: BurnReport) -> str:
@@ -36,19 +36,19 @@
 
 
 def _service_lines(service: ServiceReport) -> Iterator[str]:
-    wanted = service.objectives
+    objectives = service.objectives
     yield f"{service.service}"
     yield (
-        f"  objectives: first token {wanted.first_token_ms:g} ms and {wanted.inter_token_ms:g} ms "
-        f"between tokens for {share_text(wanted.online_share)} of online queries; "
-        f"{share_text(wanted.batch_share)} of jobs whole by their deadline"
+        f"  objectives: first token {objectives.first_token_ms:g} ms and "
+        f"{objectives.inter_token_ms:g} ms between tokens for {share_text(objectives.online_share)} of online queries; "
+        f"{share_text(objectives.batch_share)} of jobs whole by their deadline"
     )
-    heads = ("", "WINDOW", "COUNTED", "KEPT", "KEPT %", "BURN RATE", "BUDGET LEFT", "ALARM")
+    headers = ("", "WINDOW", "COUNTED", "KEPT", "KEPT %", "BURN RATE", "BUDGET LEFT", "ALARM")
     rows = [row for burn in service.burns for row in _burn_rows(burn)]
-    yield from _indented(table(heads, rows))
+    yield from _indented(table(headers, rows))
     if service.latencies:
-        heads = ("LATENCY", "COUNT", *(f"p{point:g} MS" for point in _SHOWN))
-        yield from _indented(table(heads, [_latency_row(item) for item in service.latencies]))
+        headers = ("LATENCY", "COUNT", *(f"p{point:g} MS" for point in _SHOWN_PERCENTILES))
+        yield from _indented(table(headers, [_latency_row(item) for item in service.latencies]))
 
 
 def _burn_rows(burn: Burn) -> Iterator[tuple[object, ...]]:
@@ -69,7 +69,7 @@
 def _latency_row(latency: Latency) -> tuple[object, ...]:
     values = dict(zip(PERCENTILES, latency.values_ms, strict=True))
     name = f"{latency.work_class} {latency.measure.replace('_', ' ')}"
-    return (name, latency.count, *(f"{values[point]:.1f}" for point in _SHOWN))
+    return (name, latency.count, *(f"{values[point]:.1f}" for point in _SHOWN_PERCENTILES))
 
 
 def _indented(text: str) -> list[str]:
--- a/src/fescuedock/report/explain.py
+++ b/src/fescuedock/report/explain.py
@@ -17,7 +17,7 @@
 # Fields by which lines are found.
 _ID_FIELDS = ("request_id", "job_id", "item_id")
 # Of a call by which a client goes on with a stream; ``resumes`` is the call that began it.
-_TAKEN_UP = "stream_taken_up"
+_RESUMED = "stream_taken_up"
 
 
 class LogLine(msgspec.Struct, frozen=True):
@@ -30,7 +30,7 @@
 
     def text(self, began_s: float) -> str:
         """Return the line for reading, with the time since ``began_s``."""
-        shown = " ".join(f"{name}={_shown(value)}" for name, value in self.fields.items())
+        shown = " ".join(f"{name}={_formatted(value)}" for name, value in self.fields.items())
         return f"{1000 * (self.at_s - began_s):+10.1f} ms  {self.vm_id}  {self.event}  {shown}"
 
 
@@ -61,8 +61,8 @@
     events that name no request, job or item.
     """
     events = [event for text in texts if (event := parse_line(text)) is not None]
-    tries = _tries_of(identity, events)
-    named = [event for event in events if not tries.isdisjoint(_identities(event))]
+    requests = _requests_of_stream(identity, events)
+    named = [event for event in events if not requests.isdisjoint(_identities(event))]
     if not named:
         return []
     chosen = list(named)
@@ -80,15 +80,19 @@
     return sorted(chosen, key=lambda event: event.at_s)
 
 
-def _tries_of(identity: str, events: Iterable[LogLine]) -> set[str]:
+def _requests_of_stream(identity: str, events: Iterable[LogLine]) -> set[str]:
     """Return the identities of all tries of the stream that a request belongs to."""
-    begun_by = {
+    first_request_by_id = {
         str(event.fields["request_id"]): str(event.fields["resumes"])
         for event in events
-        if event.event == _TAKEN_UP and event.fields.get("resumes")
+        if event.event == _RESUMED and event.fields.get("resumes")
+    }
+    first = first_request_by_id.get(identity, identity)
+    return {
+        identity,
+        first,
+        *(name for name, first_id in first_request_by_id.items() if first_id == first),
     }
-    first = begun_by.get(identity, identity)
-    return {identity, first, *(name for name, begun in begun_by.items() if begun == first)}
 
 
 def _identities(event: LogLine) -> Iterator[str]:
@@ -101,5 +105,5 @@
             yield from [identity.rpartition(":")[2]] if ":" in identity else ()
 
 
-def _shown(value: object) -> str:
+def _formatted(value: object) -> str:
     return value if isinstance(value, str) and value and " " not in value else json.dumps(value)
--- a/src/fescuedock/report/metrics.py
+++ b/src/fescuedock/report/metrics.py
@@ -31,14 +31,14 @@
 
 _MAX_SERVICES = 64
 _MEMBER_GROUPS = 8
-_OTHER = "other"
+_OTHER_SERVICES = "other"
 _US_PER_MS = 1000
-_HIGHEST_US = 3600 * 1000 * 1000
-_DIGITS = 2
+_MAX_VALUE_US = 3600 * 1000 * 1000
+_SIGNIFICANT_DIGITS = 2
 _ONLINE = "online"
 _BATCH = "batch"
 # What the caller alone could have got right is no failure of ours.
-_CALLERS_OWN = frozenset(
+_CALLER_ERRORS = frozenset(
     code
     for code in ResultCode
     if 1000 <= code < 2000 or code in (ResultCode.UPSTREAM_REJECTED, ResultCode.ALREADY_CLAIMED)
@@ -69,7 +69,7 @@
 
 def new_histogram() -> HdrHistogram:
     """Return an empty histogram of microseconds, up to an hour, to two digits."""
-    return HdrHistogram(1, _HIGHEST_US, _DIGITS)
+    return HdrHistogram(1, _MAX_VALUE_US, _SIGNIFICANT_DIGITS)
 
 
 class Metrics:
@@ -114,14 +114,14 @@
         """
         service = self._bounded_service(service)
         self._codes[service, int(code)] += 1
-        if code in _CALLERS_OWN:
+        if code in _CALLER_ERRORS:
             return
         answered = code == ResultCode.OK
-        wanted = self._objectives(service)
+        objectives = self._objectives(service)
         in_time = (
             answered
-            and first_token_ms <= wanted.first_token_ms
-            and inter_token_ms <= wanted.inter_token_ms
+            and first_token_ms <= objectives.first_token_ms
+            and inter_token_ms <= objectives.inter_token_ms
         )
         self._series[service].count_online(self._clock(), in_time=in_time, failed=not answered)
         if answered:
@@ -136,9 +136,12 @@
         self._codes[service, int(code)] += 1
         self._record(service, _BATCH, group_of(member), Measure.ITEM, run_ms)
 
-    def record_run(self, service: str, run_ms: float, *, gained: bool) -> None:
-        """Count one run of a batch item, whole or cut off; ``gained`` tells that events came."""
-        measure = Measure.RUN_WITH_EVENTS if gained else Measure.RUN_WITHOUT_EVENTS
+    def record_run(self, service: str, run_ms: float, *, with_events: bool) -> None:
+        """Count one run of a batch item, complete or interrupted.
+
+        ``with_events`` says that it produced events.
+        """
+        measure = Measure.RUN_WITH_EVENTS if with_events else Measure.RUN_WITHOUT_EVENTS
         self._record(self._bounded_service(service), _BATCH, group_of(""), measure, run_ms)
 
     def record_job(self, service: str, in_time: bool) -> None:
@@ -157,7 +160,7 @@
             for service, series in sorted(self._series.items())
         ]
         snapshot.histograms = [
-            _encoded(key, histogram) for key, histogram in sorted(self._histograms.items())
+            _encode(key, histogram) for key, histogram in sorted(self._histograms.items())
         ]
         return snapshot
 
@@ -178,7 +181,7 @@
         key = HistogramKey(service, work_class, group, measure)
         if key not in self._histograms:
             self._histograms[key] = new_histogram()
-        value_us = min(max(round(ms * _US_PER_MS), 1), _HIGHEST_US)
+        value_us = min(max(round(ms * _US_PER_MS), 1), _MAX_VALUE_US)
         self._histograms[key].record_value(value_us)
         buckets = self._buckets_of(service, work_class, measure)
         buckets.counts[bisect_left(BUCKET_BOUNDS_MS, ms)] += 1
@@ -194,7 +197,7 @@
     def _bounded_service(self, service: str) -> str:
         if service not in self._series:
             if len(self._series) >= _MAX_SERVICES:
-                service = _OTHER
+                service = _OTHER_SERVICES
             self._series.setdefault(service, SlotSeries())
         return service
 
@@ -208,7 +211,7 @@
     return Objectives()
 
 
-def _encoded(key: HistogramKey, histogram: HdrHistogram) -> LatencyHistogram:
+def _encode(key: HistogramKey, histogram: HdrHistogram) -> LatencyHistogram:
     return LatencyHistogram(
         key.service,
         key.work_class,
--- a/src/fescuedock/report/prometheus.py
+++ b/src/fescuedock/report/prometheus.py
@@ -27,8 +27,8 @@
 CONTENT_TYPE = CONTENT_TYPE_LATEST
 _MS_PER_S = 1000
 # Customers with series of their own; the others are added up.
-_MOST_CUSTOMERS = 50
-_OTHERS = "(others)"
+_MAX_NAMED_CUSTOMERS = 50
+_OTHER_CUSTOMERS = "(others)"
 
 
 def exposition(snapshots: Sequence[MetricsSnapshot], status: FleetStatus) -> bytes:
@@ -108,11 +108,11 @@
     )
     used = [item for item in status.customers if item.admitted or item.refused]
     used.sort(key=lambda item: (-item.refused, -item.admitted, item.customer))
-    named = [(item.customer, item.admitted, item.refused) for item in used[:_MOST_CUSTOMERS]]
-    rest = used[_MOST_CUSTOMERS:]
+    named = [(item.customer, item.admitted, item.refused) for item in used[:_MAX_NAMED_CUSTOMERS]]
+    rest = used[_MAX_NAMED_CUSTOMERS:]
     if rest:
         admitted, refused = sum(item.admitted for item in rest), sum(item.refused for item in rest)
-        named.append((_OTHERS, admitted, refused))
+        named.append((_OTHER_CUSTOMERS, admitted, refused))
     for name, admitted, refused in named:
         family.add_metric((name, "admitted"), admitted)
         family.add_metric((name, "refused"), refused)
--- a/src/fescuedock/report/svg.py
+++ b/src/fescuedock/report/svg.py
@@ -96,8 +96,8 @@
         parts.append(_text(at, bottom + 16, text, "middle"))
     middle = (_TOP + bottom) / 2
     parts.append(_text((_LEFT + right) / 2, _HEIGHT - 4, x.title, "middle"))
-    turned = f'transform="rotate(-90 14 {middle:.0f})"'
-    parts.append(f'<text x="14" y="{middle:.0f}" text-anchor="middle" {turned}>{y.title}</text>')
+    rotation = f'transform="rotate(-90 14 {middle:.0f})"'
+    parts.append(f'<text x="14" y="{middle:.0f}" text-anchor="middle" {rotation}>{y.title}</text>')
     return parts
 
 
@@ -111,45 +111,47 @@
 
 def _line(series: Series, x: Axis, y: Axis) -> str:
     """Return the line in pieces without gaps, and a dot at each point."""
-    pieces: list[list[str]] = [[]]
+    runs: list[list[str]] = [[]]
     dots = []
     for at, value in series.points:
         if value is None:
-            pieces.append([])
+            runs.append([])
             continue
         point_x, point_y = _at_x(x, at), _at_y(y, value)
-        pieces[-1].append(f"{point_x:.1f},{point_y:.1f}")
+        runs[-1].append(f"{point_x:.1f},{point_y:.1f}")
         dots.append(f'<circle cx="{point_x:.1f}" cy="{point_y:.1f}" r="{_DOT_RADIUS}"/>')
-    lines = [f'<polyline points="{" ".join(piece)}"/>' for piece in pieces if len(piece) > 1]
+    lines = [f'<polyline points="{" ".join(run)}"/>' for run in runs if len(run) > 1]
     return f'<g class="series {series.style}">{"".join(lines + dots)}</g>'
 
 
 def _names(series: Sequence[Series], guides: Sequence[Guide], y: Axis) -> list[str]:
     """Name each line at its right end, moved apart where names would overlap."""
-    wanted = [
+    labels = [
         (_at_y(y, item.points[-1][1]), item.name, item.style)
         for item in series
         if item.points and item.points[-1][1] is not None
     ]
-    wanted += [(_at_y(y, guide.value), guide.name, guide.style) for guide in guides]
-    wanted.sort()
+    labels += [(_at_y(y, guide.value), guide.name, guide.style) for guide in guides]
+    labels.sort()
     left = _WIDTH - _RIGHT + 8
     return [
         f'<text class="name {style}" x="{left}" y="{at + 4:.1f}">{escape(name)}</text>'
-        for at, (_, name, style) in zip(_apart([at for at, *_ in wanted]), wanted, strict=True)
+        for at, (_, name, style) in zip(
+            _spread_positions([at for at, *_ in labels]), labels, strict=True
+        )
     ]
 
 
-def _apart(wanted: Sequence[float]) -> list[float]:
+def _spread_positions(wanted: Sequence[float]) -> list[float]:
     """Return ascending places, each as near as possible to its own, with room for a name."""
-    places: list[float] = []
+    positions: list[float] = []
     for at in wanted:
-        places.append(max(at, places[-1] + _LABEL_GAP) if places else at)
-    highest = _HEIGHT - _BOTTOM
-    for number in reversed(range(len(places))):
-        places[number] = min(places[number], highest)
-        highest = places[number] - _LABEL_GAP
-    return places
+        positions.append(max(at, positions[-1] + _LABEL_GAP) if positions else at)
+    limit = _HEIGHT - _BOTTOM
+    for number in reversed(range(len(positions))):
+        positions[number] = min(positions[number], limit)
+        limit = positions[number] - _LABEL_GAP
+    return positions
 
 
 def _text(x: float, y: float, text: str, anchor: str) -> str:
--- a/src/fescuedock/report/tables.py
+++ b/src/fescuedock/report/tables.py
@@ -7,17 +7,18 @@
 _GAP = "  "
 
 
-def table(heads: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
+def table(headers: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
     """Return rows under their heads, columns as wide as their widest cell; numbers to the right."""
     cells = [[str(cell) for cell in row] for row in rows]
     widths = [
-        max([len(head), *(len(row[column]) for row in cells)]) for column, head in enumerate(heads)
+        max([len(header), *(len(row[column]) for row in cells)])
+        for column, header in enumerate(headers)
     ]
     numeric = [
         bool(rows) and all(isinstance(row[column], int | float) for row in rows)
-        for column in range(len(heads))
+        for column in range(len(headers))
     ]
-    lines = [_line(heads, widths, numeric)]
+    lines = [_line(headers, widths, numeric)]
     lines += [_line(row, widths, numeric) for row in cells]
     return "\n".join(lines)
 
--- a/src/fescuedock/settings.py
+++ b/src/fescuedock/settings.py
@@ -35,7 +35,7 @@
 ]
 
 # Values of a section that may not exceed another one of it.
-_ORDERED = (
+_ORDERED_KEYS = (
     ("batch", "min_copies", "copies"),
     ("batch", "group_min_items", "group_items"),
     ("batch", "group_age_ms", "group_max_age_ms"),
@@ -117,10 +117,10 @@
 def load_sections(
     path: Path,
     kinds: Mapping[str, type[msgspec.Struct]],
-    wanted: Collection[str],
+    required: Collection[str],
     checks: Checks | None = None,
 ) -> Result[dict[str, msgspec.Struct], SettingsProblems]:
-    """Read a file whose sections are of ``kinds``; those in ``wanted`` must be there.
+    """Read a file whose sections are of ``kinds``; those in ``required`` must be there.
 
     ``checks`` yields what the types of single values cannot say; it gets the valid values of each
     section and by default knows our programs' sections.
@@ -135,7 +135,7 @@
         return Err(SettingsProblems(path, (_one_line(error),)))
     problems = [f"[{name}]: unknown section" for name in parser.sections() if name not in kinds]
     problems += [
-        f"[{name}]: missing section" for name in kinds if name in set(wanted) - set(parser)
+        f"[{name}]: missing section" for name in kinds if name in set(required) - set(parser)
     ]
     found: dict[str, _Values] = {}
     for name, kind in kinds.items():
@@ -176,15 +176,15 @@
     yield from _check_host(found.get("vm", {}))
     platform = found.get("platform", {})
     yield from _check_addresses("kv_addresses", platform)
-    yield from _check_addresses("vm_list_address", platform, most=1)
-    yield from _check_addresses("weight_store_address", platform, most=1)
+    yield from _check_addresses("vm_list_address", platform, max_count=1)
+    yield from _check_addresses("weight_store_address", platform, max_count=1)
     node = found.get("node", {})
     for key in _NODE_ADDRESSES:
-        yield from _check_addresses(key, node, most=1, section="node")
+        yield from _check_addresses(key, node, max_count=1, section="node")
     yield from _check_addresses("seeds", node, section="node")
     spool = found.get("spool", {})
-    yield from _check_addresses("store_address", spool, most=1, section="spool")
-    for section, smaller, larger in _ORDERED:
+    yield from _check_addresses("store_address", spool, max_count=1, section="spool")
+    for section, smaller, larger in _ORDERED_KEYS:
         values = found.get(section, {})
         if values.get(smaller, -math.inf) > values.get(larger, math.inf):
             limit = f"{larger} = {values[larger]}"
@@ -200,12 +200,12 @@
 
 
 def _check_addresses(
-    key: str, values: _Values, most: int = 0, section: str = "platform"
+    key: str, values: _Values, max_count: int = 0, section: str = "platform"
 ) -> Iterator[str]:
     text = values.get(key, "")
     parts = text.split(",") if text else []
-    if most and len(parts) > most:
-        yield f"[{section}] {key} = {text}: more than {most} address"
+    if max_count and len(parts) > max_count:
+        yield f"[{section}] {key} = {text}: more than {max_count} address"
     for part in parts:
         try:
             Address.parse(part)
@@ -214,12 +214,12 @@
 
 
 def _check_ports(found: Mapping[str, _Values]) -> Iterator[str]:
-    taken: dict[int, str] = {}
+    sections_by_port: dict[int, str] = {}
     for name, values in found.items():
         port = values.get("port", 0)
-        if port and port in taken:
-            yield f"[{name}] port = {port}: also the port of [{taken[port]}]"
-        taken[port] = name
+        if port and port in sections_by_port:
+            yield f"[{name}] port = {port}: also the port of [{sections_by_port[port]}]"
+        sections_by_port[port] = name
 
 
 def _one_line(error: Exception) -> str:
--- a/src/fescuedock/settings_file.py
+++ b/src/fescuedock/settings_file.py
@@ -19,7 +19,7 @@
 __all__ = ["SettingsFile", "changed_keys", "watch_settings"]
 
 # Between two looks at a file that may change without a signal.
-_LOOK_INTERVAL_S = 2.0
+_POLL_INTERVAL_S = 2.0
 
 
 class SettingsFile(msgspec.Struct):
@@ -57,23 +57,23 @@
     with trio.open_signal_receiver(signal.SIGHUP) as signals:
         task_status.started()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_look_forever, file)
+            nursery.start_soon(_poll_forever, file)
             async for _ in signals:
                 log_event("reload_requested", signal="SIGHUP")
                 file.reload()
 
 
-async def _look_forever(file: SettingsFile) -> None:
-    seen = _stamp(file.path)
+async def _poll_forever(file: SettingsFile) -> None:
+    last_stamp = _file_stamp(file.path)
     while True:
-        await trio.sleep(_LOOK_INTERVAL_S)
-        stamp = _stamp(file.path)
-        if stamp != seen:
-            seen = stamp
+        await trio.sleep(_POLL_INTERVAL_S)
+        stamp = _file_stamp(file.path)
+        if stamp != last_stamp:
+            last_stamp = stamp
             file.reload()
 
 
-def _stamp(path: Path) -> tuple[int, int] | None:
+def _file_stamp(path: Path) -> tuple[int, int] | None:
     """Return what changes with the file; None while it cannot be looked at."""
     try:
         status = path.stat()
--- a/src/fescuedock/spool/service.py
+++ b/src/fescuedock/spool/service.py
@@ -10,7 +10,7 @@
 from fescuedock.log import log_event
 from fescuedock.net.channel import CallHandler, ServerPeer
 from fescuedock.node.job_store import JobStore
-from fescuedock.pauses import GrowingPauses
+from fescuedock.pauses import ExponentialBackoff
 from fescuedock.schema.result_codes import ResultCode
 from fescuedock.schema.stored_jobs import (
     EmptySpool,
@@ -129,7 +129,7 @@
         The record has no lease, since jobs stay on the disk however long the VM is unreachable.
         """
         value = msgspec.msgpack.encode(self._record)
-        pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
+        pauses = ExponentialBackoff(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
         # The record of a machine that was emptied may be removed already; it must not come back.
         while len(self._files) or not self._files.is_emptying:
             found = await self._kv.get(self._key)
@@ -147,7 +147,7 @@
 
     async def _store_forever(self) -> None:
         while True:
-            pauses = GrowingPauses(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
+            pauses = ExponentialBackoff(_FIRST_PAUSE_MS, _MAX_PAUSE_MS)
             while len(self._files):
                 stored = [await self._store_job(job) for job in self._files]
                 if not all(stored):
--- a/tests/builders/node.py
+++ b/tests/builders/node.py
@@ -26,7 +26,7 @@
 from fescuedock.settings import Settings
 from fescuedock.spool.main import run_spool
 from tests.builders.net import LOOPBACK
-from tests.builders.ports import free_ports, wait_let_go
+from tests.builders.ports import free_ports, wait_released
 
 __all__ = ["Answer", "NodeFleet", "RunningNode", "config_document", "running_fleet"]
 
@@ -111,7 +111,7 @@
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         with self._scope:
             await run_node(self.settings, self.stop, task_status=task_status)
-        await wait_let_go(_agent_address(self.settings))
+        await wait_released(_agent_address(self.settings))
         self.ended.set()
 
 
@@ -133,7 +133,7 @@
     async def run(self, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
         with self._scope:
             await run_spool(self.settings, Stop(), task_status=task_status)
-        await wait_let_go(_agent_address(self.settings))
+        await wait_released(_agent_address(self.settings))
         self.ended.set()
 
 
--- a/tests/builders/ports.py
+++ b/tests/builders/ports.py
@@ -9,13 +9,13 @@
 
 from fescuedock.address import Address
 
-__all__ = ["free_ports", "wait_let_go"]
+__all__ = ["free_ports", "wait_released"]
 
 # Below the usual range of ports that the system chooses, 32768 and up.
 _PORTS = range(20000, 32000)
-_BLOCK = 100
+_BLOCK_PORTS = 100
 # No program serves here: a process that binds a block's first port at it holds the whole block.
-_HOLDING_HOST = "127.255.255.254"
+_RESERVATION_HOST = "127.255.255.254"
 
 
 def free_ports(count: int, host: str = "127.0.0.1") -> list[int]:
@@ -26,10 +26,10 @@
     They lie below those that the system gives out by itself: of these the same one came twice in 6
     of 30,000 nodes with three ports, and any other socket may take one before its node does.
     """
-    return list(itertools.islice(filter(lambda port: _is_free(host, port), _own_ports), count))
+    return list(itertools.islice(filter(lambda port: _is_free(host, port), _ports), count))
 
 
-async def wait_let_go(address: Address) -> None:
+async def wait_released(address: Address) -> None:
     """Return once nobody listens at ``address``.
 
     The end of a process frees its addresses at once.  ZeroMQ closes a socket in a thread of its
@@ -39,20 +39,20 @@
         await trio.sleep(0.005)
 
 
-def _all_own_ports() -> Iterator[int]:
+def _reserved_ports() -> Iterator[int]:
     """Give the ports of one block after the other, each held until this process ends."""
-    blocks = list(range(_PORTS.start, _PORTS.stop, _BLOCK))
+    blocks = list(range(_PORTS.start, _PORTS.stop, _BLOCK_PORTS))
     random.shuffle(blocks)
-    for first in blocks:
-        if _hold(first):
-            yield from range(first, first + _BLOCK)
+    for first_port in blocks:
+        if _reserve_block(first_port):
+            yield from range(first_port, first_port + _BLOCK_PORTS)
     raise RuntimeError(f"no block of ports from {_PORTS.start} to {_PORTS.stop} is left")
 
 
-def _hold(first: int) -> bool:
+def _reserve_block(first_port: int) -> bool:
     tcp = socket.socket()
     try:
-        tcp.bind((_HOLDING_HOST, first))
+        tcp.bind((_RESERVATION_HOST, first_port))
     except OSError:
         tcp.close()
         return False
@@ -72,4 +72,4 @@
     return True
 
 
-_own_ports = _all_own_ports()
+_ports = _reserved_ports()
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -46,10 +46,10 @@
         self.assertEqual((installed, word, file), ("True", "bundled", "part.py"))
         self.assertIn(str(self.pack), " ".join(path))
 
-    def test_a_bundle_of_another_python_or_a_torn_one_is_left_alone(self) -> None:
-        whole = self.bundle.read_bytes()
+    def test_a_bundle_of_another_python_or_a_truncated_one_is_ignored(self) -> None:
+        complete = self.bundle.read_bytes()
         version = sys.version.encode()
-        for data in (whole.replace(version, b"9" * len(version)), whole[:40], b""):
+        for data in (complete.replace(version, b"9" * len(version)), complete[:40], b""):
             self.bundle.write_bytes(data)
             self.assertEqual(self.run_program()[:2], ["False", "file"])
 
--- a/tests/test_cli_command_line.py
+++ b/tests/test_cli_command_line.py
@@ -14,7 +14,7 @@
             "": Command(lambda: 0, "the group\n"),
             "show": Command(self.show, "show: one\n"),
             "jobs": {"": Command(lambda: 0, "the jobs\n"), "list": Command(self.list, "a list\n")},
-            "break": Command(self.break_down, "breaks\n"),
+            "break": Command(self.raise_error, "breaks\n"),
         }
 
     def show(self, name: str, entry: str = "none", json: bool = False, port: int = 1) -> int:
@@ -24,7 +24,7 @@
     def list(self) -> int:
         return ExitCode.UNKNOWN
 
-    def break_down(self) -> int:
+    def raise_error(self) -> int:
         raise ValueError("a fault of the command itself")
 
     def run_words(self, *words: str) -> tuple[int, str, str]:
@@ -63,14 +63,14 @@
             self.assertRegex(err, r"^tool: .+; see tool --help\n$")
             self.assertNotIn("fire", err.lower())
 
-    def test_a_missing_argument_is_named_in_our_words(self) -> None:
+    def test_a_missing_argument_is_reported_without_the_wording_of_fire(self) -> None:
         _, _, err = self.run_words("show")
         self.assertEqual(err, "tool: missing argument: name; see tool --help\n")
 
     def test_group_without_command_shows_its_help_and_fails(self) -> None:
         self.assertEqual(self.run_words("jobs"), (ExitCode.USAGE, "", "the jobs\n"))
 
-    def test_errors_of_a_command_are_not_taken_for_usage(self) -> None:
+    def test_errors_of_a_command_are_not_reported_as_usage_errors(self) -> None:
         with self.assertRaisesRegex(ValueError, "of the command itself"):
             self.run_words("break")
 
--- a/tests/test_cli_config.py
+++ b/tests/test_cli_config.py
@@ -34,11 +34,11 @@
 
 
 class TableTest(unittest.TestCase):
-    def test_numbers_stand_to_the_right(self) -> None:
+    def test_numbers_are_right_aligned(self) -> None:
         text = table(("NAME", "N"), [("a", 5), ("long name", 100)])
         self.assertEqual(text, "NAME         N\na            5\nlong name  100")
 
-    def test_no_rows_leave_the_heads(self) -> None:
+    def test_table_without_rows_has_only_headers(self) -> None:
         self.assertEqual(table(("NAME", "N"), []), "NAME  N")
 
 
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -45,7 +45,7 @@
             ready = {"program": "agent", "vm_id": "vm-1", "address": str(ADDRESS)}
             self.assertEqual(msgspec.json.decode(done.output), ready)
 
-    def test_second_signal_cuts_off_and_is_told(self) -> None:
+    def test_second_signal_cuts_off_and_is_reported(self) -> None:
         async def program(_settings: Settings, stop: Stop, *, task_status) -> None:
             task_status.started(ADDRESS)
             send(signal.SIGTERM)
@@ -57,7 +57,7 @@
         self.assertEqual(done.code, 1)
         self.assertIn("ended before all that was in progress had finished", done.errors)
 
-    def test_fault_of_ours_has_one_traceback_without_groups(self) -> None:
+    def test_internal_error_has_one_traceback_without_groups(self) -> None:
         async def program(_settings: Settings, _stop: Stop, *, task_status) -> None:
             task_status.started(ADDRESS)
             async with trio.open_nursery():
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -26,13 +26,13 @@
         found = lines_about("r-1", self.lines)
         self.assertEqual([item.event for item in found], ["call_attempt", "call_given_up"])
 
-    def test_what_its_node_came_to_believe_shortly_before_is_added_when_asked_for(self) -> None:
+    def test_state_events_of_its_node_shortly_before_are_added_on_request(self) -> None:
         found = lines_about("r-1", self.lines, around_ms=1000.0)
         self.assertEqual(
             [item.event for item in found], ["config_applied", "call_attempt", "call_given_up"]
         )
 
-    def test_a_stream_is_told_with_its_versions_over_all_tries_of_its_client(self) -> None:
+    def test_a_stream_includes_the_versions_of_all_requests_of_its_client(self) -> None:
         lines = [
             line(1.0, "call_attempt", request_id="r-1", software_version="v1", end="lost"),
             line(2.0, "stream_taken_up", "n-2", request_id="r-2", resumes="r-1", outcome="no"),
@@ -49,7 +49,7 @@
     def test_an_unknown_identity_finds_nothing(self) -> None:
         self.assertEqual(lines_about("r-9", self.lines, around_ms=1000.0), [])
 
-    def test_a_line_reads_with_the_time_since_the_first(self) -> None:
+    def test_a_line_shows_the_time_since_the_first(self) -> None:
         text = parse_line(self.lines[0]).text(11.5)
         self.assertIn("+500.0 ms  n-1  call_given_up  request_id=r-1 code=UPSTREAM_LOST", text)
 
--- a/tests/test_node_harmful_calls.py
+++ b/tests/test_node_harmful_calls.py
@@ -177,7 +177,7 @@
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.crash_after_ms = 120.0
-                upstream.goes_on = True
+                upstream.crashes_without_caller = True
             for number in range(8):
                 with trio.move_on_after(0.08):
                     await self.send_harmful(fleet, number)
--- a/tests/test_node_harmful_parts.py
+++ b/tests/test_node_harmful_parts.py
@@ -123,14 +123,14 @@
         self.assert_bounded(self.play(parts_of_harmful=parts))
 
     def test_it_is_found_where_answers_stop_in_their_first_event(self) -> None:
-        self.assert_bounded(self.play(form=CrashForm.HALF_AN_EVENT))
+        self.assert_bounded(self.play(form=CrashForm.PARTIAL_EVENT))
 
     def test_it_is_found_where_answers_look_whole_before_the_crash(self) -> None:
-        self.assert_bounded(self.play(form=CrashForm.WHOLE_EVENT, unframed=True))
+        self.assert_bounded(self.play(form=CrashForm.COMPLETE_EVENT, unframed=True))
 
     def test_it_is_found_where_upstreams_end_after_answers_that_look_complete(self) -> None:
         """Other runs had started beside an isolated one, so that none counted as isolated."""
-        form = CrashForm.WHOLE_EVENT
+        form = CrashForm.COMPLETE_EVENT
         callers = self.play(form=form, unframed=True, crash_after_ms=400.0)
         # Each client sends up to four calls before the first crash.
         self.assert_bounded(callers, max_crashes=12)
--- a/tests/test_node_jobs.py
+++ b/tests/test_node_jobs.py
@@ -261,7 +261,7 @@
         async def test(fleet: NodeFleet) -> None:
             for upstream in fleet.upstreams:
                 upstream.failing.add("/letters/bad")
-                upstream.impossible.add("/letters/never")
+                upstream.unprocessable.add("/letters/never")
             await submit(fleet, fleet.nodes[0].front, "bad", "a", "never", "b")
             results = await read_all(fleet, fleet.nodes[0].front, 4)
             states = {item["id"]: item["state"] for item in results}
--- a/tests/test_node_retirement.py
+++ b/tests/test_node_retirement.py
@@ -77,19 +77,19 @@
     async def complete(self, kv: MemoryKv) -> None:
         """Write the status as another node does that finds the machine empty."""
         if (await kv.get(STATUS)).unwrap() is None:
-            (await kv.put_if(STATUS, records.encode_emptied(), 0)).unwrap()
+            (await kv.put_if(STATUS, records.encode_retirement_completed(), 0)).unwrap()
 
     async def nothing(self, _kv: MemoryKv) -> None:
         pass
 
     def test_pending_jobs_are_reported(self) -> None:
-        self.assertEqual(self.answer(self.nothing, 1), records.encode_emptying())
+        self.assertEqual(self.answer(self.nothing, 1), records.encode_retirement_running())
 
     def test_a_machine_that_another_node_found_empty_stays_reported_so(self) -> None:
-        self.assertEqual(self.answer(self.complete, 1), records.encode_emptied())
+        self.assertEqual(self.answer(self.complete, 1), records.encode_retirement_completed())
 
     def test_a_request_after_the_last_status_is_answered_again(self) -> None:
-        self.assertEqual(self.answer(self.complete, 100), records.encode_emptying())
+        self.assertEqual(self.answer(self.complete, 100), records.encode_retirement_running())
 
 
 if __name__ == "__main__":
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -49,13 +49,13 @@
         route = table.find("desk.example", "/check/1")
         self.assertEqual(dict(route.services), {"a": 90.0, "b": 10.0})
 
-    def test_a_kind_that_is_not_known_may_run_once_only(self) -> None:
+    def test_unknown_route_kind_is_not_idempotent(self) -> None:
         document = config_document()
         document["routes"][0]["kind"] = "keyed"
         table = records.read_route_table(json.dumps(document).encode()).unwrap()
         self.assertFalse(table.find("desk.example", "/check/1").idempotent)
 
-    def test_what_cannot_be_read_is_an_error_that_says_so(self) -> None:
+    def test_unreadable_configuration_is_reported_as_an_error(self) -> None:
         for value in (b"", b"[]", b'{"version":"x"}', b'{"routes":[]}'):
             with self.subTest(value=value):
                 self.assertIn("cannot be read", records.read_route_table(value).unwrap_err())
@@ -73,14 +73,14 @@
         self.assertIn("servers/i-1", bad.unwrap_err())
 
     def test_an_upstream_that_starts_again_under_its_key_is_another_one(self) -> None:
-        first, second, unborn = (
+        first, second, without_start = (
             records.read_upstream(
                 "servers/i-1", json.dumps(worker_entry("10.0.0.9:8080", **fields)).encode(), "r"
             ).unwrap()
             for fields in ({"born": 1778729778571}, {"born": 1778729790002}, {})
         )
-        self.assertEqual(len({first.upstream_id, second.upstream_id, unborn.upstream_id}), 3)
-        for record in (first, second, unborn):
+        self.assertEqual(len({first.upstream_id, second.upstream_id, without_start.upstream_id}), 3)
+        for record in (first, second, without_start):
             self.assertEqual(records.registered_id(record.upstream_id), "i-1")
             headers = dict(
                 calls.upstream_headers(
@@ -89,9 +89,12 @@
             )
             self.assertEqual(headers["x-expect-instance"], "i-1")
 
-    def test_an_entry_of_another_writer_names_no_upstream(self) -> None:
+    def test_malformed_entry_names_no_upstream(self) -> None:
         entry = worker_entry("10.0.0.9:8080")
-        bad = [{name: value for name, value in entry.items() if name != gone} for gone in entry]
+        bad = [
+            {name: value for name, value in entry.items() if name != missing_name}
+            for missing_name in entry
+        ]
         bad += [
             entry | changed
             for changed in (
@@ -128,12 +131,12 @@
             | st.dictionaries(st.sampled_from(sorted(worker_entry(""))) | st.text(), inner),
         ).map(lambda item: json.dumps(item).encode())
     )
-    def test_no_entry_is_an_exception(self, value: bytes) -> None:
+    def test_no_entry_raises_an_exception(self, value: bytes) -> None:
         result = records.read_upstream("servers/i-1", value, "r")
         self.assertTrue(result.is_ok() or "servers/i-1" in result.unwrap_err())
         self.assertIsInstance(records.is_heartbeat(value, value + b" "), bool)
 
-    def test_only_what_differs_in_a_heartbeat_is_one(self) -> None:
+    def test_only_heartbeat_fields_may_differ_in_a_heartbeat(self) -> None:
         def value(**changes: object) -> bytes:
             return json.dumps(worker_entry("10.0.0.9:8080", **changes)).encode()
 
@@ -143,7 +146,7 @@
                 self.assertFalse(records.is_heartbeat(value(), value(sequence=2, **changes)))
         self.assertFalse(records.is_heartbeat(value(), b"x"))
 
-    def test_only_requests_to_empty_a_machine_name_one(self) -> None:
+    def test_only_retirement_keys_name_a_node(self) -> None:
         self.assertEqual(records.retired_node("op/retire/store-1"), "store-1")
         self.assertIsNone(records.retired_node("op/config"))
         self.assertEqual(records.retirement_status_key("store-1"), "status/retire/store-1")
@@ -173,13 +176,13 @@
         )
 
     @given(st.text(max_size=20), st.text(max_size=20))
-    def test_odd_headers_are_never_an_error(self, number: str, parts: str) -> None:
+    def test_malformed_headers_are_never_an_error(self, number: str, parts: str) -> None:
         head = calls.call_head(
             [("x-deadline-ms", number), ("x-token-count", number), ("x-prompt-prefix", parts)]
         )
         self.assertGreaterEqual(head.prompt_tokens, 0)
 
-    def test_an_attempt_carries_what_is_left_and_whom_it_is_for(self) -> None:
+    def test_an_attempt_carries_remaining_time_and_upstream_id(self) -> None:
         sent = calls.upstream_headers(
             self.headers, left_ms=1234.9, upstream_id="i-1", last_event=14
         )
@@ -192,18 +195,18 @@
         for name in ("connection", "x-hop", "content-length", "host"):
             self.assertNotIn(name, fields)
 
-    def test_an_answer_says_whether_it_ran(self) -> None:
+    def test_answer_head_reports_whether_the_request_ran(self) -> None:
         self.assertTrue(calls.answer_head(503, [("x-not-executed", "1")]).not_run)
         self.assertTrue(calls.answer_head(421, []).not_run)
         self.assertFalse(calls.answer_head(503, []).not_run)
 
-    def test_a_refusal_names_the_time_to_come_back_in_seconds(self) -> None:
+    def test_a_refusal_carries_the_retry_delay_in_seconds(self) -> None:
         fault = Fault(ResultCode.NO_CAPACITY, "full", 250)
         self.assertEqual(calls.refusal_headers(fault), [("retry-after", "0.250")])
 
 
 class JobCallsTest(unittest.TestCase):
-    def test_calls_about_jobs_are_told_by_their_paths(self) -> None:
+    def test_job_calls_are_recognized_by_their_paths(self) -> None:
         read = job_calls.job_call("GET", "/api/lots/j", {"after": "3"}, {"x-wait-ms": "1000"})
         self.assertEqual((read.verb, read.job_id, read.after, read.wait_ms), ("read", "j", 3, 1000))
         self.assertEqual(job_calls.job_call("DELETE", "/api/lots/j", {}, {}).verb, "end")
@@ -224,7 +227,7 @@
 
 
 class DirectoryTest(unittest.TestCase):
-    def test_an_answer_names_addresses_and_how_long_to_keep_them(self) -> None:
+    def test_an_answer_carries_addresses_and_their_ttl(self) -> None:
         body = json.loads(directory.encode_fronts([Address("10.0.0.1", 80)], 1))
         self.assertEqual(body, {"addresses": ["10.0.0.1:80"], "ttlS": 1})
 
--- a/tests/test_platform_kv_writes.py
+++ b/tests/test_platform_kv_writes.py
@@ -19,7 +19,7 @@
 from tests.builders.standins import run_async, running_kv
 
 KEY = "record"
-LATE_LANDING_MS = 70
+LATE_EFFECT_MS = 70
 NOT_WRITTEN = (ResultCode.KV_CONFLICT, ResultCode.KV_UNAVAILABLE)
 
 # Which of the first writes lose their answer, and how.
@@ -35,9 +35,9 @@
     """Every value that was ever written, in order, and what the writers were told."""
 
     written: list[tuple[int, bytes]] = field(default_factory=list)
-    told: list[tuple[bytes, Result[int, Fault]]] = field(default_factory=list)
+    results: list[tuple[bytes, Result[int, Fault]]] = field(default_factory=list)
 
-    def follow(self, state: KvState) -> None:
+    def record_writes(self, state: KvState) -> None:
         state.listeners.append(
             lambda event: self.written.append((event.revision, event.entry.value))
         )
@@ -46,7 +46,7 @@
         """What was said to be written is there; what was said not to be is not, nor twice."""
         values = [value for _, value in self.written]
         test.assertEqual(len(values), len(set(values)))
-        for value, result in self.told:
+        for value, result in self.results:
             match result:
                 case Ok(revision):
                     test.assertIn((revision, value), self.written)
@@ -56,7 +56,7 @@
                     test.assertEqual(fault.code, ResultCode.KV_UNKNOWN)
 
 
-async def write_some(kv: KvStore, name: str, count: int, oracle: Oracle) -> None:
+async def write_values(kv: KvStore, name: str, count: int, oracle: Oracle) -> None:
     """Write ``count`` values, each on top of what is read before."""
     for number in range(count):
         found = await kv.get(KEY)
@@ -65,41 +65,41 @@
             continue
         revision = found.ok_value.mod_revision if found.ok_value else 0
         value = f"{name}{number}".encode()
-        result = await put_resolved(kv, KEY, value, revision, lambda there, v=value: there == v)
-        oracle.told.append((value, result))
+        result = await put_resolved(kv, KEY, value, revision, lambda current, v=value: current == v)
+        oracle.results.append((value, result))
 
 
-async def break_service(faults: KvFaults, outages: list[int]) -> None:
+async def cause_outages(faults: KvFaults, outages: list[int]) -> None:
     for outage_ms in outages:
         await trio.sleep(outage_ms / 1000)
         faults.down = not faults.down
     faults.down = False
 
 
-async def land_late(kv: MemoryKv) -> None:
+async def apply_late_writes(kv: MemoryKv) -> None:
     while True:
-        await trio.sleep(LATE_LANDING_MS / 1000)
+        await trio.sleep(LATE_EFFECT_MS / 1000)
         kv.land_late_writes()
 
 
 class PutResolvedTest(unittest.TestCase):
     @settings(max_examples=400)
     @given(lost_answers, outages_ms, st.integers(min_value=0, max_value=30))
-    def test_two_writers_are_told_the_truth(self, lost, outages, delay_ms):
+    def test_concurrent_writers_get_correct_results(self, lost, outages, delay_ms):
         kv = MemoryKv()
         kv.faults.delay_ms = delay_ms
-        for nth, when in lost.items():
-            kv.faults.lose_answer(when, nth)
+        for call_number, effect in lost.items():
+            kv.faults.lose_answer(effect, call_number)
         oracle = Oracle()
-        oracle.follow(kv.state)
+        oracle.record_writes(kv.state)
 
         async def run() -> None:
             async with trio.open_nursery() as background:
-                background.start_soon(land_late, kv)
+                background.start_soon(apply_late_writes, kv)
                 async with trio.open_nursery() as writers:
-                    writers.start_soon(break_service, kv.faults, outages)
+                    writers.start_soon(cause_outages, kv.faults, outages)
                     for name in ("a", "b", "c"):
-                        writers.start_soon(write_some, kv, name, 3, oracle)
+                        writers.start_soon(write_values, kv, name, 3, oracle)
                 background.cancel_scope.cancel()
             kv.land_late_writes()
 
@@ -108,19 +108,19 @@
 
     @settings(max_examples=25)
     @given(lost_answers)
-    def test_writers_over_http_are_told_the_truth(self, lost):
+    def test_writers_over_http_get_correct_results(self, lost):
         oracle = Oracle()
 
         async def run() -> None:
             async with running_kv() as (service, kv):
-                service.faults.late_effect_ms = LATE_LANDING_MS
-                for nth, when in lost.items():
-                    service.faults.lose_answer(when, nth)
-                oracle.follow(service.state)
+                service.faults.late_effect_ms = LATE_EFFECT_MS
+                for call_number, effect in lost.items():
+                    service.faults.lose_answer(effect, call_number)
+                oracle.record_writes(service.state)
                 async with trio.open_nursery() as writers:
                     for name in ("a", "b"):
-                        writers.start_soon(write_some, kv, name, 3, oracle)
-                await trio.sleep(LATE_LANDING_MS / 1000)
+                        writers.start_soon(write_values, kv, name, 3, oracle)
+                await trio.sleep(LATE_EFFECT_MS / 1000)
 
         # Twenty seconds of the test's time pass in one.
         run_async(run, trio.testing.MockClock(rate=20))
@@ -142,7 +142,7 @@
         await trio.sleep(0.01)
         kv.state.put(KEY, b"theirs")
 
-    def test_history_that_is_gone_leaves_it_unknown(self):
+    def test_compacted_history_leaves_the_outcome_unknown(self):
         async def run() -> None:
             kv = MemoryKv()
             kv.faults.lose_answer(LostAnswer.AFTER_EFFECT)
@@ -173,7 +173,7 @@
             kv = MemoryKv()
             kv.faults.lose_answer(LostAnswer.AFTER_EFFECT)
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(break_service, kv.faults, [20, 60_000])
+                nursery.start_soon(cause_outages, kv.faults, [20, 60_000])
                 result = await put_resolved(kv, KEY, b"ours", 0, lambda value: value == b"ours")
                 nursery.cancel_scope.cancel()
             self.assertEqual(result.err_value.code, ResultCode.KV_UNKNOWN)
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -20,7 +20,7 @@
 
 from fescuedock.address import Address
 from tests.builders.node import RunningSpool, running_fleet
-from tests.builders.ports import free_ports, wait_let_go
+from tests.builders.ports import free_ports, wait_released
 from tests.builders.standins import run_async
 
 PROCESSES = 6
@@ -28,7 +28,7 @@
 PORTS_EACH = 100
 # Without a wait for ZeroMQ's thread one in eighteen failed.
 RESTARTS = 20
-DRAW = f"""
+DRAW_SCRIPT = f"""
 from tests.builders.ports import free_ports
 print(*free_ports({PORTS_EACH}), flush=True)
 input()
@@ -36,11 +36,11 @@
 
 
 class PortsTest(unittest.TestCase):
-    def test_no_port_is_given_to_two_processes(self) -> None:
+    def test_no_port_is_allocated_to_two_processes(self) -> None:
         # Each process lives until its standard input is closed, and so holds what it was given.
         processes = [
             subprocess.Popen(
-                [sys.executable, "-c", DRAW],
+                [sys.executable, "-c", DRAW_SCRIPT],
                 cwd=Path(__file__).parent.parent,
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
@@ -48,15 +48,15 @@
             )
             for _ in range(PROCESSES)
         ]
-        given = Counter(free_ports(PORTS_EACH))
+        drawn = Counter(free_ports(PORTS_EACH))
         for process in processes:
-            given.update(int(port) for port in process.stdout.readline().split())
+            drawn.update(int(port) for port in process.stdout.readline().split())
         for process in processes:
             process.communicate("\n")
-        self.assertEqual(given.total(), (PROCESSES + 1) * PORTS_EACH)
-        self.assertEqual([port for port, count in given.items() if count > 1], [])
+        self.assertEqual(drawn.total(), (PROCESSES + 1) * PORTS_EACH)
+        self.assertEqual([port for port, count in drawn.items() if count > 1], [])
 
-    def test_an_address_is_let_go_once_nobody_listens_there(self) -> None:
+    def test_wait_released_returns_once_no_socket_listens(self) -> None:
         [port] = free_ports(1)
 
         async def run() -> None:
@@ -64,14 +64,14 @@
                 server.bind(("127.0.0.1", port))
                 server.listen()
                 with trio.move_on_after(0.1) as waited:
-                    await wait_let_go(Address("127.0.0.1", port))
+                    await wait_released(Address("127.0.0.1", port))
                 self.assertTrue(waited.cancelled_caught)
             with trio.fail_after(5):
-                await wait_let_go(Address("127.0.0.1", port))
+                await wait_released(Address("127.0.0.1", port))
 
         run_async(run)
 
-    def test_a_program_that_has_ended_listens_nowhere(self) -> None:
+    def test_a_stopped_program_listens_on_no_port(self) -> None:
         async def run() -> None:
             with tempfile.TemporaryDirectory() as folder, trio.fail_after(30):
                 async with running_fleet() as fleet:
--- a/tests/test_report_metrics.py
+++ b/tests/test_report_metrics.py
@@ -78,20 +78,22 @@
     def test_merged_equals_all_recorded_together(self, recorded: list) -> None:
         # Each process sees time go forward.
         recorded = sorted(recorded, key=lambda item: item[1][0])
-        apart = [Recorder(f"vm-{number}/entry/1") for number in range(3)]
-        together = Recorder()
+        separate = [Recorder(f"vm-{number}/entry/1") for number in range(3)]
+        combined = Recorder()
         for process, query in recorded:
-            apart[process].record(query)
-            together.record(query)
+            separate[process].record(query)
+            combined.record(query)
         end_s = NOW_S + 4 * 86400
-        snapshots = [recorder.snapshot(end_s) for recorder in apart]
-        whole = [together.snapshot(end_s)]
-        self.assertEqual(merged_slots(snapshots), merged_slots(whole))
-        kept = sum(slot.jobs_in_time for slots in merged_slots(whole).values() for slot in slots)
+        snapshots = [recorder.snapshot(end_s) for recorder in separate]
+        reference = [combined.snapshot(end_s)]
+        self.assertEqual(merged_slots(snapshots), merged_slots(reference))
+        kept = sum(
+            slot.jobs_in_time for slots in merged_slots(reference).values() for slot in slots
+        )
         recent = [query for _, query in recorded if query[0] >= 86400 + 900]
         self.assertGreaterEqual(kept, sum(query[2] == "small" for query in recent))
-        self.assertEqual(recorded_values(snapshots), recorded_values(whole))
-        self.assertEqual(codes(snapshots), codes(whole))
+        self.assertEqual(recorded_values(snapshots), recorded_values(reference))
+        self.assertEqual(codes(snapshots), codes(reference))
 
 
 class MetricsTest(unittest.TestCase):
@@ -123,15 +125,15 @@
         self.assertLessEqual(len(groups), 8)
         self.assertEqual(sum(item.total.online for item in snapshot.services), 2700)
 
-    def test_slot_time_of_items_is_told_apart_by_whether_it_gave_events(self) -> None:
+    def test_run_times_are_separated_by_whether_events_were_produced(self) -> None:
         metrics = Metrics("vm-1/node/1", lambda: NOW_S)
-        for ran_ms, gained in ((500.0, True), (40.0, False), (60.0, False)):
-            metrics.record_run("s", ran_ms, gained=gained)
+        for ran_ms, with_events in ((500.0, True), (40.0, False), (60.0, False)):
+            metrics.record_run("s", ran_ms, with_events=with_events)
         found = {item.measure: (sum(item.counts), item.sum_ms) for item in metrics.totals().buckets}
         wanted = {"run_with_events": (1, 500.0), "run_without_events": (2, 100.0)}
         self.assertEqual(found, wanted)
 
-    def test_value_out_of_range_is_kept_at_the_end_of_the_range(self) -> None:
+    def test_value_out_of_range_is_clamped_to_the_range(self) -> None:
         metrics = Metrics("vm-1/entry/1", lambda: NOW_S)
         metrics.record_online("s", "g", 1e12, 0.0, ResultCode.OK)
         histogram = next(iter(merge_histograms([metrics.snapshot()]).values()))
