--- a/src/fescuedock/address.py
+++ b/src/fescuedock/address.py
@@ -1,4 +1,4 @@
-"""Where a process listens: an IP number and a port."""
+"""The address that a process listens on: an IP number and a port."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -18,7 +18,7 @@
 
     @classmethod
     def parse(cls, text: str) -> Self:
-        """Read ``HOST:PORT``; ``ValueError`` names a ``text`` that is not one."""
+        """Parse ``HOST:PORT``; raise ``ValueError`` with the text if it is invalid."""
         host, separator, port = text.strip().rpartition(":")
         try:
             ip_address(host)
--- a/src/fescuedock/bundle.py
+++ b/src/fescuedock/bundle.py
@@ -1,8 +1,8 @@
-"""Starts a program with all its modules out of one file of bytecode.
+"""Starts a program with all its modules loaded from one file of bytecode, the bundle.
 
-Of a node's start, finding, opening and reading some 400 files is a fifth of the processor time, and
-after a loss of power all nodes start at once.  Modules that the file lacks, and all of them where
-it was made by another Python, come from the path as usual.
+Finding, opening and reading some 400 files takes a fifth of the processor time of a node's start,
+and after a power failure all nodes start at once.  Modules that the bundle lacks are imported from
+the path as usual, and so are all modules if another Python version wrote the bundle.
 
 Usage: ``python -m fescuedock.bundle PROGRAM [FILE]``, as built by ``deploy/build.py``.
 """
@@ -21,12 +21,12 @@
 _SUFFIX = ".bundle"
 _INIT_FILE = "__init__.py"
 
-# Of a module: whether it is a package, the file of its source, and its bytecode.
+# A module: whether it is a package, its source file and its bytecode.
 Bundled = tuple[bool, str, CodeType]
 
 
 class BundleFinder:
-    """Finds and loads the modules of a bundle; to be put before the usual finders."""
+    """Finds and loads the modules of a bundle; must precede the usual finders."""
 
     __slots__ = ("_modules",)
 
@@ -36,7 +36,7 @@
     def find_spec(
         self, name: str, _path: object = None, _target: ModuleType | None = None
     ) -> ModuleSpec | None:
-        """Return the spec of a module that the bundle has."""
+        """Return the spec of a module in the bundle, None for any other."""
         found = self._modules.get(name)
         if found is None:
             return None
@@ -44,19 +44,19 @@
         spec = ModuleSpec(name, self, origin=file, is_package=is_package)
         spec.has_location = True
         if is_package:
-            # What the bundle lacks of a package, such as compiled modules, is looked for there.
+            # Where the usual finders look for submodules outside the bundle, such as compiled ones.
             spec.submodule_search_locations = [str(Path(file).parent)]
         return spec
 
     def create_module(self, _spec: ModuleSpec) -> None:
-        """Leave the making of the module to the import system."""
+        """Return None: the import system creates the module."""
 
     def exec_module(self, module: ModuleType) -> None:
         """Run a module's bytecode."""
         exec(self._modules[module.__name__][2], module.__dict__)
 
     def get_code(self, name: str) -> CodeType:
-        """Return a module's bytecode, for libraries that load a second copy of one."""
+        """Return a module's bytecode, for libraries that load a second copy of a module."""
         return self._modules[name][2]
 
     def get_filename(self, name: str) -> str:
@@ -67,7 +67,7 @@
 
 
 def bundle_path(program: str) -> Path:
-    """Return where the bundle of ``fescuedock.PROGRAM.main`` lies."""
+    """Return the path of the bundle of ``fescuedock.PROGRAM.main``."""
     return Path(__file__).parent / f"{program}{_SUFFIX}"
 
 
@@ -85,7 +85,7 @@
 
 
 def install_bundle(path: Path) -> bool:
-    """Have modules come from the bundle at ``path``; False when there is none for this Python."""
+    """Import modules from the bundle at ``path``; return False if none fits this Python."""
     try:
         version, modules = marshal.loads(path.read_bytes())
     except (OSError, ValueError, EOFError, TypeError):
@@ -97,10 +97,10 @@
 
 
 def main() -> None:
-    """Run the program that the first word names."""
+    """Run the program named by the first argument."""
     program = sys.argv.pop(1)
     install_bundle(bundle_path(program))
-    # Nothing of what is imported becomes garbage.
+    # Imports create no garbage worth collecting.
     gc.disable()
     module = importlib.import_module(f"fescuedock.{program}.main")
     gc.freeze()
--- a/src/fescuedock/cli/__init__.py
+++ b/src/fescuedock/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""The command line for operators."""
--- a/src/fescuedock/cli/burn_command.py
+++ b/src/fescuedock/cli/burn_command.py
@@ -70,7 +70,10 @@
 async def _collect(
     session: EntrySession, vms: list[VmStatus]
 ) -> tuple[list[MetricsReport], list[str]]:
-    """Ask each VM's entry, a few at once; return the reports and the VMs that did not answer."""
+    """Query all VMs' entries with bounded concurrency.
+
+    Return the reports and the IDs of the VMs that did not answer.
+    """
     reports: list[MetricsReport] = []
     missing: list[str] = []
     limit = trio.CapacityLimiter(_MAX_CONCURRENT_REQUESTS)
@@ -94,7 +97,7 @@
 def _finish(
     reports: list[MetricsReport], missing: list[str], save: str, html: str, json: bool
 ) -> Result[str, Failure]:
-    """Write what was asked for and return the text to print."""
+    """Write the requested files and return the text to print."""
     report = build_report(reports, missing)
     try:
         if save:
--- a/src/fescuedock/cli/command_line.py
+++ b/src/fescuedock/cli/command_line.py
@@ -1,7 +1,7 @@
-"""Commands of our programs, and what runs for the words of a command line.
+"""Defines commands and runs the one that a command line selects.
 
-Parsing and running are apart, so that an error of the command itself is never shown as one of its
-arguments, and the other way round.
+Parsing and running are separate steps, so that an error raised by a command is never reported as a
+usage error or the other way round.
 """
 
 import sys
@@ -17,7 +17,7 @@
 
 
 class ExitCode(IntEnum):
-    """How a program of ours ends."""
+    """Exit codes of all programs of the package; UNKNOWN: a change may have taken effect."""
 
     OK = 0
     FAILED = 1
@@ -26,7 +26,7 @@
 
 
 class Command(msgspec.Struct, frozen=True):
-    """One command: a function whose parameters are the arguments, and the help text."""
+    """One command: a function whose parameters are the command line arguments, and its help."""
 
     run: Callable[..., int]
     help_text: str
@@ -35,9 +35,9 @@
 def run_command_line(
     name: str, commands: Command | Mapping[str, Command | Mapping], words: Sequence[str]
 ) -> int:
-    """Parse ``words``, run the command that they mean, and return its exit code.
+    """Parse the arguments ``words``, run the selected command and return its exit code.
 
-    ``commands`` may be nested by name; the help of a group is under the key "".
+    ``commands`` may be nested by name.  The key "" of a group has the group's help.
     """
     if _HELP_FLAGS & set(words):
         print(_innermost(commands, words).help_text, end="")
@@ -45,7 +45,7 @@
     if _names_group(commands, words):
         print(_innermost(commands, words).help_text, end="", file=sys.stderr)
         return ExitCode.USAGE
-    # Imported when there are words to parse: fire is 40 ms of the start of a program without any.
+    # Imported only when needed, since importing fire takes 40 ms of a program's start.
     from fescuedock.cli.words import parse_words
 
     parsed = parse_words(name, commands, words)
@@ -56,7 +56,7 @@
 
 
 def _innermost(commands: Command | Mapping, words: Sequence[str]) -> Command:
-    """Return the command that ``words`` name, or what stands for the innermost group."""
+    """Return the command that ``words`` select, or the entry "" of the innermost group."""
     for word in words:
         if not isinstance(commands, Command) and word and word in commands:
             commands = commands[word]
@@ -64,7 +64,7 @@
 
 
 def _names_group(commands: Command | Mapping, words: Sequence[str]) -> bool:
-    """Return whether ``words`` name a group and no command in it."""
+    """Return whether ``words`` select a group but no command in it."""
     for word in words:
         if isinstance(commands, Command) or word not in commands:
             return False
--- a/src/fescuedock/cli/config_commands.py
+++ b/src/fescuedock/cli/config_commands.py
@@ -156,7 +156,7 @@
 
 
 def _read_object(file: str) -> Result[dict[str, object], str]:
-    """Return the JSON object in ``file``, or what is wrong with it."""
+    """Return the JSON object in ``file`` (``-`` is standard input), or the reason of a failure."""
     try:
         data = sys.stdin.buffer.read() if file == "-" else Path(file).read_bytes()
         return Ok(msgspec.json.decode(data, type=dict[str, object]))
--- a/src/fescuedock/cli/config_patches.py
+++ b/src/fescuedock/cli/config_patches.py
@@ -1,4 +1,4 @@
-"""Reading, comparing and patching the configuration from the command."""
+"""Reads, compares and patches the configuration through an entry."""
 
 import hashlib
 from collections.abc import Mapping
@@ -19,32 +19,32 @@
     "submit_patch",
 ]
 
-# Other operators may patch between our read and our patch.
+# Another operator may submit a patch between the read and the submission.
 _MAX_ATTEMPTS = 5
 _STALE_VERSION_NAME = "STALE_VERSION"
 
 
 class CurrentConfig(msgspec.Struct):
-    """The part of GET /admin/config that the command uses."""
+    """The fields of the answer to GET /admin/config that the commands use."""
 
     version: int
     configuration: dict[str, object]
 
 
 class Accepted(msgspec.Struct):
-    """The version that a change made."""
+    """The version that a change created."""
 
     version: int
 
 
 def patch_id_of(base_version: int, patch: Mapping[str, object]) -> str:
-    """Return an identity made of the content, so that the same command sent again is the same."""
+    """Return an ID derived from the content, so that a repeated command is the same patch."""
     text = msgspec.json.encode([base_version, patch], order="deterministic")
     return f"cli-{hashlib.sha256(text).hexdigest()[:24]}"
 
 
 def diff_patch(current: JsonValue, wanted: JsonValue) -> JsonValue:
-    """Return the merge patch that makes ``wanted`` of ``current``; ``{}`` when they are equal."""
+    """Return the merge patch that turns ``current`` into ``wanted``; ``{}`` if they are equal."""
     if not isinstance(current, Mapping) or not isinstance(wanted, Mapping):
         return wanted
     patch: dict[str, object] = {name: None for name in current if name not in wanted}
@@ -57,7 +57,7 @@
 
 
 async def submit_patch(session: EntrySession, request: PatchRequest) -> Result[int, Failure]:
-    """Submit one patch; returns the version it made."""
+    """Submit one patch and return the version that it created."""
     done = await session.post("/admin/config/patches", request, Accepted)
     return done.map(lambda accepted: accepted.version)
 
@@ -65,9 +65,9 @@
 async def submit_on_current(
     session: EntrySession, patch: dict[str, object], actor: str
 ) -> Result[int, Failure]:
-    """Submit a patch that means the same on any version, on the current one.
+    """Submit a patch on the current version; it must mean the same on any version.
 
-    Read and patch again when others were faster.
+    Repeat with the new version when another patch was accepted in between.
     """
     refused: Result[int, Failure] = Err(Failure("not tried"))
     for _ in range(_MAX_ATTEMPTS):
--- a/src/fescuedock/cli/entry_session.py
+++ b/src/fescuedock/cli/entry_session.py
@@ -1,4 +1,4 @@
-"""How the command talks to an entry, and how what comes back becomes an exit code."""
+"""Sends requests to an entry and maps its answers to exit codes."""
 
 import os
 import sys
@@ -33,7 +33,7 @@
 
 
 class Failure(msgspec.Struct, frozen=True):
-    """Why a command did not do what it was asked; one line for the operator."""
+    """The reason why a command failed, one line for the operator, and its exit code."""
 
     text: str
     exit_code: ExitCode = ExitCode.FAILED
@@ -51,7 +51,7 @@
 
 
 class EntrySession(msgspec.Struct):
-    """Requests to one entry, by default the one that the environment names."""
+    """Sends requests to one entry; each method can name another ``entry`` instead."""
 
     address: Address
     http: HttpClient
@@ -80,7 +80,9 @@
             return Err(Failure(str(error)))
         except (ResponseLostError, ResponseTooLargeError, trio.TooSlowError) as error:
             return Err(
-                Failure(f"no whole answer from {entry}: {error!r}", _lost_answer_exit_code(method))
+                Failure(
+                    f"no complete answer from {entry}: {error!r}", _lost_answer_exit_code(method)
+                )
             )
         if response.status >= 400:
             return Err(_failure(entry, response.status, data))
@@ -93,7 +95,7 @@
 def run_session(
     entry: str, steps: Callable[[EntrySession], Awaitable[Result[str, Failure]]]
 ) -> int:
-    """Run ``steps`` against ``entry`` and print their text; return the exit code.
+    """Run ``steps`` with ``entry``, print the returned text or failure, and return the exit code.
 
     An empty ``entry`` is the environment's FESCUEDOCK_ENTRY, or 127.0.0.1:8080.
     """
@@ -135,7 +137,7 @@
 
 
 def _lost_answer_exit_code(method: str) -> ExitCode:
-    """A read changed nothing; anything else may have been done."""
+    """Return the exit code for a lost answer: only a read certainly changed nothing."""
     return ExitCode.FAILED if method == "GET" else ExitCode.UNKNOWN
 
 
--- a/src/fescuedock/cli/explain_command.py
+++ b/src/fescuedock/cli/explain_command.py
@@ -1,4 +1,4 @@
-"""The command ``explain``: the life of one request or job, from saved logs."""
+"""The command ``explain``: the events of one request or job, from saved logs."""
 
 import sys
 from collections.abc import Iterable, Iterator
--- a/src/fescuedock/cli/fleet_commands.py
+++ b/src/fescuedock/cli/fleet_commands.py
@@ -1,4 +1,4 @@
-"""The commands ``status``, ``upstreams`` and ``drain``."""
+"""The commands ``status``, ``upstreams``, ``customers`` and ``drain``."""
 
 from result import Err, Result
 
--- a/src/fescuedock/cli/job_commands.py
+++ b/src/fescuedock/cli/job_commands.py
@@ -28,7 +28,7 @@
 
 
 class _Job(msgspec.Struct):
-    """What the command shows of OpenAI's batch object."""
+    """The fields of OpenAI's batch object that the commands show."""
 
     id: str
     status: str
--- a/src/fescuedock/cli/local.py
+++ b/src/fescuedock/cli/local.py
@@ -1,7 +1,7 @@
-"""``fescuedock local``: a whole system on one loop, with stand-ins for platform and engines.
+"""``fescuedock local``: a complete system in one event loop, with stand-ins for the platform.
 
-Three VMs in three failure domains run on 127.0.0.1, 127.0.0.2 and 127.0.0.3.  It is the quick
-start, and the base of the tests that go through every part.
+Three VMs in three failure domains run on 127.0.0.1, 127.0.0.2 and 127.0.0.3, with stand-in engines.
+It serves as the quick start and as the base of the end-to-end tests.
 """
 
 from collections.abc import AsyncIterator
@@ -41,7 +41,7 @@
 
 
 class NotReadyError(OSError):
-    """The local system did not come to serve; the text has the last answer."""
+    """The local system did not become ready within the timeout."""
 
 
 class LocalSystem(msgspec.Struct):
@@ -58,7 +58,7 @@
         return next(iter(self.vms.values())).entry_address
 
     async def start(self, vm: LocalVm) -> None:
-        """Start ``vm`` and keep it running in the background; return once it takes requests."""
+        """Start ``vm`` in the background; return once it accepts requests."""
         self.vms[vm.vm_id] = vm
         await self._nursery.start(vm.run, self._announce)
 
@@ -88,11 +88,12 @@
 
 @asynccontextmanager
 async def open_local(port: int, data_folder: Path) -> AsyncIterator[LocalSystem]:
-    """Run a local system until the block is left; it serves when the block begins.
+    """Run a local system until the block is left; it is ready when the block begins.
 
-    Its entries listen on ``port`` (0 takes free ones) of three loopback addresses.  Raises
-    ``OSError`` when an address is taken, ``NotReadyError`` when the system does not come up.
-    Leaving the block ends at once what still runs: see ``stop`` and ``wait_stopped``.
+    Its entries listen on ``port`` (0 for free ports) of three loopback addresses.  Raise
+    ``OSError`` if an address is in use and ``NotReadyError`` if the system does not become ready.
+    Leaving the block cancels all VMs that still run; for a graceful shutdown call ``stop`` and
+    ``wait_stopped`` before.
     """
     async with open_http_client() as http, trio.open_nursery() as platform:
         standins = await platform.start(run_standins, standin_settings())
@@ -109,7 +110,7 @@
 
 
 async def _wait_ready(system: LocalSystem) -> None:
-    """Make the initial configuration and wait until each entry serves each model."""
+    """Create the initial configuration and wait until each entry serves each model."""
     with trio.move_on_after(_READY_TIMEOUT_S) as scope:
         await _wait_answer(system, system.entry_address, "/admin/config/patches", initial_patch())
         for vm in system.vms.values():
@@ -122,7 +123,7 @@
 
 
 async def _wait_fleet(system: LocalSystem, vm: LocalVm) -> None:
-    """Wait until the entry of ``vm`` names every entry and knows every program as ready."""
+    """Wait until the entry of ``vm`` lists all entries and shows all programs as ready."""
     while True:
         named = await _wait_answer(system, vm.entry_address, "/v1/entries")
         status = await _wait_answer(system, vm.entry_address, "/admin/status")
@@ -137,7 +138,7 @@
 async def _wait_answer(
     system: LocalSystem, address: Address, path: str, body: object = None
 ) -> bytes:
-    """Repeat a request, a POST if it has a body, until it is answered with 200."""
+    """Repeat a request, a POST if it has a body, until its status is 200; return the answer."""
     method = "GET" if body is None else "POST"
     data = b"" if body is None else msgspec.json.encode(body)
     while True:
@@ -147,6 +148,6 @@
                 if response.status == 200:
                     return answer
         except (NotSentError, ResponseLostError):
-            # Not up yet, or still refusing: that is what we wait for.
+            # Not listening yet, or closing connections during its start.
             pass
         await trio.sleep(_PROBE_INTERVAL_S)
--- a/src/fescuedock/cli/local_banner.py
+++ b/src/fescuedock/cli/local_banner.py
@@ -1,4 +1,4 @@
-"""The banner of ``fescuedock local``: three things to try with curl."""
+"""The banner of ``fescuedock local``: three example requests with curl."""
 
 from pathlib import Path
 
@@ -27,7 +27,7 @@
 
 
 def banner(url: str, log_file: Path) -> str:
-    """Return the text; each command works when copied as it is."""
+    """Return the banner; each of its shell commands works when copied unchanged."""
     chat = {
         "model": CHAT_MODEL,
         "stream": True,
@@ -39,7 +39,7 @@
         "url": "/v1/completions",
         "body": {"model": CHAT_MODEL, "prompt": "Dear", "max_tokens": 8},
     }
-    # The shell fills the identity of the file in, which needs a gap in the quotes.
+    # The quotes end around $FILE, so that the shell inserts the ID of the file.
     batch = {
         "input_file_id": "'$FILE'",
         "endpoint": "/v1/completions",
--- a/src/fescuedock/cli/local_command.py
+++ b/src/fescuedock/cli/local_command.py
@@ -1,4 +1,4 @@
-"""The command ``fescuedock local``: its ready line, its banner and its end."""
+"""The command ``fescuedock local``: start, ready line, banner and shutdown."""
 
 import sys
 import tempfile
--- a/src/fescuedock/cli/local_setup.py
+++ b/src/fescuedock/cli/local_setup.py
@@ -1,4 +1,4 @@
-"""What ``fescuedock local`` starts with: places of VMs, upstreams, and a configuration."""
+"""The fixed setup of ``fescuedock local``: VMs, upstreams and the initial configuration."""
 
 from pathlib import Path
 
@@ -33,7 +33,7 @@
 
 
 def standin_settings() -> StandinSettings:
-    """Return the settings of the stand-ins, without upstreams: ``add_upstreams`` starts those."""
+    """Return the settings of the stand-ins without upstreams, which ``add_upstreams`` starts."""
     models = ",".join(f"{model}={_VERSION}" for model in _SERVICES.values())
     return StandinSettings(
         region=REGION,
@@ -45,7 +45,7 @@
 
 
 def log_settings(log_file: Path) -> VmSettings:
-    """Return the settings by which the whole system logs to one file."""
+    """Return VM settings with which all programs of the system log to one file."""
     return VmSettings(
         vm_id="local",
         host=PLACES[0].host,
@@ -56,7 +56,7 @@
 
 
 async def add_upstreams(standins: Standins) -> None:
-    """Start an engine of each model service in each failure domain, and one plain service."""
+    """Start one engine per model service and failure domain, and one plain service."""
     for service in _SERVICES:
         for number, place in enumerate(PLACES, start=1):
             name = f"worker-{service}-{number}"
@@ -65,7 +65,7 @@
 
 
 def initial_patch() -> PatchRequest:
-    """Return the patch on the empty configuration that makes the three services."""
+    """Return the patch of the empty configuration that creates the three services."""
     services = {
         "admision-llm": _model_service(CHAT_MODEL, online_weight=0.9),
         "trip-desk": _model_service(TRIP_MODEL, online_weight=0.2),
--- a/src/fescuedock/cli/local_vm.py
+++ b/src/fescuedock/cli/local_vm.py
@@ -26,8 +26,8 @@
 __all__ = ["STOP_TIMEOUT_MS", "LocalVm", "VmPlace", "vm_settings"]
 
 STOP_TIMEOUT_MS = 20000
-# News travel fast on one machine and callers ask again soon, so that what is stopped or killed is
-# made up for quickly.
+# Short intervals, which the small delays on one machine allow, so that the other VMs and the
+# clients notice quickly that a VM is stopped or killed.
 _ANSWER_VALID_MS = 1000
 _LEAVE_SPREAD_MS = 1000
 _PROBE_INTERVAL_MS = 300
@@ -41,7 +41,7 @@
 
 
 class VmPlace(msgspec.Struct, frozen=True):
-    """Where a VM stands and listens."""
+    """The ID, location and address of a VM."""
 
     vm_id: str
     region: str
@@ -52,7 +52,7 @@
 def vm_settings(
     place: VmPlace, platform: PlatformSettings, entry_port: int, data_folder: Path
 ) -> Settings:
-    """Return the settings of a VM whose other ports are taken as they are free."""
+    """Return the settings of a VM; all ports but the entry's are chosen by the system."""
     return Settings(
         vm=VmSettings(
             vm_id=place.vm_id,
@@ -76,10 +76,10 @@
 
 
 class LocalVm(msgspec.Struct):
-    """A VM that can be stopped gracefully by ``stop``, or lost at once by ``kill``.
+    """A VM that can be stopped gracefully with ``stop`` or ended at once with ``kill``.
 
-    ``settings`` have the real port of the agent once it serves; ``addresses`` those of all
-    programs.
+    Once the agent serves, ``settings`` has its bound port.  ``addresses`` has the bound addresses
+    of all programs that serve, by program name.
     """
 
     settings: Settings
@@ -97,7 +97,7 @@
         return self.addresses["entry"]
 
     def kill(self) -> None:
-        """End all programs at once, as a VM that loses power does; its disk stays."""
+        """End all programs at once, like a power failure; the data on disk remains."""
         self._scope.cancel()
 
     async def run(
@@ -106,9 +106,9 @@
         *,
         task_status: trio.TaskStatus[Address] = trio.TASK_STATUS_IGNORED,
     ) -> None:
-        """Run until stopped or killed; reports the entry's address.
+        """Run until stopped or killed; report the entry's address once all programs serve.
 
-        ``announce`` is called as soon as the agent serves, to put the VM on the VM list.
+        ``announce`` is called as soon as the agent serves; it adds the VM to the VM list.
         """
         agent_stop = Stop()
         with self._scope:
@@ -119,7 +119,7 @@
                 self.addresses["agent"] = address
                 announce(self)
                 await self._run_clients(task_status)
-                # The other programs drain with the agent's help, so it goes last.
+                # The other programs need the agent to drain, so it stops last.
                 agent_stop.request()
         self.stopped.set()
 
--- a/src/fescuedock/cli/main.py
+++ b/src/fescuedock/cli/main.py
@@ -65,14 +65,14 @@
 
 
 def _sections_of(path: Path) -> Sequence[str]:
-    """Return the sections that must be in a file, by the program of the platform it is for."""
+    """Return the required sections of a file, by the program that it is for."""
     if _has_section(path, "node"):
         return NODE_SECTIONS
     return SPOOL_SECTIONS if _has_section(path, "spool") else ()
 
 
 def _has_section(path: Path, name: str) -> bool:
-    """Return whether the file has a section that only one kind of file has."""
+    """Return whether the file has section ``name``; False for an unreadable file."""
     try:
         return any(line.strip() == f"[{name}]" for line in path.read_text("utf-8").splitlines())
     except (OSError, UnicodeDecodeError):
@@ -95,12 +95,12 @@
 
 
 def run_words(words: Sequence[str]) -> int:
-    """Run the command that ``words`` say and return its exit code."""
+    """Run the command given by the arguments ``words`` and return its exit code."""
     return run_command_line("fescuedock", _COMMANDS, words)
 
 
 def main() -> None:
-    """Run the command; never returns."""
+    """Run the command given by ``sys.argv`` and exit with its code."""
     sys.exit(run_words(sys.argv[1:]))
 
 
--- a/src/fescuedock/cli/words.py
+++ b/src/fescuedock/cli/words.py
@@ -1,4 +1,4 @@
-"""Turns the words of a command line into a call, by fire; nothing of fire shows."""
+"""Parses command line arguments with fire, whose own output and wording stay hidden."""
 
 import contextlib
 import functools
@@ -15,14 +15,14 @@
 __all__ = ["parse_words"]
 
 _FIRE_ERROR = "ERROR: "
-# Our users know of commands, not of functions.
+# Replaced in error texts, since users know commands and not functions.
 _FIRE_MISSING = "The function received no value for the required argument"
 
 
 def parse_words(
     name: str, commands: Command | Mapping[str, Command | Mapping], words: Sequence[str]
 ) -> Result[Callable[[], int], str]:
-    """Return the call that ``words`` mean, or one line that says what is wrong with them."""
+    """Return the call that ``words`` select, or a one-line usage error."""
     recorded_calls: list[Callable[[], int]] = []
     output = io.StringIO()
     try:
@@ -34,12 +34,12 @@
 
 
 def _recording(commands: Command | Mapping, recorded_calls: list) -> object:
-    """Return what fire shall call: the commands' signatures, which only note the call."""
+    """Return functions with the commands' signatures that only record the call, for fire."""
     if not isinstance(commands, Command):
         return {
             name: _recording(command, recorded_calls) for name, command in commands.items() if name
         }
-    # Left alone, fire would read numbers and lists out of plain words.
+    # By default fire converts plain arguments to numbers and lists.
     parsers = {
         name: _PARSERS.get(parameter.annotation, str)
         for name, parameter in inspect.signature(commands.run).parameters.items()
@@ -70,7 +70,7 @@
 
 
 def _usage_error(output: str) -> str:
-    """Return the one line of fire's output that says what is wrong."""
+    """Return the error message in fire's output."""
     for line in output.splitlines():
         if line.startswith(_FIRE_ERROR):
             text = line.removeprefix(_FIRE_ERROR).rstrip(".")
--- a/src/fescuedock/clock.py
+++ b/src/fescuedock/clock.py
@@ -1,10 +1,11 @@
 """Time: trio's clock for every interval, and Unix time derived from it for records.
 
-Programs give trio a clock that goes on while the machine is suspended (``loop_clock``): by one that
-stands still meanwhile, whatever is judged by its age reads too young afterwards.
+Programs run trio with a clock that includes the time during which the machine is suspended
+(``loop_clock``).  With a clock that stops meanwhile, the age of all data would read too low
+afterwards.
 
-Nothing else in the package reads a clock, so that a test which pauses or advances trio's clock
-moves everything, the Unix time included.
+No other module of the package reads a clock, so that a test which pauses or advances trio's clock
+controls all times, including the Unix time.
 """
 
 import time
@@ -14,24 +15,24 @@
 
 __all__ = ["UnixClock", "loop_clock", "now_ms", "unix_clock"]
 
-# Returns Unix time in whole seconds.
+# Returns Unix time in seconds.
 UnixClock = Callable[[], int]
 
 
-# Linux has it; elsewhere the steady clock has to do.
+# Only Linux has a monotonic clock that includes suspended time.
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
-# A sleep is cut into pieces of this length: the kernel's timers stand still as well, and would keep
-# what was due during a suspension waiting for the whole rest.
+# Longest single sleep.  The kernel's timers stop during a suspension, so a longer sleep would delay
+# a task that became due meanwhile by its full remaining time.
 _MAX_SLEEP_S = 1.0
 
 
 class _LoopClock(trio.abc.Clock):
-    """See ``loop_clock``."""
+    """The clock that ``loop_clock`` returns."""
 
     __slots__ = ()
 
     def start_clock(self) -> None:
-        """Nothing to set up: the machine's clock runs already."""
+        """Do nothing: the system's clock is already running."""
 
     def current_time(self) -> float:
         return time.clock_gettime(_CLOCK)
@@ -41,12 +42,12 @@
 
 
 def loop_clock() -> trio.abc.Clock:
-    """Return the clock for ``trio.run``, which counts the time that the machine is suspended."""
+    """Return a clock for ``trio.run`` that includes the time when the machine is suspended."""
     return _LoopClock()
 
 
 def now_ms() -> float:
-    """Return trio's time in milliseconds; only differences mean anything."""
+    """Return trio's time in milliseconds; only differences are meaningful."""
     return trio.current_time() * 1000.0
 
 
--- a/src/fescuedock/daemon.py
+++ b/src/fescuedock/daemon.py
@@ -1,7 +1,7 @@
-"""What every program has in common: its shape, and how it is started and stopped.
+"""Starts and stops the programs of the package.
 
-A program is a coroutine that gets the checked settings and a ``Stop``, reports its address when it
-serves, and returns after a graceful shutdown.  ``fescuedock local`` runs the same coroutines as
+A program is a coroutine that gets the validated settings and a ``Stop``, reports its address once
+it serves, and returns after a graceful shutdown.  ``fescuedock local`` runs the same coroutines as
 tasks of one process.
 """
 
@@ -46,16 +46,16 @@
 """
 
 
-# What a program may still do after the bound of its graceful shutdown.
+# Time after the end of stop_timeout_ms until a program that still runs is cancelled.
 _FORCED_STOP_DELAY_MS = 2000
 
 
 class CutOffError(OSError):
-    """A shutdown was not graceful: the operator asked twice, or it took too long."""
+    """A shutdown was not graceful: a second signal came or it exceeded its time limit."""
 
 
 class Stop(msgspec.Struct):
-    """Asks a program for a graceful shutdown."""
+    """Requests a graceful shutdown of a program."""
 
     _requested: trio.Event = msgspec.field(default_factory=trio.Event)
 
@@ -81,8 +81,8 @@
 def run_program(name: str, program: Program, sections: Sequence[str], file: str = "") -> None:
     """Run ``program`` as the process ``fescuedock-NAME FILE``; never returns.
 
-    ``sections`` are those of the INI file that the program needs besides what all need.  ``file``
-    is read where the command line names none.
+    ``sections`` are the INI file's sections that the program needs besides those that all programs
+    need.  ``file`` is the default if the command line names none.
     """
 
     def run(file: str) -> int:
@@ -112,9 +112,10 @@
 
 
 def report_errors(name: str, run: Callable[[], None]) -> int:
-    """Call ``run`` and return the exit code; tell each error by itself, without trio's groups.
+    """Call ``run`` and return the exit code; print its errors singly, without exception groups.
 
-    What an operator can mend, as an address in use, is one line; a fault of ours has its traceback.
+    An error that an operator can fix, such as an address in use, is printed as one line.  Any other
+    is a fault of the program and printed with its traceback.
     """
     code = ExitCode.OK
     try:
@@ -172,8 +173,8 @@
 ) -> None:
     """Request ``stop`` at the first SIGTERM or SIGINT; cancel ``scope`` at the second one.
 
-    The scope is also cancelled when the program has not returned by itself soon after
-    ``stop_timeout_ms``, which bounds its graceful shutdown.
+    ``stop_timeout_ms`` bounds the graceful shutdown: the scope is also cancelled if the program
+    has not returned shortly after it.
     """
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         task_status.started()
--- a/src/fescuedock/faults.py
+++ b/src/fescuedock/faults.py
@@ -1,4 +1,4 @@
-"""The one error value that crosses module boundaries: a numbered code with its explanation."""
+"""The error value that all modules share: a numbered result code with an explanation."""
 
 import msgspec
 
@@ -8,9 +8,9 @@
 
 
 class Fault(msgspec.Struct, frozen=True):
-    """Why something was refused or failed; the ``Err`` side of results across the package.
+    """The reason of a refusal or failure, used as the ``Err`` value of results.
 
-    ``retry_after_ms`` is 0 when there is no point in coming back by itself.
+    ``retry_after_ms`` is 0 if a retry without another change is pointless.
     """
 
     code: ResultCode
--- a/src/fescuedock/kv.py
+++ b/src/fescuedock/kv.py
@@ -1,7 +1,8 @@
-"""The key-value service as the rest of the package sees it.
+"""Interfaces of the key-value service.
 
-One narrow interface, so that another dialect, an in-memory fake or an outside bench takes its
-place.  Every call counts against the service's small rates, a waiting watch as one.
+They are narrow, so that the service can be replaced by one with another protocol, an in-memory fake
+or an external bench.  Each call counts against the service's low rate limits, a waiting watch as
+one call.
 """
 
 from collections.abc import Mapping, Sequence
@@ -37,7 +38,7 @@
 
 
 class KvPage(msgspec.Struct, frozen=True):
-    """Entries of one range read; ``more`` says that the limit cut it."""
+    """Entries of one range read; ``more`` is True if the limit cut it off."""
 
     entries: tuple[KvEntry, ...]
     revision: int
@@ -53,23 +54,23 @@
 
 
 class KvWatchGap(msgspec.Struct, frozen=True):
-    """Changes were missed; the watcher must read the whole range again."""
+    """Changes were missed; the watcher must read the complete range again."""
 
     revision: int
 
 
 class KvChanges(msgspec.Struct, frozen=True):
-    """What changed after some revision, up to ``revision`` and without a gap."""
+    """All changes after the requested revision, up to and including ``revision``."""
 
     events: tuple[KvEvent, ...]
     revision: int
 
 
 class KvTransaction(msgspec.Struct, frozen=True):
-    """Writes and removals that happen together, or not at all.
+    """An atomic set of writes and removals.
 
-    ``expected_revisions`` are conditions: 0 says that the key must not exist.  ``lease_id`` holds
-    the keys that are written.
+    ``expected_revisions`` are its conditions; revision 0 means that the key must not exist.
+    ``lease_id`` is the lease that the written keys are attached to, 0 for none.
     """
 
     expected_revisions: Mapping[str, int]
@@ -79,36 +80,37 @@
 
 
 class KvTransactions(Protocol):
-    """A service that writes several keys at once."""
+    """A service that writes several keys atomically."""
 
     async def transact(self, transaction: KvTransaction) -> Result[int, Fault]:
-        """Do all of it and return its revision; faults are those of ``KvStore.put_if``."""
+        """Execute the transaction and return its revision; faults as in ``KvStore.put_if``."""
 
 
 class KvChangeLog(Protocol):
-    """A service that can be asked for what has changed."""
+    """A service that answers queries for changes."""
 
     async def changes(
         self, prefix: str, after_revision: int, wait_ms: int
     ) -> Result[KvChanges, Fault]:
-        """Return the changes below ``prefix`` as soon as there is one, none after ``wait_ms``.
+        """Return the changes under ``prefix`` as soon as there is one, none after ``wait_ms``.
 
-        ``KV_COMPACTED`` says that the service no longer knows all since ``after_revision``.
+        Fail with ``KV_COMPACTED`` if the service no longer has all changes since
+        ``after_revision``.
         """
 
 
 class KvStore(Protocol):
-    """What we use of the service.
+    """The operations of the service that the package uses.
 
-    Each method gives ``Err(Fault)`` with ``KV_UNAVAILABLE`` (nothing was written, also for reads),
-    ``KV_UNKNOWN`` (a write that may have taken effect) or ``KV_CONFLICT``.
+    Each method can return ``Err(Fault)`` with ``KV_UNAVAILABLE`` (nothing was written, also for
+    reads), ``KV_UNKNOWN`` (a write that may have taken effect) or ``KV_CONFLICT``.
     """
 
     async def get(self, key: str, *, at_revision: int = 0) -> Result[KvEntry | None, Fault]:
         """Read one key; ``Ok(None)`` when it does not exist.
 
-        ``at_revision`` reads the past; a revision that the service no longer keeps is refused
-        with ``KV_COMPACTED``.
+        ``at_revision`` reads a past state, and fails with ``KV_COMPACTED`` if the service no longer
+        stores it.
         """
 
     async def get_range(
@@ -121,20 +123,20 @@
     ) -> Result[int, Fault]:
         """Write if the key's mod revision is ``expected_revision`` (0: it does not exist).
 
-        Returns the new mod revision.
+        Return the new mod revision.
         """
 
     async def delete_if(self, key: str, expected_revision: int) -> Result[None, Fault]:
         """Delete if the key's mod revision is ``expected_revision``."""
 
     async def grant_lease(self, ttl_s: int) -> Result[int, Fault]:
-        """Return a new lease's identity."""
+        """Grant a lease and return its ID."""
 
     async def keep_lease(self, lease_id: int) -> Result[int, Fault]:
-        """Renew a lease; returns the seconds it now has, 0 when it has lapsed."""
+        """Renew a lease and return its remaining seconds, 0 if it has lapsed."""
 
     async def revoke_lease(self, lease_id: int) -> Result[None, Fault]:
-        """End a lease, deleting its keys."""
+        """Revoke a lease and delete its keys."""
 
     def watch(
         self, prefix: str, from_revision: int
--- a/src/fescuedock/log.py
+++ b/src/fescuedock/log.py
@@ -1,4 +1,4 @@
-"""Logs: one JSON object a line, written by eliot to the file of the settings or standard error."""
+"""Structured logs: eliot writes one JSON object per line to the configured destination."""
 
 import sys
 from collections.abc import Iterator
@@ -15,15 +15,15 @@
 __all__ = ["log_event", "open_log"]
 
 
-# Of the whole process.  A summary of what was left out comes with the next line that is written.
+# Shared by the process.  The next line written after a dropped one is preceded by a summary.
 _budget = LogBudget()
 
 
 def log_event(name: str, *, routine: bool = False, **fields: object) -> None:
-    """Log one event; ``fields`` carry their unit as suffix, as everywhere.
+    """Log one event; names in ``fields`` have their unit as suffix.
 
-    Fields that JSON does not know are written as text.  ``routine`` lines, which say that all went
-    well, are the first to be left out under load.
+    Values that JSON cannot represent are written as text.  Under load, ``routine`` events, which
+    report normal operation, are dropped first.
     """
     if not _budget.allow(name, _now_s(), routine=routine):
         return
@@ -34,7 +34,7 @@
 
 
 def _now_s() -> float:
-    """Return trio's time; outside a loop none passes, and the budget of a second must do."""
+    """Return trio's time, or 0 outside a loop, where the budget of one second is all there is."""
     try:
         return trio.current_time()
     except RuntimeError:
@@ -43,11 +43,10 @@
 
 @contextmanager
 def open_log(settings: VmSettings, program: str) -> Iterator[None]:
-    """Send this process's events to ``settings.log_file``.
+    """Write this process's events to ``settings.log_file``.
 
-    Empty is standard error, ``-`` standard output.
-
-    Raises ``OSError`` when the file cannot be opened for appending.
+    An empty name is standard error, ``-`` is standard output.  Raise ``OSError`` if the file
+    cannot be opened for appending.
     """
     if not settings.log_file:
         with _destination(sys.stderr, settings, program):
--- a/src/fescuedock/log_writer.py
+++ b/src/fescuedock/log_writer.py
@@ -1,7 +1,7 @@
-"""Writes log lines to a descriptor without ever waiting for its reader.
+"""Writes log lines to a descriptor without ever blocking on its reader.
 
-What the reader does not take is kept up to a bound; beyond it lines are dropped and counted, and
-the count is written as a line of its own as soon as there is room.
+Lines that the reader does not accept yet are buffered up to a limit.  Beyond it they are dropped
+and counted, and the count is written as a separate line as soon as there is space.
 """
 
 import os
@@ -11,7 +11,7 @@
 
 __all__ = ["BoundedWriter"]
 
-# What a reader may lag behind: about half a minute of one busy node's lines.
+# The allowed lag of a reader: about half a minute of log lines of one busy node.
 _MAX_BUFFERED_BYTES = 1024 * 1024
 
 
@@ -29,7 +29,7 @@
         self._dropped = 0
 
     def write(self, data: bytes) -> int:
-        """Keep a line for ``flush``, or drop it."""
+        """Buffer a line for ``flush``, or drop and count it if the buffer is full."""
         if self._buffered_bytes + len(data) > self._max_bytes:
             self.flush()
         if self._buffered_bytes + len(data) > self._max_bytes:
@@ -42,7 +42,7 @@
         return len(data)
 
     def flush(self) -> None:
-        """Write as much as the reader takes now."""
+        """Write as much as the reader accepts now."""
         while self._buffer:
             data = self._buffer[0]
             try:
@@ -50,7 +50,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # Nobody reads any more; there is no place left to say so.
+                # The reader is gone, and with it the only place to report the error.
                 self._buffer.clear()
                 self._buffered_bytes = 0
                 return
--- a/src/fescuedock/pauses.py
+++ b/src/fescuedock/pauses.py
@@ -1,4 +1,4 @@
-"""Growing pauses between the tries of something that will work again some time."""
+"""Exponential backoff between the attempts of an operation that is retried until it succeeds."""
 
 import trio
 
@@ -6,7 +6,7 @@
 
 
 class ExponentialBackoff:
-    """Each pause is twice as long as the one before it, up to ``max_ms``."""
+    """Pauses that start at ``initial_ms`` and double up to ``max_ms``."""
 
     __slots__ = ("_max_ms", "_next_ms")
 
--- a/src/fescuedock/platform/__init__.py
+++ b/src/fescuedock/platform/__init__.py
@@ -1,4 +1,4 @@
-"""The users' platform: its words and types translated into the product's, and nothing decided.
+"""Adapter for the users' platform: translates its formats and terms into the product's own types.
 
-Nothing outside this package knows a name of the platform's pages.
+The package makes no decisions.  The platform's own terms are used only inside it.
 """
--- a/src/fescuedock/platform/calls.py
+++ b/src/fescuedock/platform/calls.py
@@ -1,4 +1,4 @@
-"""Headers of clients' calls and upstreams' answers."""
+"""Translates the headers of clients' calls and upstreams' answers."""
 
 from collections.abc import Iterable, Sequence
 
@@ -21,21 +21,22 @@
 ]
 
 _REQUEST_ID = "x-request-id"
-# Milliseconds that the client, or towards an upstream we, will wait from now on.
+# Milliseconds that the sender still waits: the client towards a node, a node towards an upstream.
 _DEADLINE = "x-deadline-ms"
 _TOKENS = "x-token-count"
-# Parts of the prompt in order, as ID:TOKENS; the last one is the request's or its session's own.
+# Parts of the prompt in order, as ID:TOKENS.  The last one belongs to this request or its session
+# alone; the ones before it may be shared with other requests.
 _PROMPT_PARTS = "x-prompt-prefix"
 _LAST_EVENT = "last-event-id"
-# The identity of the client's attempt that brought the first event of the stream that it takes up.
+# Request ID of the client's attempt that began the stream which this call resumes.
 _RESUMES = "resumes"
-# An upstream with another identity answers 421 and does not run the request.
+# ID of the addressed upstream; one with another ID answers 421 without running the request.
 _EXPECTED_UPSTREAM = "x-expect-instance"
-# On an upstream's answer: the request was not run.
+# Set in an upstream's answer when it did not run the request.
 _NOT_RUN = "x-not-executed"
-# Proves that an answer is an upstream's.
+# Shows that an answer was written by an upstream and not by something in between.
 _SEAL = "x-response-seal"
-# A caller's key, and whom it belongs to, which upstreams are told instead.
+# The caller's API key.  Upstreams get the name of the key's customer in its place.
 _KEY = "authorization"
 _CUSTOMER = "x-tenant"
 _RETRY_AFTER = "retry-after"
@@ -43,19 +44,19 @@
 _MISDIRECTED = 421
 HEALTH_ID_HEADER = "x-instance-id"
 
-# Set anew for each attempt.
+# Headers that every attempt sets itself.
 _REPLACED_HEADERS = frozenset(
     ("host", "content-length", _DEADLINE, _EXPECTED_UPSTREAM, _LAST_EVENT)
 )
 
 
 def api_keys(headers: Headers) -> list[str]:
-    """Return the keys that a client's headers bring, an empty one for each that is none."""
+    """Return the API keys in a client's headers, an empty string for each malformed one."""
     return bearer_keys(value for name, value in headers if name == _KEY)
 
 
 def call_head(headers: Headers) -> CallHead:
-    """Return what a client's headers say of its call."""
+    """Decode the headers of a client's call; a malformed field counts as absent."""
     fields = dict(headers)
     prompt_tokens, max_tokens = _token_counts(fields.get(_TOKENS, ""))
     return CallHead(
@@ -70,7 +71,7 @@
 
 
 def item_head(headers: Iterable[Sequence[str]]) -> CallHead:
-    """Return what a batch item's headers say of it."""
+    """Decode the headers of a batch item."""
     return call_head([(name.lower(), value) for name, value in headers])
 
 
@@ -84,8 +85,9 @@
 ) -> list[tuple[str, str]]:
     """Return a client's headers for one attempt at ``upstream_id``.
 
-    ``last_event`` is the number of the last event that the client has, below 0 for none.
-    ``customer`` is whom the call counts for, empty for nobody; None where there are no customers.
+    ``left_ms`` is the time that the call has left.  ``last_event`` is the number of the last event
+    that the client has received, below 0 for none.  ``customer`` is the customer that the call
+    counts for: empty for none, None where no customers are configured.
     """
     forwarded = _with_customer(_without_hop_headers(headers, _REPLACED_HEADERS), customer)
     forwarded.append((_DEADLINE, str(max(int(left_ms), 1))))
@@ -105,7 +107,7 @@
 ) -> list[tuple[str, str]]:
     """Return the headers of a batch item for one attempt at ``upstream_id``.
 
-    ``customer`` is whom its job belongs to, as in ``upstream_headers``.
+    ``customer`` is the owner of its job, as in ``upstream_headers``.
     """
     fields = [(name.lower(), value) for name, value in headers]
     forwarded = _with_customer(
@@ -118,7 +120,7 @@
 
 
 def answer_head(status: int, headers: Headers) -> AnswerHead:
-    """Return what an upstream's answer says of what it did."""
+    """Decode the status and headers of an upstream's answer."""
     fields = dict(headers)
     return AnswerHead(
         status=status,
@@ -129,19 +131,19 @@
 
 
 def client_headers(headers: Headers) -> list[tuple[str, str]]:
-    """Return an upstream's headers as the client is to get them."""
+    """Return the headers of an upstream's answer that are passed on to the client."""
     return _without_hop_headers(headers, frozenset(("content-length",)))
 
 
 def refusal_headers(fault: Fault) -> list[tuple[str, str]]:
-    """Return the headers of an answer of our own; the time to come back is in seconds."""
+    """Return the headers of a refusal by this node; ``retry-after`` is in seconds."""
     if not fault.retry_after_ms:
         return []
     return [(_RETRY_AFTER, f"{fault.retry_after_ms / 1000:.3f}")]
 
 
 def _with_customer(fields: list[tuple[str, str]], customer: str | None) -> list[tuple[str, str]]:
-    """Put the customer's name in place of the key, whatever the client sent of either."""
+    """Replace the API key by the customer's name and drop any such name that the client sent."""
     if customer is None:
         return fields
     forwarded = [(name, value) for name, value in fields if name not in (_KEY, _CUSTOMER)]
--- a/src/fescuedock/platform/directory.py
+++ b/src/fescuedock/platform/directory.py
@@ -1,4 +1,4 @@
-"""The calls by which clients find a front, and the platform asks whether one is ready."""
+"""Calls by which clients look up fronts, and by which the platform checks a node's readiness."""
 
 from collections.abc import Sequence
 
@@ -10,7 +10,7 @@
 
 _RESOLVE_PATH = "/api/resolve"
 _READY_PATH = "/api/ready"
-# Clients keep no more addresses of one answer than this.
+# Clients store no more addresses of one answer than this.
 MAX_ADDRESSES = 64
 
 
@@ -20,16 +20,16 @@
 
 
 def is_resolve_call(path: str) -> bool:
-    """Whether a client asks which fronts to use."""
+    """Return whether the path is that of a client's lookup of fronts."""
     return path == _RESOLVE_PATH
 
 
 def is_ready_call(path: str) -> bool:
-    """Whether the platform asks whether this node takes work."""
+    """Return whether the path is that of the platform's readiness check of this node."""
     return path == _READY_PATH
 
 
 def encode_fronts(addresses: Sequence[Address], ttl_s: float) -> bytes:
-    """Return an answer that names ``addresses``, to be kept for ``ttl_s``."""
+    """Return an answer with the first ``MAX_ADDRESSES`` addresses, valid for ``ttl_s``."""
     names = [str(address) for address in addresses[:MAX_ADDRESSES]]
     return msgspec.json.encode(_Fronts(names, ttl_s))
--- a/src/fescuedock/platform/job_calls.py
+++ b/src/fescuedock/platform/job_calls.py
@@ -1,4 +1,4 @@
-"""Paths and bodies of the clients' calls about batch jobs."""
+"""Decodes the clients' calls about batch jobs and encodes their answers."""
 
 import base64
 import binascii
@@ -25,12 +25,12 @@
 
 class _Item(msgspec.Struct):
     id: str
-    # Path at the upstream.
+    # Path of the request to the upstream.
     path: str
     headers: dict[str, str]
-    # Base64.
+    # In base64.
     body: str
-    # Of the prompt and the longest output together.
+    # Tokens of the prompt and the longest possible output together.
     tokens: int = 0
 
 
@@ -45,14 +45,17 @@
 
 
 class _Results(msgspec.Struct, rename={"next_position": "nextToken"}):
-    # Items of the job, listed or not.
+    # All items of the job, also those not listed here.
     total: int
     results: list[_Result]
     next_position: int
 
 
 class JobCall(msgspec.Struct, frozen=True):
-    """A call about a job that exists: ``verb`` is ``read``, ``body`` or ``end``."""
+    """A call about an existing job.
+
+    ``verb`` is ``read`` (results), ``body`` (the body of one item) or ``end`` (end the job).
+    """
 
     verb: str
     job_id: str
@@ -64,9 +67,9 @@
 def job_call(
     method: str, path: str, query: Mapping[str, str], headers: Mapping[str, str]
 ) -> JobCall | None:
-    """Return what a call about a job asks for; None for any other call.
+    """Decode a call about an existing job; return None for any other call.
 
-    ``ValueError`` names a part of it that cannot be read.
+    Raise ``ValueError``, naming the field, for one that is not an integer.
     """
     if path.startswith(_BODIES_PATH) and method == "GET":
         return JobCall("body", path.removeprefix(_BODIES_PATH), item_id=query.get("id", ""))
@@ -84,7 +87,7 @@
 
 
 def read_submission(body: bytes) -> Result[list[StoredItem], str]:
-    """Decode the items of a job; ``Err`` says what is wrong."""
+    """Decode the items of a submitted job; ``Err`` is the reason for its refusal."""
     try:
         submission = msgspec.json.decode(body, type=_Submission)
         items = [_stored_item(item) for item in submission.items]
@@ -93,14 +96,14 @@
     if not items:
         return Err("the job has no items")
     if len(items) > MAX_JOB_ITEMS:
-        return Err(f"the job has {len(items)} items, {MAX_JOB_ITEMS} at most are taken")
+        return Err(f"the job has {len(items)} items, at most {MAX_JOB_ITEMS} are accepted")
     if len({item.item_id for item in items}) < len(items):
         return Err("two items of the job have the same id")
     return Ok(items)
 
 
 def encode_results(total: int, after: int, results: Sequence[StoredResult]) -> bytes:
-    """Return the body of an answer with the results at ``after`` and on."""
+    """Return the body of an answer that lists ``results``, the first at position ``after``."""
     listed = [
         _Result(item.item_id, "completed" if item.completed else "dead_letter", item.text)
         for item in results
@@ -116,5 +119,5 @@
 
 def _integer(name: str, text: str) -> int:
     if not (text.isascii() and text.isdigit()):
-        raise ValueError(f"{name} = {text!r} is not a whole number")
+        raise ValueError(f"{name} = {text!r} is not an integer")
     return int(text)
--- a/src/fescuedock/platform/records.py
+++ b/src/fescuedock/platform/records.py
@@ -1,4 +1,7 @@
-"""What the operator and the workers write in the metadata store, as the product's own types."""
+"""Decodes the records that operator and workers write in the metadata store.
+
+Also encodes the status records that the nodes write for the operator.
+"""
 
 from collections.abc import Iterable
 from ipaddress import ip_address
@@ -34,12 +37,13 @@
 OPERATOR_PREFIX = "op/"
 CONFIG_KEY = "op/config"
 UPSTREAM_PREFIX = "servers/"
-# Clients of the platform leave a stream after the longest of these without an event.
+# Clients of the platform abandon a stream after the longest of three times without an event: this
+# minimum, so many times the route's latency target, and so many times its gap target.
 _MIN_PATIENCE_MS = 2000.0
 _PATIENCE_LATENCY_TARGETS = 4
 _PATIENCE_GAP_TARGETS = 8
 _RETIRE_PREFIX = "op/retire/"
-# Between a worker's identity and its start, in the identity of an upstream.
+# Separates the worker's registered ID from its start time in an upstream ID.
 _START_SEPARATOR = "@"
 _MAX_PORT = 65535
 _RETIRE_STATUS_PREFIX = "status/retire/"
@@ -60,7 +64,7 @@
     timeout_ms: float = 0.0
     target_latency_ms: float = 1000.0
     gap_target_ms: float = 0.0
-    # Upstreams that may run one call of a client, not tries in all.
+    # Number of upstreams that may run one call; attempts that did not run it do not count.
     max_attempts: int = 1
     resumable: bool = False
     public: bool = False
@@ -103,7 +107,7 @@
 
 
 class _Server(msgspec.Struct, rename="camel"):
-    """What a worker writes of itself; an entry that lacks a field is not a worker's."""
+    """A worker's registration.  An entry without one of the required fields is no worker's."""
 
     service: str
     address: str
@@ -111,11 +115,11 @@
     version: str
     slots: int
     state: Literal["ready", "draining"]
-    # How much longer the worker stays slow after its start.
+    # Remaining time of slow operation after the worker's start.
     cold_remaining_ms: float
-    # Counts what it has written, so it differs in each heartbeat and says nothing else.
+    # Number of entries that the worker has written; it has no meaning but to differ in each one.
     sequence: int
-    # Unix milliseconds of its start; a worker may start again under the same key.
+    # Start time in Unix milliseconds, since a worker may restart under the same key; 0 if unknown.
     born: int = 0
 
 
@@ -124,7 +128,7 @@
 
 
 def read_route_table(value: bytes) -> Result[RouteTable, str]:
-    """Decode a configuration; ``Err`` says what is wrong with it."""
+    """Decode a configuration; ``Err`` is the reason why it is invalid."""
     try:
         config = msgspec.json.decode(value, type=_Config)
         routes = tuple(_route(item) for item in config.routes)
@@ -144,8 +148,8 @@
 def read_upstream(key: str, value: bytes, region: str) -> Result[UpstreamRecord, str]:
     """Decode the entry that a worker wrote at ``key``.
 
-    The identity names one incarnation of the worker: one that was restarted has neither the work
-    nor the cached prompts of before, so what was learned of it must not be used any more.
+    The upstream ID names one incarnation of the worker.  A restarted worker has lost its work and
+    its cached prompts, so nothing known about the earlier incarnation may be applied to it.
     """
     try:
         server = msgspec.json.decode(value, type=_Server)
@@ -170,7 +174,7 @@
 
 
 def is_heartbeat(before: bytes, after: bytes) -> bool:
-    """Whether a worker's entry says nothing that its last one did not."""
+    """Return whether a worker's entry differs from its last one in heartbeat fields alone."""
     try:
         first = msgspec.json.decode(before, type=_Server)
         second = msgspec.json.decode(after, type=_Server)
@@ -182,13 +186,13 @@
 
 
 def registered_id(upstream_id: str) -> str:
-    """Return the identity that an upstream registered under, which it checks requests by."""
+    """Return the ID that an upstream registered under and compares with that of each request."""
     return upstream_id.partition(_START_SEPARATOR)[0]
 
 
 def _incarnation_id(name: str, born: int) -> str:
     if not name or _START_SEPARATOR in name:
-        raise ValueError(f"{name!r} is no identity")
+        raise ValueError(f"{name!r} is not a valid worker ID")
     return f"{name}{_START_SEPARATOR}{born}" if born else name
 
 
@@ -200,24 +204,24 @@
 
 
 def retired_node(key: str) -> str | None:
-    """Return the node that the operator wants emptied by ``key``; None for any other key."""
+    """Return the node whose retirement ``key`` requests; None for any other key."""
     if not key.startswith(_RETIRE_PREFIX):
         return None
     return key.removeprefix(_RETIRE_PREFIX)
 
 
 def retirement_status_key(node: str) -> str:
-    """Return the key at which the operator looks for the progress of emptying ``node``."""
+    """Return the key of the status record that reports the progress of a node's retirement."""
     return _RETIRE_STATUS_PREFIX + node
 
 
 def encode_retirement_running() -> bytes:
-    """Return the status of a node that still holds something."""
+    """Return the status of a retiring node that still holds data."""
     return msgspec.json.encode(_RetireStatus("running"))
 
 
 def encode_retirement_completed() -> bytes:
-    """Return the status of a node that holds nothing any more."""
+    """Return the status of a retired node, which holds no data any more."""
     return msgspec.json.encode(_RetireStatus("completed"))
 
 
@@ -242,7 +246,10 @@
 
 
 def _first_event_patience_ms(item: _Route) -> float:
-    """Return how long clients of the platform wait for a stream's first event."""
+    """Return how long clients of the platform wait for the first event of a stream.
+
+    0 for routes that are no streams.
+    """
     if item.kind != RouteKind.STREAM.value:
         return 0.0
     return max(
@@ -279,7 +286,7 @@
     if not item.split:
         return [(item.service, 1.0)]
     weights: dict[str, float] = {}
-    # A service may stand more than once in a split.
+    # A split may list a service more than once.
     for part in item.split:
         weights[part.service] = weights.get(part.service, 0.0) + part.weight
     return weights.items()
--- a/src/fescuedock/platform/standin/__init__.py
+++ b/src/fescuedock/platform/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the users' metadata store and upstreams, for tests; CI has no bench."""
+"""Stand-ins for the users' metadata store and upstreams, for tests without the users' bench."""
--- a/src/fescuedock/platform/standin/event_upstream.py
+++ b/src/fescuedock/platform/standin/event_upstream.py
@@ -1,4 +1,4 @@
-"""An upstream of the users' platform as a stand-in: numbered events, with faults on command."""
+"""Stand-in for an upstream of the users' platform: streams numbered events, injects faults."""
 
 import enum
 from collections import Counter
@@ -29,34 +29,34 @@
 
 @dataclass(slots=True)
 class UpstreamFault:
-    """What goes wrong with the next requests; each switch is used up by one of them."""
+    """The faults of one request; the defaults are no fault."""
 
     # Answer without running the request.
     reject: int = 0
-    # Run it, and answer with this status.
+    # Run the request and answer with this status; 0 for never.
     fail_status: int = 0
-    # Break off after so many events; below 0 for never.
+    # Cut the stream within this event number; below 0 for never.
     cut_after: int = -1
-    # Go silent after so many events; below 0 for never.
+    # Stop sending before this event number; below 0 for never.
     hang_after: int = -1
-    # Answer with a success that bears no seal.
+    # Answer with success but without a seal.
     unsealed: bool = False
-    # Run it to the end and close without an answer.
+    # Run the request and close the connection without an answer.
     lose: bool = False
 
 
 class CrashForm(enum.Enum):
-    """What a request with a harmful part of its prompt gets of its answer before the crash."""
+    """The part of its answer that a request with a harmful prompt part gets before the crash."""
 
     HEAD = enum.auto()
     PARTIAL_EVENT = enum.auto()
-    # One event, and the plain end of an answer that ends with its connection.
+    # One event, then the end of the connection, which is a regular end of an unframed answer.
     COMPLETE_EVENT = enum.auto()
 
 
 @dataclass(frozen=True, slots=True)
 class UpstreamCrash:
-    """One crash: the path of the request that caused it, trio's time in seconds, what ran there."""
+    """One crash: the path of its cause, trio's time in seconds, the IDs of the running requests."""
 
     path: str
     at_s: float
@@ -64,20 +64,22 @@
 
 
 def _ignore(_upstream: "EventUpstream") -> None:
-    """Tell nobody."""
+    """Do nothing."""
 
 
 @dataclass(slots=True)
 class EventUpstream:
-    """One upstream.  ``runs`` counts by request identity; ``seen`` has the headers of each run.
+    """One upstream.  ``runs`` counts runs by request ID; ``seen`` has the headers of each run.
 
-    A request to one of the ``harmful`` paths crashes it ``crash_after_ms`` after it has begun: all
-    connections are cut and new ones are refused for ``restart_ms``.  It comes back at the same
-    address as another incarnation, with an identity of its own, and calls ``on_restart``.
+    Each request consumes the first of ``faults``.
 
-    One with any of the ``harmful_parts`` in its prompt, but for the last part, crashes it as well,
-    once its answer has begun as ``crash_form`` says.  ``unframed`` answers have neither a length
-    nor chunks.
+    A request to one of the ``harmful`` paths crashes the upstream ``crash_after_ms`` after its
+    start: all connections are cut and new ones are refused for ``restart_ms``.  The upstream then
+    restarts at the same address as another incarnation with a new ID and calls ``on_restart``.
+
+    A request with one of the ``harmful_parts`` among the shared parts of its prompt (all but the
+    last) also crashes the upstream, after the beginning of an answer given by ``crash_form``.
+    ``unframed`` answers have neither a length nor chunks.
     """
 
     upstream_id: str
@@ -88,9 +90,9 @@
     faults: list[UpstreamFault] = field(default_factory=list)
     runs: Counter[str] = field(default_factory=Counter)
     seen: list[dict[str, str]] = field(default_factory=list)
-    # Identity and trio's time in seconds of each run that began.
+    # Request ID and trio's time in seconds of the start of each run.
     started: list[tuple[str, float]] = field(default_factory=list)
-    # Paths that always fail, and those that can never be done.
+    # Paths that are always answered with 500, and with 422.
     failing: set[str] = field(default_factory=set)
     unprocessable: set[str] = field(default_factory=set)
     harmful: set[str] = field(default_factory=set)
@@ -98,13 +100,13 @@
     crash_form: CrashForm = CrashForm.HEAD
     unframed: bool = False
     crash_after_ms: float = 20.0
-    # Whether a harmful request crashes it also when its caller has left.
+    # Whether a harmful request crashes the upstream even if its caller has left.
     crashes_without_caller: bool = False
     restart_ms: float = 300.0
     crashes: list[UpstreamCrash] = field(default_factory=list)
     on_crash: Callable[["EventUpstream"], None] = _ignore
     on_restart: Callable[["EventUpstream"], None] = _ignore
-    # Identities of the requests that run now.
+    # IDs of the requests that are running.
     in_progress: list[str] = field(default_factory=list)
     listener: Listener = field(init=False)
     _background: trio.Nursery | None = None
@@ -123,13 +125,13 @@
     async def run(
         self, address: Address, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; report the real ``Address``."""
+        """Serve until cancelled; report the bound ``Address``."""
         async with trio.open_nursery() as nursery:
             self._background = nursery
             task_status.started(await nursery.start(self.listener.run, address))
 
     def crash(self, path: str = "") -> None:
-        """Cut every connection, refuse new ones, and come back after a while."""
+        """Cut all connections, refuse new ones, and restart after ``restart_ms``."""
         if not self.listener.is_up:
             return
         running = tuple(self.in_progress)
@@ -194,11 +196,11 @@
             await responder.send(status, b"it failed", headers)
             return
         if fault.lose:
-            raise DroppedConnectionError("lost on command")
+            raise DroppedConnectionError("dropped the answer as configured")
         first_event = int(request.headers.get("last-event-id", "-1")) + 1
         headers.append(("content-type", "text/event-stream"))
         if self.unframed:
-            # An answer to a client of HTTP/1.0 ends with its connection.
+            # The end of the connection ends an answer to an HTTP/1.0 client.
             responder.answer_as_http_1_0()
         else:
             headers.append(("transfer-encoding", "chunked"))
@@ -208,7 +210,7 @@
             for number in range(first_event, self.event_count):
                 if number == fault.cut_after:
                     await out.write(b"id: %d\ndata: ha" % number)
-                    raise DroppedConnectionError("cut on command")
+                    raise DroppedConnectionError("cut the stream as configured")
                 if number == fault.hang_after:
                     await trio.sleep_forever()
                 await trio.sleep(self.event_interval_ms / 1000)
@@ -221,7 +223,7 @@
     async def _crash_in_answer(
         self, request: Request, responder: Responder, headers: list[tuple[str, str]]
     ) -> None:
-        """Begin an answer and crash ``crash_after_ms`` after that."""
+        """Begin an answer and crash ``crash_after_ms`` later."""
         out = await responder.begin(200, headers)
         if self.crash_form is CrashForm.PARTIAL_EVENT:
             await out.write(b"id: 0\ndata: ha")
@@ -229,7 +231,7 @@
             await out.write(event_bytes(0, request.path, 0, self.version))
             await responder.end()
             self._background.start_soon(self._crash_later, request.path)
-            raise DroppedConnectionError("the answer ends with its connection")
+            raise DroppedConnectionError("the end of the connection ends the answer")
         await trio.sleep(self.crash_after_ms / 1000)
         self.crash(request.path)
         await trio.sleep_forever()
@@ -240,7 +242,7 @@
 
 
 def event_bytes(number: int, path: str, body_bytes: int, version: str = DEFAULT_VERSION) -> bytes:
-    """Return the event that every upstream of a software version makes of a request."""
+    """Return the event that all upstreams of one software version send for a request."""
     text = f"{path} {body_bytes} {number}"
     if version != DEFAULT_VERSION:
         text += f"{_VERSION_SEPARATOR}{version}"
@@ -248,5 +250,5 @@
 
 
 def versions_in(texts: Iterable[str]) -> set[str]:
-    """Return the software versions that wrote the data of events, ``event_bytes`` each."""
+    """Return the software versions named in ``texts``, the data of events from ``event_bytes``."""
     return {text.partition(_VERSION_SEPARATOR)[2] or DEFAULT_VERSION for text in texts}
--- a/src/fescuedock/platform/standin/metadata_store.py
+++ b/src/fescuedock/platform/standin/metadata_store.py
@@ -1,6 +1,6 @@
-"""The users' metadata store as a stand-in, with its faults on command.
+"""Stand-in for the users' metadata store, with fault injection.
 
-It speaks the bodies of ``platform.store_wire`` over the same state as the other stand-in.
+It uses the bodies of ``platform.store_wire`` and the same state as ``standin``'s key-value service.
 """
 
 import base64
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Answer:
-    """A status and a body; no body stands for an empty one."""
+    """A status and a body; None is an empty body."""
 
     status: int
     body: msgspec.Struct | None = None
@@ -46,9 +46,9 @@
 
 @dataclass(slots=True)
 class MetadataStoreService(KvHost):
-    """One store; see ``KvHost``."""
+    """One metadata store; see ``KvHost`` for its state and faults."""
 
-    # Answered in place of every call while it is not 0: the store turns this caller away.
+    # While not 0, the status of every answer: the store refuses this caller's calls.
     refuse_status: int = 0
     _changed: trio.Event = field(default_factory=trio.Event)
 
@@ -57,7 +57,7 @@
         self.state.listeners.append(self._signal_change)
 
     async def handle(self, request: Request, responder: Responder) -> None:
-        """Execute one call; returning without an answer cuts its connection."""
+        """Execute one call; a return without an answer cuts the connection."""
         body = await request.read(_MAX_BODY_BYTES)
         name, _, argument = request.path.removeprefix("/api/").partition("/")
         kind = _KINDS.get((request.method, name))
@@ -148,7 +148,7 @@
     # --- watches ---------------------------------------------------------------------------------
 
     async def _watch(self, request: Request) -> _Answer | None:
-        """Hold a watch until there is a change or its time is up; None when it was cut."""
+        """Wait until there is a change or the time is up; return None when the watch was cut."""
         prefix, after = request.query["prefix"], int(request.query["after"])
         cut = self.cut
         with trio.move_on_after(int(request.query["waitMs"]) / 1000):
--- a/src/fescuedock/platform/store.py
+++ b/src/fescuedock/platform/store.py
@@ -1,7 +1,8 @@
-"""The platform's metadata store, as a ``KvStore``, ``KvTransactions`` and ``KvChangeLog``.
+"""Client of the platform's metadata store: a ``KvStore``, ``KvTransactions`` and ``KvChangeLog``.
 
-What matters most is that a fault never promises too much: a write is ``KV_UNAVAILABLE`` only when
-no byte of it reached the store or the store refused it.
+A fault must never claim that a write had no effect when it may have had one: a write fails with
+``KV_UNAVAILABLE`` only if no byte of it reached the store or the store refused it, and otherwise
+with ``KV_UNKNOWN``.
 """
 
 import base64
@@ -34,9 +35,9 @@
 
 __all__ = ["MetadataStore"]
 
-# A page is at most about 1 MB of values; base64 and JSON add a third and some.
+# A page has at most about 1 MB of values, to which base64 and JSON add somewhat more than a third.
 _MAX_ANSWER_BYTES = 16 * 1024 * 1024
-# A held watch may be answered this much later than it asked for.
+# Extra time for the answer of a watch beyond the wait that it requested.
 _WATCH_MARGIN_MS = 700.0
 _WATCH_WAIT_MS = 2500
 _WATCH_BUFFER_EVENTS = 256
@@ -49,12 +50,15 @@
     404: ResultCode.KV_CONFLICT,
     413: ResultCode.KV_VALUE_TOO_LARGE,
 }
-# Answers by which the store says that it did nothing.
+# Statuses that state that the store did not execute the call.
 _REFUSALS = (429, 503)
 
 
 class MetadataStore:
-    """Talks to one store.  ``timeout_ms`` bounds an answer; ``on_call`` is told of each call."""
+    """Client of one store.
+
+    ``timeout_ms`` bounds the wait for an answer.  ``on_call`` gets the name of each call.
+    """
 
     def __init__(
         self,
@@ -69,16 +73,19 @@
         self._on_call = on_call
 
     async def get(self, key: str, *, at_revision: int = 0) -> Result[KvEntry | None, Fault]:
-        """See ``KvStore.get``; the store gives no past state, so any is ``KV_COMPACTED``."""
+        """See ``KvStore.get``.
+
+        The store has no past revisions, so ``at_revision`` fails with ``KV_COMPACTED``.
+        """
         if at_revision:
-            return Err(Fault(ResultCode.KV_COMPACTED, f"{key}: the store keeps no past state"))
+            return Err(Fault(ResultCode.KV_COMPACTED, f"{key}: the store has no past revisions"))
         result = await self._call("get", "GET", f"/api/kv-key?key={_quote(key)}", missing_ok=True)
         return result.and_then(_decoder(wire.Item, _entry_or_none))
 
     async def get_range(
         self, prefix: str, *, start_after: str = "", limit: int = 1000, keys_only: bool = False
     ) -> Result[KvPage, Fault]:
-        """See ``KvStore.get_range``; the store sets the size of a page, ``limit`` does not."""
+        """See ``KvStore.get_range``; the store chooses the page size and ignores ``limit``."""
         target = f"/api/kv-range?prefix={_quote(prefix)}"
         if start_after:
             target += f"&after={_quote(start_after)}"
@@ -135,7 +142,7 @@
         return result.and_then(_decoder(wire.LeaseAnswer, _ttl_s))
 
     async def revoke_lease(self, lease_id: int) -> Result[None, Fault]:
-        """See ``KvStore.revoke_lease``; a lease that has lapsed already is no fault."""
+        """See ``KvStore.revoke_lease``; a lease that has already lapsed counts as revoked."""
         target = f"/api/kv-lease-end/{lease_id}"
         return (await self._call("revoke", "DELETE", target, missing_ok=True)).map(lambda _: None)
 
@@ -178,7 +185,10 @@
         missing_ok: bool = False,
         timeout_ms: float = 0.0,
     ) -> Result[bytes, Fault]:
-        """Make one call; ``missing_ok`` turns a 404 into an empty answer."""
+        """Make one call and return the body of the answer.
+
+        With ``missing_ok`` a 404 is an empty body and no fault.
+        """
         self._on_call(name)
         writes = method != "GET"
         limit_ms = timeout_ms or self._timeout_ms
@@ -219,7 +229,10 @@
 
 
 def _decoder(kind: type[msgspec.Struct], convert: Callable) -> Callable:
-    """Return a function from an answer's bytes to a result; nothing stands for "not there"."""
+    """Return a function that decodes a body as ``kind`` and converts it to the result's value.
+
+    ``convert`` gets None for an empty body, which means that the key or lease does not exist.
+    """
 
     def decode(content: bytes) -> Result:
         if not content:
@@ -227,7 +240,7 @@
         try:
             return Ok(convert(msgspec.json.decode(content, type=kind)))
         except (msgspec.DecodeError, ValueError) as error:
-            # An answer that can't be read says nothing of what a write did.
+            # The answer may belong to a write whose effect is unknown.
             return Err(_unknown_outcome(f"the store's answer cannot be read: {error}"))
 
     return decode
@@ -254,7 +267,7 @@
 
 
 def _ttl_s(answer: wire.LeaseAnswer | None) -> int:
-    """Return the whole seconds that a lease has; 0 for one that has ended."""
+    """Return the remaining seconds of a lease, at least 1; 0 for one that has ended."""
     return 0 if answer is None else max(answer.ttl_ms // 1000, 1)
 
 
--- a/src/fescuedock/platform/store_wire.py
+++ b/src/fescuedock/platform/store_wire.py
@@ -1,4 +1,4 @@
-"""Bodies of the metadata store's calls; ``rename`` gives the names on the wire."""
+"""Bodies of the metadata store's calls; ``rename`` defines the field names on the wire."""
 
 import msgspec
 
@@ -16,13 +16,14 @@
 
 
 class Item(msgspec.Struct, rename="camel"):
-    """One key, or in a watch the removal of one."""
+    """One key with its value, or in a watch possibly its removal."""
 
     key: str
-    # Of the key's last change, not of the store.
+    # Revision of the key's last change, not that of the store.
     revision: int
+    # In base64.
     value: str = ""
-    # 0 where no lease holds the key.
+    # 0 if the key is attached to no lease.
     lease: int = 0
     removed: bool = False
 
@@ -37,21 +38,21 @@
 
 
 class WatchAnswer(msgspec.Struct, rename="camel"):
-    """Changes, and the revision up to which they are all."""
+    """All changes up to revision ``as_of``."""
 
     events: list[Item]
     as_of: int
 
 
 class Expectation(msgspec.Struct):
-    """A key must have this revision; 0 says that it must not exist."""
+    """The condition that a key has this revision; with 0, that it does not exist."""
 
     key: str
     revision: int
 
 
 class Write(msgspec.Struct):
-    """A value to be written, in base64."""
+    """A key to write with its value in base64; ``lease`` is 0 for none."""
 
     key: str
     value: str
@@ -59,7 +60,7 @@
 
 
 class TxnRequest(msgspec.Struct, rename={"expect": "expectRev"}):
-    """All of it is done, or nothing."""
+    """An atomic transaction: if all expectations hold, all writes and removals are executed."""
 
     expect: list[Expectation]
     writes: list[Write]
@@ -67,19 +68,19 @@
 
 
 class TxnAnswer(msgspec.Struct):
-    """The revision that the writes got."""
+    """The revision of the transaction's changes."""
 
     revision: int
 
 
 class LeaseRequest(msgspec.Struct, rename="camel"):
-    """How long the lease is to last without renewal."""
+    """A request for a lease that lapses after ``ttl_ms`` without renewal."""
 
     ttl_ms: int
 
 
 class LeaseAnswer(msgspec.Struct, rename="camel"):
-    """A lease and the time that it now has; a renewal leaves ``lease`` out."""
+    """A lease and its remaining time; the answer to a renewal has no ``lease``."""
 
     ttl_ms: int
     lease: int = 0
--- a/src/fescuedock/report/__init__.py
+++ b/src/fescuedock/report/__init__.py
@@ -1,1 +1,1 @@
-"""Reports: service-level burn."""
+"""Metrics, the service-level burn report, and the history of single requests from logs."""
--- a/src/fescuedock/report/burn_html.py
+++ b/src/fescuedock/report/burn_html.py
@@ -1,4 +1,4 @@
-"""The burn report as one self-contained page, for light and dark screens."""
+"""Renders the burn report as one self-contained HTML page with light and dark colours."""
 
 from datetime import UTC, datetime
 from html import escape
@@ -47,7 +47,7 @@
 
 
 def burn_html(report: BurnReport) -> str:
-    """Return the page; it loads nothing from elsewhere."""
+    """Return the page, which loads no other resources."""
     at = datetime.fromtimestamp(report.at_s, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
     parts = [
         '<!doctype html>\n<html lang="en">\n<head>\n<meta charset="utf-8">',
--- a/src/fescuedock/report/burn_plots.py
+++ b/src/fescuedock/report/burn_plots.py
@@ -17,13 +17,13 @@
 _MINUTE_S = 60
 _DAY_S = 86400
 _MIN_TOP_RATE = 2.0
-# An objective of 100% makes any failure an endless rate.
+# With an objective of 100% any failure gives an infinite rate, which no axis can show.
 _MAX_TOP_RATE = 1e6
 _STYLES = ("one", "two", "three", "four")
 
 
 def latency_plot(service: ServiceReport) -> str:
-    """Return latency by percentile, on a logarithmic scale, with the objectives."""
+    """Return a plot of latency by percentile on a logarithmic scale, with the objectives."""
     objectives = service.objectives
     guides = (
         Guide("first token objective", "one", objectives.first_token_ms),
@@ -45,7 +45,7 @@
 
 
 def burn_plot(service: ServiceReport, at_s: int) -> str:
-    """Return the burn rate of each promise over the time there are counts of."""
+    """Return a plot of each promise's burn rate over the time that the counts cover."""
     shares = {burn.promise: burn.objective_share for burn in service.burns}
     bins = _bins(service.slots, at_s)
     series = [
@@ -69,7 +69,7 @@
 
 
 def _round_up_step(step: float) -> float:
-    """Return the next of 1, 2, 2.5, 5 and their multiples by ten."""
+    """Return the smallest of 1, 2, 2.5 and 5 times a power of ten that is at least ``step``."""
     power = 10.0 ** math.floor(math.log10(step))
     return power * next(nice for nice in (1, 2, 2.5, 5, 10) if nice * power >= step)
 
@@ -79,7 +79,7 @@
 
 
 def _bins(slots: Sequence[SlotCounts], at_s: int) -> list[tuple[int, list[SlotCounts]]]:
-    """Spread ``slots`` over equal stretches of time, each with its middle; empty ones stay."""
+    """Group ``slots`` into bins of equal length, returned as middle and slots, also empty ones."""
     if not slots:
         return []
     start_s = slots[0].start_s
--- a/src/fescuedock/report/burn_report.py
+++ b/src/fescuedock/report/burn_report.py
@@ -1,4 +1,4 @@
-"""The burn report: metrics of many processes put together and held against the objectives."""
+"""Builds the burn report: merges the metrics of many processes and compares with objectives."""
 
 from collections.abc import Iterable, Sequence
 
@@ -20,7 +20,7 @@
 
 
 class Latency(msgspec.Struct, frozen=True):
-    """One measure of one service, all members together; ``values_ms`` go with ``PERCENTILES``."""
+    """One measure of one service over all members; ``values_ms`` belong to ``PERCENTILES``."""
 
     work_class: str
     measure: str
@@ -29,7 +29,7 @@
 
 
 class ServiceReport(msgspec.Struct, frozen=True):
-    """One service: its objectives, the burn of each promise, latencies and counts by time."""
+    """One service: its objectives, the burn of each promise, latencies and counts by time slot."""
 
     service: str
     objectives: ServiceObjectives
@@ -39,9 +39,9 @@
 
 
 class BurnReport(msgspec.Struct, frozen=True):
-    """All services at ``at_s`` (Unix time of the newest metrics).
+    """All services at ``at_s``, the Unix time of the newest metrics.
 
-    ``missing`` names VMs that did not answer, whose counts the report lacks.
+    ``missing`` lists the VMs that did not answer; the report lacks their counts.
     """
 
     at_s: int
@@ -52,16 +52,16 @@
 
     @property
     def alarm(self) -> Alarm:
-        """The most urgent alarm of all."""
+        """The most urgent alarm of all services."""
         found = {burn.alarm for service in self.services for burn in service.burns}
         return next((alarm for alarm in (Alarm.FAST, Alarm.SLOW) if alarm in found), Alarm.NONE)
 
 
 def build_report(reports: Sequence[MetricsReport], missing: Sequence[str] = ()) -> BurnReport:
-    """Put ``reports`` together; of one process only the newest snapshot counts.
+    """Merge ``reports``, using only the newest snapshot of each process.
 
-    The objectives are those of the newest configuration; a service that it lacks is reported under
-    the default ones as long as there are counts of it.
+    The objectives are those of the newest configuration.  A service that it does not have is
+    reported with the default objectives while there are counts of it.
     """
     snapshots = _newest(item for report in reports for item in report.snapshots)
     newest = max(reports, key=lambda report: report.config_version, default=MetricsReport())
@@ -94,7 +94,7 @@
 
 
 def _latencies_by_service(snapshots: Iterable[MetricsSnapshot]) -> dict[str, tuple[Latency, ...]]:
-    """Add up the member groups of each measure."""
+    """Return the latencies of each service, with the member groups of each measure merged."""
     merged: dict[tuple[str, str, str], object] = {}
     for key, histogram in sorted(merge_histograms(snapshots).items(), key=lambda item: item[0]):
         merged.setdefault(_measure_of(key), new_histogram()).add(histogram)
--- a/src/fescuedock/report/burn_text.py
+++ b/src/fescuedock/report/burn_text.py
@@ -1,4 +1,4 @@
-"""The burn report for the terminal."""
+"""Renders the burn report as text for the terminal."""
 
 from collections.abc import Iterator
 
@@ -17,7 +17,7 @@
 
 
 def share_text(share: float) -> str:
-    """Return a share as a percentage, with as many digits as it needs."""
+    """Return a share as a percentage with up to four significant digits."""
     return f"{share * 100:.4g}%"
 
 
@@ -40,7 +40,8 @@
     yield f"{service.service}"
     yield (
         f"  objectives: first token {objectives.first_token_ms:g} ms and "
-        f"{objectives.inter_token_ms:g} ms between tokens for {share_text(objectives.online_share)} of online queries; "
+        f"{objectives.inter_token_ms:g} ms between tokens for "
+        f"{share_text(objectives.online_share)} of online queries; "
         f"{share_text(objectives.batch_share)} of jobs whole by their deadline"
     )
     headers = ("", "WINDOW", "COUNTED", "KEPT", "KEPT %", "BURN RATE", "BUDGET LEFT", "ALARM")
--- a/src/fescuedock/report/explain.py
+++ b/src/fescuedock/report/explain.py
@@ -1,6 +1,6 @@
-"""The life of one request or job, from the log lines of any number of processes.
+"""Finds the events of one request or job in the log lines of any number of processes.
 
-Pure: takes lines, gives what they say in order.
+Does no I/O: it gets lines and returns events in the order of time.
 """
 
 import json
@@ -10,18 +10,18 @@
 
 __all__ = ["LogLine", "lines_about", "parse_line"]
 
-# Fields that say where a line comes from, not what happened.
+# Fields that describe the origin of a line and not its event.
 _ORIGIN_FIELDS = frozenset(
     ("timestamp", "task_uuid", "task_level", "message_type", "vm_id", "program", "action_status")
 )
-# Fields by which lines are found.
+# Fields that identify the subject of a line.
 _ID_FIELDS = ("request_id", "job_id", "item_id")
-# Of a call by which a client goes on with a stream; ``resumes`` is the call that began it.
+# Event of a call that resumes a stream; its field ``resumes`` is the ID of the stream's first call.
 _RESUMED = "stream_taken_up"
 
 
 class LogLine(msgspec.Struct, frozen=True):
-    """One event: Unix time in seconds, where, what, and its fields."""
+    """One event: Unix time in seconds, VM, event name and its other fields."""
 
     at_s: float
     vm_id: str
@@ -29,13 +29,16 @@
     fields: Mapping[str, object]
 
     def text(self, began_s: float) -> str:
-        """Return the line for reading, with the time since ``began_s``."""
+        """Return a readable line with the time since ``began_s``."""
         shown = " ".join(f"{name}={_formatted(value)}" for name, value in self.fields.items())
         return f"{1000 * (self.at_s - began_s):+10.1f} ms  {self.vm_id}  {self.event}  {shown}"
 
 
 def parse_line(text: str) -> LogLine | None:
-    """Return the event of a line, which may have something before its JSON; None for others."""
+    """Return the event of a log line, which may have a prefix before its JSON.
+
+    None for a line without an event.
+    """
     start = text.find("{")
     if start < 0:
         return None
@@ -54,11 +57,11 @@
 
 
 def lines_about(identity: str, texts: Iterable[str], around_ms: float = 0.0) -> list[LogLine]:
-    """Return the events that name ``identity``, in the order of time.
+    """Return the events of the request, job or item ``identity``, in the order of time.
 
-    Those of the other tries of a stream that its client took up elsewhere are among them.
-    With ``around_ms``, also what the same nodes came to believe shortly before and meanwhile:
-    events that name no request, job or item.
+    For a stream that its client resumed, the events of all its requests are included.  With
+    ``around_ms``, also the changes of the same nodes' known state, which are the events that name
+    no request, job or item, from ``around_ms`` before the first event to the last one.
     """
     events = [event for text in texts if (event := parse_line(text)) is not None]
     requests = _requests_of_stream(identity, events)
@@ -81,7 +84,7 @@
 
 
 def _requests_of_stream(identity: str, events: Iterable[LogLine]) -> set[str]:
-    """Return the identities of all tries of the stream that a request belongs to."""
+    """Return the IDs of all requests of the stream that a request belongs to."""
     first_request_by_id = {
         str(event.fields["request_id"]): str(event.fields["resumes"])
         for event in events
@@ -96,12 +99,12 @@
 
 
 def _identities(event: LogLine) -> Iterator[str]:
-    """Yield the requests, jobs and items that an event is about."""
+    """Yield the IDs of the requests, jobs and items that an event names."""
     for name in _ID_FIELDS:
         if name in event.fields:
             identity = str(event.fields[name])
             yield identity
-            # A job is logged with its customer, whose own identity for it comes last.
+            # A job is logged as CUSTOMER:ID; the customer itself knows only the ID.
             yield from [identity.rpartition(":")[2]] if ":" in identity else ()
 
 
--- a/src/fescuedock/report/histograms.py
+++ b/src/fescuedock/report/histograms.py
@@ -1,4 +1,4 @@
-"""Latency histograms out of snapshots: decoding, adding up, and reading them."""
+"""Decodes the latency histograms of snapshots, merges them and reads percentiles."""
 
 from collections.abc import Iterable, Sequence
 
@@ -13,7 +13,7 @@
 
 
 def merge_histograms(snapshots: Iterable[MetricsSnapshot]) -> dict[HistogramKey, HdrHistogram]:
-    """Add up the histograms of ``snapshots``; nothing is lost, all share one layout."""
+    """Merge the histograms of ``snapshots``, without loss since all have the same layout."""
     merged: dict[HistogramKey, HdrHistogram] = {}
     for snapshot in snapshots:
         for item in snapshot.histograms:
--- a/src/fescuedock/report/metrics.py
+++ b/src/fescuedock/report/metrics.py
@@ -1,7 +1,7 @@
-"""What a program counts: latency histograms, result codes, and promises kept.
+"""Metrics of one process: latency histograms, result codes, and promises kept.
 
-A snapshot can be merged with those of other processes without loss.  Members are counted by group
-and never by name, and services are bounded in number, so that what is kept stays small.
+Snapshots of several processes can be merged without loss.  To bound memory, members are counted by
+group and never by name, and the number of services is limited.
 """
 
 import zlib
@@ -26,7 +26,7 @@
 
 __all__ = ["BUCKET_BOUNDS_MS", "HistogramKey", "Measure", "Metrics", "group_of", "new_histogram"]
 
-# Bounds, inclusive, of the counts for Prometheus.
+# Inclusive upper bounds of the latency buckets exported to Prometheus.
 BUCKET_BOUNDS_MS = (5, 10, 20, 31, 50, 100, 250, 500, 1000, 2500, 5000, 10000, 30000, 60000)
 
 _MAX_SERVICES = 64
@@ -37,7 +37,7 @@
 _SIGNIFICANT_DIGITS = 2
 _ONLINE = "online"
 _BATCH = "batch"
-# What the caller alone could have got right is no failure of ours.
+# Errors that only the caller could have avoided; they do not count against the service.
 _CALLER_ERRORS = frozenset(
     code
     for code in ResultCode
@@ -48,18 +48,18 @@
 
 
 class Measure:
-    """Names of what the histograms measure."""
+    """Names of the measured latencies."""
 
     FIRST_TOKEN = "first_token"
     INTER_TOKEN = "inter_token"
     ITEM = "item"
-    # Of single runs of items: those that gave events, and those that were cut off before.
+    # Single runs of items that produced events, and those that were interrupted before.
     RUN_WITH_EVENTS = "run_with_events"
     RUN_WITHOUT_EVENTS = "run_without_events"
 
 
 class HistogramKey(msgspec.Struct, frozen=True, order=True):
-    """What one histogram is about."""
+    """The labels of one histogram."""
 
     service: str
     work_class: str
@@ -68,14 +68,15 @@
 
 
 def new_histogram() -> HdrHistogram:
-    """Return an empty histogram of microseconds, up to an hour, to two digits."""
+    """Return an empty histogram of microseconds up to an hour, with two significant digits."""
     return HdrHistogram(1, _MAX_VALUE_US, _SIGNIFICANT_DIGITS)
 
 
 class Metrics:
-    """The counts of one process.
+    """The metrics of one process.
 
-    ``process`` names it across the fleet; ``objectives`` gives those now in force for a service.
+    ``process`` is unique in the fleet: VM, program and incarnation, separated by slashes.
+    ``objectives`` returns the objectives of a service that are in force.
     """
 
     __slots__ = (
@@ -109,8 +110,8 @@
     ) -> None:
         """Count one online query at its end.
 
-        ``inter_token_ms`` is the mean time between its tokens, 0 for an answer in one piece; for a
-        query that failed both times are of no account.
+        ``inter_token_ms`` is the mean time between its tokens, 0 for an answer that is not
+        streamed.  Both times are ignored for a query that failed.
         """
         service = self._bounded_service(service)
         self._codes[service, int(code)] += 1
@@ -131,7 +132,7 @@
                 self._record(service, _ONLINE, group, Measure.INTER_TOKEN, inter_token_ms)
 
     def record_item(self, service: str, member: str, run_ms: float, code: ResultCode) -> None:
-        """Count one batch item at its end; ``run_ms`` from its dispatch."""
+        """Count one batch item at its end; ``run_ms`` is the time since its dispatch."""
         service = self._bounded_service(service)
         self._codes[service, int(code)] += 1
         self._record(service, _BATCH, group_of(member), Measure.ITEM, run_ms)
@@ -145,13 +146,13 @@
         self._record(self._bounded_service(service), _BATCH, group_of(""), measure, run_ms)
 
     def record_job(self, service: str, in_time: bool) -> None:
-        """Count one batch job when it is whole, or when its deadline has passed before."""
+        """Count one batch job, when it completes or when its deadline passes before."""
         self._series[self._bounded_service(service)].count_job(self._clock(), in_time=in_time)
 
     def snapshot(self) -> MetricsSnapshot:
-        """Return everything counted so far.
+        """Return all metrics.
 
-        Encoding takes some 45 µs for each histogram; see ``totals`` for what is read often.
+        Encoding takes some 45 µs for each histogram; frequent readers use ``totals``.
         """
         now_s = self._clock()
         snapshot = self.totals()
@@ -165,7 +166,7 @@
         return snapshot
 
     def totals(self) -> MetricsSnapshot:
-        """Return the counts since the start, without slots of time and histograms."""
+        """Return the counts since the start, without time slots and histograms."""
         return MetricsSnapshot(
             process=self._process,
             taken_at_s=self._clock(),
@@ -203,7 +204,7 @@
 
 
 def group_of(member: str) -> str:
-    """Return the group that ``member`` is counted in, the same in every process."""
+    """Return the group that ``member`` is counted in, which is the same in all processes."""
     return f"group-{zlib.crc32(member.encode()) % _MEMBER_GROUPS}"
 
 
--- a/src/fescuedock/report/prometheus.py
+++ b/src/fescuedock/report/prometheus.py
@@ -1,7 +1,7 @@
-"""Metrics in Prometheus's text format, by its usual client library.
+"""Exports metrics in Prometheus's text format, using its client library.
 
-Labels are services, result codes, programs and the customers with the most calls, all bounded;
-never upstreams or requests.
+Labels are services, result codes, programs and the customers with the most calls, all of them
+bounded in number.  Upstreams and requests are never labels.
 """
 
 import itertools
@@ -26,13 +26,13 @@
 
 CONTENT_TYPE = CONTENT_TYPE_LATEST
 _MS_PER_S = 1000
-# Customers with series of their own; the others are added up.
+# Customers with their own series; the others share one.
 _MAX_NAMED_CUSTOMERS = 50
 _OTHER_CUSTOMERS = "(others)"
 
 
 def exposition(snapshots: Sequence[MetricsSnapshot], status: FleetStatus) -> bytes:
-    """Return the text of ``GET /metrics`` for the programs of one VM."""
+    """Return the body of ``GET /metrics`` for the programs of one VM."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(_SnapshotCollector(snapshots, status))
     return generate_latest(registry)
@@ -40,7 +40,7 @@
 
 @dataclass(frozen=True, slots=True, eq=False)
 class _SnapshotCollector(Collector):
-    """Gives the library our counts, which live in snapshots and not in its own objects."""
+    """Converts snapshots to the library's metric families at each export."""
 
     snapshots: Sequence[MetricsSnapshot]
     status: FleetStatus
@@ -67,7 +67,7 @@
 
 
 def _promises(snapshots: Sequence[MetricsSnapshot]) -> Iterator[Metric]:
-    """Yield how many queries and jobs there were and how many kept their objectives."""
+    """Yield the numbers of queries and jobs, and of those that met their objectives."""
     counts = (
         ("online", "Online queries that were ours to answer."),
         ("online_in_time", "Online queries answered within the objectives."),
@@ -100,7 +100,7 @@
 
 
 def _customers(status: FleetStatus) -> Metric:
-    """Return the calls of customers, of those with the most by name."""
+    """Return the calls of customers, by name for those with the most refusals and calls."""
     family = CounterMetricFamily(
         "fescuedock_customer_calls",
         "Online calls of customers, let in or refused as over their limits.",
@@ -120,7 +120,7 @@
 
 
 def _program(snapshot: MetricsSnapshot) -> str:
-    """Return the program's name; its incarnation would be a new label at each start."""
+    """Return the program's name, without the incarnation, which would add a label per start."""
     return snapshot.process.split("/")[1]
 
 
--- a/src/fescuedock/report/svg.py
+++ b/src/fescuedock/report/svg.py
@@ -1,4 +1,4 @@
-"""Line plots as inline SVG that take their colours from the page's style."""
+"""Draws line plots as inline SVG; the colours come from the style sheet of the page."""
 
 import math
 from collections.abc import Callable, Sequence
@@ -19,7 +19,7 @@
 
 
 class Axis(msgspec.Struct, frozen=True):
-    """One axis: where a value lies between 0 and 1, and the marks with their texts."""
+    """One axis: ``position`` maps a value to the range 0 to 1; ``marks`` are values with labels."""
 
     title: str
     position: Callable[[float], float]
@@ -27,7 +27,7 @@
 
 
 class Series(msgspec.Struct, frozen=True):
-    """One line; it is broken where a value is None.  ``style`` is a class of the page's style."""
+    """One line, interrupted where a value is None.  ``style`` is a CSS class of the page."""
 
     name: str
     style: str
@@ -43,7 +43,7 @@
 
 
 def log_axis(title: str, values: Sequence[float]) -> Axis:
-    """Return a logarithmic axis over whole powers of ten around ``values``."""
+    """Return a logarithmic axis between the powers of ten that enclose ``values``."""
     positive = [value for value in values if value > 0] or [1.0]
     low = math.floor(math.log10(min(positive)))
     high = max(math.ceil(math.log10(max(positive))), low + 1)
@@ -62,7 +62,7 @@
 
 
 def plot(x: Axis, y: Axis, series: Sequence[Series], guides: Sequence[Guide], label: str) -> str:
-    """Return the SVG element; ``label`` says for screen readers what it shows."""
+    """Return the SVG element; ``label`` describes it for screen readers."""
     parts = [
         f'<svg viewBox="0 0 {_WIDTH} {_HEIGHT}" role="img" aria-label="{escape(label)}">',
         *_grid(x, y),
@@ -110,7 +110,7 @@
 
 
 def _line(series: Series, x: Axis, y: Axis) -> str:
-    """Return the line in pieces without gaps, and a dot at each point."""
+    """Return one polyline for each run of points without gaps, and a dot at each point."""
     runs: list[list[str]] = [[]]
     dots = []
     for at, value in series.points:
@@ -125,7 +125,7 @@
 
 
 def _names(series: Sequence[Series], guides: Sequence[Guide], y: Axis) -> list[str]:
-    """Name each line at its right end, moved apart where names would overlap."""
+    """Label each line at its right end; labels that would overlap are moved apart."""
     labels = [
         (_at_y(y, item.points[-1][1]), item.name, item.style)
         for item in series
@@ -143,7 +143,7 @@
 
 
 def _spread_positions(wanted: Sequence[float]) -> list[float]:
-    """Return ascending places, each as near as possible to its own, with room for a name."""
+    """Return ascending positions near the ``wanted`` ones, at least ``_LABEL_GAP`` apart."""
     positions: list[float] = []
     for at in wanted:
         positions.append(max(at, positions[-1] + _LABEL_GAP) if positions else at)
--- a/src/fescuedock/report/tables.py
+++ b/src/fescuedock/report/tables.py
@@ -1,4 +1,4 @@
-"""Plain text tables for the terminal."""
+"""Formats plain text tables for the terminal."""
 
 from collections.abc import Sequence
 
@@ -8,7 +8,7 @@
 
 
 def table(headers: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
-    """Return rows under their heads, columns as wide as their widest cell; numbers to the right."""
+    """Return a table with columns as wide as their widest cell; numeric columns align right."""
     cells = [[str(cell) for cell in row] for row in rows]
     widths = [
         max([len(header), *(len(row[column]) for row in cells)])
--- a/src/fescuedock/settings.py
+++ b/src/fescuedock/settings.py
@@ -1,4 +1,4 @@
-"""The checked settings of one VM, as every program gets them, and the reader of its INI file."""
+"""The validated settings of one VM, and the parser of its INI file."""
 
 import configparser
 import ipaddress
@@ -34,7 +34,7 @@
     "load_settings",
 ]
 
-# Values of a section that may not exceed another one of it.
+# Section, key, and the key of the same section whose value is the upper limit.
 _ORDERED_KEYS = (
     ("batch", "min_copies", "copies"),
     ("batch", "group_min_items", "group_items"),
@@ -80,7 +80,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """One INI file.  A section that a program does not need may be None."""
+    """The settings of one INI file; a section that the program does not need may be None."""
 
     vm: VmSettings
     platform: PlatformSettings | None = None
@@ -95,7 +95,7 @@
 
 
 class SettingsProblems(msgspec.Struct, frozen=True):
-    """Everything that is wrong with one file; ``str()`` gives one line for each problem."""
+    """All problems of one file; ``str()`` has one line for each."""
 
     path: Path
     problems: tuple[str, ...]
@@ -105,10 +105,11 @@
 
 
 def load_settings(path: Path, sections: Iterable[str]) -> Result[Settings, SettingsProblems]:
-    """Read and check the whole file at ``path``; ``sections`` are those that must be there.
+    """Read and validate the complete file at ``path``; ``sections`` are required.
 
-    Sections which are there but not asked for are checked too, since one file serves all programs
-    of a VM.  Only programs of the users' platform do without section [platform].
+    All other sections of the file are validated too, since all programs of a VM share one file.
+    Section [vm] is always required, and [platform] too unless ``sections`` contains "vm", as it
+    does for the programs of the users' platform.
     """
     common = {"vm"} if "vm" in sections else {"vm", "platform"}
     return load_sections(path, SECTIONS, {*common, *sections}).map(lambda found: Settings(**found))
@@ -120,10 +121,10 @@
     required: Collection[str],
     checks: Checks | None = None,
 ) -> Result[dict[str, msgspec.Struct], SettingsProblems]:
-    """Read a file whose sections are of ``kinds``; those in ``required`` must be there.
+    """Read a file with sections of the types ``kinds``, of which ``required`` must exist.
 
-    ``checks`` yields what the types of single values cannot say; it gets the valid values of each
-    section and by default knows our programs' sections.
+    ``checks`` gets the valid values of each section and yields the problems that the types of
+    single values cannot express; the default checks the sections of ``SECTIONS``.
     """
     parser = configparser.ConfigParser(interpolation=None, default_section="")
     try:
@@ -151,7 +152,7 @@
 def _section(
     name: str, kind: type[msgspec.Struct], raw: Mapping[str, str]
 ) -> tuple[_Values, list[str]]:
-    """Convert one section; gives the values that are valid and what is wrong with the others."""
+    """Convert one section; return its valid values and the problems of the others."""
     known = {item.name: item for item in msgspec.structs.fields(kind)}
     problems = [
         f"[{name}] {key} = {value}: unknown key" for key, value in raw.items() if key not in known
@@ -172,7 +173,7 @@
 
 
 def _cross_checks(found: Mapping[str, _Values]) -> Iterator[str]:
-    """Yield what the types of single values cannot say."""
+    """Yield the problems that the types of single values cannot express."""
     yield from _check_host(found.get("vm", {}))
     platform = found.get("platform", {})
     yield from _check_addresses("kv_addresses", platform)
--- a/src/fescuedock/settings_file.py
+++ b/src/fescuedock/settings_file.py
@@ -1,7 +1,7 @@
-"""Notices that the settings file of a running program has changed, with or without a signal.
+"""Detects changes of a running program's settings file, at a signal or by polling.
 
-Programs read their settings once.  A change is checked and logged with the keys that it concerns,
-so that operators see what a restart would bring, and a bad file before it does harm.
+Programs apply their settings only at the start.  A change is validated and logged with the changed
+keys, so that operators see the effect of a restart, and learn of an invalid file before one.
 """
 
 import signal
@@ -18,19 +18,19 @@
 
 __all__ = ["SettingsFile", "changed_keys", "watch_settings"]
 
-# Between two looks at a file that may change without a signal.
+# Interval between checks for a change without a signal.
 _POLL_INTERVAL_S = 2.0
 
 
 class SettingsFile(msgspec.Struct):
-    """A file, the sections that its program needs, and what was last read of it."""
+    """A settings file, the sections that its program needs, and the last valid settings."""
 
     path: Path
     sections: Sequence[str]
     settings: Settings
 
     def reload(self) -> None:
-        """Read the file again and log what has changed."""
+        """Read the file again and log the changed keys, or its problems."""
         loaded = load_settings(self.path, self.sections)
         if isinstance(loaded, Err):
             log_event("settings_bad", file=str(self.path), problems=str(loaded.err_value))
@@ -41,7 +41,7 @@
 
 
 def changed_keys(old: Settings, new: Settings) -> list[str]:
-    """Return the keys whose values differ, as ``section.key``."""
+    """Return the keys with different values, as ``section.key``."""
     keys: list[str] = []
     for section in SECTIONS:
         before, after = _values(old, section), _values(new, section)
@@ -53,7 +53,7 @@
 async def watch_settings(
     file: SettingsFile, *, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED
 ) -> None:
-    """Reload at SIGHUP and whenever the file has changed; never returns."""
+    """Reload at SIGHUP and whenever the file changes; never return."""
     with trio.open_signal_receiver(signal.SIGHUP) as signals:
         task_status.started()
         async with trio.open_nursery() as nursery:
@@ -74,7 +74,7 @@
 
 
 def _file_stamp(path: Path) -> tuple[int, int] | None:
-    """Return what changes with the file; None while it cannot be looked at."""
+    """Return the file's modification time and size; None if they cannot be read."""
     try:
         status = path.stat()
     except OSError:
--- a/tests/builders/metrics.py
+++ b/tests/builders/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of three processes over three days, always the same."""
+"""Deterministic metrics of three processes over three days."""
 
 import random
 
@@ -10,7 +10,7 @@
 __all__ = ["BURNING", "STEADY", "three_days"]
 
 STEADY = "trip-desk"
-# This one misses its objectives for the last hour.
+# Misses its objectives in the last hour.
 BURNING = "admision-llm"
 _START_S = 1_796_000_400
 _MINUTES = 3 * 24 * 60
@@ -21,7 +21,7 @@
 
 
 def three_days() -> list[MetricsReport]:
-    """Return what the entries of three VMs would answer at the end of the three days."""
+    """Return the metrics reports of three VMs' entries at the end of the three days."""
     rng = random.Random(7)
     now_s = _START_S
     processes = [
--- a/tests/builders/ports.py
+++ b/tests/builders/ports.py
@@ -1,4 +1,4 @@
-"""Ports for programs that must know theirs before they start."""
+"""Allocates ports for programs that must know them before they start."""
 
 import itertools
 import random
@@ -11,36 +11,36 @@
 
 __all__ = ["free_ports", "wait_released"]
 
-# Below the usual range of ports that the system chooses, 32768 and up.
+# Below the range from which the system usually chooses ports, 32768 and up.
 _PORTS = range(20000, 32000)
 _BLOCK_PORTS = 100
-# No program serves here: a process that binds a block's first port at it holds the whole block.
+# No program listens at this host: a process reserves a block by binding its first port here.
 _RESERVATION_HOST = "127.255.255.254"
 
 
 def free_ports(count: int, host: str = "127.0.0.1") -> list[int]:
-    """Return ports that are free at ``host`` just now, and that nobody else is given.
+    """Return ports that are free at ``host`` and reserved for this process.
 
-    They are never given twice, also not to tests in other processes: a fleet uses one number at
-    several hosts, and binds it later, so that its being free here and now does not say enough.
-    They lie below those that the system gives out by itself: of these the same one came twice in 6
-    of 30,000 nodes with three ports, and any other socket may take one before its node does.
+    No port is returned twice, also not by other processes: a fleet uses one port number at several
+    hosts and binds it later, so its being free now at one host is not enough.  The ports are below
+    the range from which the system chooses: there, 6 of 30,000 nodes with three ports got a
+    duplicate, and any other socket may be given the port before its node binds it.
     """
     return list(itertools.islice(filter(lambda port: _is_free(host, port), _ports), count))
 
 
 async def wait_released(address: Address) -> None:
-    """Return once nobody listens at ``address``.
+    """Return once no socket listens at ``address``.
 
-    The end of a process frees its addresses at once.  ZeroMQ closes a socket in a thread of its
-    own, some time after the program that ended has returned.
+    The end of a process releases its addresses at once, but that of a program within this process
+    does not: ZeroMQ closes sockets in its own thread, some time after the program has returned.
     """
     while not _is_free(address.host, address.port, reuse=True):  # noqa: ASYNC110
         await trio.sleep(0.005)
 
 
 def _reserved_ports() -> Iterator[int]:
-    """Give the ports of one block after the other, each held until this process ends."""
+    """Yield the ports of one block after the other, each reserved until the process ends."""
     blocks = list(range(_PORTS.start, _PORTS.stop, _BLOCK_PORTS))
     random.shuffle(blocks)
     for first_port in blocks:
@@ -56,13 +56,13 @@
     except OSError:
         tcp.close()
         return False
-    # Only the end of the process closes it.
+    # Keeps the socket open, and the block reserved, until the process ends.
     tcp.detach()
     return True
 
 
 def _is_free(host: str, port: int, reuse: bool = False) -> bool:
-    """Whether ``port`` can be bound; with ``reuse`` connections that are over do not count."""
+    """Return whether ``port`` can be bound; with ``reuse``, closed connections do not prevent it."""
     with socket.socket() as tcp:
         tcp.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, reuse)
         try:
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -1,4 +1,4 @@
-"""Programs whose modules come out of one file of bytecode."""
+"""Programs whose modules are loaded from a bundle of bytecode."""
 
 import subprocess
 import sys
@@ -32,7 +32,7 @@
         self.bundle = self.folder / "program.bundle"
         sources = [("pack", self.pack / "__init__.py"), ("pack.part", self.pack / "part.py")]
         write_bundle(self.bundle, sources)
-        # Tells what comes from the bundle from what comes from the file.
+        # A different value in the file shows whether a module was loaded from it or the bundle.
         (self.pack / "part.py").write_text('WORD = "file"\n', encoding="utf-8")
 
     def run_program(self) -> list[str]:
--- a/tests/test_cli_command_line.py
+++ b/tests/test_cli_command_line.py
@@ -1,4 +1,4 @@
-"""Arguments: help and usage errors read well and nothing of fire shows."""
+"""Command line arguments: types, help and usage errors, without output of fire."""
 
 import contextlib
 import io
--- a/tests/test_cli_config.py
+++ b/tests/test_cli_config.py
@@ -1,4 +1,4 @@
-"""Patches that the command builds, and its tables."""
+"""Patches that the configuration commands build, and text tables."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 from fescuedock.report.tables import table
 
 NAMES = st.sampled_from(["services", "members", "share", "drain", "models"])
-# A merge patch cannot set null, so configurations have none.
+# A merge patch cannot set null, so configurations contain none.
 LEAVES = st.one_of(st.booleans(), st.integers(), st.text(max_size=5), st.lists(st.integers()))
 DOCUMENTS = st.dictionaries(
     NAMES, st.recursive(LEAVES, lambda inner: st.dictionaries(NAMES, inner, max_size=4))
--- a/tests/test_daemon.py
+++ b/tests/test_daemon.py
@@ -1,4 +1,4 @@
-"""Starting and stopping a program: exit codes, signals, the bound of a graceful shutdown."""
+"""Starting and stopping a program: exit codes, signals, the time limit of a shutdown."""
 
 import os
 import signal
@@ -61,7 +61,7 @@
         async def program(_settings: Settings, _stop: Stop, *, task_status) -> None:
             task_status.started(ADDRESS)
             async with trio.open_nursery():
-                raise KeyError("a fault of ours")
+                raise KeyError("an internal error")
 
         done = self.run_program(program)
         self.assertEqual((done.code, done.errors.count("Traceback")), (1, 1))
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The life of a request from logs: found, ordered, with what its nodes believed meanwhile."""
+"""Events of one request from logs: found, in order, with the state changes of its nodes."""
 
 import json
 import unittest
--- a/tests/test_platform_adapter.py
+++ b/tests/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: the platform's words and types become the product's, and back."""
+"""The platform adapter: translation between the platform's formats and the product's types."""
 
 import json
 import unittest
--- a/tests/test_platform_kv_writes.py
+++ b/tests/test_platform_kv_writes.py
@@ -1,4 +1,4 @@
-"""put_resolved: what it says about a write is true, whatever answers are lost."""
+"""put_resolved: its result for a write is correct, whichever answers are lost."""
 
 import unittest
 from dataclasses import dataclass, field
@@ -22,17 +22,17 @@
 LATE_EFFECT_MS = 70
 NOT_WRITTEN = (ResultCode.KV_CONFLICT, ResultCode.KV_UNAVAILABLE)
 
-# Which of the first writes lose their answer, and how.
+# Numbers of the writes whose answers are lost, and whether the write takes effect.
 lost_answers = st.dictionaries(
     st.integers(min_value=1, max_value=12), st.sampled_from(LostAnswer), max_size=8
 )
-# Times from one outage's beginning or end to the next.
+# Durations that alternate between available and unavailable.
 outages_ms = st.lists(st.integers(min_value=1, max_value=400), max_size=4)
 
 
 @dataclass(slots=True)
 class Oracle:
-    """Every value that was ever written, in order, and what the writers were told."""
+    """Every value that was written, in order, and the results that the writers got."""
 
     written: list[tuple[int, bytes]] = field(default_factory=list)
     results: list[tuple[bytes, Result[int, Fault]]] = field(default_factory=list)
@@ -43,7 +43,7 @@
         )
 
     def check(self, test: unittest.TestCase) -> None:
-        """What was said to be written is there; what was said not to be is not, nor twice."""
+        """Check that each reported write exists, no write reported as failed does, none twice."""
         values = [value for _, value in self.written]
         test.assertEqual(len(values), len(set(values)))
         for value, result in self.results:
@@ -57,7 +57,7 @@
 
 
 async def write_values(kv: KvStore, name: str, count: int, oracle: Oracle) -> None:
-    """Write ``count`` values, each on top of what is read before."""
+    """Write ``count`` values, each on the revision that is read before it."""
     for number in range(count):
         found = await kv.get(KEY)
         if isinstance(found, Err):
@@ -122,7 +122,7 @@
                         writers.start_soon(write_values, kv, name, 3, oracle)
                 await trio.sleep(LATE_EFFECT_MS / 1000)
 
-        # Twenty seconds of the test's time pass in one.
+        # The test's clock runs 20 times as fast as real time.
         run_async(run, trio.testing.MockClock(rate=20))
         oracle.check(self)
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,11 +1,11 @@
-"""The ports that tests are given, and let go of, beside other processes that run tests.
+"""Allocation and release of test ports while other processes run tests too.
 
-A node of one test did not start, as its port was taken at 127.0.0.2: "Address already in use".  A
-fleet draws one number for all its hosts and binds it later.  Two processes drew the same number, as
-each knew only what it had given itself and what was bound at 127.0.0.1 just then.
+Guards against two failures, both "Address already in use" at the start of a program:
 
-A spool that was killed and started again found its own port taken.  It had ended for the test, and
-ZeroMQ's thread had not closed its socket yet.
+- Two processes allocate the same port.  A fleet allocates one port number for all its hosts and
+  binds it later, so checking that it is unbound at 127.0.0.1 does not protect it.
+- A killed and restarted spool finds its own port in use, because ZeroMQ's thread closes the socket
+  some time after the program has ended.
 """
 
 import socket
@@ -24,9 +24,9 @@
 from tests.builders.standins import run_async
 
 PROCESSES = 6
-# Of 12,000: drawn at random and unheld, twelve of them would come twice.
+# Drawn at random from 12,000 without a reservation, twelve of them would be duplicates.
 PORTS_EACH = 100
-# Without a wait for ZeroMQ's thread one in eighteen failed.
+# Without a wait for ZeroMQ's thread, one restart in eighteen fails.
 RESTARTS = 20
 DRAW_SCRIPT = f"""
 from tests.builders.ports import free_ports
@@ -37,7 +37,7 @@
 
 class PortsTest(unittest.TestCase):
     def test_no_port_is_allocated_to_two_processes(self) -> None:
-        # Each process lives until its standard input is closed, and so holds what it was given.
+        # Each process runs, and so reserves its ports, until its standard input is closed.
         processes = [
             subprocess.Popen(
                 [sys.executable, "-c", DRAW_SCRIPT],
--- a/tests/test_report_metrics.py
+++ b/tests/test_report_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: snapshots that add up without loss, bounded names, promises counted per query."""
+"""Metrics: snapshots merge without loss, labels are bounded, promises are counted per query."""
 
 import re
 import unittest
@@ -28,7 +28,7 @@
 
 
 class Recorder:
-    """A ``Metrics`` whose clock a test sets."""
+    """A ``Metrics`` with a clock that the test sets."""
 
     def __init__(self, process: str = "vm-1/entry/1") -> None:
         self.now_s = NOW_S
@@ -54,7 +54,7 @@
 
 
 def recorded_values(snapshots: list[MetricsSnapshot]) -> dict:
-    """Return each histogram as its exact recorded counts."""
+    """Return the exact recorded counts of each histogram."""
     return {
         key: [
             (item.value_iterated_to, item.count_added_in_this_iter_step)
@@ -76,7 +76,7 @@
     @settings(max_examples=30)
     @given(st.lists(st.tuples(st.integers(0, 2), _QUERY), max_size=30))
     def test_merged_equals_all_recorded_together(self, recorded: list) -> None:
-        # Each process sees time go forward.
+        # Time must not run backwards within a process.
         recorded = sorted(recorded, key=lambda item: item[1][0])
         separate = [Recorder(f"vm-{number}/entry/1") for number in range(3)]
         combined = Recorder()
--- a/tests/test_session_platform.py
+++ b/tests/test_session_platform.py
@@ -1,4 +1,4 @@
-"""Golden session of the platform's calls at a whole node: online, streams, jobs, directory."""
+"""Golden session of the platform's calls at a complete node: online, streams, jobs, directory."""
 
 import unittest
 
@@ -10,12 +10,12 @@
 from tests.builders.node import HOST, NodeFleet, running_fleet
 from tests.builders.standins import run_async
 
-# Of answers; the others are of the transport, or differ from run to run.
+# Recorded headers of answers; the others belong to the transport or differ between runs.
 _SHOWN_HEADERS = ("content-type", "retry-after", "x-request-id", "x-response-seal")
 
 
 class PlatformSession:
-    """Records calls at one node and what they were answered."""
+    """Records calls to one node and their answers."""
 
     def __init__(self, fleet: NodeFleet) -> None:
         self.fleet = fleet
@@ -48,7 +48,7 @@
 
 
 async def play(session: PlatformSession, fleet: NodeFleet) -> None:
-    """Play the calls of a client's day, one of each kind."""
+    """Send one call of each kind that a client of the platform makes."""
     node = fleet.nodes[0]
     front = node.front
     send = session.send
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -1,4 +1,4 @@
-"""Reading the INI file of a VM: everything wrong is named at once."""
+"""Reading the INI file of a VM: all problems are reported at once."""
 
 import tempfile
 import unittest
