--- a/tests/builders/ports.py
+++ b/tests/builders/ports.py
@@ -62,7 +62,7 @@
 
 
 def _is_free(host: str, port: int, reuse: bool = False) -> bool:
-    """Return whether ``port`` can be bound; with ``reuse``, closed connections do not prevent it."""
+    """Return whether ``port`` can be bound; with ``reuse``, despite closed connections."""
     with socket.socket() as tcp:
         tcp.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, reuse)
         try:
