--- a/src/fescuedock/cli/config_commands.py
+++ b/src/fescuedock/cli/config_commands.py
@@ -64,16 +64,16 @@
 
 
 def _diff(file: str, entry: str = "") -> int:
-    wanted = _read_object(file)
-    if wanted.is_err():
-        return _usage(wanted.unwrap_err())
+    desired = _read_object(file)
+    if desired.is_err():
+        return _usage(desired.unwrap_err())
 
     async def steps(session: EntrySession) -> Result[str, Failure]:
         current = await session.get("/admin/config", CurrentConfig)
         if current.is_ok():
             print(f"built on version {current.unwrap().version}", file=sys.stderr)
         return current.map(
-            lambda found: show_json(diff_patch(found.configuration, wanted.unwrap()))
+            lambda answer: show_json(diff_patch(answer.configuration, desired.unwrap()))
         )
 
     return run_session(entry, steps)
@@ -103,8 +103,8 @@
 
 def _history(entry: str = "", json: bool = False) -> int:
     async def steps(session: EntrySession) -> Result[str, Failure]:
-        found = await session.get("/admin/config/history", HistoryAnswer)
-        return found.map(show_json if json else _history_text)
+        answer = await session.get("/admin/config/history", HistoryAnswer)
+        return answer.map(show_json if json else _history_text)
 
     return run_session(entry, steps)
 
@@ -123,7 +123,7 @@
 
     async def steps(session: EntrySession) -> Result[str, Failure]:
         done = await session.post(target, {}, Accepted)
-        return done.map(show_json if json else lambda found: f"version {found.version} is there")
+        return done.map(show_json if json else lambda answer: f"version {answer.version} is there")
 
     return run_session(entry, steps)
 
@@ -134,11 +134,11 @@
     async def steps(session: EntrySession) -> Result[str, Failure]:
         stop_at_s = trio.current_time() + timeout
         while True:
-            found = await session.get(target, VersionsAnswer)
-            if found.is_err() or not found.unwrap().behind:
-                return found.map(show_json if json else _versions_text)
+            answer = await session.get(target, VersionsAnswer)
+            if answer.is_err() or not answer.unwrap().behind:
+                return answer.map(show_json if json else _versions_text)
             if trio.current_time() >= stop_at_s:
-                behind = ", ".join(found.unwrap().behind)
+                behind = ", ".join(answer.unwrap().behind)
                 text = f"version {version} is not in force after {timeout} s on: {behind}"
                 return Err(Failure(text))
             await trio.sleep(_POLL_S)
--- a/src/fescuedock/cli/config_patches.py
+++ b/src/fescuedock/cli/config_patches.py
@@ -43,12 +43,12 @@
     return f"cli-{hashlib.sha256(text).hexdigest()[:24]}"
 
 
-def diff_patch(current: JsonValue, wanted: JsonValue) -> JsonValue:
-    """Return the merge patch that turns ``current`` into ``wanted``; ``{}`` if they are equal."""
-    if not isinstance(current, Mapping) or not isinstance(wanted, Mapping):
-        return wanted
-    patch: dict[str, object] = {name: None for name in current if name not in wanted}
-    for name, value in wanted.items():
+def diff_patch(current: JsonValue, desired: JsonValue) -> JsonValue:
+    """Return the merge patch that turns ``current`` into ``desired``; ``{}`` if they are equal."""
+    if not isinstance(current, Mapping) or not isinstance(desired, Mapping):
+        return desired
+    patch: dict[str, object] = {name: None for name in current if name not in desired}
+    for name, value in desired.items():
         if name not in current:
             patch[name] = value
         elif current[name] != value:
@@ -58,8 +58,8 @@
 
 async def submit_patch(session: EntrySession, request: PatchRequest) -> Result[int, Failure]:
     """Submit one patch and return the version that it created."""
-    done = await session.post("/admin/config/patches", request, Accepted)
-    return done.map(lambda accepted: accepted.version)
+    answer = await session.post("/admin/config/patches", request, Accepted)
+    return answer.map(lambda accepted: accepted.version)
 
 
 async def submit_on_current(
--- a/src/fescuedock/cli/entry_session.py
+++ b/src/fescuedock/cli/entry_session.py
@@ -106,9 +106,9 @@
         print(f"fescuedock: {error}", file=sys.stderr)
         return ExitCode.USAGE
     match trio.run(_run_steps, address, steps, clock=loop_clock()):
-        case Ok(shown):
-            if shown:
-                print(shown)
+        case Ok(output):
+            if output:
+                print(output)
             return ExitCode.OK
         case Err(Failure() as failure):
             print(f"fescuedock: {failure.text}", file=sys.stderr)
--- a/src/fescuedock/cli/fleet_commands.py
+++ b/src/fescuedock/cli/fleet_commands.py
@@ -89,8 +89,8 @@
 
 def _customers(entry: str = "", json: bool = False) -> int:
     async def steps(session: EntrySession) -> Result[str, Failure]:
-        found = (await read_status(session)).map(lambda status: status.customers)
-        return found.map(show_json if json else _customers_text)
+        customers = (await read_status(session)).map(lambda status: status.customers)
+        return customers.map(show_json if json else _customers_text)
 
     return run_session(entry, steps)
 
@@ -157,11 +157,11 @@
         status = await read_status(session)
         if status.is_err():
             return status
-        found = status.unwrap()
-        vms = {vm.vm_id: vm for vm in found.vms}
+        fleet = status.unwrap()
+        vms = {vm.vm_id: vm for vm in fleet.vms}
         if name in vms:
             return await _leave_vm(session, vms[name], undo)
-        if name not in {item.upstream_id for item in found.upstreams}:
+        if name not in {item.upstream_id for item in fleet.upstreams}:
             return Err(Failure(f"no VM or upstream is named {name!r}"))
         return await _drain_upstream(session, name, drain=not undo)
 
--- a/src/fescuedock/cli/job_commands.py
+++ b/src/fescuedock/cli/job_commands.py
@@ -46,16 +46,16 @@
 
 def _list(limit: int = 20, entry: str = "", json: bool = False) -> int:
     async def steps(session: EntrySession) -> Result[str, Failure]:
-        found = await session.get(f"/v1/batches?limit={limit}", _JobList)
-        return found.map(show_json if json else _list_text)
+        answer = await session.get(f"/v1/batches?limit={limit}", _JobList)
+        return answer.map(show_json if json else _list_text)
 
     return run_session(entry, steps)
 
 
 def _show(job: str, entry: str = "", json: bool = False) -> int:
     async def steps(session: EntrySession) -> Result[str, Failure]:
-        found = await session.get(f"/v1/batches/{job}", _Job)
-        return found.map(show_json if json else _job_text)
+        answer = await session.get(f"/v1/batches/{job}", _Job)
+        return answer.map(show_json if json else _job_text)
 
     return run_session(entry, steps)
 
--- a/src/fescuedock/report/burn_report.py
+++ b/src/fescuedock/report/burn_report.py
@@ -53,8 +53,8 @@
     @property
     def alarm(self) -> Alarm:
         """The most urgent alarm of all services."""
-        found = {burn.alarm for service in self.services for burn in service.burns}
-        return next((alarm for alarm in (Alarm.FAST, Alarm.SLOW) if alarm in found), Alarm.NONE)
+        alarms = {burn.alarm for service in self.services for burn in service.burns}
+        return next((alarm for alarm in (Alarm.FAST, Alarm.SLOW) if alarm in alarms), Alarm.NONE)
 
 
 def build_report(reports: Sequence[MetricsReport], missing: Sequence[str] = ()) -> BurnReport:
--- a/src/fescuedock/report/explain.py
+++ b/src/fescuedock/report/explain.py
@@ -28,10 +28,12 @@
     event: str
     fields: Mapping[str, object]
 
-    def text(self, began_s: float) -> str:
-        """Return a readable line with the time since ``began_s``."""
-        shown = " ".join(f"{name}={_formatted(value)}" for name, value in self.fields.items())
-        return f"{1000 * (self.at_s - began_s):+10.1f} ms  {self.vm_id}  {self.event}  {shown}"
+    def text(self, start_s: float) -> str:
+        """Return a readable line with the time since ``start_s``."""
+        fields_text = " ".join(f"{name}={_formatted(value)}" for name, value in self.fields.items())
+        return (
+            f"{1000 * (self.at_s - start_s):+10.1f} ms  {self.vm_id}  {self.event}  {fields_text}"
+        )
 
 
 def parse_line(text: str) -> LogLine | None:
--- a/src/fescuedock/report/svg.py
+++ b/src/fescuedock/report/svg.py
@@ -142,10 +142,10 @@
     ]
 
 
-def _spread_positions(wanted: Sequence[float]) -> list[float]:
-    """Return ascending positions near the ``wanted`` ones, at least ``_LABEL_GAP`` apart."""
+def _spread_positions(desired: Sequence[float]) -> list[float]:
+    """Return ascending positions near the ``desired`` ones, at least ``_LABEL_GAP`` apart."""
     positions: list[float] = []
-    for at in wanted:
+    for at in desired:
         positions.append(max(at, positions[-1] + _LABEL_GAP) if positions else at)
     limit = _HEIGHT - _BOTTOM
     for number in reversed(range(len(positions))):
--- a/src/fescuedock/settings.py
+++ b/src/fescuedock/settings.py
@@ -112,7 +112,9 @@
     does for the programs of the users' platform.
     """
     common = {"vm"} if "vm" in sections else {"vm", "platform"}
-    return load_sections(path, SECTIONS, {*common, *sections}).map(lambda found: Settings(**found))
+    return load_sections(path, SECTIONS, {*common, *sections}).map(
+        lambda by_section: Settings(**by_section)
+    )
 
 
 def load_sections(
@@ -138,15 +140,15 @@
     problems += [
         f"[{name}]: missing section" for name in kinds if name in set(required) - set(parser)
     ]
-    found: dict[str, _Values] = {}
+    values_by_section: dict[str, _Values] = {}
     for name, kind in kinds.items():
         if parser.has_section(name):
-            found[name], section_problems = _section(name, kind, parser[name])
+            values_by_section[name], section_problems = _section(name, kind, parser[name])
             problems += section_problems
-    problems += (checks or _cross_checks)(found)
+    problems += (checks or _cross_checks)(values_by_section)
     if problems:
         return Err(SettingsProblems(path, tuple(problems)))
-    return Ok({name: kinds[name](**values) for name, values in found.items()})
+    return Ok({name: kinds[name](**values) for name, values in values_by_section.items()})
 
 
 def _section(
@@ -172,25 +174,25 @@
     return values, problems
 
 
-def _cross_checks(found: Mapping[str, _Values]) -> Iterator[str]:
+def _cross_checks(values_by_section: Mapping[str, _Values]) -> Iterator[str]:
     """Yield the problems that the types of single values cannot express."""
-    yield from _check_host(found.get("vm", {}))
-    platform = found.get("platform", {})
+    yield from _check_host(values_by_section.get("vm", {}))
+    platform = values_by_section.get("platform", {})
     yield from _check_addresses("kv_addresses", platform)
     yield from _check_addresses("vm_list_address", platform, max_count=1)
     yield from _check_addresses("weight_store_address", platform, max_count=1)
-    node = found.get("node", {})
+    node = values_by_section.get("node", {})
     for key in _NODE_ADDRESSES:
         yield from _check_addresses(key, node, max_count=1, section="node")
     yield from _check_addresses("seeds", node, section="node")
-    spool = found.get("spool", {})
+    spool = values_by_section.get("spool", {})
     yield from _check_addresses("store_address", spool, max_count=1, section="spool")
     for section, smaller, larger in _ORDERED_KEYS:
-        values = found.get(section, {})
+        values = values_by_section.get(section, {})
         if values.get(smaller, -math.inf) > values.get(larger, math.inf):
             limit = f"{larger} = {values[larger]}"
             yield f"[{section}] {smaller} = {values[smaller]}: more than {limit}"
-    yield from _check_ports(found)
+    yield from _check_ports(values_by_section)
 
 
 def _check_host(vm: _Values) -> Iterator[str]:
@@ -214,9 +216,9 @@
             yield f"[{section}] {key} = {text}: {error}"
 
 
-def _check_ports(found: Mapping[str, _Values]) -> Iterator[str]:
+def _check_ports(values_by_section: Mapping[str, _Values]) -> Iterator[str]:
     sections_by_port: dict[int, str] = {}
-    for name, values in found.items():
+    for name, values in values_by_section.items():
         port = values.get("port", 0)
         if port and port in sections_by_port:
             yield f"[{name}] port = {port}: also the port of [{sections_by_port[port]}]"
--- a/tests/test_cli_config.py
+++ b/tests/test_cli_config.py
@@ -19,8 +19,8 @@
 
 class DiffPatchTest(unittest.TestCase):
     @given(DOCUMENTS, DOCUMENTS)
-    def test_the_patch_makes_the_wanted_configuration(self, current: dict, wanted: dict) -> None:
-        self.assertEqual(merge_patch(current, diff_patch(current, wanted)), wanted)
+    def test_the_patch_makes_the_desired_configuration(self, current: dict, desired: dict) -> None:
+        self.assertEqual(merge_patch(current, diff_patch(current, desired)), desired)
 
     @given(DOCUMENTS)
     def test_nothing_changed_is_an_empty_patch(self, document: dict) -> None:
--- a/tests/test_report_metrics.py
+++ b/tests/test_report_metrics.py
@@ -98,8 +98,8 @@
 
 class MetricsTest(unittest.TestCase):
     def test_query_is_in_time_only_within_both_objectives(self) -> None:
-        wanted = Objectives(first_token_ms=100, inter_token_ms=10)
-        metrics = Metrics("vm-1/entry/1", lambda: NOW_S, lambda _service: wanted)
+        objectives = Objectives(first_token_ms=100, inter_token_ms=10)
+        metrics = Metrics("vm-1/entry/1", lambda: NOW_S, lambda _service: objectives)
         for first_token_ms, inter_token_ms in ((100, 10), (101, 10), (100, 11)):
             metrics.record_online("s", "g", first_token_ms, inter_token_ms, ResultCode.OK)
         metrics.record_online("s", "g", 0, 0, ResultCode.NO_CAPACITY)
@@ -130,8 +130,8 @@
         for ran_ms, with_events in ((500.0, True), (40.0, False), (60.0, False)):
             metrics.record_run("s", ran_ms, with_events=with_events)
         found = {item.measure: (sum(item.counts), item.sum_ms) for item in metrics.totals().buckets}
-        wanted = {"run_with_events": (1, 500.0), "run_without_events": (2, 100.0)}
-        self.assertEqual(found, wanted)
+        expected = {"run_with_events": (1, 500.0), "run_without_events": (2, 100.0)}
+        self.assertEqual(found, expected)
 
     def test_value_out_of_range_is_clamped_to_the_range(self) -> None:
         metrics = Metrics("vm-1/entry/1", lambda: NOW_S)
