--- a/src/fescuedock/cli/config_commands.py
+++ b/src/fescuedock/cli/config_commands.py
@@ -64,16 +64,16 @@
 
 
 def _diff(file: str, entry: str = "") -> int:
-    wanted = _read_object(file)
-    if wanted.is_err():
-        return _usage(wanted.unwrap_err())
+    desired = _read_object(file)
+    if desired.is_err():
+        return _usage(desired.unwrap_err())
 
     async def steps(session: EntrySession) -> Result[str, Failure]:
         current = await session.get("/admin/config", CurrentConfig)
         if current.is_ok():
             print(f"built on version {current.unwrap().version}", file=sys.stderr)
         return current.map(
-            lambda found: show_json(diff_patch(found.configuration, wanted.unwrap()))
+            lambda answer: show_json(diff_patch(answer.configuration, desired.unwrap()))
         )
 
     return run_session(entry, steps)
@@ -103,19 +103,19 @@
 
 def _history(entry: str = "", json: bool = False) -> int:
     async def steps(session: EntrySession) -> Result[str, Failure]:
-        found = await session.get("/admin/config/history", HistoryAnswer)
-        return found.map(show_json if json else _history_text)
+        answer = await session.get("/admin/config/history", HistoryAnswer)
+        return answer.map(show_json if json else _history_text)
 
     return run_session(entry, steps)
 
 
 def _history_text(history: HistoryAnswer) -> str:
-    heads = ("VERSION", "ACCEPTED (UNIX TIME)", "ACTOR", "PATCH")
+    headers = ("VERSION", "ACCEPTED (UNIX TIME)", "ACTOR", "PATCH")
     rows = [
         (patch.version, patch.accepted_at_s, patch.actor or "-", patch.patch_id)
         for patch in history.patches
     ]
-    return table(heads, rows)
+    return table(headers, rows)
 
 
 def _republish(actor: str = "", entry: str = "", json: bool = False) -> int:
@@ -123,7 +123,7 @@
 
     async def steps(session: EntrySession) -> Result[str, Failure]:
         done = await session.post(target, {}, Accepted)
-        return done.map(show_json if json else lambda found: f"version {found.version} is there")
+        return done.map(show_json if json else lambda answer: f"version {answer.version} is there")
 
     return run_session(entry, steps)
 
@@ -134,11 +134,11 @@
     async def steps(session: EntrySession) -> Result[str, Failure]:
         stop_at_s = trio.current_time() + timeout
         while True:
-            found = await session.get(target, VersionsAnswer)
-            if found.is_err() or not found.unwrap().behind:
-                return found.map(show_json if json else _versions_text)
+            answer = await session.get(target, VersionsAnswer)
+            if answer.is_err() or not answer.unwrap().behind:
+                return answer.map(show_json if json else _versions_text)
             if trio.current_time() >= stop_at_s:
-                behind = ", ".join(found.unwrap().behind)
+                behind = ", ".join(answer.unwrap().behind)
                 text = f"version {version} is not in force after {timeout} s on: {behind}"
                 return Err(Failure(text))
             await trio.sleep(_POLL_S)
@@ -147,16 +147,16 @@
 
 
 def _versions_text(versions: VersionsAnswer) -> str:
-    heads = ("VM", "DOMAIN", "STATE", "VERSION", "CONFIRMED")
+    headers = ("VM", "DOMAIN", "STATE", "VERSION", "CONFIRMED")
     rows = [
         (vm.vm_id, vm.failure_domain, vm.state.value, vm.version, "yes" if vm.confirmed else "no")
         for vm in versions.vms
     ]
-    return table(heads, rows)
+    return table(headers, rows)
 
 
 def _read_object(file: str) -> Result[dict[str, object], str]:
-    """Return the JSON object in ``file``, or what is wrong with it."""
+    """Return the JSON object in ``file`` (``-`` is standard input), or the reason of a failure."""
     try:
         data = sys.stdin.buffer.read() if file == "-" else Path(file).read_bytes()
         return Ok(msgspec.json.decode(data, type=dict[str, object]))
--- a/src/fescuedock/cli/job_commands.py
+++ b/src/fescuedock/cli/job_commands.py
@@ -28,7 +28,7 @@
 
 
 class _Job(msgspec.Struct):
-    """What the command shows of OpenAI's batch object."""
+    """The fields of OpenAI's batch object that the commands show."""
 
     id: str
     status: str
@@ -46,16 +46,16 @@
 
 def _list(limit: int = 20, entry: str = "", json: bool = False) -> int:
     async def steps(session: EntrySession) -> Result[str, Failure]:
-        found = await session.get(f"/v1/batches?limit={limit}", _JobList)
-        return found.map(show_json if json else _list_text)
+        answer = await session.get(f"/v1/batches?limit={limit}", _JobList)
+        return answer.map(show_json if json else _list_text)
 
     return run_session(entry, steps)
 
 
 def _show(job: str, entry: str = "", json: bool = False) -> int:
     async def steps(session: EntrySession) -> Result[str, Failure]:
-        found = await session.get(f"/v1/batches/{job}", _Job)
-        return found.map(show_json if json else _job_text)
+        answer = await session.get(f"/v1/batches/{job}", _Job)
+        return answer.map(show_json if json else _job_text)
 
     return run_session(entry, steps)
 
@@ -69,7 +69,7 @@
 
 
 def _list_text(jobs: _JobList) -> str:
-    heads = ("JOB", "STATUS", "ITEMS", "SUCCEEDED", "FAILED", "ENDPOINT")
+    headers = ("JOB", "STATUS", "ITEMS", "SUCCEEDED", "FAILED", "ENDPOINT")
     rows = [
         (
             job.id,
@@ -81,7 +81,7 @@
         )
         for job in jobs.data
     ]
-    return table(heads, rows)
+    return table(headers, rows)
 
 
 def _job_text(job: _Job) -> str:
--- a/src/fescuedock/report/burn_html.py
+++ b/src/fescuedock/report/burn_html.py
@@ -1,4 +1,4 @@
-"""The burn report as one self-contained page, for light and dark screens."""
+"""Renders the burn report as one self-contained HTML page with light and dark colours."""
 
 from datetime import UTC, datetime
 from html import escape
@@ -47,7 +47,7 @@
 
 
 def burn_html(report: BurnReport) -> str:
-    """Return the page; it loads nothing from elsewhere."""
+    """Return the page, which loads no other resources."""
     at = datetime.fromtimestamp(report.at_s, UTC).strftime("%Y-%m-%d %H:%M:%S UTC")
     parts = [
         '<!doctype html>\n<html lang="en">\n<head>\n<meta charset="utf-8">',
@@ -89,11 +89,12 @@
 
 
 def _objectives(service: ServiceReport) -> str:
-    wanted = service.objectives
+    objectives = service.objectives
     return (
-        f"Promised: first token within {wanted.first_token_ms:g} ms and "
-        f"{wanted.inter_token_ms:g} ms between tokens for {share_text(wanted.online_share)} of "
-        f"online queries; {share_text(wanted.batch_share)} of jobs whole by their deadline."
+        f"Promised: first token within {objectives.first_token_ms:g} ms and "
+        f"{objectives.inter_token_ms:g} ms between tokens for "
+        f"{share_text(objectives.online_share)} of online queries; "
+        f"{share_text(objectives.batch_share)} of jobs whole by their deadline."
     )
 
 
--- a/src/fescuedock/settings.py
+++ b/src/fescuedock/settings.py
@@ -1,4 +1,4 @@
-"""The checked settings of one VM, as every program gets them, and the reader of its INI file."""
+"""The validated settings of one VM, and the parser of its INI file."""
 
 import configparser
 import ipaddress
@@ -34,8 +34,8 @@
     "load_settings",
 ]
 
-# Values of a section that may not exceed another one of it.
-_ORDERED = (
+# Section, key, and the key of the same section whose value is the upper limit.
+_ORDERED_KEYS = (
     ("batch", "min_copies", "copies"),
     ("batch", "group_min_items", "group_items"),
     ("batch", "group_age_ms", "group_max_age_ms"),
@@ -80,7 +80,7 @@
 
 
 class Settings(msgspec.Struct, frozen=True):
-    """One INI file.  A section that a program does not need may be None."""
+    """The settings of one INI file; a section that the program does not need may be None."""
 
     vm: VmSettings
     platform: PlatformSettings | None = None
@@ -95,7 +95,7 @@
 
 
 class SettingsProblems(msgspec.Struct, frozen=True):
-    """Everything that is wrong with one file; ``str()`` gives one line for each problem."""
+    """All problems of one file; ``str()`` has one line for each."""
 
     path: Path
     problems: tuple[str, ...]
@@ -105,25 +105,28 @@
 
 
 def load_settings(path: Path, sections: Iterable[str]) -> Result[Settings, SettingsProblems]:
-    """Read and check the whole file at ``path``; ``sections`` are those that must be there.
+    """Read and validate the complete file at ``path``; ``sections`` are required.
 
-    Sections which are there but not asked for are checked too, since one file serves all programs
-    of a VM.  Only programs of the users' platform do without section [platform].
+    All other sections of the file are validated too, since all programs of a VM share one file.
+    Section [vm] is always required, and [platform] too unless ``sections`` contains "vm", as it
+    does for the programs of the users' platform.
     """
     common = {"vm"} if "vm" in sections else {"vm", "platform"}
-    return load_sections(path, SECTIONS, {*common, *sections}).map(lambda found: Settings(**found))
+    return load_sections(path, SECTIONS, {*common, *sections}).map(
+        lambda by_section: Settings(**by_section)
+    )
 
 
 def load_sections(
     path: Path,
     kinds: Mapping[str, type[msgspec.Struct]],
-    wanted: Collection[str],
+    required: Collection[str],
     checks: Checks | None = None,
 ) -> Result[dict[str, msgspec.Struct], SettingsProblems]:
-    """Read a file whose sections are of ``kinds``; those in ``wanted`` must be there.
+    """Read a file with sections of the types ``kinds``, of which ``required`` must exist.
 
-    ``checks`` yields what the types of single values cannot say; it gets the valid values of each
-    section and by default knows our programs' sections.
+    ``checks`` gets the valid values of each section and yields the problems that the types of
+    single values cannot express; the default checks the sections of ``SECTIONS``.
     """
     parser = configparser.ConfigParser(interpolation=None, default_section="")
     try:
@@ -135,23 +138,23 @@
         return Err(SettingsProblems(path, (_one_line(error),)))
     problems = [f"[{name}]: unknown section" for name in parser.sections() if name not in kinds]
     problems += [
-        f"[{name}]: missing section" for name in kinds if name in set(wanted) - set(parser)
+        f"[{name}]: missing section" for name in kinds if name in set(required) - set(parser)
     ]
-    found: dict[str, _Values] = {}
+    values_by_section: dict[str, _Values] = {}
     for name, kind in kinds.items():
         if parser.has_section(name):
-            found[name], section_problems = _section(name, kind, parser[name])
+            values_by_section[name], section_problems = _section(name, kind, parser[name])
             problems += section_problems
-    problems += (checks or _cross_checks)(found)
+    problems += (checks or _cross_checks)(values_by_section)
     if problems:
         return Err(SettingsProblems(path, tuple(problems)))
-    return Ok({name: kinds[name](**values) for name, values in found.items()})
+    return Ok({name: kinds[name](**values) for name, values in values_by_section.items()})
 
 
 def _section(
     name: str, kind: type[msgspec.Struct], raw: Mapping[str, str]
 ) -> tuple[_Values, list[str]]:
-    """Convert one section; gives the values that are valid and what is wrong with the others."""
+    """Convert one section; return its valid values and the problems of the others."""
     known = {item.name: item for item in msgspec.structs.fields(kind)}
     problems = [
         f"[{name}] {key} = {value}: unknown key" for key, value in raw.items() if key not in known
@@ -171,25 +174,25 @@
     return values, problems
 
 
-def _cross_checks(found: Mapping[str, _Values]) -> Iterator[str]:
-    """Yield what the types of single values cannot say."""
-    yield from _check_host(found.get("vm", {}))
-    platform = found.get("platform", {})
+def _cross_checks(values_by_section: Mapping[str, _Values]) -> Iterator[str]:
+    """Yield the problems that the types of single values cannot express."""
+    yield from _check_host(values_by_section.get("vm", {}))
+    platform = values_by_section.get("platform", {})
     yield from _check_addresses("kv_addresses", platform)
-    yield from _check_addresses("vm_list_address", platform, most=1)
-    yield from _check_addresses("weight_store_address", platform, most=1)
-    node = found.get("node", {})
+    yield from _check_addresses("vm_list_address", platform, max_count=1)
+    yield from _check_addresses("weight_store_address", platform, max_count=1)
+    node = values_by_section.get("node", {})
     for key in _NODE_ADDRESSES:
-        yield from _check_addresses(key, node, most=1, section="node")
+        yield from _check_addresses(key, node, max_count=1, section="node")
     yield from _check_addresses("seeds", node, section="node")
-    spool = found.get("spool", {})
-    yield from _check_addresses("store_address", spool, most=1, section="spool")
-    for section, smaller, larger in _ORDERED:
-        values = found.get(section, {})
+    spool = values_by_section.get("spool", {})
+    yield from _check_addresses("store_address", spool, max_count=1, section="spool")
+    for section, smaller, larger in _ORDERED_KEYS:
+        values = values_by_section.get(section, {})
         if values.get(smaller, -math.inf) > values.get(larger, math.inf):
             limit = f"{larger} = {values[larger]}"
             yield f"[{section}] {smaller} = {values[smaller]}: more than {limit}"
-    yield from _check_ports(found)
+    yield from _check_ports(values_by_section)
 
 
 def _check_host(vm: _Values) -> Iterator[str]:
@@ -200,12 +203,12 @@
 
 
 def _check_addresses(
-    key: str, values: _Values, most: int = 0, section: str = "platform"
+    key: str, values: _Values, max_count: int = 0, section: str = "platform"
 ) -> Iterator[str]:
     text = values.get(key, "")
     parts = text.split(",") if text else []
-    if most and len(parts) > most:
-        yield f"[{section}] {key} = {text}: more than {most} address"
+    if max_count and len(parts) > max_count:
+        yield f"[{section}] {key} = {text}: more than {max_count} address"
     for part in parts:
         try:
             Address.parse(part)
@@ -213,13 +216,13 @@
             yield f"[{section}] {key} = {text}: {error}"
 
 
-def _check_ports(found: Mapping[str, _Values]) -> Iterator[str]:
-    taken: dict[int, str] = {}
-    for name, values in found.items():
+def _check_ports(values_by_section: Mapping[str, _Values]) -> Iterator[str]:
+    sections_by_port: dict[int, str] = {}
+    for name, values in values_by_section.items():
         port = values.get("port", 0)
-        if port and port in taken:
-            yield f"[{name}] port = {port}: also the port of [{taken[port]}]"
-        taken[port] = name
+        if port and port in sections_by_port:
+            yield f"[{name}] port = {port}: also the port of [{sections_by_port[port]}]"
+        sections_by_port[port] = name
 
 
 def _one_line(error: Exception) -> str:
--- a/tests/test_bundle.py
+++ b/tests/test_bundle.py
@@ -1,4 +1,4 @@
-"""Programs whose modules come out of one file of bytecode."""
+"""Programs whose modules are loaded from a bundle of bytecode."""
 
 import subprocess
 import sys
@@ -32,7 +32,7 @@
         self.bundle = self.folder / "program.bundle"
         sources = [("pack", self.pack / "__init__.py"), ("pack.part", self.pack / "part.py")]
         write_bundle(self.bundle, sources)
-        # Tells what comes from the bundle from what comes from the file.
+        # A different value in the file shows whether a module was loaded from it or the bundle.
         (self.pack / "part.py").write_text('WORD = "file"\n', encoding="utf-8")
 
     def run_program(self) -> list[str]:
@@ -46,10 +46,10 @@
         self.assertEqual((installed, word, file), ("True", "bundled", "part.py"))
         self.assertIn(str(self.pack), " ".join(path))
 
-    def test_a_bundle_of_another_python_or_a_torn_one_is_left_alone(self) -> None:
-        whole = self.bundle.read_bytes()
+    def test_a_bundle_of_another_python_or_a_truncated_one_is_ignored(self) -> None:
+        complete = self.bundle.read_bytes()
         version = sys.version.encode()
-        for data in (whole.replace(version, b"9" * len(version)), whole[:40], b""):
+        for data in (complete.replace(version, b"9" * len(version)), complete[:40], b""):
             self.bundle.write_bytes(data)
             self.assertEqual(self.run_program()[:2], ["False", "file"])
 
--- a/tests/test_cli_config.py
+++ b/tests/test_cli_config.py
@@ -1,4 +1,4 @@
-"""Patches that the command builds, and its tables."""
+"""Patches that the configuration commands build, and text tables."""
 
 import unittest
 
@@ -10,7 +10,7 @@
 from fescuedock.report.tables import table
 
 NAMES = st.sampled_from(["services", "members", "share", "drain", "models"])
-# A merge patch cannot set null, so configurations have none.
+# A merge patch cannot set null, so configurations contain none.
 LEAVES = st.one_of(st.booleans(), st.integers(), st.text(max_size=5), st.lists(st.integers()))
 DOCUMENTS = st.dictionaries(
     NAMES, st.recursive(LEAVES, lambda inner: st.dictionaries(NAMES, inner, max_size=4))
@@ -19,8 +19,8 @@
 
 class DiffPatchTest(unittest.TestCase):
     @given(DOCUMENTS, DOCUMENTS)
-    def test_the_patch_makes_the_wanted_configuration(self, current: dict, wanted: dict) -> None:
-        self.assertEqual(merge_patch(current, diff_patch(current, wanted)), wanted)
+    def test_the_patch_makes_the_desired_configuration(self, current: dict, desired: dict) -> None:
+        self.assertEqual(merge_patch(current, diff_patch(current, desired)), desired)
 
     @given(DOCUMENTS)
     def test_nothing_changed_is_an_empty_patch(self, document: dict) -> None:
@@ -34,11 +34,11 @@
 
 
 class TableTest(unittest.TestCase):
-    def test_numbers_stand_to_the_right(self) -> None:
+    def test_numbers_are_right_aligned(self) -> None:
         text = table(("NAME", "N"), [("a", 5), ("long name", 100)])
         self.assertEqual(text, "NAME         N\na            5\nlong name  100")
 
-    def test_no_rows_leave_the_heads(self) -> None:
+    def test_table_without_rows_has_only_headers(self) -> None:
         self.assertEqual(table(("NAME", "N"), []), "NAME  N")
 
 
--- a/tests/test_ports.py
+++ b/tests/test_ports.py
@@ -1,11 +1,11 @@
-"""The ports that tests are given, and let go of, beside other processes that run tests.
+"""Allocation and release of test ports while other processes run tests too.
 
-A node of one test did not start, as its port was taken at 127.0.0.2: "Address already in use".  A
-fleet draws one number for all its hosts and binds it later.  Two processes drew the same number, as
-each knew only what it had given itself and what was bound at 127.0.0.1 just then.
+Guards against two failures, both "Address already in use" at the start of a program:
 
-A spool that was killed and started again found its own port taken.  It had ended for the test, and
-ZeroMQ's thread had not closed its socket yet.
+- Two processes allocate the same port.  A fleet allocates one port number for all its hosts and
+  binds it later, so checking that it is unbound at 127.0.0.1 does not protect it.
+- A killed and restarted spool finds its own port in use, because ZeroMQ's thread closes the socket
+  some time after the program has ended.
 """
 
 import socket
@@ -20,15 +20,15 @@
 
 from fescuedock.address import Address
 from tests.builders.node import RunningSpool, running_fleet
-from tests.builders.ports import free_ports, wait_let_go
+from tests.builders.ports import free_ports, wait_released
 from tests.builders.standins import run_async
 
 PROCESSES = 6
-# Of 12,000: drawn at random and unheld, twelve of them would come twice.
+# Drawn at random from 12,000 without a reservation, twelve of them would be duplicates.
 PORTS_EACH = 100
-# Without a wait for ZeroMQ's thread one in eighteen failed.
+# Without a wait for ZeroMQ's thread, one restart in eighteen fails.
 RESTARTS = 20
-DRAW = f"""
+DRAW_SCRIPT = f"""
 from tests.builders.ports import free_ports
 print(*free_ports({PORTS_EACH}), flush=True)
 input()
@@ -36,11 +36,11 @@
 
 
 class PortsTest(unittest.TestCase):
-    def test_no_port_is_given_to_two_processes(self) -> None:
-        # Each process lives until its standard input is closed, and so holds what it was given.
+    def test_no_port_is_allocated_to_two_processes(self) -> None:
+        # Each process runs, and so reserves its ports, until its standard input is closed.
         processes = [
             subprocess.Popen(
-                [sys.executable, "-c", DRAW],
+                [sys.executable, "-c", DRAW_SCRIPT],
                 cwd=Path(__file__).parent.parent,
                 stdin=subprocess.PIPE,
                 stdout=subprocess.PIPE,
@@ -48,15 +48,15 @@
             )
             for _ in range(PROCESSES)
         ]
-        given = Counter(free_ports(PORTS_EACH))
+        drawn = Counter(free_ports(PORTS_EACH))
         for process in processes:
-            given.update(int(port) for port in process.stdout.readline().split())
+            drawn.update(int(port) for port in process.stdout.readline().split())
         for process in processes:
             process.communicate("\n")
-        self.assertEqual(given.total(), (PROCESSES + 1) * PORTS_EACH)
-        self.assertEqual([port for port, count in given.items() if count > 1], [])
+        self.assertEqual(drawn.total(), (PROCESSES + 1) * PORTS_EACH)
+        self.assertEqual([port for port, count in drawn.items() if count > 1], [])
 
-    def test_an_address_is_let_go_once_nobody_listens_there(self) -> None:
+    def test_wait_released_returns_once_no_socket_listens(self) -> None:
         [port] = free_ports(1)
 
         async def run() -> None:
@@ -64,14 +64,14 @@
                 server.bind(("127.0.0.1", port))
                 server.listen()
                 with trio.move_on_after(0.1) as waited:
-                    await wait_let_go(Address("127.0.0.1", port))
+                    await wait_released(Address("127.0.0.1", port))
                 self.assertTrue(waited.cancelled_caught)
             with trio.fail_after(5):
-                await wait_let_go(Address("127.0.0.1", port))
+                await wait_released(Address("127.0.0.1", port))
 
         run_async(run)
 
-    def test_a_program_that_has_ended_listens_nowhere(self) -> None:
+    def test_a_stopped_program_listens_on_no_port(self) -> None:
         async def run() -> None:
             with tempfile.TemporaryDirectory() as folder, trio.fail_after(30):
                 async with running_fleet() as fleet:
--- a/tests/test_report_metrics.py
+++ b/tests/test_report_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: snapshots that add up without loss, bounded names, promises counted per query."""
+"""Metrics: snapshots merge without loss, labels are bounded, promises are counted per query."""
 
 import re
 import unittest
@@ -28,7 +28,7 @@
 
 
 class Recorder:
-    """A ``Metrics`` whose clock a test sets."""
+    """A ``Metrics`` with a clock that the test sets."""
 
     def __init__(self, process: str = "vm-1/entry/1") -> None:
         self.now_s = NOW_S
@@ -54,7 +54,7 @@
 
 
 def recorded_values(snapshots: list[MetricsSnapshot]) -> dict:
-    """Return each histogram as its exact recorded counts."""
+    """Return the exact recorded counts of each histogram."""
     return {
         key: [
             (item.value_iterated_to, item.count_added_in_this_iter_step)
@@ -76,28 +76,30 @@
     @settings(max_examples=30)
     @given(st.lists(st.tuples(st.integers(0, 2), _QUERY), max_size=30))
     def test_merged_equals_all_recorded_together(self, recorded: list) -> None:
-        # Each process sees time go forward.
+        # Time must not run backwards within a process.
         recorded = sorted(recorded, key=lambda item: item[1][0])
-        apart = [Recorder(f"vm-{number}/entry/1") for number in range(3)]
-        together = Recorder()
+        separate = [Recorder(f"vm-{number}/entry/1") for number in range(3)]
+        combined = Recorder()
         for process, query in recorded:
-            apart[process].record(query)
-            together.record(query)
+            separate[process].record(query)
+            combined.record(query)
         end_s = NOW_S + 4 * 86400
-        snapshots = [recorder.snapshot(end_s) for recorder in apart]
-        whole = [together.snapshot(end_s)]
-        self.assertEqual(merged_slots(snapshots), merged_slots(whole))
-        kept = sum(slot.jobs_in_time for slots in merged_slots(whole).values() for slot in slots)
+        snapshots = [recorder.snapshot(end_s) for recorder in separate]
+        reference = [combined.snapshot(end_s)]
+        self.assertEqual(merged_slots(snapshots), merged_slots(reference))
+        kept = sum(
+            slot.jobs_in_time for slots in merged_slots(reference).values() for slot in slots
+        )
         recent = [query for _, query in recorded if query[0] >= 86400 + 900]
         self.assertGreaterEqual(kept, sum(query[2] == "small" for query in recent))
-        self.assertEqual(recorded_values(snapshots), recorded_values(whole))
-        self.assertEqual(codes(snapshots), codes(whole))
+        self.assertEqual(recorded_values(snapshots), recorded_values(reference))
+        self.assertEqual(codes(snapshots), codes(reference))
 
 
 class MetricsTest(unittest.TestCase):
     def test_query_is_in_time_only_within_both_objectives(self) -> None:
-        wanted = Objectives(first_token_ms=100, inter_token_ms=10)
-        metrics = Metrics("vm-1/entry/1", lambda: NOW_S, lambda _service: wanted)
+        objectives = Objectives(first_token_ms=100, inter_token_ms=10)
+        metrics = Metrics("vm-1/entry/1", lambda: NOW_S, lambda _service: objectives)
         for first_token_ms, inter_token_ms in ((100, 10), (101, 10), (100, 11)):
             metrics.record_online("s", "g", first_token_ms, inter_token_ms, ResultCode.OK)
         metrics.record_online("s", "g", 0, 0, ResultCode.NO_CAPACITY)
@@ -123,15 +125,15 @@
         self.assertLessEqual(len(groups), 8)
         self.assertEqual(sum(item.total.online for item in snapshot.services), 2700)
 
-    def test_slot_time_of_items_is_told_apart_by_whether_it_gave_events(self) -> None:
+    def test_run_times_are_separated_by_whether_events_were_produced(self) -> None:
         metrics = Metrics("vm-1/node/1", lambda: NOW_S)
-        for ran_ms, gained in ((500.0, True), (40.0, False), (60.0, False)):
-            metrics.record_run("s", ran_ms, gained=gained)
+        for ran_ms, with_events in ((500.0, True), (40.0, False), (60.0, False)):
+            metrics.record_run("s", ran_ms, with_events=with_events)
         found = {item.measure: (sum(item.counts), item.sum_ms) for item in metrics.totals().buckets}
-        wanted = {"run_with_events": (1, 500.0), "run_without_events": (2, 100.0)}
-        self.assertEqual(found, wanted)
+        expected = {"run_with_events": (1, 500.0), "run_without_events": (2, 100.0)}
+        self.assertEqual(found, expected)
 
-    def test_value_out_of_range_is_kept_at_the_end_of_the_range(self) -> None:
+    def test_value_out_of_range_is_clamped_to_the_range(self) -> None:
         metrics = Metrics("vm-1/entry/1", lambda: NOW_S)
         metrics.record_online("s", "g", 1e12, 0.0, ResultCode.OK)
         histogram = next(iter(merge_histograms([metrics.snapshot()]).values()))
