--- a/bench/engine_cost.py
+++ b/bench/engine_cost.py
@@ -23,7 +23,7 @@
 from fescuedock.net.http_client import HttpClient
 from fescuedock.schema.settings import PlatformSettings
 from fescuedock.schema.view import UpstreamKind, UpstreamRecord
-from fescuedock.standin.engine_requests import AnswerShape, read_request
+from fescuedock.standin.engine_requests import ResponseBuilder, read_request
 from fescuedock.standin.token_text import token_texts
 
 ROUNDS = 15
@@ -59,7 +59,7 @@
 
 def token_events() -> list[bytes]:
     """Return the events of an answer of ``TOKENS`` tokens, as the stand-in engine forms them."""
-    shape = AnswerShape(read_request(PATH, BODY, "attempt"), created_s=1)
+    shape = ResponseBuilder(read_request(PATH, BODY, "attempt"), created_s=1)
     return [shape.token_event(text) for text in token_texts("hello", 0, TOKENS)]
 
 
--- a/bench/lost_answers.py
+++ b/bench/lost_answers.py
@@ -96,7 +96,7 @@
     async def land_late() -> None:
         while True:
             await trio.sleep(0.07)
-            kv.land_late_writes()
+            kv.apply_late_writes()
 
     async def run() -> None:
         async with trio.open_nursery() as background:
@@ -105,7 +105,7 @@
                 for name in "abc":
                     writers.start_soon(write, name)
             background.cancel_scope.cancel()
-        kv.land_late_writes()
+        kv.apply_late_writes()
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
     return judge(told, written, kv.faults.total_calls)
--- a/src/fescuedock/platform/standin/metadata_store.py
+++ b/src/fescuedock/platform/standin/metadata_store.py
@@ -101,7 +101,7 @@
             case CallKind.GRANT:
                 return self._grant(msgspec.json.decode(body, type=wire.LeaseRequest))
             case CallKind.KEEP:
-                ttl_s = self.state.keep(int(argument), trio.current_time())
+                ttl_s = self.state.renew(int(argument), trio.current_time())
                 return _Answer(200, wire.LeaseAnswer(ttl_s * 1000)) if ttl_s else _Answer(404)
             case _:
                 return _Answer(200 if self.state.revoke(int(argument)) else 404)
@@ -150,7 +150,7 @@
     async def _watch(self, request: Request) -> _Answer | None:
         """Hold a watch until there is a change or its time is up; None when it was cut."""
         prefix, after = request.query["prefix"], int(request.query["after"])
-        cut = self.cut
+        cut = self.watches_cut
         with trio.move_on_after(int(request.query["waitMs"]) / 1000):
             while not (events := self._events(prefix, after)):
                 if events is None or cut.is_set():
--- a/src/fescuedock/standin/control.py
+++ b/src/fescuedock/standin/control.py
@@ -169,7 +169,7 @@
     if command.add is not None:
         vm_list.add(command.add)
     if command.leave:
-        vm_list.leave(command.leave)
+        vm_list.mark_leaving(command.leave)
     if command.remove:
         vm_list.remove(command.remove)
     if command.lag_ms is not None:
--- a/src/fescuedock/standin/engine.py
+++ b/src/fescuedock/standin/engine.py
@@ -22,9 +22,9 @@
 from fescuedock.standin.engine_requests import (
     CHAT_PATH,
     COMPLETIONS_PATH,
-    AnswerShape,
     BadRequestError,
     GenerateRequest,
+    ResponseBuilder,
     read_request,
 )
 from fescuedock.standin.listener import Listener
@@ -32,9 +32,9 @@
 
 __all__ = ["EngineFaults", "EngineService", "error_body"]
 
-IMPOSSIBLE = "[[impossible]]"
-FAILS = "[[fails]]"
-KILLS = "[[kills]]"
+PERMANENT_ERROR_MARKER = "[[impossible]]"
+SERVER_ERROR_MARKER = "[[fails]]"
+CRASH_MARKER = "[[kills]]"
 _MAX_BODY_BYTES = 64 * 1024 * 1024
 _STREAM_HEADERS = (("content-type", "text/event-stream"), ("cache-control", "no-cache"))
 
@@ -134,15 +134,15 @@
         body = await request.read(_MAX_BODY_BYTES)
         attempt_id = request.headers.get(ATTEMPT_HEADER) or f"anonymous-{next(self._numbers)}"
         try:
-            wanted = read_request(request.path, body, attempt_id)
-            self._check(wanted)
+            parsed = read_request(request.path, body, attempt_id)
+            self._validate(parsed)
         except BadRequestError as error:
             await _refuse(responder, 400, str(error))
             return
-        if await self._fault(wanted, responder):
+        if await self._inject_fault(parsed, responder):
             return
         try:
-            generation = self.core.admit(wanted)
+            generation = self.core.admit(parsed)
         except ValueError as error:
             await _refuse(responder, 409, str(error))
             return
@@ -151,66 +151,66 @@
         finally:
             self.core.finish(generation)
 
-    def _check(self, wanted: GenerateRequest) -> None:
-        if IMPOSSIBLE in wanted.prompt:
-            raise BadRequestError(f"the prompt contains {IMPOSSIBLE}")
-        resume = wanted.resume
+    def _validate(self, parsed: GenerateRequest) -> None:
+        if PERMANENT_ERROR_MARKER in parsed.prompt:
+            raise BadRequestError(f"the prompt contains {PERMANENT_ERROR_MARKER}")
+        resume = parsed.resume
         if resume is None:
             return
-        if resume.tokens >= wanted.answer_tokens:
+        if resume.tokens >= parsed.answer_tokens:
             raise BadRequestError(f"nothing is left after {resume.tokens} tokens")
-        if resume.text != answer_text(wanted.prompt, resume.tokens):
+        if resume.text != answer_text(parsed.prompt, resume.tokens):
             raise BadRequestError(f"resume.text is not the first {resume.tokens} tokens")
 
-    async def _fault(self, wanted: GenerateRequest, responder: Responder) -> bool:
+    async def _inject_fault(self, parsed: GenerateRequest, responder: Responder) -> bool:
         """Do what a prompt or a command asks for; whether the request is at its end."""
-        if KILLS in wanted.prompt:
-            self._background.start_soon(self._die_for_a_while)
+        if CRASH_MARKER in parsed.prompt:
+            self._background.start_soon(self._crash_and_restart)
             await trio.sleep_forever()
-        if FAILS in wanted.prompt:
-            await _refuse(responder, 500, f"the prompt contains {FAILS}")
+        if SERVER_ERROR_MARKER in parsed.prompt:
+            await _refuse(responder, 500, f"the prompt contains {SERVER_ERROR_MARKER}")
             return True
         if self.faults.fail_with:
             await _refuse(responder, self.faults.fail_with.popleft(), "failing on command")
             return True
-        if not self.orders.serves(wanted.model):
-            await _refuse(responder, 404, f"model {wanted.model!r} is not loaded")
+        if not self.orders.serves(parsed.model):
+            await _refuse(responder, 404, f"model {parsed.model!r} is not loaded")
             return True
         return False
 
-    async def _die_for_a_while(self) -> None:
+    async def _crash_and_restart(self) -> None:
         self.die()
         await trio.sleep(self.faults.restart_ms / 1000)
         self.revive()
 
     async def _answer(self, generation: Generation, responder: Responder) -> None:
-        shape = AnswerShape(generation.request, self._unix_clock())
+        response = ResponseBuilder(generation.request, self._unix_clock())
         if generation.request.stream:
-            await self._stream(generation, shape, responder)
+            await self._stream(generation, response, responder)
             return
         total = generation.sequence.answer_tokens
         while await generation.wait_tokens(generation.ready) < total:
             pass
-        wanted = generation.request
-        text = answer_text(wanted.prompt, wanted.answer_tokens)
-        await responder.send(200, shape.whole(text, wanted.answer_tokens))
+        parsed = generation.request
+        text = answer_text(parsed.prompt, parsed.answer_tokens)
+        await responder.send(200, response.complete_response(text, parsed.answer_tokens))
 
     async def _stream(
-        self, generation: Generation, shape: AnswerShape, responder: Responder
+        self, generation: Generation, response: ResponseBuilder, responder: Responder
     ) -> None:
-        wanted = generation.request
+        parsed = generation.request
         total = generation.sequence.answer_tokens
         cut_after = self.faults.cut_after.popleft() if self.faults.cut_after else total + 1
-        taken = await generation.wait_tokens(0)
+        sent = await generation.wait_tokens(0)
         async with responder.stream(200, _STREAM_HEADERS) as stream:
-            await stream.write(shape.first_event() + _events(shape, wanted, 0, taken))
-            while taken < total:
-                if taken >= cut_after:
+            await stream.write(response.first_event() + _events(response, parsed, 0, sent))
+            while sent < total:
+                if sent >= cut_after:
                     raise DroppedConnectionError("stream cut on command")
-                ready = await generation.wait_tokens(taken)
-                await stream.write(_events(shape, wanted, taken, ready))
-                taken = ready
-            await stream.write(shape.last_events(wanted.answer_tokens))
+                ready = await generation.wait_tokens(sent)
+                await stream.write(_events(response, parsed, sent, ready))
+                sent = ready
+            await stream.write(response.last_events(parsed.answer_tokens))
 
     async def _cancel(self, request: Request, responder: Responder, values: dict[str, str]) -> None:
         if self.core.cancel(values["attempt_id"]):
@@ -219,9 +219,9 @@
         await _refuse(responder, 404, f"no attempt {values['attempt_id']!r}")
 
 
-def _events(shape: AnswerShape, wanted: GenerateRequest, first: int, end: int) -> bytes:
-    texts = token_texts(wanted.prompt, wanted.first_token + first, end - first)
-    return b"".join(shape.token_event(text) for text in texts)
+def _events(response: ResponseBuilder, parsed: GenerateRequest, first: int, end: int) -> bytes:
+    texts = token_texts(parsed.prompt, parsed.first_token + first, end - first)
+    return b"".join(response.token_event(text) for text in texts)
 
 
 def error_body(status: int, message: str) -> dict:
--- a/src/fescuedock/standin/engine_admin.py
+++ b/src/fescuedock/standin/engine_admin.py
@@ -81,13 +81,13 @@
             await responder.send_json(400, {"error": str(error)})
             return
         job = _OrderJob(order)
-        self._nursery.start_soon(self._carry_out, job)
+        self._nursery.start_soon(self._execute, job)
         await job.done.wait()
         await responder.send_json(job.status, {"message": job.message})
 
-    async def _carry_out(self, job: "_OrderJob") -> None:
+    async def _execute(self, job: "_OrderJob") -> None:
         try:
-            await self.orders.carry_out(job.order)
+            await self.orders.execute(job.order)
             self.core.model.profile = profile_of_role(self.core.profile, self.orders.role)
         except SupersededOrderError as error:
             job.status, job.message = 409, str(error)
@@ -96,24 +96,24 @@
         job.done.set()
 
     async def _export(self, request: Request, responder: Responder, _: dict[str, str]) -> None:
-        asked = await _read_blocks(request, responder)
-        if asked is None:
+        requested = await _read_blocks(request, responder)
+        if requested is None:
             return
-        kept = self.core.cache.kept(asked.hashes)
-        await trio.sleep(len(kept) * _TRANSFER_MS_PER_BLOCK / 1000)
-        payload = bytes(len(kept) * BLOCK_TOKENS * _KV_BYTES_PER_TOKEN)
-        await responder.send_json(200, KvBlocks(kept, payload))
+        cached = self.core.cache.select_cached(requested.hashes)
+        await trio.sleep(len(cached) * _TRANSFER_MS_PER_BLOCK / 1000)
+        payload = bytes(len(cached) * BLOCK_TOKENS * _KV_BYTES_PER_TOKEN)
+        await responder.send_json(200, KvBlocks(cached, payload))
 
     async def _import(self, request: Request, responder: Responder, _: dict[str, str]) -> None:
-        given = await _read_blocks(request, responder)
-        if given is None:
+        received = await _read_blocks(request, responder)
+        if received is None:
             return
-        if len(given.payload) != len(given.hashes) * BLOCK_TOKENS * _KV_BYTES_PER_TOKEN:
+        if len(received.payload) != len(received.hashes) * BLOCK_TOKENS * _KV_BYTES_PER_TOKEN:
             await responder.send_json(400, {"error": "payload does not fit the blocks"})
             return
-        await trio.sleep(len(given.hashes) * _TRANSFER_MS_PER_BLOCK / 1000)
-        self.core.store_blocks(given.hashes)
-        await responder.send_json(200, {"blocks": len(given.hashes)})
+        await trio.sleep(len(received.hashes) * _TRANSFER_MS_PER_BLOCK / 1000)
+        self.core.store_blocks(received.hashes)
+        await responder.send_json(200, {"blocks": len(received.hashes)})
 
 
 @dataclass(slots=True)
--- a/src/fescuedock/standin/engine_core.py
+++ b/src/fescuedock/standin/engine_core.py
@@ -37,29 +37,29 @@
     request: GenerateRequest
     sequence: Sequence
     ready: int = 0
-    lost: bool = False
+    dropped: bool = False
     _changed: trio.Event = field(default_factory=trio.Event)
 
-    async def wait_tokens(self, taken: int) -> int:
+    async def wait_tokens(self, sent: int) -> int:
         """Wait for more tokens than ``taken`` and return their number.
 
         ``DroppedConnectionError`` when the generation was cancelled or its engine died.
         """
-        while self.ready <= taken and not self.lost:
+        while self.ready <= sent and not self.dropped:
             await self._changed.wait()
-        if self.lost:
+        if self.dropped:
             raise DroppedConnectionError("the engine dropped the request")
         return self.ready
 
     def add_token(self) -> None:
         self.ready += 1
-        self._wake()
+        self._notify()
 
-    def lose(self) -> None:
-        self.lost = True
-        self._wake()
+    def drop(self) -> None:
+        self.dropped = True
+        self._notify()
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
@@ -76,7 +76,7 @@
     reported: EngineLoad = _IDLE_LOAD
     model: TokenTimeModel = field(init=False)
     _generations: dict[str, Generation] = field(default_factory=dict)
-    _work: trio.Event = field(default_factory=trio.Event)
+    _work_arrived: trio.Event = field(default_factory=trio.Event)
     _thawed: trio.Event = field(default_factory=trio.Event)
 
     def __post_init__(self) -> None:
@@ -87,7 +87,7 @@
         """Give tokens until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._report_load)
-            await self._step()
+            await self._run_steps()
 
     @property
     def load(self) -> EngineLoad:
@@ -100,19 +100,19 @@
         if request.attempt_id in self._generations:
             raise ValueError(f"attempt {request.attempt_id!r} is running already")
         resumed = request.resume.tokens if request.resume else 0
-        covered = self.cache.covered(prefix_hashes(request.prompt))
+        cached_blocks = self.cache.cached_prefix_length(prefix_hashes(request.prompt))
         sequence = Sequence(
             request.attempt_id,
             request.prompt_tokens + resumed,
             request.answer_tokens - resumed,
-            covered * BLOCK_TOKENS,
+            cached_blocks * BLOCK_TOKENS,
         )
         generation = Generation(request, sequence)
         self._generations[request.attempt_id] = generation
         self.model.admit(sequence)
         self.stats.admitted += 1
         self.stats.most_running = max(self.stats.most_running, len(self.model.running))
-        self._work.set()
+        self._work_arrived.set()
         return generation
 
     def finish(self, generation: Generation) -> None:
@@ -131,14 +131,14 @@
         generation = self._generations.get(attempt_id)
         if generation is None:
             return False
-        generation.lose()
+        generation.drop()
         self.finish(generation)
         return True
 
     def crash(self) -> None:
         """Lose all requests and the cache, as a process that dies."""
         for generation in self._generations.values():
-            generation.lose()
+            generation.drop()
         self._generations.clear()
         self.model.clear()
         self.cache.clear()
@@ -155,12 +155,12 @@
     async def wait_thawed(self) -> None:
         await self._thawed.wait()
 
-    async def _step(self) -> None:
+    async def _run_steps(self) -> None:
         due_ms = 0.0
         while True:
             if self.model.is_idle:
-                self._work = trio.Event()
-                await self._work.wait()
+                self._work_arrived = trio.Event()
+                await self._work_arrived.wait()
                 due_ms = now_ms()
             await self._thawed.wait()
             result = self.model.step()
@@ -168,9 +168,9 @@
             due_ms = max(due_ms, now_ms() - result.duration_ms) + result.duration_ms
             await trio.sleep_until(due_ms / 1000)
             await self._thawed.wait()
-            self._hand_out(result)
+            self._deliver(result)
 
-    def _hand_out(self, result: StepResult) -> None:
+    def _deliver(self, result: StepResult) -> None:
         for sequence in result.produced:
             generation = self._generations.get(sequence.sequence_id)
             if generation is not None and generation.sequence is sequence:
--- a/src/fescuedock/standin/engine_orders.py
+++ b/src/fescuedock/standin/engine_orders.py
@@ -18,7 +18,7 @@
 
 ROLES = ("both", "prefill", "decode")
 # How much faster a role makes an engine at its own work, and slower at the other.
-_ROLE_GAIN = 1.6
+_ROLE_SPEED_FACTOR = 1.6
 
 
 class SupersededOrderError(Exception):
@@ -35,7 +35,7 @@
 
     at_s: float
     order: EngineOrder
-    obeyed: bool
+    accepted: bool
 
 
 @dataclass(slots=True)
@@ -55,7 +55,7 @@
     highest_fencing: int = 0
     received: list[ReceivedOrder] = field(default_factory=list)
     _serves_any: bool = field(init=False)
-    _one_at_a_time: trio.Lock = field(default_factory=trio.Lock)
+    _execution_lock: trio.Lock = field(default_factory=trio.Lock)
 
     def __post_init__(self) -> None:
         self._serves_any = not self.models
@@ -64,7 +64,7 @@
         """Whether a request may name ``model``, the name of a model or an adapter."""
         return self._serves_any or model in self.models or model in self.adapters
 
-    async def carry_out(self, order: EngineOrder) -> None:
+    async def execute(self, order: EngineOrder) -> None:
         """Obey an order, which takes as long as a load takes.
 
         ``SupersededOrderError`` and ``BadOrderError`` say that nothing was done.
@@ -73,13 +73,13 @@
         if action is None or (order.role and order.role not in ROLES):
             raise BadOrderError(f"no order {order.order!r} with role {order.role!r}")
         superseded = order.fencing < self.highest_fencing
-        obeyed = not (superseded and self.checks_fencing)
-        self.received.append(ReceivedOrder(trio.current_time(), order, obeyed))
-        if not obeyed:
+        accepted = not (superseded and self.checks_fencing)
+        self.received.append(ReceivedOrder(trio.current_time(), order, accepted))
+        if not accepted:
             message = f"fencing number {order.fencing} is below {self.highest_fencing}"
             raise SupersededOrderError(message)
         self.highest_fencing = max(self.highest_fencing, order.fencing)
-        async with self._one_at_a_time:
+        async with self._execution_lock:
             await action(self, order)
 
     async def _load_model(self, order: EngineOrder) -> None:
@@ -123,14 +123,14 @@
 def profile_of_role(profile: EngineProfile, role: str) -> EngineProfile:
     """Return the speeds that an engine has in ``role``."""
     if role == "prefill":
-        gain = _ROLE_GAIN
+        speed_factor = _ROLE_SPEED_FACTOR
     elif role == "decode":
-        gain = 1 / _ROLE_GAIN
+        speed_factor = 1 / _ROLE_SPEED_FACTOR
     else:
-        gain = 1.0
+        speed_factor = 1.0
     return replace(
         profile,
-        step_ms=profile.step_ms * gain,
-        step_ms_per_sequence=profile.step_ms_per_sequence * gain,
-        prefill_ms_per_token=profile.prefill_ms_per_token / gain,
+        step_ms=profile.step_ms * speed_factor,
+        step_ms_per_sequence=profile.step_ms_per_sequence * speed_factor,
+        prefill_ms_per_token=profile.prefill_ms_per_token / speed_factor,
     )
--- a/src/fescuedock/standin/engine_requests.py
+++ b/src/fescuedock/standin/engine_requests.py
@@ -5,9 +5,9 @@
 import msgspec
 
 from fescuedock.backing.engine import ResumePoint
-from fescuedock.standin.token_text import natural_tokens, prompt_tokens
+from fescuedock.standin.token_text import default_answer_tokens, prompt_tokens
 
-__all__ = ["AnswerShape", "BadRequestError", "GenerateRequest", "read_request"]
+__all__ = ["BadRequestError", "GenerateRequest", "ResponseBuilder", "read_request"]
 
 CHAT_PATH = "/v1/chat/completions"
 COMPLETIONS_PATH = "/v1/completions"
@@ -50,7 +50,7 @@
     prompt: str
     prompt_tokens: int
     answer_tokens: int
-    limited: bool
+    has_token_limit: bool
     chat: bool
     stream: bool
     include_usage: bool
@@ -64,27 +64,27 @@
 def read_request(path: str, body: bytes, attempt_id: str) -> GenerateRequest:
     """Read the body of a chat or text completion; ``BadRequestError`` says what is wrong."""
     try:
-        given = msgspec.json.decode(body, type=_Body)
+        decoded = msgspec.json.decode(body, type=_Body)
     except msgspec.MsgspecError as error:
         raise BadRequestError(str(error)) from error
-    prompt = _chat_text(given.messages) if path == CHAT_PATH else _prompt_text(given.prompt)
-    limit = given.max_completion_tokens or given.max_tokens
+    prompt = _chat_text(decoded.messages) if path == CHAT_PATH else _prompt_text(decoded.prompt)
+    limit = decoded.max_completion_tokens or decoded.max_tokens
     if limit is not None and limit < 1:
         raise BadRequestError(f"max_tokens must be at least 1, not {limit}")
-    if given.resume is not None and given.resume.tokens < 0:
-        raise BadRequestError(f"resume.tokens must not be negative: {given.resume.tokens}")
-    natural = natural_tokens(prompt)
+    if decoded.resume is not None and decoded.resume.tokens < 0:
+        raise BadRequestError(f"resume.tokens must not be negative: {decoded.resume.tokens}")
+    default_tokens = default_answer_tokens(prompt)
     return GenerateRequest(
         attempt_id=attempt_id,
-        model=given.model,
+        model=decoded.model,
         prompt=prompt,
         prompt_tokens=prompt_tokens(prompt),
-        answer_tokens=limit or natural,
-        limited=limit is not None,
+        answer_tokens=limit or default_tokens,
+        has_token_limit=limit is not None,
         chat=path == CHAT_PATH,
-        stream=bool(given.stream),
-        include_usage=bool(given.stream_options and given.stream_options.include_usage),
-        resume=given.resume,
+        stream=bool(decoded.stream),
+        include_usage=bool(decoded.stream_options and decoded.stream_options.include_usage),
+        resume=decoded.resume,
     )
 
 
@@ -105,10 +105,10 @@
     return prompt if isinstance(prompt, str) else "\n".join(prompt)
 
 
-_PLACE = "<text>"
+_TEXT_PLACEHOLDER = "<text>"
 
 
-class AnswerShape:
+class ResponseBuilder:
     """Forms the JSON of one answer: OpenAI's chat or text completion, whole or in chunks."""
 
     __slots__ = ("_created_s", "_request", "_token_head", "_token_tail")
@@ -116,10 +116,14 @@
     def __init__(self, request: GenerateRequest, created_s: int) -> None:
         self._request = request
         self._created_s = created_s
-        part = {"delta": {"content": _PLACE}} if request.chat else {"text": _PLACE}
+        part = (
+            {"delta": {"content": _TEXT_PLACEHOLDER}}
+            if request.chat
+            else {"text": _TEXT_PLACEHOLDER}
+        )
         event = self._event(part, None)
         # Everything but the text is the same in each token's event.
-        self._token_head, _, self._token_tail = event.rpartition(_PLACE.encode())
+        self._token_head, _, self._token_tail = event.rpartition(_TEXT_PLACEHOLDER.encode())
 
     def first_event(self) -> bytes:
         """Return the event before a chat's first token, empty for text completions."""
@@ -140,7 +144,7 @@
             events += _sse(document)
         return events + b"data: [DONE]\n\n"
 
-    def whole(self, text: str, generated: int) -> bytes:
+    def complete_response(self, text: str, generated: int) -> bytes:
         """Return the answer that is not streamed."""
         if self._request.chat:
             part = {"message": {"role": "assistant", "content": text}}
@@ -167,7 +171,7 @@
         }
 
     def _finish_reason(self) -> str:
-        return "length" if self._request.limited else "stop"
+        return "length" if self._request.has_token_limit else "stop"
 
     def _usage(self, generated: int) -> dict:
         """Return the usage block; tokens before a resume point count as generated."""
--- a/src/fescuedock/standin/kv_calls.py
+++ b/src/fescuedock/standin/kv_calls.py
@@ -65,17 +65,17 @@
 
     def range(self, request: wire.RangeRequest) -> wire.RangeAnswer:
         if request.revision and not request.range_end:
-            return self._past(request)
+            return self._range_at_revision(request)
         if not request.range_end:
             found = self.state.get(request.key.decode())
             kvs = [key_value(found)] if found else []
             return wire.RangeAnswer(self._header(), kvs, count=len(kvs))
         start = request.key.decode()
         page = self.state.page(start, range_end(request.range_end), request.limit)
-        kvs = [key_value(entry, bare=request.keys_only) for entry in page.entries]
+        kvs = [key_value(entry, keys_only=request.keys_only) for entry in page.entries]
         return wire.RangeAnswer(self._header(), kvs, page.more, len(kvs))
 
-    def _past(self, request: wire.RangeRequest) -> wire.RangeAnswer:
+    def _range_at_revision(self, request: wire.RangeRequest) -> wire.RangeAnswer:
         try:
             found = self.state.get(request.key.decode(), request.revision)
         except CompactedError as error:
@@ -109,8 +109,8 @@
         lease_id = self.state.grant(request.ttl, self.now_s)
         return wire.GrantAnswer(lease_id=lease_id, ttl=request.ttl)
 
-    def keep(self, request: wire.LeaseRequest) -> wire.KeepAnswer:
-        return wire.KeepAnswer(wire.LeaseState(self.state.keep(request.lease_id, self.now_s)))
+    def keep_alive(self, request: wire.LeaseRequest) -> wire.KeepAnswer:
+        return wire.KeepAnswer(wire.LeaseState(self.state.renew(request.lease_id, self.now_s)))
 
     def revoke(self, request: wire.LeaseRequest) -> wire.Empty:
         if not self.state.revoke(request.lease_id):
@@ -125,14 +125,14 @@
     "/v3/kv/range": (wire.RangeRequest, KvCalls.range),
     "/v3/kv/txn": (wire.TxnRequest, KvCalls.txn),
     "/v3/lease/grant": (wire.GrantRequest, KvCalls.grant),
-    "/v3/lease/keepalive": (wire.LeaseRequest, KvCalls.keep),
+    "/v3/lease/keepalive": (wire.LeaseRequest, KvCalls.keep_alive),
     "/v3/lease/revoke": (wire.LeaseRequest, KvCalls.revoke),
 }
 
 
-def key_value(entry: KvEntry, *, bare: bool = False) -> wire.KeyValue:
+def key_value(entry: KvEntry, *, keys_only: bool = False) -> wire.KeyValue:
     """Return an entry as the gateway shows it, without its value when ``bare``."""
-    value = b"" if bare else entry.value
+    value = b"" if keys_only else entry.value
     return wire.KeyValue(entry.key.encode(), value, entry.mod_revision, entry.lease_id)
 
 
--- a/src/fescuedock/standin/kv_faults.py
+++ b/src/fescuedock/standin/kv_faults.py
@@ -54,7 +54,7 @@
         """Lose the answer of the ``nth`` write from now (1: the next one)."""
         self._lost[self.writes_seen + nth] = when
 
-    def keep_answers(self) -> None:
+    def stop_losing_answers(self) -> None:
         """Lose no further answers."""
         self._lost.clear()
 
--- a/src/fescuedock/standin/kv_host.py
+++ b/src/fescuedock/standin/kv_host.py
@@ -28,8 +28,8 @@
     faults: KvFaults = field(default_factory=KvFaults)
     listener: Listener = field(init=False)
     # Set, and replaced, when the connections of all watches are lost.
-    cut: trio.Event = field(default_factory=trio.Event)
-    _late: trio.Nursery | None = None
+    watches_cut: trio.Event = field(default_factory=trio.Event)
+    _late_calls: trio.Nursery | None = None
 
     def __post_init__(self) -> None:
         self.listener = Listener(self.handle)
@@ -47,7 +47,7 @@
     ) -> None:
         """Serve until cancelled; report the real ``Address``."""
         async with trio.open_nursery() as nursery:
-            self._late = nursery
+            self._late_calls = nursery
             nursery.start_soon(self._expire_leases)
             task_status.started(await nursery.start(self.listener.run, address))
 
@@ -62,12 +62,12 @@
 
     def cut_watches(self) -> None:
         """Lose the connections of all watches that are held."""
-        self.cut.set()
-        self.cut = trio.Event()
+        self.watches_cut.set()
+        self.watches_cut = trio.Event()
 
     def execute_late(self, execute: Callable[[], object]) -> None:
         """Let a call take effect after the time of the faults, whoever has given it up by then."""
-        self._late.start_soon(self._execute_late, execute)
+        self._late_calls.start_soon(self._execute_late, execute)
 
     async def _execute_late(self, execute: Callable[[], object]) -> None:
         await trio.sleep(self.faults.late_effect_ms / 1000)
--- a/src/fescuedock/standin/kv_service.py
+++ b/src/fescuedock/standin/kv_service.py
@@ -32,20 +32,20 @@
     async def handle(self, request: Request, responder: Responder) -> None:
         body = await request.read(2 * MAX_REQUEST_BYTES)
         kind = call_kind(request.path, body)
-        lost = self.faults.count(kind)
+        lost_answer = self.faults.count(kind)
         if self.faults.silent:
             await trio.sleep_forever()
         if self.faults.delay_ms:
             await trio.sleep(self.faults.delay_ms / 1000)
         if kind is CallKind.WATCH:
             create = msgspec.json.decode(body, type=wire.WatchRequest, strict=False).create_request
-            await serve_watch(self.state, create, responder, self.progress_ms, self.cut)
+            await serve_watch(self.state, create, responder, self.progress_ms, self.watches_cut)
             return
-        if lost is None:
+        if lost_answer is None:
             await self._answer(request.path, body, responder)
-        elif lost is LostAnswer.AFTER_EFFECT:
+        elif lost_answer is LostAnswer.AFTER_EFFECT:
             self._execute(request.path, body)
-        elif lost is LostAnswer.LATE_EFFECT:
+        elif lost_answer is LostAnswer.LATE_EFFECT:
             self.execute_late(partial(self._execute, request.path, body))
         # Returning without an answer cuts the connection.
 
--- a/src/fescuedock/standin/kv_state.py
+++ b/src/fescuedock/standin/kv_state.py
@@ -44,11 +44,11 @@
     """An event and the entry that it replaced."""
 
     event: KvEvent
-    before: KvEntry | None
+    previous: KvEntry | None
 
     @property
     def size_bytes(self) -> int:
-        return len(self.before.value) if self.before else 0
+        return len(self.previous.value) if self.previous else 0
 
 
 @dataclass(slots=True)
@@ -63,7 +63,7 @@
     leases: dict[int, Lease] = field(default_factory=dict)
     listeners: list[Callable[[KvEvent], None]] = field(default_factory=list)
     _entries: dict[str, KvEntry] = field(default_factory=dict)
-    _order: list[str] = field(default_factory=list)
+    _sorted_keys: list[str] = field(default_factory=list)
     _history: deque[_Change] = field(default_factory=deque)
     _history_bytes: int = 0
     _next_lease_id: int = 1001
@@ -79,17 +79,17 @@
     def _entry_at(self, key: str, at_revision: int) -> KvEntry | None:
         for change in self._changes_from(at_revision + 1):
             if change.event.key == key:
-                return change.before
+                return change.previous
         return self._entries.get(key)
 
     def page(self, start: str, end: str | None, limit: int) -> KvPage:
         """Return keys from ``start`` up to but without ``end`` (None: to the last), in order."""
-        first = bisect_left(self._order, start)
-        last = len(self._order) if end is None else bisect_left(self._order, end)
-        keys = self._order[first : max(first, last)]
-        shown = keys[:limit] if limit else keys
-        entries = tuple(self._entries[key] for key in shown)
-        return KvPage(entries, self.revision, more=len(shown) < len(keys))
+        first = bisect_left(self._sorted_keys, start)
+        last = len(self._sorted_keys) if end is None else bisect_left(self._sorted_keys, end)
+        keys = self._sorted_keys[first : max(first, last)]
+        selected = keys[:limit] if limit else keys
+        entries = tuple(self._entries[key] for key in selected)
+        return KvPage(entries, self.revision, more=len(selected) < len(keys))
 
     def put(self, key: str, value: bytes, lease_id: int = 0) -> int:
         """Write a key and return the new revision."""
@@ -101,15 +101,15 @@
 
     def _put(self, key: str, value: bytes, lease_id: int) -> None:
         """Write a key at the revision of now."""
-        self._detach(key)
+        self._detach_from_lease(key)
         if lease_id:
             self.leases[lease_id].keys.add(key)
         if key not in self._entries:
-            insort(self._order, key)
-        before = self._entries.get(key)
+            insort(self._sorted_keys, key)
+        previous = self._entries.get(key)
         entry = KvEntry(key, value, self.revision, lease_id)
         self._entries[key] = entry
-        self._record(_Change(KvEvent(key, self.revision, entry), before))
+        self._record(_Change(KvEvent(key, self.revision, entry), previous))
 
     def delete(self, key: str) -> bool:
         """Delete a key; whether it was there."""
@@ -121,10 +121,10 @@
 
     def _delete(self, key: str) -> None:
         """Delete a key that is there, at the revision of now."""
-        self._detach(key)
-        before = self._entries.pop(key)
-        self._order.pop(bisect_left(self._order, key))
-        self._record(_Change(KvEvent(key, self.revision, None), before))
+        self._detach_from_lease(key)
+        previous = self._entries.pop(key)
+        self._sorted_keys.pop(bisect_left(self._sorted_keys, key))
+        self._record(_Change(KvEvent(key, self.revision, None), previous))
 
     def transact(self, transaction: KvTransaction) -> int:
         """Do all of it at one revision and return that; 0 when a condition does not hold."""
@@ -165,7 +165,7 @@
         self.leases[lease_id] = Lease(lease_id, ttl_s, now_s + ttl_s)
         return lease_id
 
-    def keep(self, lease_id: int, now_s: float) -> int:
+    def renew(self, lease_id: int, now_s: float) -> int:
         """Renew a lease and return its seconds, 0 when it is not there any more."""
         lease = self.leases.get(lease_id)
         if lease is None:
@@ -213,7 +213,7 @@
         for listener in tuple(self.listeners):
             listener(change.event)
 
-    def _detach(self, key: str) -> None:
+    def _detach_from_lease(self, key: str) -> None:
         entry = self._entries.get(key)
         if entry and entry.lease_id in self.leases:
             self.leases[entry.lease_id].keys.discard(key)
--- a/src/fescuedock/standin/kv_watch.py
+++ b/src/fescuedock/standin/kv_watch.py
@@ -31,9 +31,9 @@
     async with responder.stream(200, _JSON_LINES) as stream:
         await _write(stream, wire.WatchResult(wire.Header(state.revision), created=True))
         try:
-            events = _Events(state, create)
+            events = _EventQueue(state, create)
         except CompactedError as error:
-            await _write(stream, _gap(state, error.compact_revision))
+            await _write(stream, _compaction_result(state, error.compact_revision))
             return
         with events:
             while not cut.is_set():
@@ -43,48 +43,48 @@
         raise DroppedConnectionError("watch cut on command")
 
 
-class _Events:
+class _EventQueue:
     """The past and coming events of one watch; the block in which they come must be left."""
 
-    __slots__ = ("_arrived", "_end", "_start", "_state", "_waiting")
+    __slots__ = ("_arrived", "_end", "_pending", "_start", "_state")
 
     def __init__(self, state: KvState, create: wire.WatchCreate) -> None:
         self._state = state
         self._start = create.key.decode()
         self._end = range_end(create.range_end) if create.range_end else self._start + "\0"
-        self._waiting: deque[KvEvent] = deque()
+        self._pending: deque[KvEvent] = deque()
         self._arrived = trio.Event()
         # Nothing happens between reading the past and listening: no await stands between them.
         if create.start_revision:
             past = state.events_since(self._start, self._end, create.start_revision)
-            self._waiting.extend(past)
-        state.listeners.append(self._take)
+            self._pending.extend(past)
+        state.listeners.append(self._enqueue)
 
-    def __enter__(self) -> "_Events":
+    def __enter__(self) -> "_EventQueue":
         return self
 
     def __exit__(self, *_: object) -> None:
-        self._state.listeners.remove(self._take)
+        self._state.listeners.remove(self._enqueue)
 
-    def _take(self, event: KvEvent) -> None:
+    def _enqueue(self, event: KvEvent) -> None:
         if in_range(event.key, self._start, self._end):
-            self._waiting.append(event)
+            self._pending.append(event)
             self._arrived.set()
 
     async def write(self, stream: ResponseStream) -> None:
         """Send what waits."""
-        while self._waiting:
-            event = self._waiting.popleft()
+        while self._pending:
+            event = self._pending.popleft()
             result = wire.WatchResult(wire.Header(event.revision), events=[_wire_event(event)])
             await _write(stream, result)
 
     async def wait(self, cut: trio.Event, timeout_ms: float) -> bool:
         """Wait for an event or ``cut``; False when ``timeout_ms`` went by first."""
         self._arrived = trio.Event()
-        return bool(self._waiting) or await _either(self._arrived, cut, timeout_ms)
+        return bool(self._pending) or await _wait_for_either(self._arrived, cut, timeout_ms)
 
 
-async def _either(arrived: trio.Event, cut: trio.Event, timeout_ms: float) -> bool:
+async def _wait_for_either(arrived: trio.Event, cut: trio.Event, timeout_ms: float) -> bool:
     """Wait for either event; False when ``timeout_ms`` went by first."""
     with trio.move_on_after(timeout_ms / 1000) as scope:
         async with trio.open_nursery() as nursery:
@@ -109,7 +109,7 @@
     return wire.Event(key_value(event.entry))
 
 
-def _gap(state: KvState, compact_revision: int) -> wire.WatchResult:
+def _compaction_result(state: KvState, compact_revision: int) -> wire.WatchResult:
     return wire.WatchResult(
         wire.Header(state.revision), canceled=True, compact_revision=compact_revision
     )
--- a/src/fescuedock/standin/platform.py
+++ b/src/fescuedock/standin/platform.py
@@ -75,7 +75,7 @@
         address = await self.nursery.start(engine.run, Address(self.settings.host, port))
         self.engines[upstream_id] = engine
         service = service or self.settings.engine_service
-        self._list(upstream_id, failure_domain, address, UpstreamKind.ENGINE, service)
+        self._list_upstream(upstream_id, failure_domain, address, UpstreamKind.ENGINE, service)
         return engine
 
     async def add_plain(
@@ -89,10 +89,10 @@
         address = await self.nursery.start(plain.run, Address(self.settings.host, port))
         self.plain[upstream_id] = plain
         service = service or self.settings.plain_service
-        self._list(upstream_id, failure_domain, address, UpstreamKind.PLAIN, service)
+        self._list_upstream(upstream_id, failure_domain, address, UpstreamKind.PLAIN, service)
         return plain
 
-    def _list(
+    def _list_upstream(
         self, vm_id: str, failure_domain: str, address: Address, kind: UpstreamKind, service: str
     ) -> None:
         self.vm_list.add(
--- a/src/fescuedock/standin/prefix_cache.py
+++ b/src/fescuedock/standin/prefix_cache.py
@@ -16,7 +16,7 @@
     max_blocks: int
     _blocks: OrderedDict[str, None] = field(default_factory=OrderedDict)
 
-    def covered(self, hashes: Iterable[str]) -> int:
+    def cached_prefix_length(self, hashes: Iterable[str]) -> int:
         """Return how many of a prompt's blocks, from the first on, are cached; marks their use."""
         count = 0
         for block in hashes:
@@ -39,7 +39,7 @@
             removed.append(self._blocks.popitem(last=False)[0])
         return CacheEvent(0, tuple(stored), tuple(removed))
 
-    def kept(self, hashes: Iterable[str]) -> tuple[str, ...]:
+    def select_cached(self, hashes: Iterable[str]) -> tuple[str, ...]:
         """Return those of the blocks that are cached."""
         return tuple(block for block in hashes if block in self._blocks)
 
@@ -59,7 +59,7 @@
 
     delay_ms: float = 500.0
     lose_every: int = 0
-    kept_events: int = 1000
+    max_events: int = 1000
     _seq: int = 0
     _events: deque[tuple[float, CacheEvent]] = field(default_factory=deque)
 
@@ -69,7 +69,7 @@
         if self.lose_every and self._seq % self.lose_every == 0:
             return
         self._events.append((now_ms, CacheEvent(self._seq, event.stored, event.removed)))
-        if len(self._events) > self.kept_events:
+        if len(self._events) > self.max_events:
             self._events.popleft()
 
     def read(self, after_seq: int, now_ms: float) -> CacheEvents:
--- a/src/fescuedock/standin/token_text.py
+++ b/src/fescuedock/standin/token_text.py
@@ -5,12 +5,12 @@
 
 from hashlib import blake2b
 
-__all__ = ["answer_text", "natural_tokens", "prompt_tokens", "token_texts"]
+__all__ = ["answer_text", "default_answer_tokens", "prompt_tokens", "token_texts"]
 
 _SYLLABLES = [consonant + vowel for consonant in "bdfklmnprstv" for vowel in "aeiou"]
 _CHARS_PER_TOKEN = 4
-_SHORTEST_TOKENS = 8
-_LENGTHS = 57
+_MIN_ANSWER_TOKENS = 8
+_ANSWER_LENGTHS = 57
 
 
 def token_texts(prompt: str, first: int, count: int) -> list[str]:
@@ -23,9 +23,9 @@
     return "".join(token_texts(prompt, 0, count))
 
 
-def natural_tokens(prompt: str) -> int:
+def default_answer_tokens(prompt: str) -> int:
     """Return the length of the answer when the caller does not limit it: 8 to 64 tokens."""
-    return _SHORTEST_TOKENS + _digest(prompt)[0] % _LENGTHS
+    return _MIN_ANSWER_TOKENS + _digest(prompt)[0] % _ANSWER_LENGTHS
 
 
 def prompt_tokens(prompt: str) -> int:
--- a/src/fescuedock/standin/vm_list.py
+++ b/src/fescuedock/standin/vm_list.py
@@ -18,7 +18,7 @@
 class ListVersion:
     """The list from one moment on."""
 
-    from_s: float
+    valid_from_s: float
     etag: str
     body: bytes
 
@@ -33,7 +33,7 @@
     listener: Listener = field(init=False)
     _vms: dict[str, ListedVm] = field(default_factory=dict)
     _versions: deque[ListVersion] = field(default_factory=deque)
-    _number: int = 0
+    _version_number: int = 0
 
     def __post_init__(self) -> None:
         self.listener = Listener(self.handle)
@@ -57,28 +57,28 @@
     def add(self, vm: ListedVm) -> None:
         """Add a VM, or replace the one of the same identity."""
         self._vms[vm.vm_id] = vm
-        self._changed()
+        self._add_version()
 
-    def leave(self, vm_id: str) -> None:
+    def mark_leaving(self, vm_id: str) -> None:
         """Mark a VM as leaving."""
         self.add(msgspec.structs.replace(self._vms[vm_id], state=STATE_LEAVING))
 
     def remove(self, vm_id: str) -> None:
         """Take a VM off the list."""
         del self._vms[vm_id]
-        self._changed()
+        self._add_version()
 
-    def _changed(self) -> None:
-        self._number += 1
+    def _add_version(self) -> None:
+        self._version_number += 1
         body = msgspec.json.encode(VmList(self.vms))
-        self._versions.append(ListVersion(trio.current_time(), f'"{self._number}"', body))
+        self._versions.append(ListVersion(trio.current_time(), f'"{self._version_number}"', body))
 
     async def handle(self, request: Request, responder: Responder) -> None:
         if (request.method, request.path) != ("GET", "/v1/vms"):
             await responder.send(404)
             return
         self.reads += 1
-        version = self.shown()
+        version = self.visible_version()
         headers = [("etag", version.etag)]
         if request.headers.get("if-none-match") == version.etag:
             self.unchanged_reads += 1
@@ -86,9 +86,9 @@
             return
         await responder.send(200, version.body, headers)
 
-    def shown(self) -> ListVersion:
+    def visible_version(self) -> ListVersion:
         """Return what callers see now."""
-        seen_until_s = trio.current_time() - self.lag_ms / 1000
-        while len(self._versions) > 1 and self._versions[1].from_s <= seen_until_s:
+        newest_visible_s = trio.current_time() - self.lag_ms / 1000
+        while len(self._versions) > 1 and self._versions[1].valid_from_s <= newest_visible_s:
             self._versions.popleft()
         return self._versions[0]
--- a/src/fescuedock/standin/weight_store.py
+++ b/src/fescuedock/standin/weight_store.py
@@ -19,8 +19,8 @@
     bytes_per_s: int = 1_000_000_000
     weights: list[WeightRecord] = field(default_factory=list)
     loads: int = 0
-    loads_at_once: int = 0
-    most_loads_at_once: int = 0
+    concurrent_loads: int = 0
+    max_concurrent_loads: int = 0
     listener: Listener = field(init=False)
     _free_at_s: float = float("-inf")
 
@@ -42,12 +42,12 @@
         now_s = trio.current_time()
         self._free_at_s = max(self._free_at_s, now_s) + size_bytes / self.bytes_per_s
         self.loads += 1
-        self.loads_at_once += 1
-        self.most_loads_at_once = max(self.most_loads_at_once, self.loads_at_once)
+        self.concurrent_loads += 1
+        self.max_concurrent_loads = max(self.max_concurrent_loads, self.concurrent_loads)
         try:
             await trio.sleep_until(self._free_at_s)
         finally:
-            self.loads_at_once -= 1
+            self.concurrent_loads -= 1
 
     def size_bytes(self, model: str, version: str, adapter: str = "") -> int:
         """Return the size of some weights, 0 for those that are not here."""
--- a/tests/builders/kv.py
+++ b/tests/builders/kv.py
@@ -37,7 +37,7 @@
     def __init__(self, state: KvState | None = None) -> None:
         self.state = state or KvState()
         self.faults = KvFaults()
-        self._late: list[Callable[[], object]] = []
+        self._late_writes: list[Callable[[], object]] = []
         self._watch_senders: set[trio.MemorySendChannel] = set()
 
     @property
@@ -58,9 +58,9 @@
             self._watch_senders.discard(sender)
             sender.close()
 
-    def land_late_writes(self) -> None:
+    def apply_late_writes(self) -> None:
         """Let the writes that were held back take effect now."""
-        late, self._late = self._late, []
+        late, self._late_writes = self._late_writes, []
         for write in late:
             write()
 
@@ -81,8 +81,10 @@
             page = self.state.page(start, prefix_end(prefix), limit)
             if not keys_only:
                 return Ok(page)
-            bare = tuple(KvEntry(e.key, b"", e.mod_revision, e.lease_id) for e in page.entries)
-            return Ok(KvPage(bare, page.revision, page.more))
+            without_values = tuple(
+                KvEntry(e.key, b"", e.mod_revision, e.lease_id) for e in page.entries
+            )
+            return Ok(KvPage(without_values, page.revision, page.more))
 
         return await self._call(CallKind.RANGE, read)
 
@@ -116,7 +118,7 @@
 
     async def keep_lease(self, lease_id: int) -> Result[int, Fault]:
         return await self._call(
-            CallKind.KEEP, lambda: Ok(self.state.keep(lease_id, trio.current_time()))
+            CallKind.KEEP, lambda: Ok(self.state.renew(lease_id, trio.current_time()))
         )
 
     async def revoke_lease(self, lease_id: int) -> Result[None, Fault]:
@@ -134,7 +136,7 @@
         sender, receiver = trio.open_memory_channel(math.inf)
         end = prefix_end(prefix)
 
-        def tell(event: KvEvent) -> None:
+        def send_event(event: KvEvent) -> None:
             if sender in self._watch_senders and in_range(event.key, prefix, end):
                 sender.send_nowait(event)
 
@@ -142,14 +144,14 @@
             sender.close()
         else:
             self._replay(sender, prefix, from_revision)
-            self.state.listeners.append(tell)
+            self.state.listeners.append(send_event)
             self._watch_senders.add(sender)
         try:
             yield receiver
         finally:
             self._watch_senders.discard(sender)
-            if tell in self.state.listeners:
-                self.state.listeners.remove(tell)
+            if send_event in self.state.listeners:
+                self.state.listeners.remove(send_event)
 
     def _replay(self, sender: trio.MemorySendChannel, prefix: str, from_revision: int) -> None:
         if not from_revision:
@@ -173,7 +175,7 @@
         if lost is None:
             return execute()
         if lost is LostAnswer.LATE_EFFECT:
-            self._late.append(execute)
+            self._late_writes.append(execute)
         if lost is LostAnswer.AFTER_EFFECT:
             execute()
         return Err(Fault(ResultCode.KV_UNKNOWN, f"answer to {kind} lost on command", 1000))
--- a/tests/builders/standins.py
+++ b/tests/builders/standins.py
@@ -20,7 +20,7 @@
 
 __all__ = [
     "FAST_ENGINES",
-    "EngineBench",
+    "EngineHarness",
     "chat_body",
     "chat_prompt",
     "etcd_client",
@@ -85,8 +85,8 @@
 async def running_standins(**settings: object) -> AsyncIterator[Standins]:
     """Run all stand-ins while the block runs, with engines that are fast."""
     async with trio.open_nursery() as nursery:
-        chosen = StandinSettings(**{**FAST_ENGINES, **settings})
-        yield await nursery.start(run_standins, chosen)
+        merged_settings = StandinSettings(**{**FAST_ENGINES, **settings})
+        yield await nursery.start(run_standins, merged_settings)
         nursery.cancel_scope.cancel()
 
 
@@ -104,7 +104,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EngineBench:
+class EngineHarness:
     """One engine and the clients to reach it."""
 
     engine: EngineService
@@ -115,12 +115,12 @@
 
 
 @asynccontextmanager
-async def running_engine(**settings: object) -> AsyncIterator[EngineBench]:
+async def running_engine(**settings: object) -> AsyncIterator[EngineHarness]:
     """Run one engine while the block runs."""
     async with running_standins(engines=1, plain_services=0, **settings) as standins:
         (engine,) = standins.engines.values()
         async with open_http() as http:
-            yield EngineBench(
+            yield EngineHarness(
                 engine, upstream_of(engine), EngineClient(http), EngineControl(http), standins
             )
 
--- a/tests/test_entry_jobs.py
+++ b/tests/test_entry_jobs.py
@@ -333,7 +333,7 @@
         batch = await submit(first.client(), file_id, key)
         self.assertGreaterEqual(first.kv.faults.writes_seen - writes_before, nth)
         again = await submit(second.client(), file_id, key)
-        first.kv.land_late_writes()
+        first.kv.apply_late_writes()
         self.assertEqual(batch.id, again.id)
         self.assertEqual(len(keys(first, "jobs")), jobs_before + 1)
         for kind in ("open", "member-jobs"):
@@ -468,7 +468,7 @@
             batch = await submit(client, file_id, str(when))
             site.entry.kv.faults.lose_answer(when)
             self.assertEqual((await client.batches.cancel(batch.id)).status, "cancelling")
-            site.entry.kv.land_late_writes()
+            site.entry.kv.apply_late_writes()
             self.assertEqual(stored(site.entry, batch.id).state, JobState.CANCELLING)
         batch = await submit(client, file_id, "down")
         site.entry.kv.down = True
--- a/tests/test_membership_agent.py
+++ b/tests/test_membership_agent.py
@@ -139,7 +139,7 @@
             async with open_agents(2) as fleet, fleet.open_link("vm-0") as (link, view):
                 await wait_until(view, lambda seen: len(seen.upstreams) > 2)
                 first, second, *_ = sorted(view.upstreams)
-                fleet.standins.vm_list.leave(first)
+                fleet.standins.vm_list.mark_leaving(first)
                 await wait_until(view, lambda seen: seen.upstreams[first].leaving)
                 self.assertFalse(view.upstreams[second].leaving)
                 patch = {"upstreams": {second: {"drain": True}}}
--- a/tests/test_node_jobs_forestalled.py
+++ b/tests/test_node_jobs_forestalled.py
@@ -37,7 +37,7 @@
             with trio.move_on_after(0.09):
                 await submit(fleet, first.front, "a", "b", "c")
             # No further answers are lost, so that the end meets a store without faults.
-            fleet.store.faults.keep_answers()
+            fleet.store.faults.stop_losing_answers()
             answer = await fleet.call(other.front, "DELETE", f"/api/lots/{JOB}")
             answers.append(answer.status)
             await trio.sleep(LATE_S + 2.0)
--- a/tests/test_online_claims_core.py
+++ b/tests/test_online_claims_core.py
@@ -123,7 +123,7 @@
 
     @rule(entry=st.integers(0, 1))
     def land_late_writes(self, entry: int) -> None:
-        self.entries[entry].kv.land_late_writes()
+        self.entries[entry].kv.apply_late_writes()
 
     @rule(entry=st.integers(0, 1))
     def entry_restarts(self, entry: int) -> None:
--- a/tests/test_platform_kv_writes.py
+++ b/tests/test_platform_kv_writes.py
@@ -79,7 +79,7 @@
 async def land_late(kv: MemoryKv) -> None:
     while True:
         await trio.sleep(LATE_LANDING_MS / 1000)
-        kv.land_late_writes()
+        kv.apply_late_writes()
 
 
 class PutResolvedTest(unittest.TestCase):
@@ -101,7 +101,7 @@
                     for name in ("a", "b", "c"):
                         writers.start_soon(write_some, kv, name, 3, oracle)
                 background.cancel_scope.cancel()
-            kv.land_late_writes()
+            kv.apply_late_writes()
 
         run_async(run, trio.testing.MockClock(autojump_threshold=0))
         oracle.check(self)
--- a/tests/test_promises_jobs.py
+++ b/tests/test_promises_jobs.py
@@ -188,7 +188,7 @@
         """Mark a worker as leaving under streams; return once every VM left has seen it."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._use, system, left, "while it leaves")
-            system.standins.vm_list.leave(leaving.upstream_id)
+            system.standins.vm_list.mark_leaving(leaving.upstream_id)
             for vm in left:
 
                 async def seen(vm=vm) -> bool:
--- a/tests/test_session_harmful.py
+++ b/tests/test_session_harmful.py
@@ -8,7 +8,7 @@
 from fescuedock.cli.local import LocalSystem
 from fescuedock.cli.local_setup import TRIP_MODEL
 from fescuedock.schema.result_codes import ResultCode
-from fescuedock.standin.engine import KILLS
+from fescuedock.standin.engine import CRASH_MARKER
 from tests.builders.batch_session import upload
 from tests.builders.golden import GoldenSession
 from tests.builders.local import Answer, exchange, post, run_session, wait_until
@@ -41,7 +41,7 @@
         async def session(system: LocalSystem) -> None:
             names: list[str] = []
             for number in range(7):
-                answer = await self.ask(system, number, f"Dear {KILLS}")
+                answer = await self.ask(system, number, f"Dear {CRASH_MARKER}")
                 self.assertNotEqual(answer.status, 200)
                 names.append(answer.json["error"]["name"])
                 await trio.sleep(1.2)
@@ -54,7 +54,7 @@
     def test_an_item_is_ended_after_three_engines_and_no_call_with_it_kills_another(self) -> None:
         async def session(system: LocalSystem) -> None:
             prompts = [f"Dear class {number}" for number in range(ITEMS)]
-            prompts[HARMFUL_ITEM] = f"Dear {KILLS}"
+            prompts[HARMFUL_ITEM] = f"Dear {CRASH_MARKER}"
             bodies = [
                 {"model": TRIP_MODEL, "prompt": prompt, "max_tokens": 4} for prompt in prompts
             ]
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -23,7 +23,7 @@
 from fescuedock.standin.token_text import answer_text, token_texts
 from tests.builders.net import served
 from tests.builders.standins import (
-    EngineBench,
+    EngineHarness,
     chat_body,
     chat_prompt,
     open_http,
@@ -53,15 +53,15 @@
 class EngineTest(unittest.TestCase):
     def run_with_engine(self, test, **settings: object) -> None:
         async def run() -> None:
-            async with running_engine(**settings) as bench:
-                await test(bench)
+            async with running_engine(**settings) as harness:
+                await test(harness)
 
         run_async(run)
 
     def test_a_stream_is_whole_and_ends_with_finish_and_usage(self):
-        async def test(bench: EngineBench) -> None:
+        async def test(harness: EngineHarness) -> None:
             body = chat_body("hello", 12, stream_options={"include_usage": True})
-            async with bench.client.stream(bench.upstream, CHAT, body, "a") as stream:
+            async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
                 events = [event async for event in stream]
             self.assertEqual("".join(e.text for e in events), answer_text(chat_prompt("hello"), 12))
             self.assertEqual([e.finished for e in events], [False] * 13 + [True, False])
@@ -72,9 +72,11 @@
         self.run_with_engine(test)
 
     def test_an_answer_that_is_not_streamed_is_the_same(self):
-        async def test(bench: EngineBench) -> None:
+        async def test(harness: EngineHarness) -> None:
             body = {"model": "demo-model", "prompt": "hello", "max_tokens": 9}
-            answer = msgspec.json.decode(await bench.client.call(bench.upstream, TEXT, body, "a"))
+            answer = msgspec.json.decode(
+                await harness.client.call(harness.upstream, TEXT, body, "a")
+            )
             self.assertEqual(answer["choices"][0]["text"], answer_text("hello", 9))
             self.assertEqual(answer["usage"]["completion_tokens"], 9)
             self.assertEqual(answer["choices"][0]["finish_reason"], "length")
@@ -82,63 +84,63 @@
         self.run_with_engine(test)
 
     def test_a_resumed_stream_gives_the_rest(self):
-        async def test(bench: EngineBench) -> None:
+        async def test(harness: EngineHarness) -> None:
             texts = token_texts(chat_prompt("hello"), 0, 20)
             point = ResumePoint(8, "".join(texts[:8]))
             body = chat_body("hello", 20)
-            async with bench.client.stream(bench.upstream, CHAT, body, "a", point) as stream:
+            async with harness.client.stream(harness.upstream, CHAT, body, "a", point) as stream:
                 self.assertEqual(await texts_of(stream), texts[8:])
             wrong = ResumePoint(8, "".join(texts[:7]))
             with self.assertRaises(EngineError) as caught:
-                async with bench.client.stream(bench.upstream, CHAT, body, "b", wrong):
+                async with harness.client.stream(harness.upstream, CHAT, body, "b", wrong):
                     pass
             self.assertTrue(caught.exception.is_permanent)
 
         self.run_with_engine(test)
 
     def test_leaving_the_stream_cancels_it(self):
-        async def test(bench: EngineBench) -> None:
+        async def test(harness: EngineHarness) -> None:
             # Longer than the test may take, so that it cannot end by itself.
             body = chat_body("hello", 10_000_000)
-            async with bench.client.stream(bench.upstream, CHAT, body, "a") as stream:
+            async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
                 await anext(stream)
-                self.assertEqual(bench.engine.core.load.running, 1)
-            await wait_for(lambda: bench.engine.core.load.running == 0)
-            self.assertEqual(bench.engine.stats.cancelled, 1)
+                self.assertEqual(harness.engine.core.load.running, 1)
+            await wait_for(lambda: harness.engine.core.load.running == 0)
+            self.assertEqual(harness.engine.stats.cancelled, 1)
 
         self.run_with_engine(test)
 
     def test_a_cancelled_attempt_is_cut(self):
-        async def test(bench: EngineBench) -> None:
+        async def test(harness: EngineHarness) -> None:
             body = chat_body("hello", 5000)
-            async with bench.client.stream(bench.upstream, CHAT, body, "a") as stream:
+            async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
                 await anext(stream)
-                self.assertTrue(await bench.client.cancel(bench.upstream, "a"))
+                self.assertTrue(await harness.client.cancel(harness.upstream, "a"))
                 with self.assertRaises(ResponseLostError):
                     await texts_of(stream)
-            self.assertFalse(await bench.client.cancel(bench.upstream, "a"))
+            self.assertFalse(await harness.client.cancel(harness.upstream, "a"))
 
         self.run_with_engine(test)
 
     def test_an_attempt_identity_runs_once_at_a_time(self):
-        async def test(bench: EngineBench) -> None:
+        async def test(harness: EngineHarness) -> None:
             body = chat_body("hello", 5000)
-            async with bench.client.stream(bench.upstream, CHAT, body, "a") as stream:
+            async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
                 await anext(stream)
                 with self.assertRaises(EngineError) as caught:
-                    await bench.client.call(bench.upstream, CHAT, body, "a")
+                    await harness.client.call(harness.upstream, CHAT, body, "a")
                 self.assertEqual(caught.exception.status, 409)
                 await anext(stream)
 
         self.run_with_engine(test)
 
     def test_a_cut_stream_is_never_taken_for_a_whole_one(self):
-        async def test(bench: EngineBench) -> None:
-            bench.engine.faults.cut_after.append(4)
+        async def test(harness: EngineHarness) -> None:
+            harness.engine.faults.cut_after.append(4)
             texts: list[str] = []
             with self.assertRaises(ResponseLostError) as caught:
-                async with bench.client.stream(
-                    bench.upstream, CHAT, chat_body("hello", 20), "a"
+                async with harness.client.stream(
+                    harness.upstream, CHAT, chat_body("hello", 20), "a"
                 ) as stream:
                     async for event in stream:
                         texts += [event.text] if event.text else []
@@ -149,61 +151,61 @@
         self.run_with_engine(test)
 
     def test_death_loses_what_runs_and_refuses_what_comes(self):
-        async def test(bench: EngineBench) -> None:
+        async def test(harness: EngineHarness) -> None:
             body = chat_body(LONG, 5000)
-            async with bench.client.stream(bench.upstream, CHAT, body, "a") as stream:
+            async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
                 await anext(stream)
-                bench.engine.die()
+                harness.engine.die()
                 with self.assertRaises(ResponseLostError):
                     await texts_of(stream)
             with self.assertRaises(NotSentError):
-                await bench.client.call(bench.upstream, CHAT, body, "b")
-            bench.engine.revive()
+                await harness.client.call(harness.upstream, CHAT, body, "b")
+            harness.engine.revive()
             await trio.testing.wait_all_tasks_blocked(0.01)
-            await bench.client.call(bench.upstream, CHAT, chat_body(LONG, 3), "c")
-            self.assertEqual((bench.engine.deaths, bench.engine.core.load.running), (1, 0))
+            await harness.client.call(harness.upstream, CHAT, chat_body(LONG, 3), "c")
+            self.assertEqual((harness.engine.deaths, harness.engine.core.load.running), (1, 0))
 
         self.run_with_engine(test)
 
     def test_words_in_the_prompt_command_faults(self):
-        async def test(bench: EngineBench) -> None:
-            bench.engine.faults.restart_ms = 1
+        async def test(harness: EngineHarness) -> None:
+            harness.engine.faults.restart_ms = 1
             for text, status, permanent in (
                 ("[[impossible]]", 400, True),
                 ("[[fails]]", 500, False),
             ):
                 with self.assertRaises(EngineError) as caught:
-                    await bench.client.call(bench.upstream, CHAT, chat_body(text), "a")
+                    await harness.client.call(harness.upstream, CHAT, chat_body(text), "a")
                 self.assertEqual(caught.exception.status, status)
                 self.assertEqual(caught.exception.is_permanent, permanent)
             with self.assertRaises(ResponseLostError):
-                await bench.client.call(bench.upstream, CHAT, chat_body("[[kills]]"), "a")
-            self.assertEqual(bench.engine.deaths, 1)
-            await wait_for(lambda: bench.engine.listener.is_up)
+                await harness.client.call(harness.upstream, CHAT, chat_body("[[kills]]"), "a")
+            self.assertEqual(harness.engine.deaths, 1)
+            await wait_for(lambda: harness.engine.listener.is_up)
 
         self.run_with_engine(test)
 
     def test_a_frozen_engine_gives_nothing_until_it_thaws(self):
-        async def test(bench: EngineBench) -> None:
+        async def test(harness: EngineHarness) -> None:
             body = chat_body("hello", 300)
-            async with bench.client.stream(bench.upstream, CHAT, body, "a") as stream:
+            async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
                 await anext(stream)
-                bench.engine.freeze()
+                harness.engine.freeze()
                 await trio.testing.wait_all_tasks_blocked(0.02)
-                tokens = bench.engine.stats.tokens
+                tokens = harness.engine.stats.tokens
                 await trio.testing.wait_all_tasks_blocked(0.02)
-                self.assertEqual(bench.engine.stats.tokens, tokens)
-                bench.engine.thaw()
+                self.assertEqual(harness.engine.stats.tokens, tokens)
+                harness.engine.thaw()
                 texts = await texts_of(stream)
             self.assertEqual(texts[-1], token_texts(chat_prompt("hello"), 299, 1)[0])
 
         self.run_with_engine(test)
 
     def test_only_loaded_models_are_served(self):
-        async def test(bench: EngineBench) -> None:
+        async def test(harness: EngineHarness) -> None:
             with self.assertRaises(EngineError) as caught:
-                await bench.client.call(
-                    bench.upstream, CHAT, chat_body("hello", 3, model="other"), "a"
+                await harness.client.call(
+                    harness.upstream, CHAT, chat_body("hello", 3, model="other"), "a"
                 )
             # It may be loaded elsewhere, so another attempt is of use.
             self.assertEqual(caught.exception.status, 404)
@@ -212,97 +214,99 @@
         self.run_with_engine(test)
 
     def test_the_load_report_lags(self):
-        async def read_load(bench: EngineBench, reported_running: int) -> None:
+        async def read_load(harness: EngineHarness, reported_running: int) -> None:
             body = chat_body("hello", 50_000)
-            async with bench.client.stream(bench.upstream, CHAT, body, "a") as stream:
+            async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
                 await anext(stream)
-                await wait_for(lambda: bench.engine.core.reported.running == reported_running)
-                load = (await bench.control.load(bench.upstream)).unwrap()
+                await wait_for(lambda: harness.engine.core.reported.running == reported_running)
+                load = (await harness.control.load(harness.upstream)).unwrap()
             self.assertEqual((load.running, load.waiting), (reported_running, 0))
             self.assertEqual(load.kv_cache_use > 0, reported_running > 0)
 
-        self.run_with_engine(lambda bench: read_load(bench, 0), load_report_ms=3_600_000)
-        self.run_with_engine(lambda bench: read_load(bench, 1), load_report_ms=1)
+        self.run_with_engine(lambda harness: read_load(harness, 0), load_report_ms=3_600_000)
+        self.run_with_engine(lambda harness: read_load(harness, 1), load_report_ms=1)
 
     def test_the_prefix_cache_and_its_transfer(self):
-        async def test(bench: EngineBench) -> None:
+        async def test(harness: EngineHarness) -> None:
             body = {"model": "demo-model", "prompt": LONG, "max_tokens": 2}
-            await bench.client.call(bench.upstream, TEXT, body, "a")
-            events = (await bench.control.cache_events(bench.upstream, 0)).unwrap().events
+            await harness.client.call(harness.upstream, TEXT, body, "a")
+            events = (await harness.control.cache_events(harness.upstream, 0)).unwrap().events
             hashes = tuple(prefix_hashes(LONG))
             self.assertEqual([event.stored for event in events], [hashes])
-            asked = (*hashes[:2], "unknown")
-            blocks = (await bench.control.export_kv(bench.upstream, asked)).unwrap()
+            requested = (*hashes[:2], "unknown")
+            blocks = (await harness.control.export_kv(harness.upstream, requested)).unwrap()
             self.assertEqual(blocks.hashes, hashes[:2])
-            bench.engine.core.cache.clear()
-            (await bench.control.import_kv(bench.upstream, blocks)).unwrap()
-            self.assertEqual(bench.engine.core.cache.covered(hashes), 2)
+            harness.engine.core.cache.clear()
+            (await harness.control.import_kv(harness.upstream, blocks)).unwrap()
+            self.assertEqual(harness.engine.core.cache.cached_prefix_length(hashes), 2)
             cut = KvBlocks(blocks.hashes, blocks.payload[1:])
-            refused = await bench.control.import_kv(bench.upstream, cut)
+            refused = await harness.control.import_kv(harness.upstream, cut)
             self.assertEqual(refused.err_value.code, ResultCode.UPSTREAM_REJECTED)
 
         self.run_with_engine(test, cache_event_delay_ms=0)
 
     def test_orders_with_and_without_a_fencing_check(self):
-        async def test(bench: EngineBench, checks: bool) -> None:
+        async def test(harness: EngineHarness, checks_fencing: bool) -> None:
             async def order(fencing: int, version: str) -> ResultCode:
                 given = EngineOrder(fencing, "load_model", "new", version)
-                result = await bench.control.order(bench.upstream, given, 5000)
+                result = await harness.control.order(harness.upstream, given, 5000)
                 return ResultCode.OK if result.is_ok() else result.err_value.code
 
             self.assertEqual(await order(7, "2"), ResultCode.OK)
-            late = ResultCode.SUPERSEDED_ORDER if checks else ResultCode.OK
+            late = ResultCode.SUPERSEDED_ORDER if checks_fencing else ResultCode.OK
             self.assertEqual(await order(6, "1"), late)
             self.assertEqual(await order(7, "3"), ResultCode.OK)
-            obeyed = [received.obeyed for received in bench.engine.orders.received]
-            self.assertEqual(obeyed, [True, not checks, True])
-            self.assertEqual(bench.engine.orders.models["new"], "3")
-            await bench.client.call(bench.upstream, CHAT, chat_body("x", 2, model="new"), "a")
+            accepted = [received.accepted for received in harness.engine.orders.received]
+            self.assertEqual(accepted, [True, not checks_fencing, True])
+            self.assertEqual(harness.engine.orders.models["new"], "3")
+            await harness.client.call(harness.upstream, CHAT, chat_body("x", 2, model="new"), "a")
 
-        for checks in (True, False):
-            with self.subTest(checks=checks):
+        for checks_fencing in (True, False):
+            with self.subTest(checks_fencing=checks_fencing):
                 self.run_with_engine(
-                    lambda bench, c=checks: test(bench, c), checks_fencing=checks, model_load_ms=1
+                    lambda harness, c=checks_fencing: test(harness, c),
+                    checks_fencing=checks_fencing,
+                    model_load_ms=1,
                 )
 
     def test_orders_take_effect_in_the_order_in_which_they_came(self):
-        async def test(bench: EngineBench) -> None:
+        async def test(harness: EngineHarness) -> None:
             async def order(fencing: int, name: str, version: str = "") -> None:
                 given = EngineOrder(fencing, name, "demo-model", version)
-                (await bench.control.order(bench.upstream, given, 5000)).unwrap()
+                (await harness.control.order(harness.upstream, given, 5000)).unwrap()
 
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(order, 1, "load_model", "2")
-                await wait_for(lambda: bench.engine.orders.received)
+                await wait_for(lambda: harness.engine.orders.received)
                 nursery.start_soon(order, 2, "unload_model")
-            self.assertEqual(bench.engine.orders.models, {})
+            self.assertEqual(harness.engine.orders.models, {})
             # No model is not any model.
             with self.assertRaises(EngineError):
-                await bench.client.call(bench.upstream, CHAT, chat_body("hello", 2), "a")
+                await harness.client.call(harness.upstream, CHAT, chat_body("hello", 2), "a")
 
         self.run_with_engine(test, model_load_ms=50)
 
     def test_a_role_changes_the_speeds(self):
-        async def test(bench: EngineBench) -> None:
-            before = bench.engine.core.model.profile
+        async def test(harness: EngineHarness) -> None:
+            before = harness.engine.core.model.profile
             order = EngineOrder(1, "set_role", role="prefill")
-            (await bench.control.order(bench.upstream, order, 5000)).unwrap()
-            after = bench.engine.core.model.profile
+            (await harness.control.order(harness.upstream, order, 5000)).unwrap()
+            after = harness.engine.core.model.profile
             self.assertLess(after.prefill_ms_per_token, before.prefill_ms_per_token)
             self.assertGreater(after.step_ms, before.step_ms)
-            bad = await bench.control.order(
-                bench.upstream, EngineOrder(1, "set_role", role="other"), 5000
+            bad = await harness.control.order(
+                harness.upstream, EngineOrder(1, "set_role", role="other"), 5000
             )
             self.assertEqual(bad.err_value.code, ResultCode.UPSTREAM_REJECTED)
 
         self.run_with_engine(test, role_change_ms=1)
 
     def test_an_order_runs_on_when_its_sender_leaves(self):
-        async def test(bench: EngineBench) -> None:
+        async def test(harness: EngineHarness) -> None:
             order = EngineOrder(1, "load_model", "new", "1")
-            lost = await bench.control.order(bench.upstream, order, 10)
+            lost = await harness.control.order(harness.upstream, order, 10)
             self.assertEqual(lost.err_value.code, ResultCode.PEER_UNKNOWN)
-            await wait_for(lambda: "new" in bench.engine.orders.models)
+            await wait_for(lambda: "new" in harness.engine.orders.models)
 
         self.run_with_engine(test, model_load_ms=300)
 
@@ -318,7 +322,7 @@
             async with running_standins(engines=2, plain_services=0) as standins:
                 engines = list(standins.engines.values())
                 async with open_http() as http, trio.open_nursery() as faults:
-                    faults.start_soon(self._break_in_turn, engines)
+                    faults.start_soon(self._crash_engines, engines)
                     async with trio.open_nursery() as callers:
                         for number in range(self.CALLERS):
                             callers.start_soon(self._call, http, engines, f"caller {number}")
@@ -329,7 +333,7 @@
 
         run_async(run)
 
-    async def _break_in_turn(self, engines: list[EngineService]) -> None:
+    async def _crash_engines(self, engines: list[EngineService]) -> None:
         while True:
             for engine in engines:
                 before = engine.stats.tokens
@@ -361,11 +365,11 @@
 class EngineStreamTest(unittest.TestCase):
     """Bytes that no well-behaved engine sends."""
 
-    def read_all(self, parts: list[bytes], *, ends: bool = True) -> list[str]:
+    def read_all(self, chunks: list[bytes], *, ends: bool = True) -> list[str]:
         async def answer(request: Request, responder: Responder) -> None:
             async with responder.stream(200, []) as stream:
-                for part in parts:
-                    await stream.write(part)
+                for chunk in chunks:
+                    await stream.write(chunk)
                     await trio.testing.wait_all_tasks_blocked(0.005)
                 if not ends:
                     await trio.sleep_forever()
@@ -395,16 +399,16 @@
 
     def test_events_may_be_cut_anywhere_and_come_together(self):
         events = b"".join(b'data: {"choices":[{"text":"%d"}]}\n\n' % n for n in range(4))
-        whole = events + b"data: [DONE]\n\n"
-        for cut in range(1, len(whole), 7):
-            self.assertEqual(self.read_all([whole[:cut], whole[cut:]]), list("0123"))
+        body = events + b"data: [DONE]\n\n"
+        for cut in range(1, len(body), 7):
+            self.assertEqual(self.read_all([body[:cut], body[cut:]]), list("0123"))
 
     def test_a_body_without_an_end_does_not_hold_up_a_whole_answer(self):
         self.assertEqual(self.read_all([EVENT + b"data: [DONE]\n\n"], ends=False), ["x"])
 
     def test_streams_that_are_not_whole(self):
         event = EVENT
-        for parts, seen in (
+        for chunks, seen in (
             ([event], ["x", "ResponseLostError"]),
             ([event, b"data: [DONE]"], ["x", "ResponseLostError"]),
             ([event, b"data: {nonsense}\n\n"], ["x", "ResponseLostError"]),
@@ -412,5 +416,5 @@
             ([b"data: [DONE]\n\n", event], []),
             ([b": comment\n\n", event, b"data: [DONE]\n\n"], ["x"]),
         ):
-            with self.subTest(parts=parts):
-                self.assertEqual(self.read_all(parts), seen)
+            with self.subTest(chunks=chunks):
+                self.assertEqual(self.read_all(chunks), seen)
--- a/tests/test_standin_kv.py
+++ b/tests/test_standin_kv.py
@@ -19,7 +19,7 @@
 from tests.builders.standins import etcd_client, open_http, run_async, running_kv
 
 MEGABYTE = 1024 * 1024
-NOBODY = Address("127.0.0.1", 1)
+UNUSED_ADDRESS = Address("127.0.0.1", 1)
 
 keys = st.sampled_from(["a", "a/1", "a/2", "b"])
 steps = st.lists(
@@ -43,39 +43,43 @@
         self.values: dict[str, bytes] = {}
         self.revisions: dict[str, int] = {}
 
-    async def step(self, kind: str, key: str, right: bool, number: int) -> None:
-        expected = self.revisions.get(key, 0) if right else 999_999
+    async def step(self, kind: str, key: str, expected_is_current: bool, number: int) -> None:
+        expected = self.revisions.get(key, 0) if expected_is_current else 999_999
         match kind:
             case "put":
                 value = b"%d" % number
                 result = await self.kv.put_if(key, value, expected)
-                await self.settle(key, value, right, result)
+                await self.settle_write(key, value, expected_is_current, result)
             case "delete":
                 result = await self.kv.delete_if(key, expected)
-                await self.settle(key, None, right, result)
+                await self.settle_write(key, None, expected_is_current, result)
             case "get":
                 await self.check(key)
             case "range":
                 page = (await self.kv.get_range("a")).unwrap()
                 seen = {entry.key: entry.value for entry in page.entries}
-                wanted = {k: v for k, v in sorted(self.values.items()) if k.startswith("a")}
-                self.test.assertEqual(list(seen.items()), list(wanted.items()))
+                expected_values = {
+                    k: v for k, v in sorted(self.values.items()) if k.startswith("a")
+                }
+                self.test.assertEqual(list(seen.items()), list(expected_values.items()))
 
-    async def settle(self, key: str, value: bytes | None, may: bool, result) -> None:
+    async def settle_write(self, key: str, value: bytes | None, allowed: bool, result) -> None:
         """Apply a write that was done; read back one that may have been."""
         if isinstance(result, Ok):
-            self.test.assertTrue(may)
+            self.test.assertTrue(allowed)
             self.set(key, value, result.ok_value)
             return
         code = result.err_value.code
         if code is ResultCode.KV_CONFLICT:
-            self.test.assertFalse(may)
+            self.test.assertFalse(allowed)
             return
         self.test.assertEqual(code, ResultCode.KV_UNKNOWN)
         found = (await self.kv.get(key)).unwrap()
-        there = found.value if found else None
-        self.test.assertIn(there, (value, self.values.get(key)) if may else (self.values.get(key),))
-        self.set(key, there, found.mod_revision if found else 0)
+        stored = found.value if found else None
+        self.test.assertIn(
+            stored, (value, self.values.get(key)) if allowed else (self.values.get(key),)
+        )
+        self.set(key, stored, found.mod_revision if found else 0)
 
     def set(self, key: str, value: bytes | None, revision: int | None) -> None:
         if value is None:
@@ -99,10 +103,10 @@
                 # A late write lands while it is read back, or never within this test.
                 service.faults.late_effect_ms = 3_600_000
                 oracle = DictOracle(self, kv)
-                for number, (kind, key, right, lost) in enumerate(drawn):
+                for number, (kind, key, expected_is_current, lost) in enumerate(drawn):
                     if lost and kind in ("put", "delete"):
                         service.faults.lose_answer(lost)
-                    await oracle.step(kind, key, right, number)
+                    await oracle.step(kind, key, expected_is_current, number)
                 for key in ("a", "a/1", "a/2", "b"):
                     await oracle.check(key)
 
@@ -114,10 +118,10 @@
         async def run() -> None:
             kv = MemoryKv()
             oracle = DictOracle(self, kv)
-            for number, (kind, key, right, lost) in enumerate(drawn):
+            for number, (kind, key, expected_is_current, lost) in enumerate(drawn):
                 if lost and kind in ("put", "delete"):
                     kv.faults.lose_answer(lost)
-                await oracle.step(kind, key, right, number)
+                await oracle.step(kind, key, expected_is_current, number)
 
         run_async(run, trio.testing.MockClock(autojump_threshold=0))
 
@@ -175,7 +179,7 @@
     def test_the_next_address_is_used_and_kept(self):
         async def run() -> None:
             async with running_kv() as (service, _), open_http() as http:
-                kv = etcd_client(http, NOBODY, service.address)
+                kv = etcd_client(http, UNUSED_ADDRESS, service.address)
                 self.assertEqual(await kv.put_if("k", b"1", 0), Ok(2))
                 self.assertEqual((await kv.get("k")).unwrap(), KvEntry("k", b"1", 2))
                 async with kv.watch("k", 2) as events:
@@ -242,9 +246,9 @@
                 self.assertEqual(await kv.grant_lease(5), Ok(9007199254740993))
                 self.assertEqual(await kv.keep_lease(9007199254740993), Ok(0))
                 async with kv.watch("k", 8) as events:
-                    told = [event async for event in events]
+                    received = [event async for event in events]
             put, deleted = KvEvent("k", 8, KvEntry("k", b"v", 8)), KvEvent("k", 9, None)
-            self.assertEqual(told, [put, deleted])
+            self.assertEqual(received, [put, deleted])
 
         run_async(run)
 
@@ -299,7 +303,10 @@
 
     def test_an_unreachable_service_ends_the_channel_at_once(self):
         async def run() -> None:
-            async with open_http() as http, etcd_client(http, NOBODY).watch("w", 0) as events:
+            async with (
+                open_http() as http,
+                etcd_client(http, UNUSED_ADDRESS).watch("w", 0) as events,
+            ):
                 self.assertEqual([event async for event in events], [])
 
         run_async(run)
@@ -345,7 +352,7 @@
         state = KvState()
         lease_id = state.grant(10, now_s=0.0)
         state.put("k", b"1", lease_id)
-        self.assertEqual(state.keep(lease_id, now_s=9.0), 10)
+        self.assertEqual(state.renew(lease_id, now_s=9.0), 10)
         state.expire(now_s=18.9)
         self.assertIsNotNone(state.get("k"))
         state.expire(now_s=19.0)
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -54,7 +54,7 @@
                     ("plain-1", "plain", "demo-plain", False),
                 ],
             )
-            standins.vm_list.leave("engine-2")
+            standins.vm_list.mark_leaving("engine-2")
             standins.vm_list.remove("plain-1")
             standins.add_system_vm("vm-1", "hall-b", AGENT)
             second = (await client.read()).unwrap()
@@ -71,17 +71,17 @@
         async def run() -> None:
             service = VmListService(lag_ms=5000)
             service.add(SYSTEM_VM)
-            empty = service.shown()
+            empty = service.visible_version()
             self.assertNotIn(b"vm-9", empty.body)
             await trio.sleep(4.9)
-            self.assertEqual(service.shown(), empty)
+            self.assertEqual(service.visible_version(), empty)
             await trio.sleep(0.2)
-            self.assertIn(b"vm-9", service.shown().body)
+            self.assertIn(b"vm-9", service.visible_version().body)
             service.remove("vm-9")
-            self.assertIn(b"vm-9", service.shown().body)
+            self.assertIn(b"vm-9", service.visible_version().body)
             await trio.sleep(5)
-            self.assertNotIn(b"vm-9", service.shown().body)
-            self.assertNotEqual(service.shown().etag, empty.etag)
+            self.assertNotIn(b"vm-9", service.visible_version().body)
+            self.assertNotEqual(service.visible_version().etag, empty.etag)
 
         run_async(run, trio.testing.MockClock(autojump_threshold=0))
 
@@ -94,7 +94,7 @@
                 for _ in range(3):
                     nursery.start_soon(store.load, 50)
             self.assertAlmostEqual(trio.current_time() - began_s, 1.5)
-            self.assertEqual((store.loads, store.most_loads_at_once), (3, 3))
+            self.assertEqual((store.loads, store.max_concurrent_loads), (3, 3))
 
         run_async(run, trio.testing.MockClock(autojump_threshold=0))
 
--- a/tests/test_standin_token_time.py
+++ b/tests/test_standin_token_time.py
@@ -7,7 +7,7 @@
 
 from fescuedock.backing.engine_wire import BLOCK_CHARS, CacheEvent, prefix_hashes
 from fescuedock.standin.prefix_cache import CacheEventLog, PrefixCache
-from fescuedock.standin.token_text import answer_text, natural_tokens, token_texts
+from fescuedock.standin.token_text import answer_text, default_answer_tokens, token_texts
 from fescuedock.standin.token_time import EngineProfile, Sequence, TokenTimeModel
 
 PROFILE = EngineProfile(
@@ -49,11 +49,11 @@
         self.assertEqual(model.step().duration_ms, 10.0 + 1.0)
 
     def test_time_between_tokens_grows_with_what_runs(self):
-        alone = model_with(sequence("a"))
+        isolated = model_with(sequence("a"))
         crowded = model_with(*(sequence(name) for name in "abcd"))
-        for model in (alone, crowded):
+        for model in (isolated, crowded):
             model.step()
-        self.assertEqual(crowded.step().duration_ms - alone.step().duration_ms, 3.0)
+        self.assertEqual(crowded.step().duration_ms - isolated.step().duration_ms, 3.0)
 
     def test_a_long_prompt_slows_the_tokens_of_others(self):
         model = model_with(sequence("a", answer=50))
@@ -63,9 +63,9 @@
         self.assertEqual(model.step().duration_ms - quiet_ms, 100 * 0.1)
 
     def test_a_first_token_waits_for_the_prompts_before_it(self):
-        alone_ms = first_token_ms(model_with(sequence("b")), "b")
+        isolated_ms = first_token_ms(model_with(sequence("b")), "b")
         behind = model_with(sequence("a", prompt=300), sequence("b"))
-        self.assertGreater(first_token_ms(behind, "b"), 3 * alone_ms)
+        self.assertGreater(first_token_ms(behind, "b"), 3 * isolated_ms)
 
     def test_a_cached_prefix_brings_the_first_token_sooner(self):
         cold_ms = first_token_ms(model_with(sequence("a", prompt=300)), "a")
@@ -127,9 +127,9 @@
     def test_the_least_recently_used_blocks_go(self):
         cache = PrefixCache(max_blocks=3)
         self.assertEqual(cache.store(["a", "b", "c"]), CacheEvent(0, ("a", "b", "c"), ()))
-        self.assertEqual(cache.covered(["a", "x", "b"]), 1)
+        self.assertEqual(cache.cached_prefix_length(["a", "x", "b"]), 1)
         self.assertEqual(cache.store(["d"]), CacheEvent(0, ("d",), ("b",)))
-        self.assertEqual(cache.kept(["a", "b", "c", "d"]), ("a", "c", "d"))
+        self.assertEqual(cache.select_cached(["a", "b", "c", "d"]), ("a", "c", "d"))
 
     def test_prompts_share_the_names_of_their_common_prefix(self):
         common = "x" * (2 * BLOCK_CHARS)
@@ -140,7 +140,7 @@
         self.assertEqual((len(one), len(other)), (3, 3))
 
     def test_events_are_late_and_gapped(self):
-        log = CacheEventLog(delay_ms=100, lose_every=3, kept_events=3)
+        log = CacheEventLog(delay_ms=100, lose_every=3, max_events=3)
         for number in range(1, 6):
             log.add(CacheEvent(0, (f"block-{number}",)), now_ms=number * 10)
         self.assertEqual(log.read(0, now_ms=109).events, ())
@@ -153,10 +153,10 @@
 class TokenTextTest(unittest.TestCase):
     @given(st.text(max_size=40), st.integers(0, 30), st.integers(0, 30))
     def test_text_depends_on_prompt_and_index_alone(self, prompt, first, count):
-        whole = token_texts(prompt, 0, first + count)
-        self.assertEqual(whole[first:], token_texts(prompt, first, count))
-        self.assertEqual(answer_text(prompt, first + count), "".join(whole))
-        self.assertIn(natural_tokens(prompt), range(8, 65))
+        all_tokens = token_texts(prompt, 0, first + count)
+        self.assertEqual(all_tokens[first:], token_texts(prompt, first, count))
+        self.assertEqual(answer_text(prompt, first + count), "".join(all_tokens))
+        self.assertIn(default_answer_tokens(prompt), range(8, 65))
 
     def test_answers_to_different_prompts_differ(self):
         answers = {answer_text(f"prompt {number}", 4) for number in range(200)}
