--- a/src/fescuedock/standin/__init__.py
+++ b/src/fescuedock/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the platform and the upstreams, with faults on command."""
+"""Stand-ins for the platform and the upstreams, with fault injection on command."""
--- a/src/fescuedock/standin/control.py
+++ b/src/fescuedock/standin/control.py
@@ -1,8 +1,8 @@
-"""The HTTP control interface: faults on command for stand-ins in a process of their own.
+"""The HTTP control interface, which injects faults into stand-ins that run in their own process.
 
-``POST /kv``, ``/vms``, ``/engines/{id}`` and ``/plain/{id}`` take a JSON object of switches, the
-fields of ``KvCommand``, ``VmCommand``, ``EngineCommand`` and ``PlainCommand``.  ``GET /state``
-answers with counts and loads.
+``POST /kv``, ``/vms``, ``/engines/{id}`` and ``/plain/{id}`` accept a JSON object with the fields
+of ``KvCommand``, ``VmCommand``, ``EngineCommand`` and ``PlainCommand``.  ``GET /state`` returns
+counts and loads.
 """
 
 from collections.abc import Callable
@@ -31,11 +31,11 @@
 
 
 class _Command(msgspec.Struct, forbid_unknown_fields=True):
-    """Fields that are not given change nothing."""
+    """A command; omitted fields change nothing."""
 
 
 class KvCommand(_Command):
-    """Faults of the key-value service; ``lose_answer`` is of the ``nth`` write from now."""
+    """Faults of the key-value service; ``lose_answer`` applies to the ``nth`` write from now."""
 
     down: bool | None = None
     silent: bool | None = None
@@ -48,7 +48,7 @@
 
 
 class VmCommand(_Command):
-    """Changes of the VM list, by VM identity, and its faults."""
+    """Changes to the VM list, by VM identity, and faults of its service."""
 
     add: ListedVm | None = None
     leave: str = ""
@@ -58,7 +58,11 @@
 
 
 class EngineCommand(_Command):
-    """``fail_with`` lists the statuses of coming answers, ``cut_after`` token counts."""
+    """Faults of one engine.
+
+    ``fail_with`` lists the status codes of the next responses, and ``cut_after`` the numbers of
+    tokens after which the next streams are cut.
+    """
 
     die: bool = False
     revive: bool = False
@@ -70,7 +74,11 @@
 
 
 class PlainCommand(_Command):
-    """``cut_before`` and ``cut_after`` count connections; ``fail_with`` 0 ends failing."""
+    """Faults of one plain service.
+
+    ``cut_before`` and ``cut_after`` are numbers of connections.  ``fail_with`` is a status code; 0
+    stops the failures.
+    """
 
     down: bool | None = None
     delay_ms: float | None = None
@@ -146,7 +154,7 @@
 
 
 def command_kv(kv: KvService, command: KvCommand) -> None:
-    """Carry out a command to the key-value service."""
+    """Apply a command to the key-value service."""
     faults = kv.faults
     if command.down is not None:
         _switch(command.down, kv.take_down, kv.bring_up)
@@ -165,7 +173,7 @@
 
 
 def command_vms(vm_list: VmListService, command: VmCommand) -> None:
-    """Carry out a command to the VM list; ``KeyError`` for a VM that is not there."""
+    """Apply a command to the VM list; raise ``KeyError`` for an unknown VM."""
     if command.add is not None:
         vm_list.add(command.add)
     if command.leave:
@@ -180,7 +188,7 @@
 
 
 def command_engine(engine: EngineService, command: EngineCommand) -> None:
-    """Carry out a command to an engine."""
+    """Apply a command to an engine."""
     actions = {"die": engine.die, "revive": engine.revive, "freeze": engine.freeze}
     actions["thaw"] = engine.thaw
     for name, action in actions.items():
@@ -193,7 +201,7 @@
 
 
 def command_plain(plain: PlainService, command: PlainCommand) -> None:
-    """Carry out a command to a plain service."""
+    """Apply a command to a plain service."""
     if command.down is not None:
         _switch(command.down, plain.listener.take_down, plain.listener.bring_up)
     for name in ("delay_ms", "cut_before", "cut_after", "fail_with"):
--- a/src/fescuedock/standin/engine.py
+++ b/src/fescuedock/standin/engine.py
@@ -1,8 +1,8 @@
-"""A stand-in model engine: OpenAI's HTTP interface over a model of token times.
+"""A stand-in model engine: OpenAI's HTTP interface on a simulation of token times.
 
-It knows no priorities and admits what comes, as real engines do.  It can die, freeze, slow down,
-cut streams and fail on command, and by words in a prompt: ``[[impossible]]`` is a permanent
-error, ``[[fails]]`` a server error, ``[[kills]]`` the engine's death.
+Like real engines, it has no priorities and admits every request.  On command it crashes, freezes,
+slows down, cuts streams and fails requests.  Markers in a prompt do so as well: ``[[impossible]]``
+causes a permanent error, ``[[fails]]`` a server error, and ``[[kills]]`` crashes the engine.
 """
 
 from collections import deque
@@ -41,11 +41,11 @@
 
 @dataclass(slots=True)
 class EngineFaults:
-    """Faults of requests to come.
+    """Faults of future requests.
 
-    Each status of ``fail_with`` is the answer of one request, and each number of ``cut_after``
-    cuts one stream after that many tokens.  ``restart_ms`` is how long the engine stays away
-    after ``[[kills]]``.
+    Each status code in ``fail_with`` is the response to one request, and each number in
+    ``cut_after`` cuts one stream after that many tokens.  ``restart_ms`` is how long the engine
+    stays down after ``[[kills]]``.
     """
 
     fail_with: deque[int] = field(default_factory=deque)
@@ -54,7 +54,7 @@
 
 
 class EngineService:
-    """One engine; ``run`` serves it."""
+    """One engine; ``run`` serves its HTTP interface."""
 
     def __init__(self, upstream_id: str, core: EngineCore, orders: EngineOrders) -> None:
         self.upstream_id = upstream_id
@@ -62,7 +62,7 @@
         self.orders = orders
         self.faults = EngineFaults()
         self.deaths = 0
-        # Requests for tokens that have arrived, whatever came of them.
+        # Generation requests received, including those refused or cut off.
         self.received = 0
         self._admin = EngineAdmin(core, orders)
         self.listener = Listener(self._handler())
@@ -96,7 +96,7 @@
     async def run(
         self, address: Address, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; report the real ``Address``."""
+        """Serve until cancelled; report the bound ``Address``."""
         self._unix_clock = unix_clock()
         async with trio.open_nursery() as nursery:
             self._background = nursery
@@ -105,7 +105,7 @@
             task_status.started(await nursery.start(self.listener.run, address))
 
     def die(self) -> None:
-        """Cut every connection, lose every request and the cache, and refuse connections."""
+        """Cut every connection, drop every request and the cache, and refuse new connections."""
         self.deaths += 1
         self.listener.take_down()
         self.core.crash()
@@ -114,7 +114,7 @@
         self.listener.bring_up()
 
     def freeze(self) -> None:
-        """Take connections, but give no byte until ``thaw``."""
+        """Accept connections, but send nothing until ``thaw``."""
         self.core.freeze()
 
     def thaw(self) -> None:
@@ -122,7 +122,7 @@
 
     @property
     def slowness(self) -> float:
-        """Factor on all token times."""
+        """Factor by which all token times are multiplied."""
         return self.core.model.slowness
 
     @slowness.setter
@@ -158,12 +158,14 @@
         if resume is None:
             return
         if resume.tokens >= parsed.answer_tokens:
-            raise BadRequestError(f"nothing is left after {resume.tokens} tokens")
+            raise BadRequestError(f"no tokens left to generate after {resume.tokens} tokens")
         if resume.text != answer_text(parsed.prompt, resume.tokens):
-            raise BadRequestError(f"resume.text is not the first {resume.tokens} tokens")
+            raise BadRequestError(
+                f"resume.text does not match the first {resume.tokens} tokens of the answer"
+            )
 
     async def _inject_fault(self, parsed: GenerateRequest, responder: Responder) -> bool:
-        """Do what a prompt or a command asks for; whether the request is at its end."""
+        """Inject the fault that the prompt or a command requests; return whether it responded."""
         if CRASH_MARKER in parsed.prompt:
             self._background.start_soon(self._crash_and_restart)
             await trio.sleep_forever()
@@ -225,7 +227,7 @@
 
 
 def error_body(status: int, message: str) -> dict:
-    """Return an error as OpenAI's interface shows it."""
+    """Return an error body in the format of OpenAI's interface."""
     kind = "invalid_request_error" if status < 500 else "server_error"
     return {"error": {"message": message, "type": kind, "param": None, "code": status}}
 
--- a/src/fescuedock/standin/engine_admin.py
+++ b/src/fescuedock/standin/engine_admin.py
@@ -1,4 +1,4 @@
-"""The side of a stand-in engine that callers do not see: load, cache, orders, KV transfer."""
+"""The management interface of a stand-in engine: load, cache events, orders and KV transfer."""
 
 from dataclasses import dataclass, field
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class EngineAdmin:
-    """The routes; ``run`` carries out orders whose sender may be gone."""
+    """The management routes; ``run`` executes orders even after their sender has disconnected."""
 
     core: EngineCore
     orders: EngineOrders
@@ -69,7 +69,7 @@
     ) -> None:
         after = request.query.get("after", "0")
         if not after.isdigit():
-            await responder.send_json(400, {"error": f"after is not a number: {after!r}"})
+            await responder.send_json(400, {"error": f"after is not an integer: {after!r}"})
             return
         await responder.send_json(200, self.core.events.read(int(after), now_ms()))
 
@@ -109,7 +109,7 @@
         if received is None:
             return
         if len(received.payload) != len(received.hashes) * BLOCK_TOKENS * _KV_BYTES_PER_TOKEN:
-            await responder.send_json(400, {"error": "payload does not fit the blocks"})
+            await responder.send_json(400, {"error": "payload size does not match the blocks"})
             return
         await trio.sleep(len(received.hashes) * _TRANSFER_MS_PER_BLOCK / 1000)
         self.core.store_blocks(received.hashes)
@@ -118,7 +118,7 @@
 
 @dataclass(slots=True)
 class _OrderJob:
-    """An order on its way to be carried out, and its result."""
+    """An order being executed and its HTTP result."""
 
     order: EngineOrder
     status: int = 200
@@ -127,7 +127,7 @@
 
 
 async def _read_blocks(request: Request, responder: Responder) -> KvBlocks | None:
-    """Read the body; None after the caller was told that it is wrong."""
+    """Read the body; for an invalid one, respond with 400 and return None."""
     body = await request.read(_MAX_BODY_BYTES)
     try:
         return msgspec.json.decode(body, type=KvBlocks)
--- a/src/fescuedock/standin/engine_core.py
+++ b/src/fescuedock/standin/engine_core.py
@@ -1,4 +1,4 @@
-"""The inside of a stand-in engine: admits requests, gives tokens in time, keeps the cache."""
+"""The core of a stand-in engine: admits requests, produces tokens on schedule, fills the cache."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class EngineStats:
-    """What the engine has done so far."""
+    """Counts since the engine was created."""
 
     admitted: int = 0
     completed: int = 0
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class Generation:
-    """One request in the engine; ``ready`` tokens are there, counted from the resume point."""
+    """One admitted request; ``ready`` counts its tokens produced since the resume point."""
 
     request: GenerateRequest
     sequence: Sequence
@@ -41,9 +41,9 @@
     _changed: trio.Event = field(default_factory=trio.Event)
 
     async def wait_tokens(self, sent: int) -> int:
-        """Wait for more tokens than ``taken`` and return their number.
+        """Wait until more than ``sent`` tokens are ready and return their number.
 
-        ``DroppedConnectionError`` when the generation was cancelled or its engine died.
+        Raise ``DroppedConnectionError`` when the generation was cancelled or the engine crashed.
         """
         while self.ready <= sent and not self.dropped:
             await self._changed.wait()
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class EngineCore:
-    """Steps a ``TokenTimeModel`` by trio's clock; ``run`` must be running."""
+    """Advances a ``TokenTimeModel`` by trio's clock while ``run`` runs."""
 
     profile: EngineProfile
     cache: PrefixCache
@@ -84,19 +84,19 @@
         self._thawed.set()
 
     async def run(self) -> None:
-        """Give tokens until cancelled."""
+        """Produce tokens until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._report_load)
             await self._run_steps()
 
     @property
     def load(self) -> EngineLoad:
-        """The load of this moment, which no caller can see."""
+        """The current load; callers see only ``reported``, which lags behind it."""
         model = self.model
         return EngineLoad(len(model.running), len(model.waiting), model.kv_use)
 
     def admit(self, request: GenerateRequest) -> Generation:
-        """Take a request; an attempt whose identity is running already raises ``ValueError``."""
+        """Admit a request; raise ``ValueError`` if its attempt is running already."""
         if request.attempt_id in self._generations:
             raise ValueError(f"attempt {request.attempt_id!r} is running already")
         resumed = request.resume.tokens if request.resume else 0
@@ -116,7 +116,7 @@
         return generation
 
     def finish(self, generation: Generation) -> None:
-        """Forget a request whose answer was given or whose caller has left."""
+        """Remove a request that was answered or whose caller has disconnected."""
         attempt_id = generation.request.attempt_id
         if self._generations.pop(attempt_id, None) is None:
             return
@@ -127,7 +127,7 @@
         self.model.cancel(attempt_id)
 
     def cancel(self, attempt_id: str) -> bool:
-        """Cut off a request; whether it was here."""
+        """Cut off a request; return whether it was running or waiting."""
         generation = self._generations.get(attempt_id)
         if generation is None:
             return False
@@ -136,7 +136,7 @@
         return True
 
     def crash(self) -> None:
-        """Lose all requests and the cache, as a process that dies."""
+        """Drop all requests and the cache, as a crashing process does."""
         for generation in self._generations.values():
             generation.drop()
         self._generations.clear()
@@ -145,7 +145,7 @@
         self.thaw()
 
     def freeze(self) -> None:
-        """Give no tokens until ``thaw``."""
+        """Produce no tokens until ``thaw``."""
         if self._thawed.is_set():
             self._thawed = trio.Event()
 
@@ -164,7 +164,7 @@
                 due_ms = now_ms()
             await self._thawed.wait()
             result = self.model.step()
-            # Steps follow each other without gaps when this task is woken a little late.
+            # Schedules from the previous due time, so that late wake-ups leave no gaps.
             due_ms = max(due_ms, now_ms() - result.duration_ms) + result.duration_ms
             await trio.sleep_until(due_ms / 1000)
             await self._thawed.wait()
@@ -186,7 +186,7 @@
         self.store_blocks(prefix_hashes(generation.request.prompt))
 
     def store_blocks(self, hashes: Iterable[str]) -> None:
-        """Put blocks into the prefix cache."""
+        """Store blocks in the prefix cache and log the event."""
         event = self.cache.store(hashes)
         if event.stored or event.removed:
             self.events.add(event, now_ms())
--- a/src/fescuedock/standin/engine_orders.py
+++ b/src/fescuedock/standin/engine_orders.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine has loaded, and the orders that change it."""
+"""The models, adapters and role of a stand-in engine, and the orders that change them."""
 
 from dataclasses import dataclass, field, replace
 
@@ -17,21 +17,21 @@
 ]
 
 ROLES = ("both", "prefill", "decode")
-# How much faster a role makes an engine at its own work, and slower at the other.
+# An engine in the role prefill or decode is faster at that phase, and slower at the other, by this.
 _ROLE_SPEED_FACTOR = 1.6
 
 
 class SupersededOrderError(Exception):
-    """The engine checks fencing numbers and has seen a higher one."""
+    """The engine checks fencing numbers and has already received a higher one."""
 
 
 class BadOrderError(Exception):
-    """The order cannot be carried out."""
+    """The order is unknown or names an unknown role."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedOrder:
-    """An order, when it came and whether it was obeyed."""
+    """An order, when it arrived and whether it was accepted."""
 
     at_s: float
     order: EngineOrder
@@ -40,9 +40,10 @@
 
 @dataclass(slots=True)
 class EngineOrders:
-    """The models, adapters and role of one engine; one that begins without models serves any.
+    """The models, adapters and role of one engine.
 
-    Orders are carried out one after the other, as they came.
+    An engine that starts without models serves any model.  Orders are executed one at a time, in
+    the order of their arrival.
     """
 
     weights: WeightStoreService
@@ -61,17 +62,17 @@
         self._serves_any = not self.models
 
     def serves(self, model: str) -> bool:
-        """Whether a request may name ``model``, the name of a model or an adapter."""
+        """Return whether requests may name ``model``, which is a model or an adapter."""
         return self._serves_any or model in self.models or model in self.adapters
 
     async def execute(self, order: EngineOrder) -> None:
-        """Obey an order, which takes as long as a load takes.
+        """Execute an order; a load takes the time to transfer the weights and ``load_ms``.
 
-        ``SupersededOrderError`` and ``BadOrderError`` say that nothing was done.
+        Raise ``SupersededOrderError`` or ``BadOrderError`` before anything has changed.
         """
         action = _ACTIONS.get(order.order)
         if action is None or (order.role and order.role not in ROLES):
-            raise BadOrderError(f"no order {order.order!r} with role {order.role!r}")
+            raise BadOrderError(f"unknown order {order.order!r} or role {order.role!r}")
         superseded = order.fencing < self.highest_fencing
         accepted = not (superseded and self.checks_fencing)
         self.received.append(ReceivedOrder(trio.current_time(), order, accepted))
@@ -121,7 +122,7 @@
 
 
 def profile_of_role(profile: EngineProfile, role: str) -> EngineProfile:
-    """Return the speeds that an engine has in ``role``."""
+    """Return ``profile`` with the speeds of an engine in ``role``."""
     if role == "prefill":
         speed_factor = _ROLE_SPEED_FACTOR
     elif role == "decode":
--- a/src/fescuedock/standin/engine_requests.py
+++ b/src/fescuedock/standin/engine_requests.py
@@ -1,4 +1,4 @@
-"""Requests that the stand-in engine takes, and the JSON of its answers."""
+"""Parses generation requests to the stand-in engine and builds the JSON of its responses."""
 
 from dataclasses import dataclass
 
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerateRequest:
-    """One request for an answer of ``answer_tokens``, from token ``first_token`` on."""
+    """A request for an answer of ``answer_tokens`` tokens, to be generated from ``first_token``."""
 
     attempt_id: str
     model: str
@@ -62,7 +62,7 @@
 
 
 def read_request(path: str, body: bytes, attempt_id: str) -> GenerateRequest:
-    """Read the body of a chat or text completion; ``BadRequestError`` says what is wrong."""
+    """Parse the body of a chat or text completion; raise ``BadRequestError`` if it is invalid."""
     try:
         decoded = msgspec.json.decode(body, type=_Body)
     except msgspec.MsgspecError as error:
@@ -89,7 +89,7 @@
 
 
 def _chat_text(messages: list[_Message]) -> str:
-    """Return a conversation as the one text that the engine works on."""
+    """Return a conversation as a single prompt text."""
     if not messages:
         raise BadRequestError("messages must not be empty")
     return "".join(f"<{message.role}>{_content(message)}\n" for message in messages)
@@ -109,7 +109,7 @@
 
 
 class ResponseBuilder:
-    """Forms the JSON of one answer: OpenAI's chat or text completion, whole or in chunks."""
+    """Builds the JSON of one chat or text completion, as one response or as streamed events."""
 
     __slots__ = ("_created_s", "_request", "_token_head", "_token_tail")
 
@@ -122,21 +122,21 @@
             else {"text": _TEXT_PLACEHOLDER}
         )
         event = self._event(part, None)
-        # Everything but the text is the same in each token's event.
+        # Each token's event differs in its text only.
         self._token_head, _, self._token_tail = event.rpartition(_TEXT_PLACEHOLDER.encode())
 
     def first_event(self) -> bytes:
-        """Return the event before a chat's first token, empty for text completions."""
+        """Return the event that precedes a chat's first token; empty for text completions."""
         if not self._request.chat:
             return b""
         return self._event({"delta": {"role": "assistant", "content": ""}}, None)
 
     def token_event(self, text: str) -> bytes:
-        """Return a token's event; ``text`` has no characters that JSON escapes."""
+        """Return a token's event; ``text`` must not contain characters that JSON escapes."""
         return self._token_head + text.encode() + self._token_tail
 
     def last_events(self, generated: int) -> bytes:
-        """Return the finish, the usage if asked for, and the end mark."""
+        """Return the events with the finish reason, the usage if requested, and ``[DONE]``."""
         part = {"delta": {}} if self._request.chat else {"text": ""}
         events = self._event(part, self._finish_reason())
         if self._request.include_usage:
@@ -145,7 +145,7 @@
         return events + b"data: [DONE]\n\n"
 
     def complete_response(self, text: str, generated: int) -> bytes:
-        """Return the answer that is not streamed."""
+        """Return the body of a response that is not streamed."""
         if self._request.chat:
             part = {"message": {"role": "assistant", "content": text}}
         else:
@@ -174,7 +174,7 @@
         return "length" if self._request.has_token_limit else "stop"
 
     def _usage(self, generated: int) -> dict:
-        """Return the usage block; tokens before a resume point count as generated."""
+        """Return the usage block; ``generated`` includes the tokens before a resume point."""
         prompt = self._request.prompt_tokens
         return {
             "prompt_tokens": prompt,
--- a/src/fescuedock/standin/kv_calls.py
+++ b/src/fescuedock/standin/kv_calls.py
@@ -11,7 +11,7 @@
 
 __all__ = ["MAX_VALUE_BYTES", "CallError", "KvCalls", "call_kind", "key_value", "range_end"]
 
-# Codes of gRPC, which the gateway passes on.
+# gRPC status codes, which the gateway passes on.
 _INVALID_ARGUMENT = 3
 _NOT_FOUND = 5
 _OUT_OF_RANGE = 11
@@ -27,7 +27,7 @@
 
 
 class CallError(Exception):
-    """The service refuses a call: HTTP ``status`` and gRPC ``code``."""
+    """The service refuses a call with the HTTP ``status`` and the gRPC ``code``."""
 
     def __init__(self, status: int, code: int, message: str) -> None:
         super().__init__(message)
@@ -36,7 +36,7 @@
 
 
 def call_kind(path: str, body: bytes) -> CallKind:
-    """Return what a call counts as."""
+    """Return the kind under which a call is counted."""
     if path == "/v3/kv/txn":
         return CallKind.DELETE if b'"request_delete_range"' in body else CallKind.PUT
     if path == "/v3/kv/range":
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True, slots=True)
 class KvCalls:
-    """The calls at one moment."""
+    """Executes calls on ``state`` as of ``now_s``."""
 
     state: KvState
     now_s: float
 
     def execute(self, path: str, body: bytes) -> msgspec.Struct:
-        """Execute one call and return its answer; ``CallError`` when it is refused."""
+        """Execute one call and return its response; raise ``CallError`` when it is refused."""
         entry = _CALLS.get(path)
         if entry is None:
             raise CallError(404, _NOT_FOUND, f"no path {path}")
@@ -87,7 +87,7 @@
     def txn(self, request: wire.TxnRequest) -> wire.TxnAnswer:
         for compare in request.compare:
             if (compare.target, compare.result) != ("MOD", "EQUAL"):
-                message = f"no comparison {compare.target} {compare.result} here"
+                message = f"unsupported comparison {compare.target} {compare.result}"
                 raise CallError(400, _INVALID_ARGUMENT, message)
         puts = [item.request_put for item in request.success if item.request_put is not None]
         if any(len(put.value) > MAX_VALUE_BYTES for put in puts):
@@ -131,13 +131,13 @@
 
 
 def key_value(entry: KvEntry, *, keys_only: bool = False) -> wire.KeyValue:
-    """Return an entry as the gateway shows it, without its value when ``bare``."""
+    """Return an entry in the gateway's format, without its value when ``keys_only``."""
     value = b"" if keys_only else entry.value
     return wire.KeyValue(entry.key.encode(), value, entry.mod_revision, entry.lease_id)
 
 
 def range_end(end: bytes) -> str | None:
-    """Return the end of a range, None for the last key."""
+    """Return the end of a range; None if it extends to the last key."""
     return None if end == b"\0" else end.decode()
 
 
--- a/src/fescuedock/standin/kv_faults.py
+++ b/src/fescuedock/standin/kv_faults.py
@@ -1,4 +1,4 @@
-"""Faults of a key-value service on command, and the count of its calls by kind."""
+"""Fault injection for a key-value service, and the count of its calls by kind."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 
 class CallKind(StrEnum):
-    """What the service counts; a waiting watch is one call."""
+    """The kinds of calls that the service counts; a watch is one call however long it lasts."""
 
     GET = "get"
     RANGE = "range"
@@ -20,25 +20,28 @@
     WATCH = "watch"
 
 
-# The calls of which ``lose_answer`` counts.
+# The kinds of calls to which ``lose_answer`` applies.
 WRITES = frozenset({CallKind.PUT, CallKind.DELETE, CallKind.GRANT, CallKind.REVOKE})
 
 
 class LostAnswer(Enum):
-    """When the answer of a write is lost."""
+    """How a write whose response is lost takes effect.
+
+    ``BEFORE_EFFECT``: never.  ``AFTER_EFFECT``: before its response is lost.  ``LATE_EFFECT``:
+    some time after its response was lost.
+    """
 
     BEFORE_EFFECT = "before"
     AFTER_EFFECT = "after"
-    # The write is held back, its answer is lost, and it takes effect later.
     LATE_EFFECT = "late"
 
 
 @dataclass(slots=True)
 class KvFaults:
-    """Switches that a test sets; all off at first.
+    """Faults that a test switches on; all are off at first.
 
-    ``down`` refuses every call, ``silent`` takes calls and never answers them (nothing is
-    executed), ``delay_ms`` slows each call, and ``delays_ms`` those of a kind besides.
+    ``down`` refuses every call.  ``silent`` accepts calls but neither executes nor answers them.
+    ``delay_ms`` delays every call; ``delays_ms`` adds a delay for calls of one kind.
     """
 
     down: bool = False
@@ -51,15 +54,15 @@
     _lost: dict[int, LostAnswer] = field(default_factory=dict)
 
     def lose_answer(self, when: LostAnswer = LostAnswer.AFTER_EFFECT, nth: int = 1) -> None:
-        """Lose the answer of the ``nth`` write from now (1: the next one)."""
+        """Lose the response to the ``nth`` write from now (1: the next one)."""
         self._lost[self.writes_seen + nth] = when
 
     def stop_losing_answers(self) -> None:
-        """Lose no further answers."""
+        """Cancel all pending ``lose_answer`` requests."""
         self._lost.clear()
 
     def count(self, kind: CallKind) -> LostAnswer | None:
-        """Count a call; say whether its answer is to be lost."""
+        """Count a call and return how its response is to be lost; None if it is not."""
         self.calls[kind] += 1
         if kind not in WRITES:
             return None
@@ -67,7 +70,7 @@
         return self._lost.pop(self.writes_seen, None)
 
     def delay_s(self, kind: CallKind) -> float:
-        """Return how long a call of ``kind`` waits before it is executed."""
+        """Return the delay before a call of ``kind`` is executed."""
         return (self.delay_ms + self.delays_ms.get(kind, 0.0)) / 1000
 
     @property
@@ -75,7 +78,7 @@
         return self.calls.total()
 
     def clear(self) -> None:
-        """Switch every fault off; the counts stay."""
+        """Switch every fault off without resetting the counts."""
         self.down = self.silent = False
         self.delay_ms = 0.0
         self.delays_ms.clear()
--- a/src/fescuedock/standin/kv_host.py
+++ b/src/fescuedock/standin/kv_host.py
@@ -1,4 +1,4 @@
-"""What the stand-ins of key-value services share: state, faults, a listener, and lapsing leases."""
+"""The base of key-value stand-ins: state, fault injection, listener and lease expiry."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -18,16 +18,16 @@
 
 @dataclass(slots=True)
 class KvHost:
-    """One service.  ``faults`` switches its faults, ``state`` may be looked at and changed.
+    """One service.  Tests set ``faults`` and may read and change ``state``.
 
-    The class of a service gives ``handle``, which executes one call; returning without an answer
-    cuts the call's connection.
+    Subclasses implement ``handle``, which executes one call.  If it returns without sending a
+    response, the connection of the call is cut.
     """
 
     state: KvState = field(default_factory=KvState)
     faults: KvFaults = field(default_factory=KvFaults)
     listener: Listener = field(init=False)
-    # Set, and replaced, when the connections of all watches are lost.
+    # Set, and replaced by a new event, when the connections of all watches are cut.
     watches_cut: trio.Event = field(default_factory=trio.Event)
     _late_calls: trio.Nursery | None = None
 
@@ -45,14 +45,14 @@
     async def run(
         self, address: Address, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; report the real ``Address``."""
+        """Serve until cancelled; report the bound ``Address``."""
         async with trio.open_nursery() as nursery:
             self._late_calls = nursery
             nursery.start_soon(self._expire_leases)
             task_status.started(await nursery.start(self.listener.run, address))
 
     def take_down(self) -> None:
-        """Refuse all connections from now on and cut those that are open; leases go on running."""
+        """Refuse new connections and cut open ones; leases continue to run out meanwhile."""
         self.faults.down = True
         self.listener.take_down()
 
@@ -61,12 +61,12 @@
         self.listener.bring_up()
 
     def cut_watches(self) -> None:
-        """Lose the connections of all watches that are held."""
+        """Cut the connections of all open watches."""
         self.watches_cut.set()
         self.watches_cut = trio.Event()
 
     def execute_late(self, execute: Callable[[], object]) -> None:
-        """Let a call take effect after the time of the faults, whoever has given it up by then."""
+        """Execute a call after ``late_effect_ms``, even if its caller has given up by then."""
         self._late_calls.start_soon(self._execute_late, execute)
 
     async def _execute_late(self, execute: Callable[[], object]) -> None:
--- a/src/fescuedock/standin/kv_service.py
+++ b/src/fescuedock/standin/kv_service.py
@@ -1,4 +1,4 @@
-"""A key-value service: the subset of etcd v3's HTTP/JSON gateway that we use."""
+"""A key-value service with the subset of etcd v3's HTTP/JSON gateway that fescuedock uses."""
 
 from dataclasses import dataclass
 from functools import partial
@@ -15,18 +15,18 @@
 
 __all__ = ["KvService"]
 
-# As etcd's default of --max-request-bytes, a little over 1 MB for the base64 of a 1 MB value.
+# Like etcd's default for --max-request-bytes; leaves room for the base64 encoding of a 1 MB value.
 MAX_REQUEST_BYTES = 1_500_000
 
 
 @dataclass(slots=True)
 class KvService(KvHost):
-    """One service; see ``KvHost``."""
+    """One service; see ``KvHost``.  ``progress_ms`` is the interval of watch progress reports."""
 
     progress_ms: float = 1000.0
 
     def lapse_lease(self, lease_id: int) -> None:
-        """End a lease as if its holder had been paused."""
+        """Expire a lease now, as if its holder had been paused for its whole duration."""
         self.state.revoke(lease_id)
 
     async def handle(self, request: Request, responder: Responder) -> None:
@@ -47,7 +47,7 @@
             self._execute(request.path, body)
         elif lost_answer is LostAnswer.LATE_EFFECT:
             self.execute_late(partial(self._execute, request.path, body))
-        # Returning without an answer cuts the connection.
+        # Returning without a response cuts the connection.
 
     async def _answer(self, path: str, body: bytes, responder: Responder) -> None:
         status, answer = self._execute(path, body)
--- a/src/fescuedock/standin/kv_state.py
+++ b/src/fescuedock/standin/kv_state.py
@@ -1,7 +1,7 @@
 """The state of a key-value service with revisions, leases and history; no I/O, no clock.
 
-The stand-in service serves it over HTTP and the tests' in-memory store calls it directly, so both
-have the same semantics: those of etcd, for the operations that we use.
+The stand-in service exposes it over HTTP and the tests' in-memory store calls it directly, so both
+have the same semantics: those of etcd, for the operations that fescuedock uses.
 """
 
 from bisect import bisect_left, insort
@@ -18,11 +18,11 @@
 
 
 class LeaseNotFoundError(Exception):
-    """The lease was never granted, was revoked or has lapsed."""
+    """The lease was never granted, was revoked or has expired."""
 
 
 class CompactedError(Exception):
-    """The revision asked for is no longer kept; ``compact_revision`` is the oldest that is."""
+    """The requested revision was compacted; ``compact_revision`` is the oldest one retained."""
 
     def __init__(self, compact_revision: int) -> None:
         super().__init__(f"revisions before {compact_revision} are compacted")
@@ -31,7 +31,7 @@
 
 @dataclass(slots=True)
 class Lease:
-    """A granted lease and the keys that go with it."""
+    """A granted lease and the keys that are deleted when it ends."""
 
     lease_id: int
     ttl_s: int
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Change:
-    """An event and the entry that it replaced."""
+    """An event and the entry that it replaced or deleted."""
 
     event: KvEvent
     previous: KvEntry | None
@@ -53,9 +53,9 @@
 
 @dataclass(slots=True)
 class KvState:
-    """Keys, revisions, leases and the events of the latest revisions.
+    """Keys, revisions, leases and the events of the most recent revisions.
 
-    ``listeners`` are called with each event as it happens.
+    ``listeners`` are called with each event when it is recorded.
     """
 
     revision: int = 1
@@ -69,7 +69,10 @@
     _next_lease_id: int = 1001
 
     def get(self, key: str, at_revision: int = 0) -> KvEntry | None:
-        """Return the entry of ``key``, at an older revision when ``at_revision`` is not 0."""
+        """Return the entry of ``key``, current or as of ``at_revision`` if that is not 0.
+
+        Raise ``CompactedError`` if that revision was compacted.
+        """
         if not at_revision or at_revision >= self.revision:
             return self._entries.get(key)
         if at_revision < self.compact_revision:
@@ -83,7 +86,10 @@
         return self._entries.get(key)
 
     def page(self, start: str, end: str | None, limit: int) -> KvPage:
-        """Return keys from ``start`` up to but without ``end`` (None: to the last), in order."""
+        """Return up to ``limit`` entries (0: all) from ``start`` to before ``end``, in key order.
+
+        If ``end`` is None, the range extends to the last key.
+        """
         first = bisect_left(self._sorted_keys, start)
         last = len(self._sorted_keys) if end is None else bisect_left(self._sorted_keys, end)
         keys = self._sorted_keys[first : max(first, last)]
@@ -100,7 +106,7 @@
         return self.revision
 
     def _put(self, key: str, value: bytes, lease_id: int) -> None:
-        """Write a key at the revision of now."""
+        """Write a key at the current revision."""
         self._detach_from_lease(key)
         if lease_id:
             self.leases[lease_id].keys.add(key)
@@ -112,7 +118,7 @@
         self._record(_Change(KvEvent(key, self.revision, entry), previous))
 
     def delete(self, key: str) -> bool:
-        """Delete a key; whether it was there."""
+        """Delete a key; return whether it existed."""
         if key not in self._entries:
             return False
         self.revision += 1
@@ -120,14 +126,14 @@
         return True
 
     def _delete(self, key: str) -> None:
-        """Delete a key that is there, at the revision of now."""
+        """Delete an existing key at the current revision."""
         self._detach_from_lease(key)
         previous = self._entries.pop(key)
         self._sorted_keys.pop(bisect_left(self._sorted_keys, key))
         self._record(_Change(KvEvent(key, self.revision, None), previous))
 
     def transact(self, transaction: KvTransaction) -> int:
-        """Do all of it at one revision and return that; 0 when a condition does not hold."""
+        """Apply a transaction at one revision and return that; 0 when a condition fails."""
         if transaction.lease_id and transaction.lease_id not in self.leases:
             raise LeaseNotFoundError(f"lease {transaction.lease_id} not found")
         for key, revision in transaction.expected_revisions.items():
@@ -142,13 +148,13 @@
         return self.revision
 
     def put_if(self, key: str, value: bytes, expected_revision: int, lease_id: int = 0) -> int:
-        """Write if the key is at ``expected_revision``; the new revision, or 0 when it is not."""
+        """Write if the key is at ``expected_revision``; return the new revision, otherwise 0."""
         if self._mod_revision(key) != expected_revision:
             return 0
         return self.put(key, value, lease_id)
 
     def delete_if(self, key: str, expected_revision: int) -> bool:
-        """Delete if the key is at ``expected_revision`` (0: it is not there); whether it was."""
+        """Delete if the key is at ``expected_revision`` (0: absent); return whether it was."""
         if self._mod_revision(key) != expected_revision:
             return False
         self.delete(key)
@@ -166,7 +172,7 @@
         return lease_id
 
     def renew(self, lease_id: int, now_s: float) -> int:
-        """Renew a lease and return its seconds, 0 when it is not there any more."""
+        """Renew a lease and return its duration in seconds; 0 if it no longer exists."""
         lease = self.leases.get(lease_id)
         if lease is None:
             return 0
@@ -174,7 +180,7 @@
         return lease.ttl_s
 
     def revoke(self, lease_id: int) -> bool:
-        """End a lease and delete its keys; whether it was there."""
+        """End a lease and delete its keys; return whether it existed."""
         lease = self.leases.pop(lease_id, None)
         if lease is None:
             return False
@@ -183,13 +189,16 @@
         return True
 
     def expire(self, now_s: float) -> None:
-        """End the leases whose time is up."""
+        """Revoke the leases that have expired by ``now_s``."""
         for lease in tuple(self.leases.values()):
             if lease.expires_at_s <= now_s:
                 self.revoke(lease.lease_id)
 
     def events_since(self, start: str, end: str | None, from_revision: int) -> list[KvEvent]:
-        """Return a key range's events from ``from_revision`` on; ``CompactedError`` if not kept."""
+        """Return the events of a key range since ``from_revision``, inclusive.
+
+        Raise ``CompactedError`` if that revision was compacted.
+        """
         if from_revision < self.compact_revision:
             raise CompactedError(self.compact_revision)
         events = (change.event for change in self._changes_from(from_revision))
@@ -200,7 +209,7 @@
         return (self._history[position] for position in range(first, len(self._history)))
 
     def compact(self, revision: int) -> None:
-        """Forget the events before ``revision``."""
+        """Discard the events before ``revision``."""
         self.compact_revision = max(self.compact_revision, min(revision, self.revision))
         while self._history and self._history[0].event.revision < self.compact_revision:
             self._history_bytes -= self._history.popleft().size_bytes
@@ -220,13 +229,13 @@
 
 
 def in_range(key: str, start: str, end: str | None) -> bool:
-    """Whether ``key`` is from ``start`` up to but without ``end`` (None: no end)."""
+    """Return whether ``key`` is in the range from ``start`` to before ``end`` (None: no end)."""
     return key >= start and (end is None or key < end)
 
 
 def prefix_end(prefix: str) -> str | None:
-    """Return the first key after all that begin with ``prefix``; None when there is none.
+    """Return the first key after all keys with ``prefix``; None for the empty prefix.
 
-    Keys are ASCII, so raising the last character is enough.
+    Keys are ASCII, so incrementing the last character is sufficient.
     """
     return prefix[:-1] + chr(ord(prefix[-1]) + 1) if prefix else None
--- a/src/fescuedock/standin/kv_watch.py
+++ b/src/fescuedock/standin/kv_watch.py
@@ -1,4 +1,4 @@
-"""The service's side of a watch: events as JSON lines, with progress and compaction gaps."""
+"""The server side of a watch: events as JSON lines, with progress and compaction reports."""
 
 from collections import deque
 from collections.abc import Callable
@@ -24,9 +24,10 @@
     progress_ms: float,
     cut: trio.Event,
 ) -> None:
-    """Stream the events of a range until the caller leaves or ``cut`` is set.
+    """Stream the events of a range until the caller disconnects or ``cut`` is set.
 
-    A caller that asks for progress hears the revision every ``progress_ms`` without events.
+    A caller that requested progress reports receives the current revision after every
+    ``progress_ms`` without events.
     """
     async with responder.stream(200, _JSON_LINES) as stream:
         await _write(stream, wire.WatchResult(wire.Header(state.revision), created=True))
@@ -44,7 +45,7 @@
 
 
 class _EventQueue:
-    """The past and coming events of one watch; the block in which they come must be left."""
+    """The past and future events of one watch; leaving the block ends the subscription."""
 
     __slots__ = ("_arrived", "_end", "_pending", "_start", "_state")
 
@@ -54,7 +55,7 @@
         self._end = range_end(create.range_end) if create.range_end else self._start + "\0"
         self._pending: deque[KvEvent] = deque()
         self._arrived = trio.Event()
-        # Nothing happens between reading the past and listening: no await stands between them.
+        # No event is missed: there is no await between reading the history and subscribing.
         if create.start_revision:
             past = state.events_since(self._start, self._end, create.start_revision)
             self._pending.extend(past)
@@ -72,20 +73,20 @@
             self._arrived.set()
 
     async def write(self, stream: ResponseStream) -> None:
-        """Send what waits."""
+        """Send the pending events."""
         while self._pending:
             event = self._pending.popleft()
             result = wire.WatchResult(wire.Header(event.revision), events=[_wire_event(event)])
             await _write(stream, result)
 
     async def wait(self, cut: trio.Event, timeout_ms: float) -> bool:
-        """Wait for an event or ``cut``; False when ``timeout_ms`` went by first."""
+        """Wait for an event or ``cut``; return False if ``timeout_ms`` elapses first."""
         self._arrived = trio.Event()
         return bool(self._pending) or await _wait_for_either(self._arrived, cut, timeout_ms)
 
 
 async def _wait_for_either(arrived: trio.Event, cut: trio.Event, timeout_ms: float) -> bool:
-    """Wait for either event; False when ``timeout_ms`` went by first."""
+    """Wait for either event; return False if ``timeout_ms`` elapses first."""
     with trio.move_on_after(timeout_ms / 1000) as scope:
         async with trio.open_nursery() as nursery:
             for event in (arrived, cut):
--- a/src/fescuedock/standin/listener.py
+++ b/src/fescuedock/standin/listener.py
@@ -1,4 +1,4 @@
-"""An HTTP server at one address that can die and come back on command."""
+"""An HTTP server at a fixed address that can be taken down and brought up on command."""
 
 from dataclasses import dataclass, field
 
@@ -9,13 +9,13 @@
 
 __all__ = ["Listener"]
 
-# A stand-in waits as long as its client does.
+# An hour, so that timeouts are always those of the client.
 _LIMITS = HttpLimits(idle_timeout_ms=3_600_000)
 
 
 @dataclass(slots=True)
 class Listener:
-    """Serves ``handler``; its address stays the same while it is down."""
+    """Serves ``handler``; it returns at the same address after it was down."""
 
     handler: Handler
     address: Address | None = None
@@ -25,7 +25,7 @@
     async def run(
         self, address: Address, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Listen on ``address`` until cancelled; report the real ``Address``."""
+        """Listen on ``address`` until cancelled; report the bound ``Address``."""
         self._up.set()
         while True:
             await self._up.wait()
@@ -43,7 +43,7 @@
         return self._up.is_set()
 
     def take_down(self) -> None:
-        """Refuse connections and cut all that are open."""
+        """Refuse new connections and cut all open ones."""
         if self._up.is_set():
             self._up = trio.Event()
         self._scope.cancel()
--- a/src/fescuedock/standin/main.py
+++ b/src/fescuedock/standin/main.py
@@ -47,7 +47,10 @@
 
 
 def _problems(found: Mapping[str, dict[str, Any]]) -> Iterator[str]:
-    """Yield what the types of single values cannot say; only valid values are there."""
+    """Yield the problems that the types of single values do not exclude.
+
+    ``found`` contains only values that are valid for their type.
+    """
     values = found.get("standin", {})
     try:
         ipaddress.ip_address(values.get("host", "127.0.0.1"))
@@ -94,7 +97,7 @@
 
 
 def _addresses(standins: Standins) -> dict[str, object]:
-    """Return the line that says where everything serves."""
+    """Return the addresses of all stand-ins, to be printed as one line."""
     upstreams = {**standins.engines, **standins.plain}
     return {
         "program": "standin",
--- a/src/fescuedock/standin/plain_service.py
+++ b/src/fescuedock/standin/plain_service.py
@@ -1,4 +1,4 @@
-"""A plain service that counts how often each request was executed."""
+"""A plain service that counts the executions of each request."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -17,11 +17,11 @@
 
 @dataclass(slots=True)
 class PlainService:
-    """Answers any call with what it was sent.
+    """Echoes every call.
 
-    ``executions`` counts by the header ``x-request-id``, or by method and path without one.
-    ``cut_before`` and ``cut_after`` cut that many coming connections before or after execution;
-    ``fail_with`` answers with that status instead of executing.
+    ``executions`` counts by the header ``x-request-id``, or by method and path without it.
+    ``cut_before`` and ``cut_after`` cut the connections of that many future calls before or after
+    execution.  ``fail_with`` is a status code to answer with instead of executing.
     """
 
     upstream_id: str
@@ -42,7 +42,7 @@
     async def run(
         self, address: Address, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; report the real ``Address``."""
+        """Serve until cancelled; report the bound ``Address``."""
         await self.listener.run(address, task_status=task_status)
 
     async def handle(self, request: Request, responder: Responder) -> None:
--- a/src/fescuedock/standin/platform.py
+++ b/src/fescuedock/standin/platform.py
@@ -1,4 +1,4 @@
-"""All stand-ins together: platform, engines and plain services, as tasks of the caller's loop."""
+"""Runs all stand-ins (platform, engines and plain services) as tasks of the caller's event loop."""
 
 from dataclasses import dataclass, field
 
@@ -29,8 +29,8 @@
 class Standins:
     """The running stand-ins.
 
-    ``engines`` and ``plain`` go by upstream identity.  ``control`` is the address of the HTTP
-    control interface.
+    ``engines`` and ``plain`` are keyed by upstream identity.  ``control`` is the address of the
+    HTTP control interface.
     """
 
     settings: StandinSettings
@@ -43,7 +43,7 @@
     nursery: trio.Nursery | None = None
 
     def platform_settings(self, **changes: object) -> PlatformSettings:
-        """Return the [platform] section for programs that are to use these stand-ins."""
+        """Return the [platform] section for programs that use these stand-ins."""
         values: dict[str, object] = {
             "kv_addresses": str(self.kv.address),
             "vm_list_address": str(self.vm_list.address),
@@ -52,7 +52,7 @@
         return PlatformSettings(**{**values, **changes})
 
     def add_system_vm(self, vm_id: str, failure_domain: str, agent: Address) -> None:
-        """Show a VM of ours in the VM list."""
+        """Add a VM that runs fescuedock to the VM list."""
         self.vm_list.add(
             ListedVm(
                 vm_id=vm_id,
@@ -67,9 +67,9 @@
     async def add_engine(
         self, upstream_id: str, failure_domain: str, port: int = 0, service: str = ""
     ) -> EngineService:
-        """Start one more engine and show it in the VM list.
+        """Start another engine and add it to the VM list.
 
-        Without ``service`` it belongs to the one of the settings.
+        Without ``service`` it belongs to the engine service of the settings.
         """
         engine = EngineService(upstream_id, self._engine_core(), self._engine_orders())
         address = await self.nursery.start(engine.run, Address(self.settings.host, port))
@@ -81,9 +81,9 @@
     async def add_plain(
         self, upstream_id: str, failure_domain: str, port: int = 0, service: str = ""
     ) -> PlainService:
-        """Start one more plain service and show it in the VM list.
+        """Start another plain service and add it to the VM list.
 
-        Without ``service`` it belongs to the one of the settings.
+        Without ``service`` it belongs to the plain service of the settings.
         """
         plain = PlainService(upstream_id)
         address = await self.nursery.start(plain.run, Address(self.settings.host, port))
@@ -135,7 +135,7 @@
 async def run_standins(
     settings: StandinSettings, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
 ) -> None:
-    """Run the stand-ins until cancelled; report the ``Standins`` once all of them serve."""
+    """Run the stand-ins until cancelled; report the ``Standins`` once all of them accept calls."""
     standins = Standins(
         settings=settings,
         kv=KvService(progress_ms=settings.kv_progress_ms),
@@ -171,7 +171,7 @@
 
 
 def parse_system_vms(text: str) -> list[tuple[str, str, Address]]:
-    """Read ``VM_ID/FAILURE_DOMAIN/HOST:PORT``, comma-separated; ``ValueError`` names a bad one."""
+    """Parse comma-separated ``VM_ID/FAILURE_DOMAIN/HOST:PORT``; raise ``ValueError`` if invalid."""
     vms = []
     for part in _split(text):
         fields = part.split("/")
--- a/src/fescuedock/standin/prefix_cache.py
+++ b/src/fescuedock/standin/prefix_cache.py
@@ -1,4 +1,4 @@
-"""The prefix cache of an engine, in limited memory, and its late and gapped events."""
+"""The bounded prefix cache of an engine, and its event log, which is delayed and may have gaps."""
 
 from collections import OrderedDict, deque
 from collections.abc import Iterable
@@ -11,13 +11,13 @@
 
 @dataclass(slots=True)
 class PrefixCache:
-    """Blocks in order of their last use; the oldest go when ``max_blocks`` are reached."""
+    """Blocks in order of their last use; the oldest are evicted beyond ``max_blocks``."""
 
     max_blocks: int
     _blocks: OrderedDict[str, None] = field(default_factory=OrderedDict)
 
     def cached_prefix_length(self, hashes: Iterable[str]) -> int:
-        """Return how many of a prompt's blocks, from the first on, are cached; marks their use."""
+        """Return how many leading blocks of a prompt are cached, and mark them as used."""
         count = 0
         for block in hashes:
             if block not in self._blocks:
@@ -27,7 +27,7 @@
         return count
 
     def store(self, hashes: Iterable[str]) -> CacheEvent:
-        """Keep the blocks; return what came and what had to go, with number 0."""
+        """Store the blocks; return an event of the stored and evicted ones, not yet numbered."""
         stored = []
         for block in hashes:
             if block not in self._blocks:
@@ -40,7 +40,7 @@
         return CacheEvent(0, tuple(stored), tuple(removed))
 
     def select_cached(self, hashes: Iterable[str]) -> tuple[str, ...]:
-        """Return those of the blocks that are cached."""
+        """Return the blocks that are cached, without marking them as used."""
         return tuple(block for block in hashes if block in self._blocks)
 
     def clear(self) -> None:
@@ -52,9 +52,9 @@
 
 @dataclass(slots=True)
 class CacheEventLog:
-    """Events that readers see ``delay_ms`` late.
+    """Events that readers see with a delay of ``delay_ms``.
 
-    Every ``lose_every``-th is never seen (0: none), and only the last ``kept_events`` are kept.
+    Every ``lose_every``-th event is lost (0: none), and only the last ``max_events`` are retained.
     """
 
     delay_ms: float = 500.0
@@ -64,7 +64,7 @@
     _events: deque[tuple[float, CacheEvent]] = field(default_factory=deque)
 
     def add(self, event: CacheEvent, now_ms: float) -> None:
-        """Number an event and keep it for the readers."""
+        """Assign the next number to an event and store it unless it is to be lost."""
         self._seq += 1
         if self.lose_every and self._seq % self.lose_every == 0:
             return
@@ -73,7 +73,7 @@
             self._events.popleft()
 
     def read(self, after_seq: int, now_ms: float) -> CacheEvents:
-        """Return the events after ``after_seq`` that may be seen by now."""
+        """Return the events after ``after_seq`` that are visible at ``now_ms``."""
         visible = [event for at_ms, event in self._events if at_ms + self.delay_ms <= now_ms]
         last_seq = visible[-1].seq if visible else 0
         first_kept = self._events[0][1].seq if self._events else self._seq + 1
--- a/src/fescuedock/standin/token_text.py
+++ b/src/fescuedock/standin/token_text.py
@@ -1,6 +1,6 @@
-"""The text that the stand-in engine answers: a function of the prompt and the token's index.
+"""The text that the stand-in engine generates, a function of the prompt and the token's index.
 
-A test thus knows every byte that a caller must get, whichever engine or engines gave it.
+Tests can thus predict every byte of an answer, whichever engines generated it.
 """
 
 from hashlib import blake2b
@@ -14,7 +14,7 @@
 
 
 def token_texts(prompt: str, first: int, count: int) -> list[str]:
-    """Return the texts of ``count`` tokens from index ``first`` on."""
+    """Return the texts of ``count`` tokens, starting at index ``first``."""
     return [_token_text(prompt, index) for index in range(first, first + count)]
 
 
@@ -24,7 +24,7 @@
 
 
 def default_answer_tokens(prompt: str) -> int:
-    """Return the length of the answer when the caller does not limit it: 8 to 64 tokens."""
+    """Return the length of an answer without a limit by the caller, 8 to 64 tokens."""
     return _MIN_ANSWER_TOKENS + _digest(prompt)[0] % _ANSWER_LENGTHS
 
 
--- a/src/fescuedock/standin/token_time.py
+++ b/src/fescuedock/standin/token_time.py
@@ -1,9 +1,9 @@
-"""A model of an engine that batches continuously: when each sequence gets its next token.
+"""Simulates when an engine with continuous batching produces the tokens of each sequence.
 
-Pure: no I/O and no clock.  The engine works in steps.  In each step every running sequence whose
-prompt is done gets one token, and a bounded number of prompt tokens of the others is worked off,
-the oldest first.  A step takes longer the more sequences it serves and the more prompt tokens it
-works off, so whatever is admitted slows all that is running.
+There is no I/O and no clock.  The engine works in steps.  In each step every running sequence in
+the decode phase gets one token, and a bounded number of prompt tokens of the other sequences is
+prefilled, the oldest sequence first.  The duration of a step grows with the number of decoding
+sequences and of prefilled tokens, so each admitted sequence slows down all running ones.
 """
 
 from collections import deque
@@ -14,10 +14,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """How fast an engine is and how much fits into it.
+    """Speed and capacity of an engine.
 
-    The defaults are of a middling model on one accelerator: 13 ms between tokens alone, 32 ms
-    with 64 sequences.
+    The defaults are those of a medium-sized model on one accelerator: 13 ms between tokens with
+    one sequence, 32 ms with 64.
     """
 
     step_ms: float = 12.5
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class Sequence:
-    """One request inside the engine; token counts."""
+    """The token counts of one request in the engine."""
 
     sequence_id: str
     prompt_tokens: int
@@ -40,7 +40,7 @@
     generated: int = 0
 
     def __post_init__(self) -> None:
-        # The last prompt token is always computed: it gives the first token of the answer.
+        # The last prompt token is always computed, as it produces the first token of the answer.
         self.prefilled = min(self.cached_tokens, self.prompt_tokens - 1)
 
     @property
@@ -53,13 +53,17 @@
 
     @property
     def kv_tokens(self) -> int:
-        """Room that the sequence may come to need."""
+        """KV cache that the sequence needs at most, in tokens."""
         return self.prompt_tokens + self.answer_tokens
 
 
 @dataclass(frozen=True, slots=True)
 class StepResult:
-    """What one step gave; ``produced`` holds each sequence that got a token, finished or not."""
+    """The result of one step.
+
+    ``produced`` contains each sequence that got a token, including finished ones, and ``prefilled``
+    those whose prefill was completed.
+    """
 
     duration_ms: float
     produced: tuple[Sequence, ...]
@@ -68,7 +72,7 @@
 
 @dataclass(slots=True)
 class TokenTimeModel:
-    """The sequences running and waiting; call ``step`` as long as there are any."""
+    """The running and waiting sequences; call ``step`` until ``is_idle``."""
 
     profile: EngineProfile
     slowness: float = 1.0
@@ -76,12 +80,12 @@
     waiting: deque[Sequence] = field(default_factory=deque)
 
     def admit(self, sequence: Sequence) -> None:
-        """Take a sequence; it waits while the engine is full."""
+        """Add a sequence, which waits while the engine is full."""
         self.waiting.append(sequence)
         self._start_waiting()
 
     def cancel(self, sequence_id: str) -> bool:
-        """Drop a sequence and free its room; whether it was here."""
+        """Remove a sequence and free its capacity; return whether it was running or waiting."""
         found = self.running.pop(sequence_id, None)
         for sequence in self.waiting:
             if sequence.sequence_id == sequence_id:
@@ -92,13 +96,13 @@
         return found is not None
 
     def clear(self) -> None:
-        """Forget all sequences."""
+        """Remove all sequences."""
         self.running.clear()
         self.waiting.clear()
 
     @property
     def kv_use(self) -> float:
-        """Share of the room for KV that running sequences may need."""
+        """Fraction of the KV cache that the running sequences may need."""
         return self._kv_tokens() / self.profile.kv_tokens
 
     @property
@@ -106,7 +110,7 @@
         return not self.running
 
     def step(self) -> StepResult:
-        """Do one step; its tokens are there when ``duration_ms`` has passed."""
+        """Perform one step, whose tokens are available after ``duration_ms``."""
         decoding = [sequence for sequence in self.running.values() if sequence.is_decoding]
         work_tokens, prefilled = self._prefill()
         produced = [*decoding, *prefilled]
@@ -120,7 +124,7 @@
         return StepResult(duration_ms, tuple(produced), tuple(prefilled))
 
     def _prefill(self) -> tuple[int, list[Sequence]]:
-        """Work off prompt tokens; return their number and the sequences whose prompt is done."""
+        """Prefill prompt tokens; return their number and the sequences that are now decoding."""
         left = self.profile.max_prefill_tokens
         done = []
         for sequence in self.running.values():
--- a/src/fescuedock/standin/vm_list.py
+++ b/src/fescuedock/standin/vm_list.py
@@ -1,4 +1,4 @@
-"""A VM list that shows changes late."""
+"""A VM list whose readers see changes with a delay."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListVersion:
-    """The list from one moment on."""
+    """The list as of ``valid_from_s``, until the next version."""
 
     valid_from_s: float
     etag: str
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class VmListService:
-    """The list as it is; callers see it as it was ``lag_ms`` ago."""
+    """The current list and its recent versions; callers see the list of ``lag_ms`` ago."""
 
     lag_ms: float = 0.0
     reads: int = 0
@@ -45,26 +45,26 @@
 
     @property
     def vms(self) -> tuple[ListedVm, ...]:
-        """The list without lag."""
+        """The current list, without the delay."""
         return tuple(self._vms.values())
 
     async def run(
         self, address: Address, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; report the real ``Address``."""
+        """Serve until cancelled; report the bound ``Address``."""
         await self.listener.run(address, task_status=task_status)
 
     def add(self, vm: ListedVm) -> None:
-        """Add a VM, or replace the one of the same identity."""
+        """Add a VM, or replace the one with the same identity."""
         self._vms[vm.vm_id] = vm
         self._add_version()
 
     def mark_leaving(self, vm_id: str) -> None:
-        """Mark a VM as leaving."""
+        """Mark a VM as leaving; raise ``KeyError`` if it is not listed."""
         self.add(msgspec.structs.replace(self._vms[vm_id], state=STATE_LEAVING))
 
     def remove(self, vm_id: str) -> None:
-        """Take a VM off the list."""
+        """Remove a VM; raise ``KeyError`` if it is not listed."""
         del self._vms[vm_id]
         self._add_version()
 
@@ -87,7 +87,7 @@
         await responder.send(200, version.body, headers)
 
     def visible_version(self) -> ListVersion:
-        """Return what callers see now."""
+        """Return the version that callers see now, and discard the older ones."""
         newest_visible_s = trio.current_time() - self.lag_ms / 1000
         while len(self._versions) > 1 and self._versions[1].valid_from_s <= newest_visible_s:
             self._versions.popleft()
--- a/src/fescuedock/standin/weight_store.py
+++ b/src/fescuedock/standin/weight_store.py
@@ -1,4 +1,4 @@
-"""A weight store that gives all loads together a limited rate."""
+"""A weight store that limits the total transfer rate of all loads."""
 
 from dataclasses import dataclass, field
 
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class WeightStoreService:
-    """Weights by model, version and adapter; loads queue for ``bytes_per_s``."""
+    """Weights by model, version and adapter; loads are transferred one by one."""
 
     bytes_per_s: int = 1_000_000_000
     weights: list[WeightRecord] = field(default_factory=list)
@@ -34,11 +34,11 @@
     async def run(
         self, address: Address, *, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED
     ) -> None:
-        """Serve until cancelled; report the real ``Address``."""
+        """Serve until cancelled; report the bound ``Address``."""
         await self.listener.run(address, task_status=task_status)
 
     async def load(self, size_bytes: int) -> None:
-        """Wait as long as ``size_bytes`` take behind all loads that began before."""
+        """Wait until ``size_bytes`` are transferred, after all loads that began earlier."""
         now_s = trio.current_time()
         self._free_at_s = max(self._free_at_s, now_s) + size_bytes / self.bytes_per_s
         self.loads += 1
@@ -50,7 +50,7 @@
             self.concurrent_loads -= 1
 
     def size_bytes(self, model: str, version: str, adapter: str = "") -> int:
-        """Return the size of some weights, 0 for those that are not here."""
+        """Return the size of some weights; 0 if they are not in the store."""
         catalog = WeightCatalog(tuple(self.weights), self.bytes_per_s)
         return catalog.size_bytes(model, version, adapter) or 0
 
