--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -58,7 +58,7 @@
 
         run_async(run)
 
-    def test_a_stream_is_whole_and_ends_with_finish_and_usage(self):
+    def test_stream_is_complete_and_ends_with_finish_reason_and_usage(self):
         async def test(harness: EngineHarness) -> None:
             body = chat_body("hello", 12, stream_options={"include_usage": True})
             async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
@@ -71,7 +71,7 @@
 
         self.run_with_engine(test)
 
-    def test_an_answer_that_is_not_streamed_is_the_same(self):
+    def test_response_without_streaming_has_the_same_text(self):
         async def test(harness: EngineHarness) -> None:
             body = {"model": "demo-model", "prompt": "hello", "max_tokens": 9}
             answer = msgspec.json.decode(
@@ -83,7 +83,7 @@
 
         self.run_with_engine(test)
 
-    def test_a_resumed_stream_gives_the_rest(self):
+    def test_resumed_stream_continues_after_the_resume_point(self):
         async def test(harness: EngineHarness) -> None:
             texts = token_texts(chat_prompt("hello"), 0, 20)
             point = ResumePoint(8, "".join(texts[:8]))
@@ -110,7 +110,7 @@
 
         self.run_with_engine(test)
 
-    def test_a_cancelled_attempt_is_cut(self):
+    def test_cancelling_an_attempt_cuts_its_stream(self):
         async def test(harness: EngineHarness) -> None:
             body = chat_body("hello", 5000)
             async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
@@ -122,7 +122,7 @@
 
         self.run_with_engine(test)
 
-    def test_an_attempt_identity_runs_once_at_a_time(self):
+    def test_attempt_id_cannot_run_twice_concurrently(self):
         async def test(harness: EngineHarness) -> None:
             body = chat_body("hello", 5000)
             async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
@@ -134,7 +134,7 @@
 
         self.run_with_engine(test)
 
-    def test_a_cut_stream_is_never_taken_for_a_whole_one(self):
+    def test_cut_stream_raises_instead_of_looking_complete(self):
         async def test(harness: EngineHarness) -> None:
             harness.engine.faults.cut_after.append(4)
             texts: list[str] = []
@@ -150,7 +150,7 @@
 
         self.run_with_engine(test)
 
-    def test_death_loses_what_runs_and_refuses_what_comes(self):
+    def test_crash_drops_running_requests_and_refuses_new_ones(self):
         async def test(harness: EngineHarness) -> None:
             body = chat_body(LONG, 5000)
             async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
@@ -167,7 +167,7 @@
 
         self.run_with_engine(test)
 
-    def test_words_in_the_prompt_command_faults(self):
+    def test_markers_in_the_prompt_inject_faults(self):
         async def test(harness: EngineHarness) -> None:
             harness.engine.faults.restart_ms = 1
             for text, status, permanent in (
@@ -185,7 +185,7 @@
 
         self.run_with_engine(test)
 
-    def test_a_frozen_engine_gives_nothing_until_it_thaws(self):
+    def test_frozen_engine_produces_no_tokens_until_it_thaws(self):
         async def test(harness: EngineHarness) -> None:
             body = chat_body("hello", 300)
             async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
@@ -269,7 +269,7 @@
                     model_load_ms=1,
                 )
 
-    def test_orders_take_effect_in_the_order_in_which_they_came(self):
+    def test_orders_are_executed_in_order_of_arrival(self):
         async def test(harness: EngineHarness) -> None:
             async def order(fencing: int, name: str, version: str = "") -> None:
                 given = EngineOrder(fencing, name, "demo-model", version)
@@ -301,7 +301,7 @@
 
         self.run_with_engine(test, role_change_ms=1)
 
-    def test_an_order_runs_on_when_its_sender_leaves(self):
+    def test_order_is_completed_after_its_sender_disconnects(self):
         async def test(harness: EngineHarness) -> None:
             order = EngineOrder(1, "load_model", "new", "1")
             lost = await harness.control.order(harness.upstream, order, 10)
@@ -317,7 +317,7 @@
     CALLERS = 30
     TOKENS = 40
 
-    def test_no_token_is_lost_or_doubled_while_engines_die(self):
+    def test_no_token_is_lost_or_duplicated_while_engines_crash(self):
         async def run() -> None:
             async with running_standins(engines=2, plain_services=0) as standins:
                 engines = list(standins.engines.values())
@@ -397,16 +397,16 @@
                 caught.append(error)
         return [*texts, *(type(error).__name__ for error in caught)]
 
-    def test_events_may_be_cut_anywhere_and_come_together(self):
+    def test_events_may_be_split_anywhere_and_arrive_together(self):
         events = b"".join(b'data: {"choices":[{"text":"%d"}]}\n\n' % n for n in range(4))
         body = events + b"data: [DONE]\n\n"
         for cut in range(1, len(body), 7):
             self.assertEqual(self.read_all([body[:cut], body[cut:]]), list("0123"))
 
-    def test_a_body_without_an_end_does_not_hold_up_a_whole_answer(self):
+    def test_complete_answer_does_not_wait_for_the_end_of_the_body(self):
         self.assertEqual(self.read_all([EVENT + b"data: [DONE]\n\n"], ends=False), ["x"])
 
-    def test_streams_that_are_not_whole(self):
+    def test_incomplete_streams(self):
         event = EVENT
         for chunks, seen in (
             ([event], ["x", "ResponseLostError"]),
--- a/tests/test_standin_kv.py
+++ b/tests/test_standin_kv.py
@@ -97,7 +97,7 @@
 class EtcdKvTest(unittest.TestCase):
     @settings(max_examples=60)
     @given(steps)
-    def test_agrees_with_a_dict_whatever_answers_are_lost(self, drawn):
+    def test_agrees_with_a_dict_whichever_responses_are_lost(self, drawn):
         async def run() -> None:
             async with running_kv() as (service, kv):
                 # A late write lands while it is read back, or never within this test.
@@ -114,7 +114,7 @@
 
     @settings(max_examples=100)
     @given(steps)
-    def test_the_in_memory_store_agrees_as_well(self, drawn):
+    def test_memory_store_agrees_with_a_dict(self, drawn):
         async def run() -> None:
             kv = MemoryKv()
             oracle = DictOracle(self, kv)
@@ -152,7 +152,7 @@
 
         run_async(run)
 
-    def test_a_service_that_is_down_promises_that_nothing_was_written(self):
+    def test_unavailable_service_means_nothing_was_written(self):
         async def run() -> None:
             async with running_kv() as (service, kv):
                 service.take_down()
@@ -166,7 +166,7 @@
 
         run_async(run)
 
-    def test_a_service_that_does_not_answer_leaves_a_write_unknown(self):
+    def test_result_of_a_write_without_response_is_unknown(self):
         async def run() -> None:
             async with running_kv(timeout_ms=50) as (service, kv):
                 service.faults.silent = True
@@ -176,7 +176,7 @@
 
         run_async(run)
 
-    def test_the_next_address_is_used_and_kept(self):
+    def test_client_switches_to_the_next_address_and_stays_there(self):
         async def run() -> None:
             async with running_kv() as (service, _), open_http() as http:
                 kv = etcd_client(http, UNUSED_ADDRESS, service.address)
@@ -187,7 +187,7 @@
 
         run_async(run)
 
-    def test_a_lease_takes_its_keys_along(self):
+    def test_keys_are_deleted_with_their_lease(self):
         async def run() -> None:
             async with running_kv() as (service, kv):
                 lease_id = (await kv.grant_lease(5)).unwrap()
@@ -202,7 +202,7 @@
 
         run_async(run)
 
-    def test_calls_are_counted_and_a_watch_is_one(self):
+    def test_calls_are_counted_and_a_watch_counts_once(self):
         async def run() -> None:
             async with running_kv() as (service, kv):
                 async with kv.watch("", 1) as events:
@@ -234,7 +234,7 @@
 class ProtobufJsonTest(unittest.TestCase):
     """The gateway's answers as its protocol defines them, which our stand-in writes more simply."""
 
-    def test_numbers_may_be_strings_and_zeros_left_out(self):
+    def test_numbers_may_be_strings_and_zeros_may_be_omitted(self):
         async def run() -> None:
             async with served(answer_in_protobuf_json) as (_, address), open_http() as http:
                 kv = etcd_client(http, address)
@@ -254,7 +254,7 @@
 
 
 class WatchTest(unittest.TestCase):
-    def test_tells_of_the_past_and_of_what_comes(self):
+    def test_delivers_past_and_future_events(self):
         async def run() -> None:
             async with running_kv() as (_, kv):
                 await kv.put_if("w/1", b"old", 0)
@@ -267,7 +267,7 @@
 
         run_async(run)
 
-    def test_from_revision_0_begins_when_the_block_is_entered(self):
+    def test_revision_0_starts_when_the_block_is_entered(self):
         async def run() -> None:
             async with running_kv() as (_, kv):
                 await kv.put_if("w", b"1", 0)
@@ -277,7 +277,7 @@
 
         run_async(run)
 
-    def test_compacted_past_is_a_gap_and_the_end(self):
+    def test_compacted_revision_yields_a_gap_and_ends_the_channel(self):
         async def run() -> None:
             async with running_kv() as (service, kv):
                 for number in range(4):
@@ -311,7 +311,7 @@
 
         run_async(run)
 
-    def test_a_silent_service_ends_the_channel_in_time(self):
+    def test_unresponsive_service_ends_the_channel_after_a_timeout(self):
         async def run() -> None:
             async with running_kv(timeout_ms=1000) as (service, kv):
                 service.faults.silent = True
@@ -320,7 +320,7 @@
 
         run_async(run, trio.testing.MockClock(rate=20))
 
-    def test_a_watch_that_is_taken_and_never_begun_ends_in_time(self):
+    def test_accepted_watch_that_never_starts_ends_after_a_timeout(self):
         async def never_begin(request: Request, responder: Responder) -> None:
             async with responder.stream(200, []):
                 await trio.sleep_forever()
@@ -335,7 +335,7 @@
 
         run_async(run, trio.testing.MockClock(rate=20))
 
-    def test_errors_of_the_block_come_out_as_they_are(self):
+    def test_exceptions_in_the_block_propagate_unchanged(self):
         async def run() -> None:
             async with running_kv() as (_, kv):
                 with self.assertRaises(LookupError):
@@ -348,7 +348,7 @@
 
 
 class KvStateTest(unittest.TestCase):
-    def test_a_lease_ends_with_its_time(self):
+    def test_lease_expires_after_its_ttl(self):
         state = KvState()
         lease_id = state.grant(10, now_s=0.0)
         state.put("k", b"1", lease_id)
@@ -358,7 +358,7 @@
         state.expire(now_s=19.0)
         self.assertIsNone(state.get("k"))
 
-    def test_a_key_that_changed_its_lease_outlives_the_old_one(self):
+    def test_key_moved_to_another_lease_survives_the_old_lease(self):
         state = KvState()
         old, new = state.grant(10, 0.0), state.grant(10, 0.0)
         state.put("k", b"1", old)
@@ -366,7 +366,7 @@
         state.revoke(old)
         self.assertEqual(state.get("k").value, b"2")
 
-    def test_a_compacted_past_does_not_hide_keys_that_stayed(self):
+    def test_compaction_does_not_hide_unchanged_keys(self):
         state = KvState()
         state.put("old", b"1")
         state.put("other", b"2")
@@ -383,7 +383,7 @@
             state.get("k", 2)
         self.assertEqual(state.get("k", state.revision - 1).value[:2], b"98")
 
-    def test_the_past_is_readable_until_it_is_compacted(self):
+    def test_old_revisions_are_readable_until_compacted(self):
         state = KvState()
         for value in (b"1", b"2", b"3"):
             state.put("k", value)
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -40,7 +40,7 @@
 
         run_async(run)
 
-    def test_the_vm_list_and_its_tag(self):
+    def test_vm_list_and_its_etag(self):
         async def test(standins: Standins, http: HttpClient) -> None:
             client = VmListClient(http, standins.platform_settings())
             first = (await client.read()).unwrap()
@@ -85,7 +85,7 @@
 
         run_async(run, trio.testing.MockClock(autojump_threshold=0))
 
-    def test_loads_share_the_rate_of_the_weight_store(self):
+    def test_concurrent_loads_share_the_rate_of_the_weight_store(self):
         store = WeightStoreService(bytes_per_s=100)
 
         async def run() -> None:
@@ -127,7 +127,7 @@
 
         self.run_with_standins(test)
 
-    def test_faults_are_commanded_over_http(self):
+    def test_faults_are_injected_over_http(self):
         async def test(standins: Standins, http: HttpClient) -> None:
             async def command(path: str, **fields: object) -> int:
                 body = msgspec.json.encode(fields)
@@ -161,14 +161,14 @@
             path.write_text(text, encoding="utf-8")
             return load_standin_settings(path)
 
-    def test_a_good_file(self):
+    def test_valid_file(self):
         loaded = self.load("[standin]\nengines = 2\nsystem_vms = a/hall-a/127.0.0.1:7001\n")
         self.assertEqual(
             loaded.unwrap(),
             StandinSettings(engines=2, system_vms="a/hall-a/127.0.0.1:7001"),
         )
 
-    def test_every_problem_is_named(self):
+    def test_every_problem_is_reported(self):
         text = "[standin]\nengines = many\nhost = localhost\nsystem_vms = a/7001\nshape = 1\n[x]\n"
         problems = str(self.load(text).unwrap_err())
         for part in ("engines = many", "host = localhost", "system_vms = a/7001", "shape", "[x]"):
--- a/tests/test_standin_token_time.py
+++ b/tests/test_standin_token_time.py
@@ -48,14 +48,14 @@
         self.assertEqual(model.step().duration_ms, 10.0 + 10 * 0.1)
         self.assertEqual(model.step().duration_ms, 10.0 + 1.0)
 
-    def test_time_between_tokens_grows_with_what_runs(self):
+    def test_time_between_tokens_grows_with_running_sequences(self):
         isolated = model_with(sequence("a"))
         crowded = model_with(*(sequence(name) for name in "abcd"))
         for model in (isolated, crowded):
             model.step()
         self.assertEqual(crowded.step().duration_ms - isolated.step().duration_ms, 3.0)
 
-    def test_a_long_prompt_slows_the_tokens_of_others(self):
+    def test_long_prompt_slows_the_tokens_of_other_sequences(self):
         model = model_with(sequence("a", answer=50))
         model.step()
         quiet_ms = model.step().duration_ms
@@ -67,26 +67,26 @@
         behind = model_with(sequence("a", prompt=300), sequence("b"))
         self.assertGreater(first_token_ms(behind, "b"), 3 * isolated_ms)
 
-    def test_a_cached_prefix_brings_the_first_token_sooner(self):
+    def test_cached_prefix_shortens_the_time_to_first_token(self):
         cold_ms = first_token_ms(model_with(sequence("a", prompt=300)), "a")
         warm_ms = first_token_ms(model_with(sequence("a", prompt=300, cached=300)), "a")
         self.assertLess(warm_ms, cold_ms / 3)
 
-    def test_full_engines_let_wait(self):
+    def test_sequences_wait_while_the_engine_is_full(self):
         model = model_with(*(sequence(name, answer=2) for name in "abcde"))
         self.assertEqual((len(model.running), len(model.waiting)), (4, 1))
         model.step()
         model.step()
         self.assertEqual(list(model.running), ["e"])
 
-    def test_memory_for_kv_bounds_what_runs(self):
+    def test_kv_memory_limits_running_sequences(self):
         model = model_with(sequence("a", prompt=600), sequence("b", prompt=600))
         self.assertEqual(list(model.running), ["a"])
         self.assertEqual(model.kv_use, 0.605)
         self.assertTrue(model.cancel("a"))
         self.assertEqual(list(model.running), ["b"])
 
-    def test_a_sequence_too_large_for_the_engine_runs_alone(self):
+    def test_sequence_larger_than_the_engine_runs_in_isolation(self):
         model = model_with(sequence("huge", prompt=5000), sequence("b"))
         self.assertEqual(list(model.running), ["huge"])
 
@@ -100,7 +100,7 @@
         ),
         st.sets(st.integers(0, 11)),
     )
-    def test_every_sequence_gets_just_its_tokens(self, drawn, cancelled):
+    def test_every_sequence_gets_exactly_its_tokens(self, drawn, cancelled):
         model = TokenTimeModel(PROFILE)
         tokens = dict.fromkeys(map(str, range(len(drawn))), 0)
         waiting = [(at, str(n), p, a, c) for n, (p, a, c, at) in enumerate(drawn)]
@@ -124,14 +124,14 @@
 
 
 class PrefixCacheTest(unittest.TestCase):
-    def test_the_least_recently_used_blocks_go(self):
+    def test_least_recently_used_blocks_are_evicted(self):
         cache = PrefixCache(max_blocks=3)
         self.assertEqual(cache.store(["a", "b", "c"]), CacheEvent(0, ("a", "b", "c"), ()))
         self.assertEqual(cache.cached_prefix_length(["a", "x", "b"]), 1)
         self.assertEqual(cache.store(["d"]), CacheEvent(0, ("d",), ("b",)))
         self.assertEqual(cache.select_cached(["a", "b", "c", "d"]), ("a", "c", "d"))
 
-    def test_prompts_share_the_names_of_their_common_prefix(self):
+    def test_prompts_share_the_hashes_of_their_common_prefix(self):
         common = "x" * (2 * BLOCK_CHARS)
         one = list(prefix_hashes(common + "1" * BLOCK_CHARS))
         other = list(prefix_hashes(common + "2" * BLOCK_CHARS + "a tail shorter than a block"))
@@ -139,7 +139,7 @@
         self.assertNotEqual(one[2], other[2])
         self.assertEqual((len(one), len(other)), (3, 3))
 
-    def test_events_are_late_and_gapped(self):
+    def test_events_are_delayed_and_may_have_gaps(self):
         log = CacheEventLog(delay_ms=100, lose_every=3, max_events=3)
         for number in range(1, 6):
             log.add(CacheEvent(0, (f"block-{number}",)), now_ms=number * 10)
@@ -152,7 +152,7 @@
 
 class TokenTextTest(unittest.TestCase):
     @given(st.text(max_size=40), st.integers(0, 30), st.integers(0, 30))
-    def test_text_depends_on_prompt_and_index_alone(self, prompt, first, count):
+    def test_text_depends_only_on_prompt_and_index(self, prompt, first, count):
         all_tokens = token_texts(prompt, 0, first + count)
         self.assertEqual(all_tokens[first:], token_texts(prompt, first, count))
         self.assertEqual(answer_text(prompt, first + count), "".join(all_tokens))
