--- a/tests/builders/kv.py
+++ b/tests/builders/kv.py
@@ -1,4 +1,4 @@
-"""An in-memory ``KvStore`` with faults on command, for tests that need no HTTP."""
+"""An in-memory ``KvStore`` with fault injection, for tests that need no HTTP."""
 
 import math
 from collections.abc import AsyncIterator, Callable
@@ -22,12 +22,12 @@
 __all__ = ["LostAnswer", "MemoryKv"]
 
 MAX_VALUE_BYTES = 1024 * 1024
-# How long a silent service is waited for.
+# How long a call to a silent service waits before it fails.
 TIMEOUT_MS = 1500
 
 
 class MemoryKv:
-    """A ``KvStore`` of its own, or one more client of the ``state`` of another.
+    """A ``KvStore`` with its own state, or another client of the given ``state``.
 
     Faults: ``kv.faults.down = True``, ``kv.faults.silent``, ``kv.faults.delay_ms``,
     ``kv.faults.lose_answer(when, nth)``, ``kv.lapse_lease(lease_id)``, ``kv.cut_watches()``.
@@ -49,17 +49,17 @@
         self.faults.down = value
 
     def lapse_lease(self, lease_id: int) -> None:
-        """End a lease as if its holder had been paused."""
+        """Expire a lease now, as if its holder had been paused for its whole duration."""
         self.state.revoke(lease_id)
 
     def cut_watches(self) -> None:
-        """Lose the connections of all watches."""
+        """Cut the connections of all watches."""
         for sender in tuple(self._watch_senders):
             self._watch_senders.discard(sender)
             sender.close()
 
     def apply_late_writes(self) -> None:
-        """Let the writes that were held back take effect now."""
+        """Apply the writes delayed by ``LostAnswer.LATE_EFFECT`` now."""
         late, self._late_writes = self._late_writes, []
         for write in late:
             write()
@@ -93,13 +93,13 @@
     ) -> Result[int, Fault]:
         def write() -> Result[int, Fault]:
             if len(value) > MAX_VALUE_BYTES:
-                message = f"{key}: {len(value)} bytes are over the limit"
+                message = f"{key}: {len(value)} bytes exceed the limit"
                 return Err(Fault(ResultCode.KV_VALUE_TOO_LARGE, message))
             try:
                 revision = self.state.put_if(key, value, expected_revision, lease_id)
             except LeaseNotFoundError as error:
                 return _conflict(str(error))
-            return Ok(revision) if revision else _conflict(f"{key} is at another revision")
+            return Ok(revision) if revision else _conflict(f"{key} has another revision")
 
         return await self._call(CallKind.PUT, write)
 
@@ -107,7 +107,7 @@
         def write() -> Result[None, Fault]:
             if self.state.delete_if(key, expected_revision):
                 return Ok(None)
-            return _conflict(f"{key} is at another revision")
+            return _conflict(f"{key} has another revision")
 
         return await self._call(CallKind.DELETE, write)
 
@@ -178,7 +178,7 @@
             self._late_writes.append(execute)
         if lost is LostAnswer.AFTER_EFFECT:
             execute()
-        return Err(Fault(ResultCode.KV_UNKNOWN, f"answer to {kind} lost on command", 1000))
+        return Err(Fault(ResultCode.KV_UNKNOWN, f"response to {kind} lost on command", 1000))
 
     async def _time_out(self, kind: CallKind) -> Err[Fault]:
         await trio.sleep(TIMEOUT_MS / 1000)
--- a/tests/builders/standins.py
+++ b/tests/builders/standins.py
@@ -1,4 +1,4 @@
-"""Running stand-ins with the clients that talk to them."""
+"""Context managers that run stand-ins, and clients for them."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
@@ -34,12 +34,12 @@
 
 LOOPBACK = Address("127.0.0.1", 0)
 _TEST_TIMEOUT_S = 60
-# Engines that give a token each millisecond or so, for tests that do not look at the time.
+# Engines that produce a token about every millisecond, for tests that do not check timing.
 FAST_ENGINES = {"step_ms": 1.0, "step_ms_per_sequence": 0.0, "prefill_ms_per_token": 0.001}
 
 
 def run_async(test: Callable[[], Awaitable[None]], clock: trio.abc.Clock | None = None) -> None:
-    """Run ``test`` in a loop of its own; one that hangs for a minute fails."""
+    """Run ``test`` in a new event loop; fail after a minute, as measured by ``clock``'s rate."""
     rate = clock.rate if isinstance(clock, trio.testing.MockClock) and clock.rate else 1
 
     async def run() -> None:
@@ -50,7 +50,7 @@
 
 
 def etcd_client(http: HttpClient, *addresses: Address, timeout_ms: int = 1500) -> EtcdKv:
-    """Return a client of a service at ``addresses``."""
+    """Return a client for the key-value service at ``addresses``."""
     settings = PlatformSettings(
         kv_addresses=",".join(str(address) for address in addresses),
         vm_list_address="127.0.0.1:1",
@@ -61,7 +61,7 @@
 
 @asynccontextmanager
 async def open_http() -> AsyncIterator[HttpClient]:
-    """Give a client whose idle connections are closed after the block."""
+    """Yield an HTTP client; its idle connections are closed after the block."""
     http = HttpClient()
     try:
         yield http
@@ -72,7 +72,7 @@
 
 @asynccontextmanager
 async def running_kv(timeout_ms: int = 1500) -> AsyncIterator[tuple[KvService, EtcdKv]]:
-    """Serve a key-value service while the block runs, and give a client of it."""
+    """Run a key-value service while the block runs; yield it with a client."""
     service = KvService(progress_ms=50)
     async with trio.open_nursery() as nursery:
         address = await nursery.start(service.run, LOOPBACK)
@@ -83,7 +83,7 @@
 
 @asynccontextmanager
 async def running_standins(**settings: object) -> AsyncIterator[Standins]:
-    """Run all stand-ins while the block runs, with engines that are fast."""
+    """Run all stand-ins, with fast engines by default, while the block runs."""
     async with trio.open_nursery() as nursery:
         merged_settings = StandinSettings(**{**FAST_ENGINES, **settings})
         yield await nursery.start(run_standins, merged_settings)
@@ -91,7 +91,7 @@
 
 
 def upstream_of(engine: EngineService) -> UpstreamRecord:
-    """Return the record under which a fleet would know ``engine``."""
+    """Return the record that describes ``engine`` in the view of a fleet."""
     return UpstreamRecord(
         upstream_id=engine.upstream_id,
         region="local",
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineHarness:
-    """One engine and the clients to reach it."""
+    """One engine with the clients for its interfaces."""
 
     engine: EngineService
     upstream: UpstreamRecord
@@ -133,5 +133,5 @@
 
 
 def chat_prompt(text: str) -> str:
-    """Return the prompt that the engine makes of ``chat_body(text)``."""
+    """Return the prompt that the engine builds from ``chat_body(text)``."""
     return f"<user>{text}\n"
--- a/tests/test_standin_engine.py
+++ b/tests/test_standin_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in and our engine client: whole answers, resumption, faults, orders, cache."""
+"""The stand-in engine with the engine client: answers, resumption, faults, orders and cache."""
 
 import unittest
 
@@ -36,7 +36,7 @@
 CHAT = "/v1/chat/completions"
 TEXT = "/v1/completions"
 EVENT = b'data: {"choices":[{"text":"x"}]}\n\n'
-# A prompt of several cache blocks.
+# A prompt that spans several cache blocks.
 LONG = "tell me more " * 30
 
 
@@ -45,7 +45,7 @@
 
 
 async def wait_for(condition) -> None:
-    """Wait until ``condition()`` holds; the test's own timeout bounds it."""
+    """Wait until ``condition()`` is true; the timeout of the test limits the wait."""
     while not condition():  # noqa: ASYNC110
         await trio.sleep(0.002)
 
@@ -100,7 +100,7 @@
 
     def test_leaving_the_stream_cancels_it(self):
         async def test(harness: EngineHarness) -> None:
-            # Longer than the test may take, so that it cannot end by itself.
+            # Generating so many tokens takes longer than the timeout of the test.
             body = chat_body("hello", 10_000_000)
             async with harness.client.stream(harness.upstream, CHAT, body, "a") as stream:
                 await anext(stream)
@@ -207,7 +207,7 @@
                 await harness.client.call(
                     harness.upstream, CHAT, chat_body("hello", 3, model="other"), "a"
                 )
-            # It may be loaded elsewhere, so another attempt is of use.
+            # Another engine may have loaded the model, so the error is not permanent.
             self.assertEqual(caught.exception.status, 404)
             self.assertFalse(caught.exception.is_permanent)
 
@@ -280,7 +280,7 @@
                 await wait_for(lambda: harness.engine.orders.received)
                 nursery.start_soon(order, 2, "unload_model")
             self.assertEqual(harness.engine.orders.models, {})
-            # No model is not any model.
+            # After its last model was unloaded, the engine does not serve arbitrary models.
             with self.assertRaises(EngineError):
                 await harness.client.call(harness.upstream, CHAT, chat_body("hello", 2), "a")
 
@@ -312,7 +312,7 @@
 
 
 class ResumptionTest(unittest.TestCase):
-    """Callers that carry on elsewhere whenever a stream breaks."""
+    """Callers that resume at another engine whenever a stream breaks."""
 
     CALLERS = 30
     TOKENS = 40
@@ -339,7 +339,7 @@
                 before = engine.stats.tokens
                 await wait_for(lambda e=engine, b=before: e.stats.tokens >= b + 150)
                 engine.die()
-                # Some callers find it refusing connections.
+                # Long enough for some callers to have their connection refused.
                 await trio.sleep(0.005)
                 engine.revive()
 
@@ -363,7 +363,7 @@
 
 
 class EngineStreamTest(unittest.TestCase):
-    """Bytes that no well-behaved engine sends."""
+    """Streams that are split in unusual places, incomplete or malformed."""
 
     def read_all(self, chunks: list[bytes], *, ends: bool = True) -> list[str]:
         async def answer(request: Request, responder: Responder) -> None:
--- a/tests/test_standin_kv.py
+++ b/tests/test_standin_kv.py
@@ -1,4 +1,4 @@
-"""The key-value stand-in over HTTP with our client: semantics, faults, watches, counts."""
+"""The stand-in key-value service with the etcd client: semantics, faults, watches and counts."""
 
 import unittest
 
@@ -26,7 +26,7 @@
     st.tuples(
         st.sampled_from(["put", "delete", "get", "range"]),
         keys,
-        # Whether the revision expected is the true one.
+        # Whether the expected revision is the current one.
         st.booleans(),
         st.sampled_from([None, None, *LostAnswer]),
     ),
@@ -35,7 +35,11 @@
 
 
 class DictOracle:
-    """The same operations on a dict, done when and only when the service says so or is unsure."""
+    """Applies the same operations to a dict and compares it with the service.
+
+    A write is applied if the service confirms it.  If its result is unknown, the value is read back
+    and must be either the old or the new one.
+    """
 
     def __init__(self, test: unittest.TestCase, kv: KvStore) -> None:
         self.test = test
@@ -64,7 +68,7 @@
                 self.test.assertEqual(list(seen.items()), list(expected_values.items()))
 
     async def settle_write(self, key: str, value: bytes | None, allowed: bool, result) -> None:
-        """Apply a write that was done; read back one that may have been."""
+        """Apply a confirmed write; read back the value if the result is unknown."""
         if isinstance(result, Ok):
             self.test.assertTrue(allowed)
             self.set(key, value, result.ok_value)
@@ -100,7 +104,7 @@
     def test_agrees_with_a_dict_whichever_responses_are_lost(self, drawn):
         async def run() -> None:
             async with running_kv() as (service, kv):
-                # A late write lands while it is read back, or never within this test.
+                # An hour, so that a write read back as absent does not take effect within this test.
                 service.faults.late_effect_ms = 3_600_000
                 oracle = DictOracle(self, kv)
                 for number, (kind, key, expected_is_current, lost) in enumerate(drawn):
@@ -214,7 +218,8 @@
         run_async(run)
 
 
-# By path.  Protobuf's JSON writes 64-bit numbers as strings and leaves out zeros and defaults.
+# Responses by path.  Protobuf's JSON encodes 64-bit integers as strings and omits default values
+# such as 0.
 PROTOBUF_JSON = {
     "/v3/kv/range": b'{"header":{"revision":"7"},"kvs":[{"key":"aw==","mod_revision":"6"}]}',
     "/v3/kv/txn": b'{"header":{"revision":"7"}}',
@@ -232,7 +237,7 @@
 
 
 class ProtobufJsonTest(unittest.TestCase):
-    """The gateway's answers as its protocol defines them, which our stand-in writes more simply."""
+    """Responses in the gateway's own encoding, which differs from the stand-in's plainer JSON."""
 
     def test_numbers_may_be_strings_and_zeros_may_be_omitted(self):
         async def run() -> None:
@@ -293,7 +298,7 @@
         async def run() -> None:
             async with running_kv() as (service, kv):
                 async with kv.watch("w", 0) as events:
-                    # Progress messages come meanwhile and are not events.
+                    # Progress reports that arrive meanwhile are not events.
                     await trio.sleep(0.12)
                     service.cut_watches()
                     self.assertEqual([event async for event in events], [])
@@ -341,7 +346,7 @@
                 with self.assertRaises(LookupError):
                     async with kv.watch("w", 0):
                         raise LookupError
-                # The client is of further use.
+                # The client remains usable.
                 self.assertIsInstance(await kv.get("w"), Ok)
 
         run_async(run)
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -1,4 +1,4 @@
-"""The other stand-ins: VM list, weight store, plain service, control interface, program."""
+"""The other stand-ins: VM list, weight store, plain service, control interface and settings."""
 
 import tempfile
 import unittest
--- a/tests/test_standin_token_time.py
+++ b/tests/test_standin_token_time.py
@@ -1,4 +1,4 @@
-"""The token-time model: what is admitted slows what runs; the prefix cache and its events."""
+"""The token-time model, the prefix cache with its event log, and the generated text."""
 
 import unittest
 
@@ -32,7 +32,7 @@
 
 
 def first_token_ms(model: TokenTimeModel, name: str) -> float:
-    """Step until ``name`` has its first token and return the time that took."""
+    """Step until ``name`` has its first token and return the elapsed time."""
     total_ms = 0.0
     while True:
         result = model.step()
@@ -44,7 +44,7 @@
 class TokenTimeModelTest(unittest.TestCase):
     def test_time_of_one_sequence(self):
         model = model_with(sequence("a"))
-        # The prompt's step gives the first token; later steps give one each.
+        # The step that completes the prefill produces the first token; each later step, one more.
         self.assertEqual(model.step().duration_ms, 10.0 + 10 * 0.1)
         self.assertEqual(model.step().duration_ms, 10.0 + 1.0)
 
@@ -145,7 +145,7 @@
             log.add(CacheEvent(0, (f"block-{number}",)), now_ms=number * 10)
         self.assertEqual(log.read(0, now_ms=109).events, ())
         page = log.read(1, now_ms=1000)
-        # Number 3 was lost and number 1 has made room.
+        # Event 3 was lost and event 1 was evicted.
         self.assertEqual([event.seq for event in page.events], [2, 4, 5])
         self.assertEqual((page.last_seq, page.first_kept), (5, 2))
 
