--- a/src/fescuedock/standin/kv_calls.py
+++ b/src/fescuedock/standin/kv_calls.py
@@ -87,7 +87,7 @@
     def txn(self, request: wire.TxnRequest) -> wire.TxnAnswer:
         for compare in request.compare:
             if (compare.target, compare.result) != ("MOD", "EQUAL"):
-                message = f"unsupported comparison {compare.target} {compare.result}"
+                message = f"comparison {compare.target} {compare.result} is not supported"
                 raise CallError(400, _INVALID_ARGUMENT, message)
         puts = [item.request_put for item in request.success if item.request_put is not None]
         if any(len(put.value) > MAX_VALUE_BYTES for put in puts):
--- a/tests/test_standin_kv.py
+++ b/tests/test_standin_kv.py
@@ -104,7 +104,7 @@
     def test_agrees_with_a_dict_whichever_responses_are_lost(self, drawn):
         async def run() -> None:
             async with running_kv() as (service, kv):
-                # An hour, so that a write read back as absent does not take effect within this test.
+                # An hour, so that a write read back as absent takes no effect during the test.
                 service.faults.late_effect_ms = 3_600_000
                 oracle = DictOracle(self, kv)
                 for number, (kind, key, expected_is_current, lost) in enumerate(drawn):
