--- a/bench/node_costs.py
+++ b/bench/node_costs.py
@@ -17,7 +17,7 @@
 from fescuedock.address import Address
 from fescuedock.net.http_client import HttpClient
 from tests.builders.local import wait_until
-from tests.soak.world import NodeProcess, World, own_network, serves
+from tests.soak.harness import NodeProcess, SoakHarness, accepts_connections, loopback_network
 
 __all__ = ["measure"]
 
@@ -50,7 +50,7 @@
 async def _measure(nodes: int, upstreams: int) -> NodeCosts:
     with tempfile.TemporaryDirectory() as folder:
         async with trio.open_nursery() as nursery:
-            world = World(nursery, Path(folder), own_network())
+            world = SoakHarness(nursery, Path(folder), loopback_network())
             await world.start(nodes, upstreams, _SPOOLS)
             try:
                 return await _measure_world(world)
@@ -59,9 +59,9 @@
                 nursery.cancel_scope.cancel()
 
 
-async def _measure_world(world: World) -> NodeCosts:
+async def _measure_world(world: SoakHarness) -> NodeCosts:
     for node in world.nodes:
-        await wait_until(partial(serves, node))
+        await wait_until(partial(accepts_connections, node))
     start_ms = _mean_ms(world.nodes)
     await trio.sleep(_SETTLE_S)
     before_ms = _mean_ms(world.nodes)
@@ -85,7 +85,7 @@
     return 1000 * ticks / _TICKS_PER_S
 
 
-async def _call_all(world: World) -> None:
+async def _call_all(world: SoakHarness) -> None:
     client = HttpClient()
     async with trio.open_nursery() as nursery:
         for number in range(_CALLS):
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -11,19 +11,19 @@
 from fescuedock.net.http_client import HttpClient, NotSentError, ResponseLostError
 from tests.builders.jobs_calls import job_body
 from tests.builders.node import HOST
-from tests.soak.promises import CALM_S, NOT_RUN, SETTLE_S, Ledger, OnlineAttempt, SoakJob
-from tests.soak.world import NodeProcess, World
+from tests.soak.harness import NodeProcess, SoakHarness
+from tests.soak.promises import CALM_S, NOT_RUN_STATUSES, SETTLE_S, Ledger, OnlineAttempt, SoakJob
 
-__all__ = ["DENIALS", "ConfigWatcher", "JobClient", "OnlineClient", "Reply", "call_node"]
+__all__ = ["REJECTION_STATUSES", "ConfigWatcher", "JobClient", "OnlineClient", "Reply", "call_node"]
 
 _DEADLINE_MS = 3000
 # What a client waits beyond its deadline.
-_PATIENCE_S = 4.0
-_KINDS = (("/check/", False), ("/rights/", True), ("/safe/", False))
+_CLIENT_TIMEOUT_S = 4.0
+_ROUTES = (("/check/", False), ("/rights/", True), ("/safe/", False))
 # When an accepted submission comes again: half listed, or finished.
 _REPEAT_S = ((0.0, 0.6), (1.0, 9.0))
 # Answers by which a node says that a proper call is wrong, or that there is no such job.
-DENIALS = (400, 401, 404, 409, 410, 413, 422, 431)
+REJECTION_STATUSES = (400, 401, 404, 409, 410, 413, 422, 431)
 _numbers = itertools.count(1)
 
 
@@ -34,7 +34,7 @@
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    whole: bool = False
+    complete: bool = False
     sent: bool = True
 
 
@@ -47,14 +47,14 @@
     headers: dict[str, str] | None = None,
     *,
     fresh: bool = True,
-    patience_s: float = _PATIENCE_S,
+    timeout_s: float = _CLIENT_TIMEOUT_S,
 ) -> Reply:
     """Make one call and read as much of its answer as comes within a client's patience."""
     reply = Reply()
     fields = {"host": HOST, "x-deadline-ms": str(_DEADLINE_MS)}
     # The name is forged: nodes put that of the key's customer in its place.
     fields |= {"authorization": f"Bearer {Ledger.key}", "x-tenant": "forged"} | (headers or {})
-    with trio.move_on_after(patience_s):
+    with trio.move_on_after(timeout_s):
         try:
             async with http.request(
                 address, method, target, list(fields.items()), body, fresh=fresh
@@ -62,11 +62,11 @@
                 reply.status, reply.headers = response.status, dict(response.headers)
                 async for part in response.chunks():
                     reply.body += part
-                reply.whole = True
+                reply.complete = True
         except NotSentError:
             reply.sent = False
         except ResponseLostError:
-            reply.whole = False
+            reply.complete = False
     return reply
 
 
@@ -74,22 +74,22 @@
 class OnlineClient:
     """Sends one call after the other, staying with a node until that fails it."""
 
-    world: World
+    harness: SoakHarness
     ledger: Ledger
     rng: random.Random
     http: HttpClient = field(default_factory=HttpClient)
 
     async def run(self) -> None:
         """Call until cancelled."""
-        node = self.rng.choice(self.world.nodes)
+        node = self.rng.choice(self.harness.nodes)
         while True:
             await trio.sleep(self.rng.expovariate(1 / 0.05))
             attempt = await self._call(node)
-            if attempt.status != 200 or not attempt.whole:
+            if attempt.status != 200 or not attempt.complete:
                 node = await self._resolve()
 
     async def _call(self, node: NodeProcess) -> OnlineAttempt:
-        prefix, once = self.rng.choice(_KINDS)
+        prefix, at_most_once = self.rng.choice(_ROUTES)
         number = next(_numbers)
         attempt = OnlineAttempt(
             f"r-{number}",
@@ -97,14 +97,14 @@
             b"x" * self.rng.randrange(200),
             node.name,
             trio.current_time(),
-            once,
+            at_most_once,
         )
         self.ledger.attempts.append(attempt)
         headers = {"x-request-id": attempt.request_id, "x-model": "m"}
         reply = await call_node(
             self.http, node.front, "POST", attempt.path, attempt.body, headers, fresh=False
         )
-        attempt.status, attempt.whole, attempt.answer = reply.status, reply.whole, reply.body
+        attempt.status, attempt.complete, attempt.answer = reply.status, reply.complete, reply.body
         attempt.seal = reply.headers.get("x-response-seal", "")
         attempt.ended_s = trio.current_time()
         self.ledger.judge_answer(attempt)
@@ -112,14 +112,14 @@
 
     async def _resolve(self) -> NodeProcess:
         """Ask a node which ones take work, as clients do."""
-        asked = self.rng.choice(self.world.nodes)
+        node_to_ask = self.rng.choice(self.harness.nodes)
         target = f"/api/resolve?name={HOST}&region=caldas&zone=sala-1"
-        reply = await call_node(self.http, asked.directory, "GET", target)
-        if reply.status != 200 or not reply.whole:
-            return self.rng.choice(self.world.nodes)
-        named = json.loads(reply.body)["addresses"]
-        nodes = [node for node in self.world.nodes if str(node.front) in named]
-        return self.rng.choice(nodes or self.world.nodes)
+        reply = await call_node(self.http, node_to_ask.directory, "GET", target)
+        if reply.status != 200 or not reply.complete:
+            return self.rng.choice(self.harness.nodes)
+        addresses = json.loads(reply.body)["addresses"]
+        nodes = [node for node in self.harness.nodes if str(node.front) in addresses]
+        return self.rng.choice(nodes or self.harness.nodes)
 
 
 @dataclass(slots=True)
@@ -129,17 +129,17 @@
     Accepted ones come again on kept connections, half listed, finished or ended.
     """
 
-    world: World
+    harness: SoakHarness
     ledger: Ledger
     rng: random.Random
     http: HttpClient = field(default_factory=HttpClient)
     # Cancel this to have it submit nothing new; what was accepted goes on to come again.
-    submits: trio.CancelScope = field(default_factory=trio.CancelScope)
+    submit_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     async def run(self) -> None:
         """Submit until cancelled; reading goes on in ``read_some``."""
         async with trio.open_nursery() as repeats:
-            with self.submits:
+            with self.submit_scope:
                 await self._submit_jobs(repeats)
 
     async def _submit_jobs(self, repeats: trio.Nursery) -> None:
@@ -156,7 +156,7 @@
                 if self.rng.random() < 0.15:
                     await self._end(job)
 
-    async def read_some(self) -> None:
+    async def read_at_random(self) -> None:
         """Read accepted jobs, at any node and from any position, until cancelled."""
         while True:
             await trio.sleep(0.05)
@@ -170,26 +170,28 @@
 
     async def read(self, job: SoakJob, after: int) -> None:
         """Read a job once."""
-        node = self.rng.choice(self.world.nodes)
-        asked_s = trio.current_time()
+        node = self.rng.choice(self.harness.nodes)
+        sent_s = trio.current_time()
         target = f"/api/lots/{job.job_id}?after={after}"
         reply = await call_node(self.http, node.front, "GET", target, headers={"x-wait-ms": "100"})
-        if reply.status in (404, 410) and asked_s > job.accepted_s + SETTLE_S:
-            self.ledger.broken.append(f"{job.job_id}: {reply.status} at {node.name}")
-        if reply.status != 200 or not reply.whole:
+        if reply.status in (404, 410) and sent_s > job.accepted_s + SETTLE_S:
+            self.ledger.violations.append(f"{job.job_id}: {reply.status} at {node.name}")
+        if reply.status != 200 or not reply.complete:
             return
         page = json.loads(reply.body)
-        found = page["results"]
+        results = page["results"]
         known_s = job.listed_s.get(job.results.get(after, ("",))[0], float("inf"))
-        was_calm = self.ledger.was_calm(asked_s, trio.current_time())
-        if not found and asked_s > known_s + SETTLE_S and was_calm:
-            self.ledger.broken.append(f"{job.job_id}: nothing at position {after} at {node.name}")
-        if page["total"] != len(job.items) or page["nextToken"] != after + len(found):
-            self.ledger.broken.append(f"{job.job_id}: a page that does not fit: {page}"[:200])
-        for position, item in enumerate(found, start=after):
-            wrong = job.take(position, (item["id"], item["state"], item["text"]))
-            if wrong:
-                self.ledger.broken.append(f"{job.job_id} at {node.name}: {wrong}")
+        was_calm = self.ledger.was_calm(sent_s, trio.current_time())
+        if not results and sent_s > known_s + SETTLE_S and was_calm:
+            self.ledger.violations.append(
+                f"{job.job_id}: nothing at position {after} at {node.name}"
+            )
+        if page["total"] != len(job.items) or page["nextToken"] != after + len(results):
+            self.ledger.violations.append(f"{job.job_id}: a page that does not fit: {page}"[:200])
+        for position, item in enumerate(results, start=after):
+            problem = job.record_result(position, (item["id"], item["state"], item["text"]))
+            if problem:
+                self.ledger.violations.append(f"{job.job_id} at {node.name}: {problem}")
             job.listed_s.setdefault(item["id"], trio.current_time())
 
     async def _read_body(self, job: SoakJob) -> None:
@@ -197,37 +199,37 @@
         waiting = [item for item in job.items if item not in job.listed_s]
         if not waiting:
             return
-        item, node = self.rng.choice(waiting), self.rng.choice(self.world.nodes)
-        asked_s = trio.current_time()
+        item, node = self.rng.choice(waiting), self.rng.choice(self.harness.nodes)
+        sent_s = trio.current_time()
         target = f"/api/items/{job.job_id}?id={item}"
         reply = await call_node(self.http, node.front, "GET", target)
-        if reply.status == 200 and reply.whole and reply.body != item.encode():
-            self.ledger.broken.append(f"{job.job_id}: another body of {item} at {node.name}")
-        if reply.status not in (404, 410) or asked_s < job.accepted_s + SETTLE_S:
+        if reply.status == 200 and reply.complete and reply.body != item.encode():
+            self.ledger.violations.append(f"{job.job_id}: another body of {item} at {node.name}")
+        if reply.status not in (404, 410) or sent_s < job.accepted_s + SETTLE_S:
             return
         # It may have been listed meanwhile, as far as nobody has read; all before it is read now.
         for _ in range(len(job.items)):
             await self.read(job, len(job.results))
-        if item not in job.listed_s and not job.end_asked:
-            self.ledger.broken.append(f"{job.job_id}: no body of {item} at {node.name}")
+        if item not in job.listed_s and not job.end_requested:
+            self.ledger.violations.append(f"{job.job_id}: no body of {item} at {node.name}")
 
     async def _repeat(self, job: SoakJob, after_s: float) -> None:
         """Send the submission again at any node."""
         await trio.sleep(after_s)
-        node, sent_s = self.rng.choice(self.world.nodes), trio.current_time()
+        node, sent_s = self.rng.choice(self.harness.nodes), trio.current_time()
         headers = {"x-request-id": job.job_id}
         body = job_body(*job.items)
         reply = await call_node(
             self.http, node.front, "POST", "/letters/new", body, headers, fresh=False
         )
-        job.calls.append(f"{self.ledger.tell(sent_s)} POST {node.name}: {reply.status}")
-        if reply.status in DENIALS and sent_s > job.accepted_s + SETTLE_S:
-            self.ledger.broken.append(f"{job.job_id}: POST {reply.status} at {node.name}")
+        job.calls.append(f"{self.ledger.format_time(sent_s)} POST {node.name}: {reply.status}")
+        if reply.status in REJECTION_STATUSES and sent_s > job.accepted_s + SETTLE_S:
+            self.ledger.violations.append(f"{job.job_id}: POST {reply.status} at {node.name}")
 
     async def _submit(self, job: SoakJob) -> None:
         body = job_body(*job.items)
         for _ in range(6):
-            node = self.rng.choice(self.world.nodes)
+            node = self.rng.choice(self.harness.nodes)
             headers = {"x-request-id": job.job_id}
             # Until an answer promises the contrary: this client may be ended while it waits.
             may_be_accepted, job.may_be_accepted = job.may_be_accepted, True
@@ -235,14 +237,14 @@
             if reply.status == 202:
                 job.accepted_s = trio.current_time()
                 return
-            if reply.status in NOT_RUN or not reply.sent:
+            if reply.status in NOT_RUN_STATUSES or not reply.sent:
                 job.may_be_accepted = may_be_accepted
             await trio.sleep(self.rng.uniform(0.05, 0.5))
 
     async def _end(self, job: SoakJob) -> None:
-        job.end_asked = True
+        job.end_requested = True
         for _ in range(20):
-            node = self.rng.choice(self.world.nodes)
+            node = self.rng.choice(self.harness.nodes)
             target = f"/api/lots/{job.job_id}"
             reply = await call_node(self.http, node.front, "DELETE", target)
             if reply.status == 200:
@@ -258,34 +260,40 @@
     Each version has a route of its own, which stays (``Schedule`` adds it).
     """
 
-    world: World
+    harness: SoakHarness
     ledger: Ledger
     http: HttpClient = field(default_factory=HttpClient)
     # The highest version that a process has shown, by node and process id.
-    _shown: dict[tuple[str, int], int] = field(default_factory=dict)
+    _highest_served: dict[tuple[str, int], int] = field(default_factory=dict)
 
     async def run(self) -> None:
         """Ask until cancelled."""
         while True:
             await trio.sleep(0.3)
-            for node in self.world.nodes:
-                if node.runs and not node.paused:
-                    await self._ask(node)
+            for node in self.harness.nodes:
+                if node.is_running and not node.paused:
+                    await self._poll(node)
 
-    async def _ask(self, node: NodeProcess) -> None:
-        version, changed_s = self.world.config["version"], self.world.config_s
+    async def _poll(self, node: NodeProcess) -> None:
+        version, changed_s = self.harness.config["version"], self.harness.config_changed_s
         process = (node.name, node.process.pid)
-        asked_s = trio.current_time()
-        shown = self._shown.get(process, 0)
-        for wanted in sorted({version, shown} - {0}):
-            status = await self._status(node, wanted)
-            if status == 404 and wanted <= shown:
-                self.ledger.broken.append(f"{node.name} went back behind version {wanted}")
-            late = asked_s > changed_s + 2.0 and asked_s > node.disturbed_s + CALM_S
+        sent_s = trio.current_time()
+        served = self._highest_served.get(process, 0)
+        for checked_version in sorted({version, served} - {0}):
+            status = await self._status(node, checked_version)
+            if status == 404 and checked_version <= served:
+                self.ledger.violations.append(
+                    f"{node.name} went back behind version {checked_version}"
+                )
+            late = sent_s > changed_s + 2.0 and sent_s > node.disturbed_s + CALM_S
             if status == 404 and late and self.ledger.was_calm(changed_s, trio.current_time()):
-                self.ledger.broken.append(f"{node.name} does not follow version {wanted}")
+                self.ledger.violations.append(
+                    f"{node.name} does not follow version {checked_version}"
+                )
             if status == 200 and node.process.pid == process[1]:
-                self._shown[process] = max(self._shown.get(process, 0), wanted)
+                self._highest_served[process] = max(
+                    self._highest_served.get(process, 0), checked_version
+                )
 
     async def _status(self, node: NodeProcess, version: int) -> int:
         number = next(_numbers)
@@ -294,5 +302,5 @@
         self.ledger.attempts.append(attempt)
         headers = {"x-request-id": attempt.request_id, "x-model": "m"}
         reply = await call_node(self.http, node.front, "POST", path, headers=headers)
-        attempt.status, attempt.whole, attempt.answer = reply.status, reply.whole, reply.body
+        attempt.status, attempt.complete, attempt.answer = reply.status, reply.complete, reply.body
         return reply.status
--- a/tests/soak/ending.py
+++ b/tests/soak/ending.py
@@ -11,9 +11,9 @@
 
 from fescuedock.net.http_client import HttpClient
 from tests.builders.jobs_calls import job_body
-from tests.soak.clients import DENIALS, Reply, call_node
-from tests.soak.promises import NOT_RUN, SETTLE_S, Ledger, SoakJob
-from tests.soak.world import SLOW_ITEM, NodeProcess, World
+from tests.soak.clients import REJECTION_STATUSES, Reply, call_node
+from tests.soak.harness import SLOW_ITEM, NodeProcess, SoakHarness
+from tests.soak.promises import NOT_RUN_STATUSES, SETTLE_S, Ledger, SoakJob
 
 __all__ = ["EndingClient"]
 
@@ -35,7 +35,7 @@
     """Ends one job after the other; what comes again goes on beside it, on kept connections."""
 
     name: str
-    world: World
+    harness: SoakHarness
     ledger: Ledger
     rng: random.Random
     http: HttpClient = field(default_factory=HttpClient)
@@ -60,19 +60,19 @@
         self._jobs += 1
         number = f"{self.name}-{self._jobs}"
         items = [f"{SLOW_ITEM}{number}-{index}" for index in range(self.rng.randint(*_ITEMS))]
-        job = SoakJob(f"job-{number}", items, to_end=True)
+        job = SoakJob(f"job-{number}", items, will_be_ended=True)
         self.ledger.jobs[job.job_id] = job
         return job
 
     async def _submit(self, job: SoakJob) -> None:
         for _ in range(_SUBMIT_TRIES):
-            node = self.rng.choice(self.world.nodes)
+            node = self.rng.choice(self.harness.nodes)
             may_be_accepted, job.may_be_accepted = job.may_be_accepted, True
             reply = await self._send(job, node)
             if reply.status == 202:
                 job.accepted_s, job.owner = trio.current_time(), node.name
                 return
-            if reply.status in NOT_RUN or not reply.sent:
+            if reply.status in NOT_RUN_STATUSES or not reply.sent:
                 job.may_be_accepted = may_be_accepted
             await trio.sleep(self.rng.uniform(*_RETRY_S))
 
@@ -82,7 +82,7 @@
         with trio.move_on_after(self.rng.uniform(*span_s)):
             await job.end_now.wait()
         for _ in range(_END_TRIES):
-            reply = await self._send_end(job, self.rng.choice(self.world.nodes))
+            reply = await self._send_end(job, self.rng.choice(self.harness.nodes))
             if reply.status == 200:
                 return
             await trio.sleep(self.rng.uniform(*_RETRY_S))
@@ -90,18 +90,18 @@
     async def _repeat(self, job: SoakJob, span_s: tuple[float, float]) -> None:
         """Send the submission again at the job's owner or any node, and perhaps the end."""
         await trio.sleep(self.rng.uniform(*span_s))
-        owner = self.world.node(job.owner)
-        for node in (owner, self.rng.choice(self.world.nodes)):
+        owner = self.harness.node(job.owner)
+        for node in (owner, self.rng.choice(self.harness.nodes)):
             await self._send(job, node)
             # An end that comes again finds the same end.
             if job.has_ended and self.rng.random() < 0.5:
-                await self._send_end(job, self.rng.choice(self.world.nodes))
+                await self._send_end(job, self.rng.choice(self.harness.nodes))
 
     async def _send(self, job: SoakJob, node: NodeProcess) -> Reply:
         return await self._call(job, node, "POST", "/letters/new", job_body(*job.items))
 
     async def _send_end(self, job: SoakJob, node: NodeProcess) -> Reply:
-        job.end_asked = True
+        job.end_requested = True
         reply = await self._call(job, node, "DELETE", f"/api/lots/{job.job_id}")
         if reply.status == 200:
             # The first acknowledgement counts.
@@ -114,7 +114,7 @@
         sent_s = trio.current_time()
         headers = {"x-request-id": job.job_id}
         reply = await call_node(self.http, node.front, method, target, body, headers, fresh=False)
-        job.calls.append(f"{self.ledger.tell(sent_s)} {method} {node.name}: {reply.status}")
-        if reply.status in DENIALS and sent_s > job.accepted_s + SETTLE_S:
-            self.ledger.broken.append(f"{job.job_id}: {method} {reply.status} at {node.name}")
+        job.calls.append(f"{self.ledger.format_time(sent_s)} {method} {node.name}: {reply.status}")
+        if reply.status in REJECTION_STATUSES and sent_s > job.accepted_s + SETTLE_S:
+            self.ledger.violations.append(f"{job.job_id}: {method} {reply.status} at {node.name}")
         return reply
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -14,16 +14,16 @@
 from fescuedock.platform.standin.event_upstream import UpstreamFault
 from fescuedock.standin.kv_faults import LostAnswer
 from tests.builders.node import config_document
-from tests.soak.customers import first_customers
-from tests.soak.promises import Disturbance, Ledger
-from tests.soak.world import (
+from tests.soak.customers import initial_customers
+from tests.soak.harness import (
     STOP_TIMEOUT_S,
     NodeProcess,
+    SoakHarness,
     SoakUpstream,
-    World,
-    serves,
+    accepts_connections,
     version_route,
 )
+from tests.soak.promises import Disturbance, Ledger
 
 __all__ = ["Schedule"]
 
@@ -36,18 +36,18 @@
 class Schedule:
     """Draws faults from ``rng`` and carries them out; ``told`` has a line for each."""
 
-    world: World
+    harness: SoakHarness
     ledger: Ledger
     rng: random.Random
-    told: list[str] = field(default_factory=list)
-    _begun_s: float = 0.0
+    descriptions: list[str] = field(default_factory=list)
+    _started_s: float = 0.0
     _new_upstreams: int = 0
 
     async def run(self, duration_s: float) -> None:
         """Cause faults for ``duration_s``, in series and overlapping; wait until all are over."""
-        self._begun_s = trio.current_time()
+        self._started_s = trio.current_time()
         async with trio.open_nursery() as nursery:
-            while trio.current_time() < self._begun_s + duration_s:
+            while trio.current_time() < self._started_s + duration_s:
                 fault = self.rng.choice(self._faults())
                 for _ in range(self.rng.choice((1, 1, 1, 2, 3))):
                     nursery.start_soon(self._cause, fault)
@@ -72,23 +72,23 @@
             self.ledger.disturbances.append(disturbance)
         what = await fault()
         disturbance.ended_s = trio.current_time()
-        began_s = disturbance.began_s - self._begun_s
-        ended_s = disturbance.ended_s - self._begun_s
+        began_s = disturbance.began_s - self._started_s
+        ended_s = disturbance.ended_s - self._started_s
         if what:
-            self.told.append(f"{began_s:.2f} to {ended_s:.2f}: {what}")
+            self.descriptions.append(f"{began_s:.2f} to {ended_s:.2f}: {what}")
 
     def _node(self) -> NodeProcess:
-        return self.rng.choice(self.world.nodes)
+        return self.rng.choice(self.harness.nodes)
 
     def _upstream(self) -> SoakUpstream:
-        registered = [item for item in self.world.upstreams if item.registered]
-        return self.rng.choice(registered or self.world.upstreams)
+        registered = [item for item in self.harness.upstreams if item.registered]
+        return self.rng.choice(registered or self.harness.upstreams)
 
     # --- nodes -----------------------------------------------------------------------------------
 
     async def _kill(self, node: NodeProcess | None = None) -> str:
         node = node or self._node()
-        if not node.runs:
+        if not node.is_running:
             return ""
         node.signal(signal.SIGKILL)
         await node.process.wait()
@@ -101,13 +101,13 @@
             return ""
         # The processes of now: a fault that overlaps may have started a node anew before its turn
         # comes, and that one would be waited for without end.
-        processes = [node.process for node in self.world.nodes]
-        for node in self.world.nodes:
+        processes = [node.process for node in self.harness.nodes]
+        for node in self.harness.nodes:
             node.signal(signal.SIGKILL)
         for process in processes:
             await process.wait()
         await trio.sleep(self.rng.uniform(0.1, 0.6))
-        for node in self.world.nodes:
+        for node in self.harness.nodes:
             await node.start()
         return "all nodes killed"
 
@@ -116,22 +116,24 @@
         node = node or self._node()
         seen_s = node.disturbed_s
         # One that starts up has nothing to finish, and no handler for the signal yet.
-        if not node.runs or node.paused or not await serves(node):
+        if not node.is_running or node.paused or not await accepts_connections(node):
             return ""
         # A fault that overlaps may have killed it while it answered.
         if node.disturbed_s != seen_s:
             return ""
-        process, asked_s = node.process, trio.current_time()
+        process, sent_s = node.process, trio.current_time()
         node.signal(signal.SIGTERM)
         disturbed_s = node.disturbed_s
         with trio.move_on_after(STOP_TIMEOUT_S + 3):
             await process.wait()
-        took_s = trio.current_time() - asked_s
+        took_s = trio.current_time() - sent_s
         if node.process is process and node.disturbed_s == disturbed_s:
             if process.returncode is None:
-                self.ledger.broken.append(f"{node.name} still runs {took_s:.1f} s after SIGTERM")
+                self.ledger.violations.append(
+                    f"{node.name} still runs {took_s:.1f} s after SIGTERM"
+                )
             elif process.returncode != 0:
-                self.ledger.broken.append(f"{node.name} ended with {process.returncode}")
+                self.ledger.violations.append(f"{node.name} ended with {process.returncode}")
         node.signal(signal.SIGKILL)
         await process.wait()
         await node.start()
@@ -139,7 +141,7 @@
 
     async def _pause(self, node: NodeProcess | None = None) -> str:
         node = node or self._node()
-        if not node.runs or node.paused:
+        if not node.is_running or node.paused:
             return ""
         node.signal(signal.SIGSTOP)
         await trio.sleep(self.rng.uniform(0.2, 3.0))
@@ -152,7 +154,7 @@
         if not jobs:
             return ""
         job = self.rng.choice(jobs)
-        owner = self.world.node(job.owner)
+        owner = self.harness.node(job.owner)
         at_owner = [self._kill, self._stop, self._pause, self._cut_node, self._silence_node]
         harms = [partial(harm, owner) for harm in at_owner]
         harms += [self._store_slow, self._lose_writes, self._store_silent, self._forget_history]
@@ -170,32 +172,32 @@
     # --- the store -------------------------------------------------------------------------------
 
     async def _store_down(self) -> str:
-        self.world.store.take_down()
+        self.harness.store.take_down()
         await trio.sleep(self.rng.uniform(0.3, 4.0))
-        self.world.store.bring_up()
+        self.harness.store.bring_up()
         return "store down"
 
     async def _store_silent(self) -> str:
-        self.world.store.faults.silent = True
+        self.harness.store.faults.silent = True
         await trio.sleep(self.rng.uniform(0.3, 3.0))
-        self.world.store.faults.silent = False
+        self.harness.store.faults.silent = False
         return "store silent"
 
     async def _store_slow(self) -> str:
-        self.world.store.faults.delay_ms = self.rng.uniform(50, 700)
+        self.harness.store.faults.delay_ms = self.rng.uniform(50, 700)
         await trio.sleep(self.rng.uniform(0.5, 3.0))
-        self.world.store.faults.delay_ms = 0.0
+        self.harness.store.faults.delay_ms = 0.0
         return "store slow"
 
     async def _lose_writes(self) -> str:
         for nth in range(1, self.rng.randint(2, 5)):
-            self.world.store.faults.lose_answer(self.rng.choice(list(LostAnswer)), nth)
+            self.harness.store.faults.lose_answer(self.rng.choice(list(LostAnswer)), nth)
         await trio.sleep(1.0)
         return "answers of writes lost"
 
     async def _forget_history(self) -> str:
-        self.world.store.state.compact(self.world.store.state.revision)
-        self.world.store.cut_watches()
+        self.harness.store.state.compact(self.harness.store.state.revision)
+        self.harness.store.cut_watches()
         return "store forgot its history"
 
     async def _cut_node(self, node: NodeProcess | None = None) -> str:
@@ -250,42 +252,42 @@
     async def _replace(self) -> str:
         """Let an upstream leave as planned, and a new one come."""
         leaving = self._upstream()
-        if leaving.state != "ready" or self.world.store.faults.down:
+        if leaving.state != "ready" or self.harness.store.faults.down:
             return ""
         self._new_upstreams += 1
-        await self.world.add_upstream(f"i-new-{self._new_upstreams}")
+        await self.harness.add_upstream(f"i-new-{self._new_upstreams}")
         leaving.state = "draining"
-        self.world.register(leaving)
+        self.harness.register(leaving)
         leaving.leaving_s = trio.current_time()
         await trio.sleep(3.5)
-        self.world.unregister(leaving)
+        self.harness.unregister(leaving)
         leaving.upstream.listener.take_down()
         return f"{leaving.upstream.upstream_id} left"
 
     async def _crash(self) -> str:
         item = self._upstream()
-        ready = [other for other in self.world.upstreams if other.registered]
+        ready = [other for other in self.harness.upstreams if other.registered]
         if len(ready) <= _MIN_UPSTREAMS or item.state != "ready":
             return ""
         item.registered = False
         item.upstream.listener.take_down()
         await trio.sleep(1.2)
-        self.world.unregister(item)
+        self.harness.unregister(item)
         await trio.sleep(self.rng.uniform(0.1, 2.0))
         item.upstream.listener.bring_up()
         item.registered = True
-        self.world.register(item)
+        self.harness.register(item)
         return f"{item.upstream.upstream_id} crashed"
 
     # --- the operator ----------------------------------------------------------------------------
 
     async def _change(self) -> str:
-        self.world.configure({})
-        return f"configuration {self.world.config['version']}"
+        self.harness.configure({})
+        return f"configuration {self.harness.config['version']}"
 
 
-def first_configuration() -> dict:
+def initial_configuration() -> dict:
     """Return the configuration of the beginning, with a route of its own."""
     document = config_document()
     routes = [*document["routes"], version_route(1)]
-    return {**document, "routes": routes, "tenants": first_customers()}
+    return {**document, "routes": routes, "tenants": initial_customers()}
--- a/tests/soak/world.py
+++ b/tests/soak/harness.py
@@ -28,9 +28,9 @@
     "NodeProcess",
     "SoakProcess",
     "SoakUpstream",
-    "World",
-    "own_network",
-    "serves",
+    "SoakHarness",
+    "loopback_network",
+    "accepts_connections",
     "version_route",
 ]
 
@@ -127,13 +127,13 @@
     _starting: trio.Lock = field(default_factory=trio.Lock)
 
     @property
-    def runs(self) -> bool:
+    def is_running(self) -> bool:
         return self.process is not None and self.process.returncode is None
 
     async def start(self) -> None:
         """Start the process unless it runs; its log goes on in the same file."""
         async with self._starting:
-            if not self.runs:
+            if not self.is_running:
                 await self._start()
 
     async def _start(self) -> None:
@@ -148,13 +148,13 @@
     def signal(self, number: int) -> None:
         """Send a signal to this process, by its id, if it still runs."""
         self.disturbed_s = trio.current_time()
-        if self.runs:
+        if self.is_running:
             self.process.send_signal(number)
             self.paused = number == signal.SIGSTOP or (self.paused and number != signal.SIGCONT)
 
     async def end(self) -> None:
         """Kill the process, if it still runs, and wait for it."""
-        if self.runs:
+        if self.is_running:
             self.process.kill()
             await self.process.wait()
 
@@ -193,7 +193,7 @@
 
 
 @dataclass(slots=True)
-class World:
+class SoakHarness:
     """Store, upstreams and nodes of one run.  ``folder`` gets settings and logs."""
 
     nursery: trio.Nursery
@@ -205,7 +205,7 @@
     spools: list[SoakProcess] = field(default_factory=list)
     # The newest configuration, and when it was put in force.
     config: dict = field(default_factory=config_document)
-    config_s: float = float("-inf")
+    config_changed_s: float = float("-inf")
     # Paths of requests that crash the upstreams that begin them.
     harmful: set[str] = field(default_factory=set)
     # Parts of prompts that do.
@@ -224,7 +224,7 @@
         self._put_configuration()
         for number in range(upstreams):
             await self.add_upstream(f"i-{number}")
-        self.nursery.start_soon(self._beat_forever)
+        self.nursery.start_soon(self._send_heartbeats)
         # The same on all nodes, which have a host each.
         ports = free_ports(5, f"{self.network}1")
         for number in range(nodes):
@@ -245,7 +245,7 @@
 
     def _put_configuration(self) -> None:
         self.store.state.put("op/config", json.dumps(self.config).encode())
-        self.config_s = trio.current_time()
+        self.config_changed_s = trio.current_time()
 
     async def add_upstream(self, name: str) -> SoakUpstream:
         upstream = SlowItemUpstream(
@@ -254,28 +254,28 @@
         await self.nursery.start(upstream.run, Address(self.upstream_host, 0))
         proxy = FaultProxy(upstream.address)
         await self.nursery.start(proxy.run, self.upstream_host)
-        found = SoakUpstream(upstream, proxy)
+        added = SoakUpstream(upstream, proxy)
         upstream.harmful = self.harmful
         upstream.harmful_parts = self.harmful_parts
-        upstream.on_crash = lambda _upstream: self._note_crash(found)
-        upstream.on_restart = lambda _upstream: self._note_restart(found)
-        self.upstreams.append(found)
-        self.register(found)
-        return found
+        upstream.on_crash = lambda _upstream: self._handle_crash(added)
+        upstream.on_restart = lambda _upstream: self._handle_restart(added)
+        self.upstreams.append(added)
+        self.register(added)
+        return added
 
-    def _note_crash(self, item: SoakUpstream) -> None:
+    def _handle_crash(self, item: SoakUpstream) -> None:
         """Have a crashed upstream refuse connections, and its entry lapse some time later."""
         item.proxy.take_down()
         item.registered = False
         key = f"servers/{item.upstream.upstream_id}"
 
-        async def lapse() -> None:
+        async def expire_entry() -> None:
             await trio.sleep(_LEASE_S)
             self.store.state.delete(key)
 
-        self.nursery.start_soon(lapse)
+        self.nursery.start_soon(expire_entry)
 
-    def _note_restart(self, item: SoakUpstream) -> None:
+    def _handle_restart(self, item: SoakUpstream) -> None:
         item.proxy.bring_up()
         item.upstream.version = self.version
         if item.state == "ready":
@@ -301,7 +301,7 @@
         for process in (*self.nodes, *self.spools):
             await process.end()
 
-    async def _beat_forever(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             await trio.sleep(_HEARTBEAT_S)
             for item in self.upstreams:
@@ -375,7 +375,7 @@
         return proxy
 
 
-async def serves(node: NodeProcess) -> bool:
+async def accepts_connections(node: NodeProcess) -> bool:
     """Whether a node takes connections."""
     try:
         await (await trio.open_tcp_stream(node.front.host, node.front.port)).aclose()
@@ -384,7 +384,7 @@
     return True
 
 
-def own_network() -> str:
+def loopback_network() -> str:
     """Return loopback addresses that no other soak on this machine uses."""
     number = os.getpid()
     return f"127.{100 + number // 250 % 100}.{1 + number % 250}."
--- a/tests/soak/lost_ends.py
+++ b/tests/soak/lost_ends.py
@@ -12,8 +12,8 @@
 from tests.builders.jobs_calls import job_body
 from tests.builders.node import HOST
 from tests.soak.clients import call_node
-from tests.soak.promises import NOT_RUN, Disturbance, Ledger, SoakJob
-from tests.soak.world import LONG_ITEM, NodeProcess, World
+from tests.soak.harness import LONG_ITEM, NodeProcess, SoakHarness
+from tests.soak.promises import NOT_RUN_STATUSES, Disturbance, Ledger, SoakJob
 
 __all__ = ["LostEndClient", "lose_ends"]
 
@@ -24,9 +24,9 @@
 # longer than the 3.5 s after which a node refuses; in shorter ones the clients leave before that.
 _OUTAGE_SHARE = 0.35
 # Too short for an answer.
-_LEAVES_S = 0.002
+_DISCONNECT_AFTER_S = 0.002
 # With less than this left a call may be given up before it is written.
-_LEAST_PATIENCE_S = 0.25
+_MIN_TIMEOUT_S = 0.25
 _CONNECT_S = 4.0
 
 
@@ -35,7 +35,7 @@
     """Submits one job, tries to end it once, and is gone before that is acknowledged."""
 
     name: str
-    world: World
+    harness: SoakHarness
     ledger: Ledger
     rng: random.Random
     http: HttpClient = field(default_factory=HttpClient)
@@ -44,23 +44,23 @@
     async def submit(self) -> None:
         """Submit the job until it is accepted, a few times."""
         items = [f"{LONG_ITEM}{self.name}-{index}" for index in range(_ITEMS)]
-        job = self.job = SoakJob(f"job-{self.name}", items, to_end=True)
+        job = self.job = SoakJob(f"job-{self.name}", items, will_be_ended=True)
         job.end_now.set()
         self.ledger.jobs[job.job_id] = job
         await self._submit(job)
 
-    async def try_end(self, patience_s: float) -> None:
+    async def try_end(self, timeout_s: float) -> None:
         """Try once to end the job, and note what becomes of that."""
         if self.job is not None and self.job.accepted:
-            await self._end(self.job, patience_s)
+            await self._end(self.job, timeout_s)
 
     async def end_and_leave(self) -> None:
         """Send one call to end the job, whole, and close the connection before its answer."""
-        job, node = self.job, self.rng.choice(self.world.nodes)
+        job, node = self.job, self.rng.choice(self.harness.nodes)
         if job is None or not job.accepted:
             return
         pid = node.process.pid
-        job.end_asked = True
+        job.end_requested = True
         head = f"host: {HOST}\r\nauthorization: Bearer {Ledger.key}\r\n"
         call = f"DELETE /api/lots/{job.job_id} HTTP/1.1\r\n{head}\r\n"
         sent_s = trio.current_time()
@@ -70,18 +70,18 @@
             await stream.send_all(call.encode())
         except (OSError, trio.TooSlowError, trio.BrokenResourceError):
             return
-        await trio.sleep(_LEAVES_S)
+        await trio.sleep(_DISCONNECT_AFTER_S)
         await trio.aclose_forcefully(stream)
-        job.calls.append(f"{self.ledger.tell(sent_s)} DELETE {node.name}: left")
-        self._note_lost(job, node, pid)
+        job.calls.append(f"{self.ledger.format_time(sent_s)} DELETE {node.name}: left")
+        self._record_lost_end(job, node, pid)
 
-    async def end_for_good(self) -> None:
+    async def end_finally(self) -> None:
         """End the job after all, so that its items do not keep others waiting."""
         await self.try_end(4.0)
 
     async def _submit(self, job: SoakJob) -> None:
         for _ in range(_SUBMIT_TRIES):
-            node = self.rng.choice(self.world.nodes)
+            node = self.rng.choice(self.harness.nodes)
             may_be_accepted, job.may_be_accepted = job.may_be_accepted, True
             headers = {"x-request-id": job.job_id}
             body = job_body(*job.items)
@@ -89,24 +89,24 @@
             if reply.status == 202:
                 job.accepted_s, job.owner = trio.current_time(), node.name
                 return
-            if reply.status in NOT_RUN or not reply.sent:
+            if reply.status in NOT_RUN_STATUSES or not reply.sent:
                 job.may_be_accepted = may_be_accepted
             await trio.sleep(_RETRY_S)
 
-    async def _end(self, job: SoakJob, patience_s: float) -> None:
-        node = self.rng.choice(self.world.nodes)
+    async def _end(self, job: SoakJob, timeout_s: float) -> None:
+        node = self.rng.choice(self.harness.nodes)
         pid = node.process.pid
-        job.end_asked = True
+        job.end_requested = True
         sent_s = trio.current_time()
         target = f"/api/lots/{job.job_id}"
-        reply = await call_node(self.http, node.front, "DELETE", target, patience_s=patience_s)
-        job.calls.append(f"{self.ledger.tell(sent_s)} DELETE {node.name}: {reply.status}")
+        reply = await call_node(self.http, node.front, "DELETE", target, timeout_s=timeout_s)
+        job.calls.append(f"{self.ledger.format_time(sent_s)} DELETE {node.name}: {reply.status}")
         if reply.status == 200:
             job.ended_s = min(job.ended_s, trio.current_time())
         elif reply.sent:
-            self._note_lost(job, node, pid)
+            self._record_lost_end(job, node, pid)
 
-    def _note_lost(self, job: SoakJob, node: NodeProcess, pid: int) -> None:
+    def _record_lost_end(self, job: SoakJob, node: NodeProcess, pid: int) -> None:
         if node.process.pid != pid:
             # Who was killed while it had the call cannot know of it.
             return
@@ -115,7 +115,7 @@
 
 
 async def lose_ends(
-    world: World, ledger: Ledger, clients: list[LostEndClient], fault_s: float
+    harness: SoakHarness, ledger: Ledger, clients: list[LostEndClient], fault_s: float
 ) -> None:
     """Lose three ends after the last fault: no node that gets one is harmed after it.
 
@@ -128,15 +128,15 @@
     outage_s = fault_s * _OUTAGE_SHARE
     outage = Disturbance(trio.current_time())
     ledger.disturbances.append(outage)
-    world.store.take_down()
+    harness.store.take_down()
     until_s = trio.current_time() + outage_s
     async with trio.open_nursery() as nursery:
         nursery.start_soon(in_outage.try_end, outage_s)
         await on_disks.submit()
         left_s = until_s - trio.current_time()
-        if left_s >= _LEAST_PATIENCE_S:
+        if left_s >= _MIN_TIMEOUT_S:
             await on_disks.try_end(left_s)
         await trio.sleep_until(max(until_s, trio.current_time()))
-    world.store.bring_up()
+    harness.store.bring_up()
     outage.ended_s = trio.current_time()
     await leaving.end_and_leave()
--- a/tests/soak/overlaps.py
+++ b/tests/soak/overlaps.py
@@ -10,8 +10,8 @@
 import trio
 
 from tests.soak.faults import Schedule
+from tests.soak.harness import SoakProcess
 from tests.soak.promises import SoakJob
-from tests.soak.world import SoakProcess
 
 __all__ = ["OverlapSchedule"]
 
@@ -39,9 +39,9 @@
         if not jobs:
             return ""
         job = self.rng.choice(jobs)
-        frozen = [self.world.node(job.owner)]
+        frozen = [self.harness.node(job.owner)]
         if self.rng.random() < 0.2:
-            frozen = self.rng.sample(self.world.nodes, k=len(self.world.nodes) - 1)
+            frozen = self.rng.sample(self.harness.nodes, k=len(self.harness.nodes) - 1)
         ends_first, gap_s = self.rng.random() < 0.5, self.rng.uniform(0.0, 0.2)
         if ends_first:
             job.end_now.set()
@@ -61,7 +61,7 @@
         with trio.move_on_after(_ACCEPTANCE_S):
             job = await self._accepted_job()
             await trio.sleep(self.rng.uniform(0.0, _AT_START_S))
-            node, frozen_s = self.world.node(job.owner), self.rng.uniform(*_FREEZE_S)
+            node, frozen_s = self.harness.node(job.owner), self.rng.uniform(*_FREEZE_S)
             with trio.CancelScope(shield=True):
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(self._freeze, node, frozen_s)
@@ -72,24 +72,24 @@
 
     async def _accepted_job(self) -> SoakJob:
         """Wait for a job to be accepted whose client means to end it."""
-        asked_s = trio.current_time()
+        started_s = trio.current_time()
         while True:
             for job in reversed(self.ledger.jobs.values()):
-                if job.awaits_end and job.accepted_s >= asked_s:
+                if job.awaits_end and job.accepted_s >= started_s:
                     return job
             await trio.sleep(_POLL_S)
 
-    async def _freeze(self, process: SoakProcess, for_s: float) -> None:
-        if not process.runs or process.paused:
+    async def _freeze(self, process: SoakProcess, duration_s: float) -> None:
+        if not process.is_running or process.paused:
             return
         process.signal(signal.SIGSTOP)
-        await trio.sleep(for_s)
+        await trio.sleep(duration_s)
         process.signal(signal.SIGCONT)
 
     # --- machines with a disk --------------------------------------------------------------------
 
     def _spool(self) -> SoakProcess:
-        return self.rng.choice(self.world.spools)
+        return self.rng.choice(self.harness.spools)
 
     async def _kill_spool(self, spool: SoakProcess | None = None) -> str:
         return await self._end_spool(spool or self._spool(), signal.SIGKILL)
@@ -98,7 +98,7 @@
         return await self._end_spool(self._spool(), signal.SIGTERM)
 
     async def _end_spool(self, spool: SoakProcess, number: signal.Signals) -> str:
-        if not spool.runs or spool.paused:
+        if not spool.is_running or spool.paused:
             return ""
         process = spool.process
         spool.signal(number)
@@ -132,16 +132,16 @@
     async def _end_in_outage(self) -> str:
         """Have a job ended that waits on disks, while they are harmed and the store is away."""
         harms = [self._kill_spool, self._freeze_spool, self._slow_disk]
-        chosen = [(self.rng.choice(harms), spool) for spool in self.world.spools]
-        self.world.store.take_down()
-        told = "the store down, no job accepted"
+        chosen = [(self.rng.choice(harms), spool) for spool in self.harness.spools]
+        self.harness.store.take_down()
+        description = "the store down, no job accepted"
         async with trio.open_nursery() as nursery:
             with trio.move_on_after(_ACCEPTANCE_S):
                 job = await self._accepted_job()
-                told = f"{job.job_id} accepted in an outage and ended"
+                description = f"{job.job_id} accepted in an outage and ended"
                 job.end_now.set()
             for harm, spool in self.rng.sample(chosen, k=self.rng.randint(0, len(chosen))):
                 nursery.start_soon(harm, spool)
             await trio.sleep(self.rng.uniform(0.0, 2.0))
-            self.world.store.bring_up()
-        return told
+            self.harness.store.bring_up()
+        return description
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -15,7 +15,7 @@
     event_bytes,
     versions_in,
 )
-from tests.soak.world import SoakUpstream
+from tests.soak.harness import SoakUpstream
 
 __all__ = [
     "ACK_S",
@@ -25,7 +25,7 @@
     "Ledger",
     "OnlineAttempt",
     "SoakJob",
-    "wanted_text",
+    "expected_text",
 ]
 
 # The users' bounds: how long a part must have been undisturbed, and the time to follow news.
@@ -39,7 +39,7 @@
 # acknowledged; the users' deployments have 4 to 8 s.
 ACK_S = 4.0
 # Statuses by which a request has not run and never will.
-NOT_RUN = (408, 421, 429, 503)
+NOT_RUN_STATUSES = (408, 421, 429, 503)
 _EVENTS = 12
 _STATES = ("completed", "dead_letter")
 
@@ -61,19 +61,19 @@
     body: bytes
     node: str
     sent_s: float
-    once: bool = False
+    at_most_once: bool = False
     # Number of the first event that it asks for.
     first_event: int = 0
     # Its client did not wait for the whole answer.
-    left: bool = False
+    abandoned: bool = False
     status: int = 0
     seal: str = ""
     answer: bytes = b""
-    whole: bool = False
+    complete: bool = False
     ended_s: float = 0.0
 
     @property
-    def wanted(self) -> bytes:
+    def expected_answer(self) -> bytes:
         """The whole answer of an upstream of the version that wrote the first event."""
         version = min(_versions_of(self.answer[: self.answer.find(b"\n\n") + 2]) or {"v1"})
         numbers = range(self.first_event, _EVENTS)
@@ -88,15 +88,15 @@
     items: list[str]
     accepted_s: float = float("inf")
     may_be_accepted: bool = False
-    end_asked: bool = False
+    end_requested: bool = False
     ended_s: float = float("inf")
     # When a client's one try to end it went without acknowledgement; node and process that got it.
     lost_end_s: float = float("inf")
     lost_end_at: tuple[str, int] = ("", 0)
     # When that counts as acknowledged; infinite unless it does.
-    counted_end_s: float = float("inf")
+    effective_end_s: float = float("inf")
     # Its client means to end it; set ``end_now`` to have that done at this moment.
-    to_end: bool = False
+    will_be_ended: bool = False
     end_now: trio.Event = field(default_factory=trio.Event)
     # The node that accepted it, which owns it at first.
     owner: str = ""
@@ -117,13 +117,18 @@
     @property
     def awaits_end(self) -> bool:
         """Whether it runs and its client has still to end it."""
-        return self.to_end and self.accepted and not self.end_asked and not self.end_now.is_set()
+        return (
+            self.will_be_ended
+            and self.accepted
+            and not self.end_requested
+            and not self.end_now.is_set()
+        )
 
     @property
     def is_done(self) -> bool:
         return len(self.results) == len(self.items)
 
-    def take(self, position: int, result: tuple[str, str, str]) -> str:
+    def record_result(self, position: int, result: tuple[str, str, str]) -> str:
         """Take a result as read; return what is wrong with it, or ""."""
         known = self.results.get(position)
         if known is not None:
@@ -137,14 +142,14 @@
         if state not in _STATES:
             return f"{item_id} is listed as {state!r}"
         version = min(versions_in([text.partition("\n")[0]]))
-        if state == "completed" and text != wanted_text(item_id, version):
+        if state == "completed" and text != expected_text(item_id, version):
             return f"the text of {item_id} is not whole: {text[-60:]!r}"
-        if state != "completed" and not self.end_asked:
+        if state != "completed" and not self.end_requested:
             return f"{item_id} was given up"
         return ""
 
 
-def wanted_text(item_id: str, version: str = DEFAULT_VERSION) -> str:
+def expected_text(item_id: str, version: str = DEFAULT_VERSION) -> str:
     """Return the text of an item's whole output at upstreams of one version."""
     path = f"/letters/{item_id}"
     events = (event_bytes(n, path, len(item_id), version).decode() for n in range(_EVENTS))
@@ -159,9 +164,9 @@
 
 @dataclass(slots=True)
 class Ledger:
-    """Everything seen in one run; ``broken`` has one line for each broken promise.
+    """Everything seen in one run; ``violations`` has one line for each broken promise.
 
-    ``broken_lost_ends`` has those about ends that nobody acknowledged.
+    ``lost_end_violations`` has those about ends that nobody acknowledged.
     """
 
     # Whom all clients are of that do not say otherwise.
@@ -172,16 +177,16 @@
     # Calls that crash upstreams, and those that come beside them.
     harmful: list[OnlineAttempt] = field(default_factory=list)
     jobs: dict[str, SoakJob] = field(default_factory=dict)
-    broken: list[str] = field(default_factory=list)
-    broken_lost_ends: list[str] = field(default_factory=list)
+    violations: list[str] = field(default_factory=list)
+    lost_end_violations: list[str] = field(default_factory=list)
     disturbances: list[Disturbance] = field(default_factory=list)
     # Streams that clients took up elsewhere, and those of them that went on there.
-    taken_up: int = 0
-    went_on: int = 0
+    resumed_streams: int = 0
+    continued_streams: int = 0
     # The clock of the day less trio's, so that lines here can be found in the nodes' logs.
     unix_offset_s: float = 0.0
 
-    def tell(self, at_s: float) -> str:
+    def format_time(self, at_s: float) -> str:
         """Return a moment as the nodes' logs have it, in seconds."""
         return f"{at_s + self.unix_offset_s:.3f}"
 
@@ -196,29 +201,35 @@
         name = f"{attempt.request_id} at {attempt.node}"
         if attempt.status == 200:
             if not attempt.seal:
-                self.broken.append(f"{name}: a success without a seal")
-            if attempt.whole and attempt.answer != attempt.wanted:
-                self.broken.append(f"{name}: another answer than the upstream's")
-            if not attempt.wanted.startswith(attempt.answer[: _last_whole(attempt.answer)]):
-                self.broken.append(f"{name}: events that are not the upstream's")
+                self.violations.append(f"{name}: a success without a seal")
+            if attempt.complete and attempt.answer != attempt.expected_answer:
+                self.violations.append(f"{name}: another answer than the upstream's")
+            if not attempt.expected_answer.startswith(
+                attempt.answer[: _complete_length(attempt.answer)]
+            ):
+                self.violations.append(f"{name}: events that are not the upstream's")
         elif attempt.status in (400, 401, 404, 413, 431):
-            self.broken.append(f"{name}: denied with {attempt.status}")
+            self.violations.append(f"{name}: denied with {attempt.status}")
 
-    def judge_stream(self, tries: Sequence[OnlineAttempt]) -> None:
+    def judge_stream(self, attempts: Sequence[OnlineAttempt]) -> None:
         """Check what a client holds of a stream over all its tries."""
-        answers = [item.answer[: _last_whole(item.answer)] for item in tries if item.status == 200]
+        answers = [
+            item.answer[: _complete_length(item.answer)] for item in attempts if item.status == 200
+        ]
         versions = _versions_of(b"".join(answers))
-        names = ", ".join(f"{item.request_id} at {item.node}" for item in tries)
+        names = ", ".join(f"{item.request_id} at {item.node}" for item in attempts)
         if len(versions) > 1:
-            self.broken.append(f"{names}: a stream of the versions {', '.join(sorted(versions))}")
-        wanted = "".join(f"id: {n}\n" for n in range(_EVENTS))
+            self.violations.append(
+                f"{names}: a stream of the versions {', '.join(sorted(versions))}"
+            )
+        expected_ids = "".join(f"id: {n}\n" for n in range(_EVENTS))
         numbers = "".join(
             f"{line}\n"
             for line in b"".join(answers).decode().splitlines()
             if line.startswith("id: ")
         )
-        if not wanted.startswith(numbers):
-            self.broken.append(f"{names}: events missing, or twice: {numbers.split()}")
+        if not expected_ids.startswith(numbers):
+            self.violations.append(f"{names}: events missing, or twice: {numbers.split()}")
 
     def count_lost_ends(self, processes: Mapping[str, int]) -> float:
         """Settle when ends that nobody acknowledged count as acknowledged; return the last one.
@@ -232,8 +243,8 @@
             node, process = job.lost_end_at
             if job.has_ended or processes.get(node) != process:
                 continue
-            job.counted_end_s = max(job.lost_end_s, calm_s) + ACK_S
-            last_s = max(last_s, job.counted_end_s)
+            job.effective_end_s = max(job.lost_end_s, calm_s) + ACK_S
+            last_s = max(last_s, job.effective_end_s)
         return last_s
 
     def judge_runs(self, upstreams: Iterable[SoakUpstream]) -> None:
@@ -241,35 +252,37 @@
         runs: Counter[str] = Counter()
         for item in upstreams:
             runs.update(item.upstream.runs)
-        self.broken += self._unasked(runs)
+        self.violations += self._unsent_runs(runs)
         for attempt in (*self.attempts, *self.harmful):
             count = runs[attempt.request_id]
-            if attempt.status in NOT_RUN and count:
-                self.broken.append(f"{attempt.request_id}: {attempt.status}, yet it has run")
-            if attempt.once and count > 1:
-                self.broken.append(f"{attempt.request_id}: may run once and ran {count} times")
+            if attempt.status in NOT_RUN_STATUSES and count:
+                self.violations.append(f"{attempt.request_id}: {attempt.status}, yet it has run")
+            if attempt.at_most_once and count > 1:
+                self.violations.append(f"{attempt.request_id}: may run once and ran {count} times")
         for job in self.jobs.values():
             if not job.accepted and not job.may_be_accepted and any(runs[n] for n in job.items):
-                self.broken.append(f"{job.job_id}: refused at every attempt, yet items have run")
+                self.violations.append(
+                    f"{job.job_id}: refused at every attempt, yet items have run"
+                )
         for item in upstreams:
-            self.broken += self._late_starts(item)
-            self.broken_lost_ends += self._after_lost_ends(item)
+            self.violations += self._late_starts(item)
+            self.lost_end_violations += self._late_starts_after_lost_ends(item)
 
     def unfinished_jobs(self) -> list[SoakJob]:
         """Return the accepted jobs that were not ended and not read to their end."""
         return [
             job
             for job in self.jobs.values()
-            if job.accepted and not (job.end_asked or job.to_end) and not job.is_done
+            if job.accepted and not (job.end_requested or job.will_be_ended) and not job.is_done
         ]
 
     def judge_jobs(self) -> None:
         """Check that every accepted job is whole."""
         for job in self.unfinished_jobs():
             missing = sorted(set(job.items) - {item for item, _, _ in job.results.values()})
-            self.broken.append(f"{job.job_id}: accepted, and never listed: {missing}")
+            self.violations.append(f"{job.job_id}: accepted, and never listed: {missing}")
 
-    def _unasked(self, runs: Counter[str]) -> Iterator[str]:
+    def _unsent_runs(self, runs: Counter[str]) -> Iterator[str]:
         known = {attempt.request_id for attempt in (*self.attempts, *self.harmful)}
         known |= {item for job in self.jobs.values() for item in job.items}
         # Calls of the customers with keys and limits of their own are judged with those, and items
@@ -291,20 +304,20 @@
                 late_s = at_s - job.ended_s
                 yield (
                     f"{request_id} ran {late_s:.1f} s after the end of {job.job_id}, "
-                    f"{self.tell(at_s)} at {upstream_id}"
+                    f"{self.format_time(at_s)} at {upstream_id}"
                 )
             listed_s = float("inf") if job is None else job.listed_s.get(request_id, float("inf"))
             if self._is_late(listed_s, at_s):
                 late_s = at_s - listed_s
                 yield (
                     f"{request_id} of {job.job_id} ran {late_s:.1f} s after it was listed, "
-                    f"{self.tell(at_s)} at {upstream_id}"
+                    f"{self.format_time(at_s)} at {upstream_id}"
                 )
 
-    def _after_lost_ends(self, item: SoakUpstream) -> Iterator[str]:
+    def _late_starts_after_lost_ends(self, item: SoakUpstream) -> Iterator[str]:
         """Yield runs that began too long after an end counted that nobody acknowledged."""
         ends_s = {
-            name: (job.counted_end_s, job.job_id)
+            name: (job.effective_end_s, job.job_id)
             for job in self.jobs.values()
             for name in job.items
         }
@@ -313,7 +326,7 @@
             if at_s > counted_s + END_S:
                 yield (
                     f"{request_id} ran {at_s - counted_s:.1f} s after the unacknowledged end of "
-                    f"{job_id} counted, {self.tell(at_s)} at {item.upstream.upstream_id}"
+                    f"{job_id} counted, {self.format_time(at_s)} at {item.upstream.upstream_id}"
                 )
 
     def _is_late(self, known_s: float, at_s: float) -> bool:
@@ -328,6 +341,6 @@
         return late_s > CALM_END_S and self.was_calm(at_s - CALM_END_S, at_s)
 
 
-def _last_whole(answer: bytes) -> int:
+def _complete_length(answer: bytes) -> int:
     """Return the length of the whole events at the beginning of ``answer``."""
     return answer.rfind(b"\n\n") + 2 if b"\n\n" in answer else 0
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -19,8 +19,8 @@
 class _Link:
     """One connection through the proxy, with what is wrong with it."""
 
-    near: trio.SocketStream
-    far: trio.SocketStream
+    client: trio.SocketStream
+    server: trio.SocketStream
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     drops_requests: bool = False
     drops_answers: bool = False
@@ -31,7 +31,7 @@
 
     def reset(self) -> None:
         """End both sides with a reset."""
-        for stream in (self.near, self.far):
+        for stream in (self.client, self.server):
             if stream.socket.fileno() < 0:
                 # Its own end was faster.
                 continue
@@ -90,22 +90,22 @@
             link.drops_requests |= requests
             link.drops_answers |= answers
 
-    async def _forward(self, near: trio.SocketStream) -> None:
+    async def _forward(self, client: trio.SocketStream) -> None:
         if self.refuses:
-            await near.aclose()
+            await client.aclose()
             return
         try:
-            far = await trio.open_tcp_stream(self.target.host, self.target.port)
+            server = await trio.open_tcp_stream(self.target.host, self.target.port)
         except OSError:
-            await near.aclose()
+            await client.aclose()
             return
-        link = _Link(near, far)
+        link = _Link(client, server)
         self._links.add(link)
         try:
-            async with near, far, trio.open_nursery() as nursery:
+            async with client, server, trio.open_nursery() as nursery:
                 link.scope = nursery.cancel_scope
-                nursery.start_soon(self._pump, link, near, far)
-                nursery.start_soon(self._pump, link, far, near)
+                nursery.start_soon(self._pump, link, client, server)
+                nursery.start_soon(self._pump, link, server, client)
         finally:
             self._links.discard(link)
 
@@ -128,4 +128,4 @@
         await trio.sleep_forever()
 
     def _drops(self, link: _Link, source: trio.SocketStream) -> bool:
-        return link.drops_requests if source is link.near else link.drops_answers
+        return link.drops_requests if source is link.client else link.drops_answers
--- a/tests/soak/runs.py
+++ b/tests/soak/runs.py
@@ -14,17 +14,18 @@
 import trio
 
 from tests.soak.clients import ConfigWatcher, JobClient, OnlineClient
-from tests.soak.customers import HotClient, KeyClient, broken_by_customers
+from tests.soak.customers import KeyRotationClient, OverLimitClient, customer_violations
 from tests.soak.ending import EndingClient
-from tests.soak.faults import Schedule, first_configuration
+from tests.soak.faults import Schedule, initial_configuration
 from tests.soak.harmful import (
     BAD_PART,
-    CAUSES,
+    HARMFUL_CALLS,
     HarmfulClient,
     HarmfulPartClient,
-    harm_after_enough,
     harmful_paths,
+    harmful_work_violations,
 )
+from tests.soak.harness import SoakHarness, accepts_connections, loopback_network
 from tests.soak.lost_ends import LostEndClient, lose_ends
 from tests.soak.overlaps import OverlapSchedule
 from tests.soak.promises import CALM_S, END_S, Ledger, OnlineAttempt
@@ -32,35 +33,34 @@
 from tests.soak.slow import (
     NeverReader,
     SlowReader,
-    broken_by_slow_clients,
-    cut_off_callers,
+    count_cut_off_callers,
+    slow_client_violations,
 )
-from tests.soak.world import World, own_network, serves
 
 __all__ = ["SPOOLS", "SoakReport", "new_folder", "run_seed"]
 
 _UPSTREAMS = 4
 _ONLINE_CLIENTS = 10
 _ENDING_CLIENTS = 3
-_RESUMING = 4
+_RESUMING_CLIENTS = 4
 # One for each failure domain; a job counts as kept with two copies.
 SPOOLS = 3
-_LOST_ENDS = 3
+_LOST_END_CLIENTS = 3
 _START_S = 20.0
 # Accepted jobs have this long after the last fault.
 _FINISH_S = 18.0
 # Share of the calls in the calm at the end that has to be answered whole.
-_SERVED_SHARE = 0.95
+_MIN_SERVED_SHARE = 0.95
 _CALM_RUN_S = 2.0
 # On a busy machine few calls end within that time, and a share of few says little.
-_CALM_CALLS = 60
-_MOST_CALM_RUN_S = 30.0
+_MIN_CALM_CALLS = 60
+_MAX_CALM_RUN_S = 30.0
 # Streams that clients take up at another node.  Faults go on in rounds for them, but not for so
 # long that jobs are given up.
-_LEAST_TAKEN_UP = 10
-_LAST_ROUND_S = 20.0
+_MIN_RESUMED_STREAMS = 10
+_NO_NEW_ROUND_AFTER_S = 20.0
 # How long items are looked for that begin after they may.
-_LATE_S = 1.0
+_LATE_RUN_WATCH_S = 1.0
 
 
 class SoakReport(msgspec.Struct):
@@ -124,15 +124,15 @@
     return report
 
 
-def new_folder(wanted: Path) -> Path:
+def new_folder(path: Path) -> Path:
     """Make a folder that is not there yet: logs of an earlier failure of the seed stay."""
-    names = (f"{wanted.name}-{number}" for number in itertools.count(2))
-    wanted.parent.mkdir(parents=True, exist_ok=True)
-    for path in itertools.chain([wanted], map(wanted.with_name, names)):
+    names = (f"{path.name}-{number}" for number in itertools.count(2))
+    path.parent.mkdir(parents=True, exist_ok=True)
+    for candidate in itertools.chain([path], map(path.with_name, names)):
         # Another process may make the same folder at this moment.
         with contextlib.suppress(FileExistsError):
-            path.mkdir()
-            return path
+            candidate.mkdir()
+            return candidate
     raise AssertionError("there is always another name")
 
 
@@ -143,83 +143,89 @@
     rng, fault_rng = random.Random(f"clients-{seed}"), random.Random(seed)
     ledger = Ledger(unix_offset_s=time.time() - trio.current_time())
     async with trio.open_nursery() as nursery:
-        world = World(nursery, logs, own_network(), config=first_configuration())
-        harmers: list[HarmfulClient] = []
+        harness = SoakHarness(nursery, logs, loopback_network(), config=initial_configuration())
+        harmful_clients: list[HarmfulClient] = []
         if harm:
-            world.harmful |= harmful_paths()
+            harness.harmful |= harmful_paths()
             harm_rng = random.Random(f"harm-{seed}")
-            harmers += [HarmfulClient(n, world, ledger, harm_rng) for n in range(CAUSES)]
-            world.harmful_parts.add(BAD_PART)
+            harmful_clients += [
+                HarmfulClient(n, harness, ledger, harm_rng) for n in range(HARMFUL_CALLS)
+            ]
+            harness.harmful_parts.add(BAD_PART)
             part_rng = random.Random(f"parts-{seed}")
-            harmers.append(HarmfulPartClient(CAUSES, world, ledger, part_rng))
+            harmful_clients.append(HarmfulPartClient(HARMFUL_CALLS, harness, ledger, part_rng))
         customer_rng = random.Random(f"customers-{seed}")
-        changing = KeyClient(world, ledger, customer_rng)
-        hot = HotClient(world, ledger, customer_rng)
+        key_client = KeyRotationClient(harness, ledger, customer_rng)
+        over_limit = OverLimitClient(harness, ledger, customer_rng)
         slow_rng = random.Random(f"slow-{seed}")
-        reader = SlowReader(world, ledger, slow_rng)
-        slow = [reader, NeverReader(world, ledger, slow_rng, reader)]
-        schedules = [Schedule(world, ledger, fault_rng)]
+        reader = SlowReader(harness, ledger, slow_rng)
+        slow = [reader, NeverReader(harness, ledger, slow_rng, reader)]
+        schedules = [Schedule(harness, ledger, fault_rng)]
         if spools:
             overlap_rng = random.Random(f"overlaps-{seed}")
-            schedules.append(OverlapSchedule(world, ledger, overlap_rng))
+            schedules.append(OverlapSchedule(harness, ledger, overlap_rng))
         resuming: list[ResumingClient] = []
         if releases:
             release_rng = random.Random(f"releases-{seed}")
-            schedules.append(ReleaseSchedule(world, ledger, release_rng))
-            resuming += [ResumingClient(world, ledger, release_rng) for _ in range(_RESUMING)]
+            schedules.append(ReleaseSchedule(harness, ledger, release_rng))
+            resuming += [
+                ResumingClient(harness, ledger, release_rng) for _ in range(_RESUMING_CLIENTS)
+            ]
         await nursery.start(_end_on_signal)
         try:
-            await world.start(nodes, _UPSTREAMS, spools)
-            await _wait_serving(world)
-            meanwhile = [changing, hot, *resuming]
-            await _soak(world, ledger, schedules, rng, [*harmers, *slow], meanwhile, fault_s)
+            await harness.start(nodes, _UPSTREAMS, spools)
+            await _wait_serving(harness)
+            during_faults = [key_client, over_limit, *resuming]
+            await _soak(
+                harness, ledger, schedules, rng, [*harmful_clients, *slow], during_faults, fault_s
+            )
         finally:
             with trio.CancelScope(shield=True):
-                await world.end()
-        ledger.judge_runs(world.upstreams)
-        ledger.broken += harm_after_enough(ledger, world.upstreams)
-        ledger.broken += broken_by_slow_clients(reader)
-        ledger.broken += broken_by_customers(ledger, world.upstreams, changing, hot)
+                await harness.end()
+        ledger.judge_runs(harness.upstreams)
+        ledger.violations += harmful_work_violations(ledger, harness.upstreams)
+        ledger.violations += slow_client_violations(reader)
+        ledger.violations += customer_violations(ledger, harness.upstreams, key_client, over_limit)
         nursery.cancel_scope.cancel()
-    whole = sum(attempt.whole and attempt.status == 200 for attempt in ledger.attempts)
+    complete = sum(attempt.complete and attempt.status == 200 for attempt in ledger.attempts)
     accepted = sum(job.accepted for job in ledger.jobs.values())
     return SoakReport(
         seed,
         len(ledger.attempts),
-        whole,
+        complete,
         len(ledger.jobs),
         accepted,
         sum(job.has_ended for job in ledger.jobs.values()),
         nodes,
         spools,
         fault_s,
-        sum(job.counted_end_s < float("inf") for job in ledger.jobs.values()),
-        _spooled(logs),
-        sum(len(item.upstream.crashes) for item in world.upstreams),
-        cut_off_callers(logs),
-        reader.whole,
-        reader.most_memory_bytes,
-        [line for schedule in schedules for line in schedule.told],
-        ledger.broken,
-        ledger.broken_lost_ends,
-        ledger.taken_up,
-        ledger.went_on,
-        _calls_of_broken(ledger),
+        sum(job.effective_end_s < float("inf") for job in ledger.jobs.values()),
+        _count_spooled_copies(logs),
+        sum(len(item.upstream.crashes) for item in harness.upstreams),
+        count_cut_off_callers(logs),
+        reader.complete_bodies,
+        reader.peak_memory_bytes,
+        [line for schedule in schedules for line in schedule.descriptions],
+        ledger.violations,
+        ledger.lost_end_violations,
+        ledger.resumed_streams,
+        ledger.continued_streams,
+        _calls_of_violations(ledger),
     )
 
 
-def _spooled(logs: Path) -> int:
+def _count_spooled_copies(logs: Path) -> int:
     """Count the copies of jobs that spools have logged as kept."""
     lines = [line for log in logs.glob("spool-*.log") for line in log.read_bytes().splitlines()]
     return sum(b'"job_spooled"' in line and b'"outcome":"OK"' in line for line in lines)
 
 
-def _calls_of_broken(ledger: Ledger) -> dict[str, list[str]]:
-    told = "\n".join(ledger.broken + ledger.broken_lost_ends) + "\n"
+def _calls_of_violations(ledger: Ledger) -> dict[str, list[str]]:
+    violations = "\n".join(ledger.violations + ledger.lost_end_violations) + "\n"
     return {
         job.job_id: job.calls
         for job in ledger.jobs.values()
-        if any(f"{job.job_id}{after}" in told for after in (",", ":", " "))
+        if any(f"{job.job_id}{after}" in violations for after in (",", ":", " "))
     }
 
 
@@ -231,62 +237,66 @@
             raise SystemExit(128 + number)
 
 
-async def _wait_serving(world: World) -> None:
+async def _wait_serving(harness: SoakHarness) -> None:
     """Wait until every node takes connections."""
     with trio.fail_after(_START_S):
-        for node in world.nodes:
+        for node in harness.nodes:
             while True:
-                if await serves(node):
+                if await accepts_connections(node):
                     break
                 await trio.sleep(0.05)
         await trio.sleep(1.0)
 
 
 async def _soak(
-    world: World,
+    harness: SoakHarness,
     ledger: Ledger,
     schedules: list[Schedule],
     rng: random.Random,
     others: list[HarmfulClient | SlowReader | NeverReader],
-    customers: list[KeyClient | HotClient | ResumingClient],
+    customers: list[KeyRotationClient | OverLimitClient | ResumingClient],
     fault_s: float,
 ) -> None:
-    online = [OnlineClient(world, ledger, rng) for _ in range(_ONLINE_CLIENTS)]
-    jobs = JobClient(world, ledger, rng)
-    watcher = ConfigWatcher(world, ledger)
-    enders = [
-        EndingClient(f"end-{number}", world, ledger, rng) for number in range(_ENDING_CLIENTS)
+    online = [OnlineClient(harness, ledger, rng) for _ in range(_ONLINE_CLIENTS)]
+    jobs = JobClient(harness, ledger, rng)
+    watcher = ConfigWatcher(harness, ledger)
+    ending_clients = [
+        EndingClient(f"end-{number}", harness, ledger, rng) for number in range(_ENDING_CLIENTS)
     ]
-    losers = [
-        LostEndClient(f"lost-{number}", world, ledger, rng)
-        for number in range(_LOST_ENDS if world.spools else 0)
+    lost_end_clients = [
+        LostEndClient(f"lost-{number}", harness, ledger, rng)
+        for number in range(_LOST_END_CLIENTS if harness.spools else 0)
     ]
-    takes_up = any(isinstance(client, ResumingClient) for client in customers)
-    everyone = [*online, jobs, watcher, *enders, *losers, *others, *customers]
-    async with _closing(everyone), trio.open_nursery() as clients:
-        for client in (*online, watcher, *enders, *others):
+    has_resuming_clients = any(isinstance(client, ResumingClient) for client in customers)
+    all_clients = [*online, jobs, watcher, *ending_clients, *lost_end_clients, *others, *customers]
+    async with _closing(all_clients), trio.open_nursery() as clients:
+        for client in (*online, watcher, *ending_clients, *others):
             clients.start_soon(client.run)
         for _ in range(2):
-            clients.start_soon(jobs.read_some)
+            clients.start_soon(jobs.read_at_random)
         clients.start_soon(jobs.run)
-        async with trio.open_nursery() as meanwhile:
+        async with trio.open_nursery() as during_faults:
             # Only meanwhile: their calls keep items of jobs from slots.
             for client in customers:
-                meanwhile.start_soon(client.run)
+                during_faults.start_soon(client.run)
             begun_s = trio.current_time()
             while True:
                 async with trio.open_nursery() as faults:
                     for schedule in schedules:
                         faults.start_soon(schedule.run, fault_s)
                 passed_s = trio.current_time() - begun_s
-                if not takes_up or ledger.taken_up >= _LEAST_TAKEN_UP or passed_s > _LAST_ROUND_S:
+                if (
+                    not has_resuming_clients
+                    or ledger.resumed_streams >= _MIN_RESUMED_STREAMS
+                    or passed_s > _NO_NEW_ROUND_AFTER_S
+                ):
                     break
-            meanwhile.cancel_scope.cancel()
-        jobs.submits.cancel()
-        if losers:
-            await lose_ends(world, ledger, losers, fault_s)
-        await _judge_calm(world, ledger)
-        await _wait_lost_ends(world, ledger, losers)
+            during_faults.cancel_scope.cancel()
+        jobs.submit_scope.cancel()
+        if lost_end_clients:
+            await lose_ends(harness, ledger, lost_end_clients, fault_s)
+        await _judge_calm(harness, ledger)
+        await _wait_lost_ends(harness, ledger, lost_end_clients)
         with trio.move_on_after(_FINISH_S):
             await _wait_jobs(ledger, jobs)
         ledger.judge_jobs()
@@ -302,8 +312,8 @@
         | EndingClient
         | LostEndClient
         | HarmfulClient
-        | KeyClient
-        | HotClient
+        | KeyRotationClient
+        | OverLimitClient
         | SlowReader
         | NeverReader
         | ResumingClient
@@ -317,13 +327,15 @@
             await client.http.close()
 
 
-async def _wait_lost_ends(world: World, ledger: Ledger, losers: list[LostEndClient]) -> None:
+async def _wait_lost_ends(
+    harness: SoakHarness, ledger: Ledger, lost_end_clients: list[LostEndClient]
+) -> None:
     """Wait until nothing may begin any more of jobs whose end nobody acknowledged."""
-    processes = {node.name: node.process.pid for node in world.nodes}
+    processes = {node.name: node.process.pid for node in harness.nodes}
     counted_s = ledger.count_lost_ends(processes)
-    await trio.sleep_until(max(counted_s + END_S + _LATE_S, trio.current_time()))
-    for loser in losers:
-        await loser.end_for_good()
+    await trio.sleep_until(max(counted_s + END_S + _LATE_RUN_WATCH_S, trio.current_time()))
+    for client in lost_end_clients:
+        await client.end_finally()
 
 
 async def _wait_jobs(ledger: Ledger, reader: JobClient) -> None:
@@ -345,20 +357,22 @@
         if attempt.sent_s >= from_s
         and attempt.ended_s
         and attempt.path[1] != "v"
-        and not attempt.left
+        and not attempt.abandoned
     ]
 
 
-async def _judge_calm(world: World, ledger: Ledger) -> None:
+async def _judge_calm(harness: SoakHarness, ledger: Ledger) -> None:
     """Check that a fleet that was left alone for ``CALM_S`` serves again."""
     await trio.sleep(CALM_S + 1.0)
     from_s = trio.current_time()
     await trio.sleep(_CALM_RUN_S)
     calls = _calls_since(ledger, from_s)
-    with trio.move_on_after(_MOST_CALM_RUN_S - _CALM_RUN_S):
-        while len(calls) < _CALM_CALLS:
+    with trio.move_on_after(_MAX_CALM_RUN_S - _CALM_RUN_S):
+        while len(calls) < _MIN_CALM_CALLS:
             await trio.sleep(0.1)
             calls = _calls_since(ledger, from_s)
-    whole = sum(attempt.whole and attempt.status == 200 for attempt in calls)
-    if not calls or whole < _SERVED_SHARE * len(calls):
-        ledger.broken.append(f"in the calm at the end {whole} of {len(calls)} calls were served")
+    complete = sum(attempt.complete and attempt.status == 200 for attempt in calls)
+    if not calls or complete < _MIN_SERVED_SHARE * len(calls):
+        ledger.violations.append(
+            f"in the calm at the end {complete} of {len(calls)} calls were served"
+        )
--- a/tests/soak/slow.py
+++ b/tests/soak/slow.py
@@ -15,28 +15,28 @@
 from tests.builders.jobs_calls import item_entry, submission_of
 from tests.builders.slow_readers import SlowClient, slow_client
 from tests.soak.clients import call_node
+from tests.soak.harness import HELD_PROCESS_BYTES, NodeProcess, SoakHarness
 from tests.soak.promises import Ledger
-from tests.soak.world import HELD_PROCESS_BYTES, NodeProcess, World
 
 __all__ = [
     "BIG_ITEM",
     "NeverReader",
     "SlowReader",
     "big_body",
-    "broken_by_slow_clients",
-    "cut_off_callers",
+    "slow_client_violations",
+    "count_cut_off_callers",
 ]
 
 # Begins the names of the items whose bodies are read slowly; they run beside those of the others.
 BIG_ITEM = "big-"
 _BODY_BYTES = 60_000
-_EACH_JOB_S = 2.0
+_JOB_INTERVAL_S = 2.0
 _READ_BYTES = 2048
 _READ_PAUSE_S = (0.001, 0.05)
-_STALLED = 6
+_STALLED_CONNECTIONS = 6
 _STALL_S = 2.0
 # That of the smallest node, which runs nothing else.
-_MOST_MEMORY_BYTES = 160 * 1024 * 1024
+_MAX_NODE_MEMORY_BYTES = 160 * 1024 * 1024
 _numbers = itertools.count(1)
 
 
@@ -44,14 +44,14 @@
 class SlowReader:
     """Submits jobs with large bodies, and reads those in small pieces."""
 
-    world: World
+    harness: SoakHarness
     ledger: Ledger
     rng: random.Random
     http: HttpClient = field(default_factory=HttpClient)
     # The newest accepted job, and its item.
     newest: tuple[str, str] | None = None
-    whole: int = 0
-    most_memory_bytes: int = 0
+    complete_bodies: int = 0
+    peak_memory_bytes: int = 0
 
     async def run(self) -> None:
         """Submit, read and look at the memory of nodes until cancelled."""
@@ -61,26 +61,26 @@
             while True:
                 await trio.sleep(0.05)
                 if self.newest is not None:
-                    await self._read(self.rng.choice(self.world.nodes), *self.newest)
+                    await self._read(self.rng.choice(self.harness.nodes), *self.newest)
 
     async def _submit_jobs(self) -> None:
         while True:
             number = next(_numbers)
             job_id, item = f"{BIG_ITEM}job-{number}", f"{BIG_ITEM}{number}"
-            node = self.rng.choice(self.world.nodes)
+            node = self.rng.choice(self.harness.nodes)
             body = submission_of([item_entry(item, big_body(item))])
             headers = {"x-request-id": job_id}
             reply = await call_node(self.http, node.front, "POST", "/letters/new", body, headers)
             if reply.status == 202:
                 self.newest = (job_id, item)
-            await trio.sleep(_EACH_JOB_S)
+            await trio.sleep(_JOB_INTERVAL_S)
 
     async def _read(self, node: NodeProcess, job_id: str, item: str) -> None:
         """Read a body; what comes of it is its beginning, and all of it where it looks whole."""
         data = b""
         try:
             async with slow_client(node.front) as client:
-                await _ask(client, job_id, item)
+                await _request_body(client, job_id, item)
                 with trio.move_on_after(_STALL_S):
                     while part := await client.stream.receive_some(_READ_BYTES):
                         data += part
@@ -93,25 +93,25 @@
         if not head.startswith(b"HTTP/1.1 200"):
             return
         if f"content-length: {_BODY_BYTES}\r\n".encode() not in head + b"\r\n":
-            self.ledger.broken.append(f"{item} at {node.name}: another length: {head!r}")
+            self.ledger.violations.append(f"{item} at {node.name}: another length: {head!r}")
         if not big_body(item).startswith(body):
-            self.ledger.broken.append(f"{item} at {node.name}: another body, read slowly")
-        self.whole += len(body) == _BODY_BYTES
+            self.ledger.violations.append(f"{item} at {node.name}: another body, read slowly")
+        self.complete_bodies += len(body) == _BODY_BYTES
 
     async def _watch_memory(self) -> None:
         while True:
             await trio.sleep(0.2)
-            for node in self.world.nodes:
-                if node.runs:
+            for node in self.harness.nodes:
+                if node.is_running:
                     memory_bytes = _memory_bytes(node.process.pid)
-                    self.most_memory_bytes = max(self.most_memory_bytes, memory_bytes)
+                    self.peak_memory_bytes = max(self.peak_memory_bytes, memory_bytes)
 
 
 @dataclass(slots=True)
 class NeverReader:
     """Asks for large bodies and reads nothing of them, or sends half of a request."""
 
-    world: World
+    harness: SoakHarness
     ledger: Ledger
     rng: random.Random
     reader: SlowReader
@@ -120,7 +120,7 @@
     async def run(self) -> None:
         """Keep a few such connections until cancelled."""
         async with trio.open_nursery() as nursery:
-            for _ in range(_STALLED):
+            for _ in range(_STALLED_CONNECTIONS):
                 nursery.start_soon(self._stall_forever)
 
     async def _stall_forever(self) -> None:
@@ -129,25 +129,25 @@
             if self.reader.newest is None:
                 continue
             try:
-                async with slow_client(self.rng.choice(self.world.nodes).front) as client:
+                async with slow_client(self.rng.choice(self.harness.nodes).front) as client:
                     if self.rng.random() < 0.3:
                         await _send_half(client)
                     else:
-                        await _ask(client, *self.reader.newest)
+                        await _request_body(client, *self.reader.newest)
                     await trio.sleep(self.rng.uniform(0.2, _STALL_S))
             except (OSError, trio.BrokenResourceError):
                 continue
 
 
-def broken_by_slow_clients(reader: SlowReader) -> Iterator[str]:
+def slow_client_violations(reader: SlowReader) -> Iterator[str]:
     """Yield what is wrong after a run."""
-    if reader.most_memory_bytes > _MOST_MEMORY_BYTES:
-        yield f"a node took {reader.most_memory_bytes} bytes of memory beside slow clients"
-    if not reader.whole:
+    if reader.peak_memory_bytes > _MAX_NODE_MEMORY_BYTES:
+        yield f"a node took {reader.peak_memory_bytes} bytes of memory beside slow clients"
+    if not reader.complete_bodies:
         yield "no body that was read slowly came whole"
 
 
-def cut_off_callers(logs: Path) -> int:
+def count_cut_off_callers(logs: Path) -> int:
     """Count the slow callers that nodes have logged as cut off."""
     lines = [line for log in logs.glob("node-*.log") for line in log.read_bytes().splitlines()]
     return sum(b'"caller_cut_off"' in line for line in lines)
@@ -158,14 +158,16 @@
     return (f"{item}.".encode() * _BODY_BYTES)[: _BODY_BYTES - 4] + b"end."
 
 
-async def _ask(client: SlowClient, job_id: str, item: str) -> None:
+async def _request_body(client: SlowClient, job_id: str, item: str) -> None:
     fields = {"authorization": f"Bearer {Ledger.key}"}
     await client.send("GET", f"/api/items/{job_id}?id={item}", fields)
 
 
 async def _send_half(client: SlowClient) -> None:
     fields = {"authorization": f"Bearer {Ledger.key}", "content-length": str(_BODY_BYTES)}
-    await client.send("POST", "/rights/half", fields, b"x" * (HELD_PROCESS_BYTES // _STALLED))
+    await client.send(
+        "POST", "/rights/half", fields, b"x" * (HELD_PROCESS_BYTES // _STALLED_CONNECTIONS)
+    )
 
 
 def _memory_bytes(pid: int) -> int:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -20,20 +20,20 @@
 from tests.soak.clients import JobClient, Reply
 from tests.soak.ending import EndingClient
 from tests.soak.faults import Schedule
+from tests.soak.harness import SoakUpstream
 from tests.soak.overlaps import OverlapSchedule
-from tests.soak.promises import ACK_S, CALM_S, END_S, Disturbance, Ledger, SoakJob, wanted_text
+from tests.soak.promises import ACK_S, CALM_S, END_S, Disturbance, Ledger, SoakJob, expected_text
 from tests.soak.proxy import FaultProxy
 from tests.soak.regressions import REGRESSIONS, Regression
 from tests.soak.runs import SoakReport, new_folder, run_seed
 from tests.soak.slow import BIG_ITEM, SlowReader, big_body
-from tests.soak.world import SoakUpstream
 
 # Long enough for about ten faults; the long runs are made by hand (docs/SOAK.md).
 FAULT_S = 6.0
 SEED = 20
 RELEASE_SEED = 44
 NODES = 3
-TEXT = wanted_text("item-1")
+TEXT = expected_text("item-1")
 LOGS = Path(__file__).parents[1] / "soak-logs" / "tests"
 
 
@@ -49,8 +49,8 @@
 
 def check_report(test: unittest.TestCase, report: SoakReport, about: str = "") -> None:
     """Check that a run kept the promises, and that there was something to keep."""
-    told = f"{about} {report.faults}; logs and report are in {LOGS} under the seed"
-    test.assertEqual(report.broken, [], told)
+    message = f"{about} {report.faults}; logs and report are in {LOGS} under the seed"
+    test.assertEqual(report.broken, [], message)
     test.assertGreater(report.whole, 0)
     test.assertGreater(report.ended, 0)
 
@@ -79,8 +79,8 @@
 
     def test_logs_of_an_earlier_failure_stay(self) -> None:
         with tempfile.TemporaryDirectory() as name:
-            wanted = Path(name) / "seed-3"
-            made = [new_folder(wanted).name for _ in range(3)]
+            expected = Path(name) / "seed-3"
+            made = [new_folder(expected).name for _ in range(3)]
         self.assertEqual(made, ["seed-3", "seed-3-2", "seed-3-3"])
 
     def test_killing_all_waits_for_the_processes_that_it_killed(self) -> None:
@@ -129,26 +129,26 @@
 
     def test_every_run_is_held_against_its_jobs_acknowledged_end(self) -> None:
         """A run may begin 3 s after the end, and 1 s after it where nothing is disturbed."""
-        job = SoakJob("job-1", ["item-1"], accepted_s=90.0, end_asked=True, ended_s=100.0)
+        job = SoakJob("job-1", ["item-1"], accepted_s=90.0, end_requested=True, ended_s=100.0)
 
-        def told(at_s: float, *disturbances: Disturbance) -> list[str]:
+        def violations_of(at_s: float, *disturbances: Disturbance) -> list[str]:
             ledger = Ledger(jobs={job.job_id: job}, disturbances=list(disturbances))
             upstream = EventUpstream("i-0", started=[("item-1", at_s)])
             ledger.judge_runs([SoakUpstream(upstream, mock.Mock())])
-            return ledger.broken
+            return ledger.violations
 
-        self.assertEqual(told(100.9), [])
-        self.assertEqual(len(told(101.1)), 1)
+        self.assertEqual(violations_of(100.9), [])
+        self.assertEqual(len(violations_of(101.1)), 1)
         disturbed = Disturbance(98.0, 99.0)
-        self.assertEqual(told(101.9, disturbed), [])
-        self.assertEqual(told(102.9, disturbed), [])
-        self.assertEqual(len(told(103.1, disturbed)), 1)
+        self.assertEqual(violations_of(101.9, disturbed), [])
+        self.assertEqual(violations_of(102.9, disturbed), [])
+        self.assertEqual(len(violations_of(103.1, disturbed)), 1)
         # Disturbed shortly before the end, and left alone for long enough when this run begins.
-        self.assertEqual(len(told(102.9, Disturbance(95.0, 98.5))), 1)
-        self.assertEqual(told(102.9, Disturbance(95.0)), [])
-        self.assertEqual(len(told(103.1, Disturbance(95.0))), 1)
+        self.assertEqual(len(violations_of(102.9, Disturbance(95.0, 98.5))), 1)
+        self.assertEqual(violations_of(102.9, Disturbance(95.0)), [])
+        self.assertEqual(len(violations_of(103.1, Disturbance(95.0))), 1)
         job.ended_s = math.inf
-        self.assertEqual(told(200.0), [])
+        self.assertEqual(violations_of(200.0), [])
 
     def test_owners_stand_still_as_their_jobs_begin_and_end(self) -> None:
         """The job is ended at most 0.2 s before its owner stands still, or while it does."""
@@ -162,19 +162,21 @@
                     self.assertTrue(stopped_s - 0.2 <= ended_s <= continued_s)
 
     def freeze(self, fault, seed: int) -> tuple[float, list[tuple[float, int]]]:
-        """Return when the job was told to end, and the signals that its owner got."""
-        job = SoakJob("job-1", ["item-1"], accepted_s=math.inf, to_end=True, owner="node-1")
+        """Return when the job was violations_of to end, and the signals that its owner got."""
+        job = SoakJob("job-1", ["item-1"], accepted_s=math.inf, will_be_ended=True, owner="node-1")
         signals: list[tuple[float, int]] = []
         ended_s = math.inf
 
-        def note(number: int) -> None:
+        def record_signal(number: int) -> None:
             signals.append((trio.current_time(), number))
 
-        owner = types.SimpleNamespace(name="node-1", runs=True, paused=False, signal=note)
+        owner = types.SimpleNamespace(
+            name="node-1", is_running=True, paused=False, signal=record_signal
+        )
         # All nodes but one: the owner.
-        world = mock.Mock(nodes=[owner, owner])
-        world.node.return_value = owner
-        schedule = OverlapSchedule(world, Ledger(jobs={"job-1": job}), random.Random(seed))
+        harness = mock.Mock(nodes=[owner, owner])
+        harness.node.return_value = owner
+        schedule = OverlapSchedule(harness, Ledger(jobs={"job-1": job}), random.Random(seed))
 
         async def accept() -> None:
             nonlocal ended_s
@@ -193,53 +195,53 @@
         return ended_s, signals
 
     def test_an_unacknowledged_end_counts_once_all_was_calm_for_long_enough(self) -> None:
-        job = SoakJob("job-1", ["item-1"], accepted_s=90.0, end_asked=True)
+        job = SoakJob("job-1", ["item-1"], accepted_s=90.0, end_requested=True)
         job.lost_end_s, job.lost_end_at = 100.0, ("node-0", 7)
 
-        def told(at_s: float, *disturbances: Disturbance, process: int = 7) -> list[str]:
-            job.counted_end_s = math.inf
+        def violations_of(at_s: float, *disturbances: Disturbance, process: int = 7) -> list[str]:
+            job.effective_end_s = math.inf
             ledger = Ledger(jobs={job.job_id: job}, disturbances=list(disturbances))
             ledger.count_lost_ends({"node-0": process})
             ledger.judge_runs(
                 [SoakUpstream(EventUpstream("i-0", started=[("item-1", at_s)]), mock.Mock())]
             )
-            self.assertEqual(ledger.broken, [])
-            return ledger.broken_lost_ends
+            self.assertEqual(ledger.violations, [])
+            return ledger.lost_end_violations
 
         late_s = 100.0 + ACK_S + END_S
-        self.assertEqual(told(late_s - 0.1), [])
-        self.assertEqual(len(told(late_s + 0.1)), 1)
+        self.assertEqual(violations_of(late_s - 0.1), [])
+        self.assertEqual(len(violations_of(late_s + 0.1)), 1)
         disturbed = Disturbance(101.0, 102.0)
         late_s = 102.0 + CALM_S + ACK_S + END_S
-        self.assertEqual(told(late_s - 0.1, disturbed), [])
-        self.assertEqual(len(told(late_s + 0.1, disturbed)), 1)
+        self.assertEqual(violations_of(late_s - 0.1, disturbed), [])
+        self.assertEqual(len(violations_of(late_s + 0.1, disturbed)), 1)
         # The node that got the call has started anew.
-        self.assertEqual(told(late_s + 0.1, process=8), [])
+        self.assertEqual(violations_of(late_s + 0.1, process=8), [])
 
     def test_nothing_runs_of_an_item_that_was_read_as_listed(self) -> None:
         job = SoakJob("job-1", ["item-1"], accepted_s=90.0, listed_s={"item-1": 100.0})
 
-        def told(at_s: float, *disturbances: Disturbance) -> list[str]:
+        def violations_of(at_s: float, *disturbances: Disturbance) -> list[str]:
             ledger = Ledger(jobs={job.job_id: job}, disturbances=list(disturbances))
             upstream = EventUpstream("i-0", started=[("item-1", at_s)])
             ledger.judge_runs([SoakUpstream(upstream, mock.Mock())])
-            return ledger.broken
+            return ledger.violations
 
-        self.assertEqual(told(100.9), [])
-        self.assertEqual(len(told(101.1)), 1)
-        self.assertEqual(told(102.9, Disturbance(99.0)), [])
-        self.assertEqual(len(told(103.1, Disturbance(99.0))), 1)
+        self.assertEqual(violations_of(100.9), [])
+        self.assertEqual(len(violations_of(101.1)), 1)
+        self.assertEqual(violations_of(102.9, Disturbance(99.0)), [])
+        self.assertEqual(len(violations_of(103.1, Disturbance(99.0))), 1)
 
     def test_a_result_is_whole_or_a_dead_letter_and_stays_where_it_is(self) -> None:
-        job = SoakJob("job-1", ["item-1", "item-2"], accepted_s=90.0, end_asked=True)
-        self.assertIn("listed as", job.take(0, ("item-1", "cancelled", "")))
+        job = SoakJob("job-1", ["item-1", "item-2"], accepted_s=90.0, end_requested=True)
+        self.assertIn("listed as", job.record_result(0, ("item-1", "cancelled", "")))
         job.results.clear()
-        self.assertIn("not whole", job.take(0, ("item-1", "completed", "x")))
+        self.assertIn("not whole", job.record_result(0, ("item-1", "completed", "x")))
         job.results.clear()
-        self.assertEqual(job.take(0, ("item-1", "dead_letter", "")), "")
-        self.assertEqual(job.take(0, ("item-1", "dead_letter", "")), "")
-        self.assertIn("position 0 held", job.take(0, ("item-2", "dead_letter", "")))
-        self.assertIn("and at another", job.take(1, ("item-1", "dead_letter", "")))
+        self.assertEqual(job.record_result(0, ("item-1", "dead_letter", "")), "")
+        self.assertEqual(job.record_result(0, ("item-1", "dead_letter", "")), "")
+        self.assertIn("position 0 held", job.record_result(0, ("item-2", "dead_letter", "")))
+        self.assertIn("and at another", job.record_result(1, ("item-1", "dead_letter", "")))
 
     def test_a_body_is_given_and_listed_results_come_again_until_the_end(self) -> None:
         """What a reader of the soak makes of a node's denials, and of results that are gone."""
@@ -252,48 +254,48 @@
             ("", 503, b"", [], False),
             ("", 404, b"", [{"id": "item-1", "state": "completed", "text": TEXT}], False),
         ]
-        for wanted, status, body, results, ended in cases:
-            with self.subTest(wanted=wanted, status=status, ended=ended):
+        for expected, status, body, results, ended in cases:
+            with self.subTest(expected=expected, status=status, ended=ended):
                 broken = self.read_body(status, body, results, ended)
-                self.assertEqual(len(broken), bool(wanted), broken)
-                self.assertIn(wanted, "".join(broken))
+                self.assertEqual(len(broken), bool(expected), broken)
+                self.assertIn(expected, "".join(broken))
 
     def read_body(self, status: int, body: bytes, results: list, ended: bool) -> list[str]:
-        job = SoakJob("job-1", ["item-1"], accepted_s=-10.0, end_asked=ended)
+        job = SoakJob("job-1", ["item-1"], accepted_s=-10.0, end_requested=ended)
         page = {"total": 1, "nextToken": len(results), "results": results}
 
         async def call_node(_http, _address, _method, target, *_details, **_more) -> Reply:
             if target.startswith("/api/items/"):
-                return Reply(status, body=body, whole=True)
-            return Reply(200, body=json.dumps(page).encode(), whole=True)
+                return Reply(status, body=body, complete=True)
+            return Reply(200, body=json.dumps(page).encode(), complete=True)
 
-        world = mock.Mock(nodes=[mock.Mock()])
+        harness = mock.Mock(nodes=[mock.Mock()])
         ledger = Ledger(jobs={job.job_id: job})
-        client = JobClient(world, ledger, random.Random(SEED))
+        client = JobClient(harness, ledger, random.Random(SEED))
 
         async def run() -> None:
             await client._read_body(job)
 
         with mock.patch("tests.soak.clients.call_node", call_node):
             trio.run(run, clock=trio.testing.MockClock())
-        return ledger.broken
+        return ledger.violations
 
     def test_a_result_that_was_read_comes_again(self) -> None:
         job = SoakJob("job-1", ["item-1"], accepted_s=-10.0)
         job.results[0], job.listed_s["item-1"] = ("item-1", "completed", TEXT), -5.0
 
         async def call_node(*_call, **_more) -> Reply:
-            return Reply(200, body=b'{"total": 1, "nextToken": 0, "results": []}', whole=True)
+            return Reply(200, body=b'{"total": 1, "nextToken": 0, "results": []}', complete=True)
 
         ledger = Ledger(jobs={job.job_id: job})
         client = JobClient(mock.Mock(nodes=[mock.Mock()]), ledger, random.Random(SEED))
         with mock.patch("tests.soak.clients.call_node", call_node):
             trio.run(client.read, job, 0, clock=trio.testing.MockClock())
-        self.assertEqual(len(ledger.broken), 1)
-        self.assertIn("nothing at position 0", ledger.broken[0])
+        self.assertEqual(len(ledger.violations), 1)
+        self.assertIn("nothing at position 0", ledger.violations[0])
 
     def test_a_job_is_ended_while_its_owner_or_the_store_is_harmed(self) -> None:
-        job = SoakJob("job-1", ["item-1"], accepted_s=0.0, to_end=True, owner="node-1")
+        job = SoakJob("job-1", ["item-1"], accepted_s=0.0, will_be_ended=True, owner="node-1")
         ledger = Ledger(jobs={job.job_id: job})
         harmed: list[str] = []
         own_faults = ("_kill", "_stop", "_pause", "_cut_node", "_silence_node")
@@ -308,9 +310,9 @@
             harm.__name__ = name
             return harm
 
-        world = mock.Mock()
-        world.node.side_effect = lambda name: types.SimpleNamespace(name=name)
-        schedule = types.SimpleNamespace(world=world, ledger=ledger, rng=random.Random(SEED))
+        harness = mock.Mock()
+        harness.node.side_effect = lambda name: types.SimpleNamespace(name=name)
+        schedule = types.SimpleNamespace(harness=harness, ledger=ledger, rng=random.Random(SEED))
         for name in own_faults + store_faults:
             setattr(schedule, name, fault(name))
 
@@ -319,7 +321,7 @@
                 job.end_now = trio.Event()
                 self.assertIn("job-1", await Schedule._harm_around_end(schedule))
                 self.assertTrue(job.end_now.is_set())
-            job.end_asked = True
+            job.end_requested = True
             self.assertEqual(await Schedule._harm_around_end(schedule), "")
 
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
@@ -333,11 +335,11 @@
             calls.append((trio.current_time(), method, fresh))
             return Reply(status=202 if method == "POST" else 200)
 
-        world = mock.Mock(nodes=[mock.Mock()])
-        world.nodes[0].name = "node-0"
-        world.node.return_value = world.nodes[0]
+        harness = mock.Mock(nodes=[mock.Mock()])
+        harness.nodes[0].name = "node-0"
+        harness.node.return_value = harness.nodes[0]
         ledger = Ledger()
-        client = EndingClient("end-0", world, ledger, random.Random(SEED))
+        client = EndingClient("end-0", harness, ledger, random.Random(SEED))
 
         async def run() -> None:
             with trio.move_on_after(60):
@@ -354,7 +356,7 @@
         self.assertGreater(submissions, 5 * len(ended))
         self.assertGreater(len(calls) - submissions, 2 * len(ended))
         self.assertFalse(any(fresh for _, _, fresh in calls))
-        self.assertEqual(ledger.broken, [])
+        self.assertEqual(ledger.violations, [])
 
     def test_a_connection_whose_end_was_faster_is_not_reset_again(self) -> None:
         async def run() -> None:
@@ -367,7 +369,7 @@
                 stream = await trio.open_tcp_stream(address.host, address.port)
                 await trio.testing.wait_all_tasks_blocked(0.05)
                 [link] = proxy._links
-                await link.far.aclose()
+                await link.server.aclose()
                 proxy.reset_open()
                 with self.assertRaises(trio.BrokenResourceError):
                     await stream.receive_some(1)
@@ -386,14 +388,16 @@
             ("another body", len(body), b"y" * len(body), 1),
             ("another length", 5000, body[:5000], 0),
         ]
-        for wanted, length, sent, whole in cases:
-            with self.subTest(wanted=wanted, length=length):
+        for expected, length, sent, complete in cases:
+            with self.subTest(expected=expected, length=length):
                 reader = SlowReader(mock.Mock(), Ledger(), random.Random(SEED))
                 answer = f"HTTP/1.1 200 OK\r\ncontent-length: {length}\r\n\r\n".encode() + sent
                 run_async(functools.partial(self.read_slowly, reader, item, answer))
-                self.assertEqual(len(reader.ledger.broken), bool(wanted), reader.ledger.broken)
-                self.assertIn(wanted, "".join(reader.ledger.broken))
-                self.assertEqual(reader.whole, whole)
+                self.assertEqual(
+                    len(reader.ledger.violations), bool(expected), reader.ledger.violations
+                )
+                self.assertIn(expected, "".join(reader.ledger.violations))
+                self.assertEqual(reader.complete_bodies, complete)
 
     async def read_slowly(self, reader: SlowReader, item: str, answer: bytes) -> None:
         async def send(stream: trio.SocketStream) -> None:
--- a/tests/test_uneven_load.py
+++ b/tests/test_uneven_load.py
@@ -14,7 +14,7 @@
 
 from fescuedock.node.online import ONLINE_ROUTING
 from tests.builders.load_player import CallOutcome, CallTimes, PlayedFleet, play_calls
-from tests.builders.placement_ways import POLICIES, oracle
+from tests.builders.placement_policies import POLICIES, oracle
 from tests.builders.played_speeds import PlayedSpeeds
 
 SEEDS = (1, 2, 4)
