--- a/tests/soak/customers.py
+++ b/tests/soak/customers.py
@@ -137,11 +137,11 @@
             yield f"{attempt.request_id}: {attempt.status}, yet it has run"
     for attempt in key_client.attempts:
         key = key_client.key_by_request[attempt.request_id]
-        removed_s = key_client.removed_s.get(key, float("inf"))
-        if attempt.request_id not in started_s or attempt.sent_s <= removed_s + _APPLY_S:
+        until_s = key_client.removed_s.get(key, float("inf"))
+        if attempt.request_id not in started_s or attempt.sent_s <= until_s + _APPLY_S:
             continue
-        if ledger.was_calm(removed_s, attempt.sent_s):
-            yield f"{attempt.request_id}: ran with {key}, gone for {attempt.sent_s - removed_s:.1f} s"
+        if ledger.was_calm(until_s, attempt.sent_s):
+            yield f"{attempt.request_id}: ran with {key}, gone for {attempt.sent_s - until_s:.1f} s"
     runs = sorted(
         (attempt.sent_s, started_s[attempt.request_id])
         for attempt in over_limit.attempts
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -61,7 +61,7 @@
         check_report(self, report)
         self.assertGreater(report.spooled, 0)
 
-    def test_an_end_that_nobody_acknowledged_counts_after_a_while(self) -> None:
+    def test_unacknowledged_end_takes_effect_after_a_while(self) -> None:
         """A client's one try to end its job is not answered in time, and the job runs on.
 
         The store was away when the call came, or the job waited on disks, or the client left before
@@ -77,7 +77,7 @@
         self.assertGreater(report.taken_up, 0)
         self.assertGreater(report.went_on, 0)
 
-    def test_logs_of_an_earlier_failure_stay(self) -> None:
+    def test_logs_of_an_earlier_failure_are_retained(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             expected = Path(name) / "seed-3"
             made = [new_folder(expected).name for _ in range(3)]
@@ -119,7 +119,7 @@
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
         self.assertEqual([node.starts for node in nodes], [1, 1])
 
-    def test_what_goes_on_is_no_calm(self) -> None:
+    def test_continuing_disturbance_is_not_calm(self) -> None:
         ledger = Ledger(disturbances=[Disturbance(10.0)])
         self.assertTrue(ledger.was_calm(5.0, 9.0))
         self.assertFalse(ledger.was_calm(20.0, 21.0))
@@ -127,7 +127,7 @@
         self.assertFalse(ledger.was_calm(12.0 + CALM_S, 21.0))
         self.assertTrue(ledger.was_calm(12.1 + CALM_S, 21.0))
 
-    def test_every_run_is_held_against_its_jobs_acknowledged_end(self) -> None:
+    def test_every_run_is_checked_against_the_acknowledged_end_of_its_job(self) -> None:
         """A run may begin 3 s after the end, and 1 s after it where nothing is disturbed."""
         job = SoakJob("job-1", ["item-1"], accepted_s=90.0, end_requested=True, ended_s=100.0)
 
@@ -150,7 +150,7 @@
         job.ended_s = math.inf
         self.assertEqual(violations_of(200.0), [])
 
-    def test_owners_stand_still_as_their_jobs_begin_and_end(self) -> None:
+    def test_owners_are_frozen_while_their_jobs_begin_and_end(self) -> None:
         """The job is ended at most 0.2 s before its owner stands still, or while it does."""
         for fault in (OverlapSchedule._freeze_at_end, OverlapSchedule._freeze_at_start):
             for seed in range(20):
@@ -194,7 +194,7 @@
         trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
         return ended_s, signals
 
-    def test_an_unacknowledged_end_counts_once_all_was_calm_for_long_enough(self) -> None:
+    def test_unacknowledged_end_counts_after_enough_calm(self) -> None:
         job = SoakJob("job-1", ["item-1"], accepted_s=90.0, end_requested=True)
         job.lost_end_s, job.lost_end_at = 100.0, ("node-0", 7)
 
@@ -218,7 +218,7 @@
         # The node that got the call has started anew.
         self.assertEqual(violations_of(late_s + 0.1, process=8), [])
 
-    def test_nothing_runs_of_an_item_that_was_read_as_listed(self) -> None:
+    def test_listed_item_does_not_run_again(self) -> None:
         job = SoakJob("job-1", ["item-1"], accepted_s=90.0, listed_s={"item-1": 100.0})
 
         def violations_of(at_s: float, *disturbances: Disturbance) -> list[str]:
@@ -232,7 +232,7 @@
         self.assertEqual(violations_of(102.9, Disturbance(99.0)), [])
         self.assertEqual(len(violations_of(103.1, Disturbance(99.0))), 1)
 
-    def test_a_result_is_whole_or_a_dead_letter_and_stays_where_it_is(self) -> None:
+    def test_result_is_complete_or_a_dead_letter_and_keeps_its_position(self) -> None:
         job = SoakJob("job-1", ["item-1", "item-2"], accepted_s=90.0, end_requested=True)
         self.assertIn("listed as", job.record_result(0, ("item-1", "cancelled", "")))
         job.results.clear()
@@ -243,7 +243,7 @@
         self.assertIn("position 0 held", job.record_result(0, ("item-2", "dead_letter", "")))
         self.assertIn("and at another", job.record_result(1, ("item-1", "dead_letter", "")))
 
-    def test_a_body_is_given_and_listed_results_come_again_until_the_end(self) -> None:
+    def test_body_is_available_until_the_item_is_listed_or_the_job_ends(self) -> None:
         """What a reader of the soak makes of a node's denials, and of results that are gone."""
         cases = [
             # Status of the body, its bytes, results that are read, whether the job was ended.
@@ -280,7 +280,7 @@
             trio.run(run, clock=trio.testing.MockClock())
         return ledger.violations
 
-    def test_a_result_that_was_read_comes_again(self) -> None:
+    def test_result_that_was_read_must_be_returned_again(self) -> None:
         job = SoakJob("job-1", ["item-1"], accepted_s=-10.0)
         job.results[0], job.listed_s["item-1"] = ("item-1", "completed", TEXT), -5.0
 
@@ -328,7 +328,7 @@
         self.assertEqual(set(harmed), {*own_faults, *store_faults})
         self.assertGreater(len(harmed), 90)
 
-    def test_a_job_is_ended_and_its_submission_and_end_come_again(self) -> None:
+    def test_job_is_ended_and_its_submission_and_end_are_repeated(self) -> None:
         calls: list[tuple[float, str, bool]] = []
 
         async def call_node(_http, _address, method, *_details, fresh: bool) -> Reply:
@@ -358,7 +358,7 @@
         self.assertFalse(any(fresh for _, _, fresh in calls))
         self.assertEqual(ledger.violations, [])
 
-    def test_a_connection_whose_end_was_faster_is_not_reset_again(self) -> None:
+    def test_closed_connection_is_not_reset_again(self) -> None:
         async def run() -> None:
             async with trio.open_nursery() as nursery:
                 [listener] = await trio.open_tcp_listeners(0, host="127.0.0.1")
@@ -378,7 +378,7 @@
 
         run_async(run)
 
-    def test_a_body_that_is_read_slowly_is_whole_or_visibly_broken_off(self) -> None:
+    def test_body_read_slowly_is_complete_or_visibly_truncated(self) -> None:
         """What the soak makes of an answer: only wrong bytes and a shortened length break it."""
         item = f"{BIG_ITEM}1"
         body = big_body(item)
