--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the soak: online calls on kept connections, jobs, and a look at the configuration."""
+"""Clients of the soak: online calls on persistent connections, jobs, and configuration polling."""
 
 import itertools
 import json
@@ -17,19 +17,19 @@
 __all__ = ["REJECTION_STATUSES", "ConfigWatcher", "JobClient", "OnlineClient", "Reply", "call_node"]
 
 _DEADLINE_MS = 3000
-# What a client waits beyond its deadline.
+# How long a client waits for an answer; longer than the deadline of its call.
 _CLIENT_TIMEOUT_S = 4.0
 _ROUTES = (("/check/", False), ("/rights/", True), ("/safe/", False))
-# When an accepted submission comes again: half listed, or finished.
+# When an accepted submission is sent again: while its items are partly listed, or when finished.
 _REPEAT_S = ((0.0, 0.6), (1.0, 9.0))
-# Answers by which a node says that a proper call is wrong, or that there is no such job.
+# Statuses by which a node rejects a valid call, or denies that the job exists.
 REJECTION_STATUSES = (400, 401, 404, 409, 410, 413, 422, 431)
 _numbers = itertools.count(1)
 
 
 @dataclass(slots=True)
 class Reply:
-    """What came of one call; status 0 when no answer did."""
+    """The result of one call; the status is 0 without an answer."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -49,10 +49,10 @@
     fresh: bool = True,
     timeout_s: float = _CLIENT_TIMEOUT_S,
 ) -> Reply:
-    """Make one call and read as much of its answer as comes within a client's patience."""
+    """Make one call and read as much of its answer as arrives within ``timeout_s``."""
     reply = Reply()
     fields = {"host": HOST, "x-deadline-ms": str(_DEADLINE_MS)}
-    # The name is forged: nodes put that of the key's customer in its place.
+    # A forged name, which nodes must replace by that of the customer who owns the key.
     fields |= {"authorization": f"Bearer {Ledger.key}", "x-tenant": "forged"} | (headers or {})
     with trio.move_on_after(timeout_s):
         try:
@@ -72,7 +72,7 @@
 
 @dataclass(slots=True)
 class OnlineClient:
-    """Sends one call after the other, staying with a node until that fails it."""
+    """Sends one call after another to the same node until a call fails, then changes the node."""
 
     harness: SoakHarness
     ledger: Ledger
@@ -111,7 +111,7 @@
         return attempt
 
     async def _resolve(self) -> NodeProcess:
-        """Ask a node which ones take work, as clients do."""
+        """Return a node that accepts work according to the directory of a node, as clients do."""
         node_to_ask = self.rng.choice(self.harness.nodes)
         target = f"/api/resolve?name={HOST}&region=caldas&zone=sala-1"
         reply = await call_node(self.http, node_to_ask.directory, "GET", target)
@@ -124,20 +124,21 @@
 
 @dataclass(slots=True)
 class JobClient:
-    """Submits jobs, again at other nodes until one accepts, reads them, and ends a few.
+    """Submits jobs, retrying at other nodes until one accepts them, reads them, and ends a few.
 
-    Accepted ones come again on kept connections, half listed, finished or ended.
+    Accepted submissions are sent again on persistent connections, at times when their job is partly
+    listed, finished or ended.
     """
 
     harness: SoakHarness
     ledger: Ledger
     rng: random.Random
     http: HttpClient = field(default_factory=HttpClient)
-    # Cancel this to have it submit nothing new; what was accepted goes on to come again.
+    # Cancelling this stops new submissions; accepted ones are still sent again.
     submit_scope: trio.CancelScope = field(default_factory=trio.CancelScope)
 
     async def run(self) -> None:
-        """Submit until cancelled; reading goes on in ``read_some``."""
+        """Submit until cancelled; ``read_at_random`` does the reading."""
         async with trio.open_nursery() as repeats:
             with self.submit_scope:
                 await self._submit_jobs(repeats)
@@ -157,7 +158,7 @@
                     await self._end(job)
 
     async def read_at_random(self) -> None:
-        """Read accepted jobs, at any node and from any position, until cancelled."""
+        """Read random accepted jobs, at random nodes and positions, until cancelled."""
         while True:
             await trio.sleep(0.05)
             jobs = [job for job in self.ledger.jobs.values() if job.accepted]
@@ -169,7 +170,7 @@
                 await self._read_body(job)
 
     async def read(self, job: SoakJob, after: int) -> None:
-        """Read a job once."""
+        """Read a job's results from position ``after`` at a random node, and check them."""
         node = self.rng.choice(self.harness.nodes)
         sent_s = trio.current_time()
         target = f"/api/lots/{job.job_id}?after={after}"
@@ -195,7 +196,7 @@
             job.listed_s.setdefault(item["id"], trio.current_time())
 
     async def _read_body(self, job: SoakJob) -> None:
-        """Ask for the body of an item that is not listed; it is given until the job's end."""
+        """Read the body of an unlisted item, which must be available until the job's end."""
         waiting = [item for item in job.items if item not in job.listed_s]
         if not waiting:
             return
@@ -207,14 +208,14 @@
             self.ledger.violations.append(f"{job.job_id}: another body of {item} at {node.name}")
         if reply.status not in (404, 410) or sent_s < job.accepted_s + SETTLE_S:
             return
-        # It may have been listed meanwhile, as far as nobody has read; all before it is read now.
+        # The item may have been listed unread meanwhile, so all remaining results are read first.
         for _ in range(len(job.items)):
             await self.read(job, len(job.results))
         if item not in job.listed_s and not job.end_requested:
             self.ledger.violations.append(f"{job.job_id}: no body of {item} at {node.name}")
 
     async def _repeat(self, job: SoakJob, after_s: float) -> None:
-        """Send the submission again at any node."""
+        """Send the submission again to a random node."""
         await trio.sleep(after_s)
         node, sent_s = self.rng.choice(self.harness.nodes), trio.current_time()
         headers = {"x-request-id": job.job_id}
@@ -231,7 +232,7 @@
         for _ in range(6):
             node = self.rng.choice(self.harness.nodes)
             headers = {"x-request-id": job.job_id}
-            # Until an answer promises the contrary: this client may be ended while it waits.
+            # Set before the call, as this client may be cancelled while it waits for the answer.
             may_be_accepted, job.may_be_accepted = job.may_be_accepted, True
             reply = await call_node(self.http, node.front, "POST", "/letters/new", body, headers)
             if reply.status == 202:
@@ -255,19 +256,20 @@
 
 @dataclass(slots=True)
 class ConfigWatcher:
-    """Asks every node for the newest route: a node that has shown a version never goes behind it.
+    """Calls the route of the newest version at every node.
 
-    Each version has a route of its own, which stays (``Schedule`` adds it).
+    A node that has served a version must never go back behind it.  Each version adds a route, which
+    later versions retain; see ``SoakHarness.configure``.
     """
 
     harness: SoakHarness
     ledger: Ledger
     http: HttpClient = field(default_factory=HttpClient)
-    # The highest version that a process has shown, by node and process id.
+    # The highest version that a process has served, by node and process id.
     _highest_served: dict[tuple[str, int], int] = field(default_factory=dict)
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Poll until cancelled."""
         while True:
             await trio.sleep(0.3)
             for node in self.harness.nodes:
--- a/tests/soak/customers.py
+++ b/tests/soak/customers.py
@@ -1,4 +1,4 @@
-"""Customers of the soak: whom all other clients are of, one whose keys go, one over its limit."""
+"""Customers of the soak: the default one, one whose keys are replaced, and one over its limit."""
 
 import itertools
 import random
@@ -18,7 +18,7 @@
 _CHANGING, _LIMITED = "gent", "brugge"
 _LIMITED_KEY = "key-brugge"
 _RATE_PER_S, _BURST = 4, 4
-# The users' figures: what may run in any window, and when a change binds.
+# The users' bounds: the calls that may run in any window, and the time until a change applies.
 _WINDOW_S = 5.0
 _MAX_CALLS_PER_WINDOW = (_RATE_PER_S * _WINDOW_S + _BURST) * 1.1 + 20
 _APPLY_S = 3.0
@@ -27,7 +27,7 @@
 
 
 def initial_customers() -> list[dict]:
-    """Return the customers of the first configuration."""
+    """Return the customers of the initial configuration."""
     return _customers("key-gent-0")
 
 
@@ -42,13 +42,13 @@
 
 @dataclass(slots=True)
 class KeyRotationClient:
-    """Replaces its key by another each few seconds, and goes on calling with both."""
+    """Replaces its key every few seconds, and calls with both the new and the old one."""
 
     harness: SoakHarness
     ledger: Ledger
     rng: random.Random
     http: HttpClient = field(default_factory=HttpClient)
-    # When each key was taken away, the newest not at all.
+    # When each key was removed; the newest key is not included.
     removed_s: dict[str, float] = field(default_factory=dict)
     key_by_request: dict[str, str] = field(default_factory=dict)
     attempts: list[OnlineAttempt] = field(default_factory=list)
@@ -88,7 +88,7 @@
 
 @dataclass(slots=True)
 class OverLimitClient:
-    """Sends several times what its customer may."""
+    """Sends several times as many calls as its customer's limit allows."""
 
     harness: SoakHarness
     ledger: Ledger
@@ -122,7 +122,7 @@
     key_client: KeyRotationClient,
     over_limit: OverLimitClient,
 ) -> Iterator[str]:
-    """Yield what upstreams saw that no key allowed: names, keys, runs too late or too many."""
+    """Yield the violations seen by upstreams: wrong names, passed-on keys, late or excess runs."""
     started_s = {name: at for item in upstreams for name, at in item.upstream.started}
     names = {attempt.request_id: _CHANGING for attempt in key_client.attempts}
     names |= {attempt.request_id: _LIMITED for attempt in over_limit.attempts}
--- a/tests/soak/ending.py
+++ b/tests/soak/ending.py
@@ -1,7 +1,7 @@
-"""Clients of the soak that end their jobs, while others send the same submission and end again.
+"""Clients of the soak that end their jobs, and repeat the submission and the end afterwards.
 
-Their jobs are large and slow enough that items wait for slots, so that work which should not begin
-any more has something to begin with.
+Their jobs are so large and slow that items wait for slots.  A node that misses the end of a job
+thus has items left to start by mistake.
 """
 
 import random
@@ -19,10 +19,10 @@
 
 _ITEMS = (20, 60)
 _PAUSE_S = 0.4
-# When jobs are ended after their acceptance: at once, or while their items run.
+# When jobs are ended after their acceptance: immediately, or while their items run.
 _END_AT_ONCE_S = (0.0, 0.1)
 _END_LATER_S = (0.5, 4.0)
-# When their submission and their end come again after the acknowledged end.
+# When submission and end are sent again after the acknowledged end.
 _REPEAT_AT_ONCE_S = (0.0, 0.3)
 _REPEAT_LATER_S = (3.0, 8.0)
 _SUBMIT_TRIES = 6
@@ -32,7 +32,7 @@
 
 @dataclass(slots=True)
 class EndingClient:
-    """Ends one job after the other; what comes again goes on beside it, on kept connections."""
+    """Submits and ends one job after another; repeats run in parallel on persistent connections."""
 
     name: str
     harness: SoakHarness
@@ -77,7 +77,7 @@
             await trio.sleep(self.rng.uniform(*_RETRY_S))
 
     async def _end(self, job: SoakJob) -> None:
-        """Wait until it is time, or until a fault wants the end now, and end the job."""
+        """End the job after a random delay, or as soon as a fault sets ``end_now``."""
         span_s = _END_AT_ONCE_S if self.rng.random() < 0.4 else _END_LATER_S
         with trio.move_on_after(self.rng.uniform(*span_s)):
             await job.end_now.wait()
@@ -88,12 +88,12 @@
             await trio.sleep(self.rng.uniform(*_RETRY_S))
 
     async def _repeat(self, job: SoakJob, span_s: tuple[float, float]) -> None:
-        """Send the submission again at the job's owner or any node, and perhaps the end."""
+        """Send the submission again to the job's owner and to a random node, and maybe the end."""
         await trio.sleep(self.rng.uniform(*span_s))
         owner = self.harness.node(job.owner)
         for node in (owner, self.rng.choice(self.harness.nodes)):
             await self._send(job, node)
-            # An end that comes again finds the same end.
+            # A repeated end is acknowledged like the first one.
             if job.has_ended and self.rng.random() < 0.5:
                 await self._send_end(job, self.rng.choice(self.harness.nodes))
 
@@ -104,7 +104,7 @@
         job.end_requested = True
         reply = await self._call(job, node, "DELETE", f"/api/lots/{job.job_id}")
         if reply.status == 200:
-            # The first acknowledgement counts.
+            # Only the first acknowledgement counts.
             job.ended_s = min(job.ended_s, trio.current_time())
         return reply
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,6 +1,6 @@
-"""A seeded schedule of faults, made from outside of the processes.
+"""A seeded schedule of faults, injected from outside the processes.
 
-Each fault undoes itself; what it disturbed, and for how long, goes into the ledger.
+Each fault reverts itself, and its duration is recorded in the ledger.
 """
 
 import random
@@ -27,14 +27,14 @@
 
 __all__ = ["Schedule"]
 
-# Mean pause between two faults, or series of one.
+# Mean pause between two faults, each of which may be repeated in a series.
 _PAUSE_S = 0.7
 _MIN_UPSTREAMS = 2
 
 
 @dataclass(slots=True)
 class Schedule:
-    """Draws faults from ``rng`` and carries them out; ``told`` has a line for each."""
+    """Draws faults from ``rng`` and injects them; ``descriptions`` has a line for each."""
 
     harness: SoakHarness
     ledger: Ledger
@@ -44,7 +44,7 @@
     _new_upstreams: int = 0
 
     async def run(self, duration_s: float) -> None:
-        """Cause faults for ``duration_s``, in series and overlapping; wait until all are over."""
+        """Inject faults for ``duration_s``, in overlapping series; wait until all have ended."""
         self._started_s = trio.current_time()
         async with trio.open_nursery() as nursery:
             while trio.current_time() < self._started_s + duration_s:
@@ -59,15 +59,15 @@
         store = [self._store_down, self._store_silent, self._store_slow, self._lose_writes]
         store += [self._forget_history, self._cut_node, self._silence_node]
         upstreams = [self._reset, self._silence, self._slow, self._replace, self._crash]
-        # Often, as each harms a few calls only.
+        # Weighted higher, as each affects a few calls only.
         spoilt = [self._spoil] * 4
-        # Often, as what overlaps here is what an end must hold against.
+        # Weighted higher, as ends of jobs must withstand such overlapping faults.
         ends = [self._harm_around_end] * 5
         return [*nodes, *store, *upstreams, *spoilt, *ends, self._change]
 
     async def _cause(self, fault: Callable[[], Awaitable[str]]) -> None:
         disturbance = Disturbance(trio.current_time())
-        # Noted from its beginning: what goes on must not pass for calm.
+        # Recorded at its start, so that times during the fault do not count as calm.
         if fault not in (self._change, self._replace):
             self.ledger.disturbances.append(disturbance)
         what = await fault()
@@ -99,8 +99,8 @@
     async def _kill_all(self) -> str:
         if self.rng.random() < 0.7:
             return ""
-        # The processes of now: a fault that overlaps may have started a node anew before its turn
-        # comes, and that one would be waited for without end.
+        # Captures the processes that are killed: an overlapping fault may restart a node before
+        # its process is awaited, and the wait for the new process would never end.
         processes = [node.process for node in self.harness.nodes]
         for node in self.harness.nodes:
             node.signal(signal.SIGKILL)
@@ -112,13 +112,13 @@
         return "all nodes killed"
 
     async def _stop(self, node: NodeProcess | None = None) -> str:
-        """Ask a node to stop; it has to end by itself, in time and with 0, unless harmed."""
+        """Stop a node by SIGTERM; unless disturbed, it must exit in time and with status 0."""
         node = node or self._node()
         seen_s = node.disturbed_s
-        # One that starts up has nothing to finish, and no handler for the signal yet.
+        # A node that is starting has nothing to finish, and no signal handler yet.
         if not node.is_running or node.paused or not await accepts_connections(node):
             return ""
-        # A fault that overlaps may have killed it while it answered.
+        # An overlapping fault may have killed the node while it accepted the connection.
         if node.disturbed_s != seen_s:
             return ""
         process, sent_s = node.process, trio.current_time()
@@ -149,7 +149,7 @@
         return f"{node.name} paused"
 
     async def _harm_around_end(self) -> str:
-        """Have a job ended while its owner, or the store, is harmed in up to three ways."""
+        """Have a job ended while up to three faults affect its owner or the store."""
         jobs = [job for job in self.ledger.jobs.values() if job.awaits_end]
         if not jobs:
             return ""
@@ -250,7 +250,7 @@
         return f"answers of {item.upstream.upstream_id} spoilt"
 
     async def _replace(self) -> str:
-        """Let an upstream leave as planned, and a new one come."""
+        """Drain and remove an upstream as in a planned replacement, and add a new one."""
         leaving = self._upstream()
         if leaving.state != "ready" or self.harness.store.faults.down:
             return ""
@@ -287,7 +287,7 @@
 
 
 def initial_configuration() -> dict:
-    """Return the configuration of the beginning, with a route of its own."""
+    """Return the initial configuration, including the route of version 1."""
     document = config_document()
     routes = [*document["routes"], version_route(1)]
     return {**document, "routes": routes, "tenants": initial_customers()}
--- a/tests/soak/harmful.py
+++ b/tests/soak/harmful.py
@@ -1,8 +1,8 @@
-"""Work that crashes each upstream that begins it, coming again at any node, amid all other faults.
+"""Work that crashes each upstream that starts it, sent to all nodes during all other faults.
 
-Some comes again as it was; some is no two alike and shares a part of its prompt.  Beside it comes
-work that is always the same and harms nobody.  What crashes upstreams is judged by what the
-upstreams saw; that others are not refused, by the answers.
+Some of it is identical each time; some differs but shares a harmful part of its prompt.  Harmless
+work is sent beside it.  The upstreams' records show whether harmful work was quarantined in time,
+and the answers show whether harmless work was refused.
 """
 
 import itertools
@@ -29,10 +29,10 @@
 ]
 
 HARMFUL_CALLS = 2
-# Three crashes are enough to know a piece of work by, and as many runs are borne after that.
+# A unit of work must be quarantined after three crashes; as many late crashes are tolerated.
 _CRASHES_TO_QUARANTINE = 3
 _MAX_LATE_CRASHES = 3
-# A part of prompts is known after five.
+# A part of prompts must be quarantined after five crashes.
 BAD_PART = "soak-bad-part"
 _SHARED_PART = "soak-first-part"
 _CRASHES_TO_QUARANTINE_PART = 5
@@ -45,13 +45,13 @@
 
 
 def harmful_paths() -> set[str]:
-    """Return the paths of the work that crashes upstreams."""
+    """Return the paths of the requests that crash upstreams."""
     return {f"/rights/harmful-{number}" for number in range(HARMFUL_CALLS)} | {f"/letters/{_ITEM}"}
 
 
 @dataclass(slots=True)
 class HarmfulClient:
-    """Sends one harmful call again and again, and the innocent one beside it."""
+    """Sends the same harmful call repeatedly, and a harmless one beside it."""
 
     number: int
     harness: SoakHarness
@@ -94,7 +94,7 @@
             )
 
     async def _submit_item(self) -> None:
-        """Submit a job with a harmful item, which nobody expects to be done."""
+        """Submit a job with a harmful item, which is not expected to be completed."""
         job = SoakJob("job-harmful", [_ITEM, "beside-it"], will_be_ended=True)
         self.ledger.jobs[job.job_id] = job
         while not job.accepted:
@@ -110,7 +110,7 @@
 
 @dataclass(slots=True)
 class HarmfulPartClient(HarmfulClient):
-    """Sends calls that are no two alike and share a harmful part, and sound ones beside them."""
+    """Sends distinct calls that share a harmful part of the prompt, and harmless calls as well."""
 
     async def run(self) -> None:
         """Send until cancelled, often at several nodes at the same moment."""
@@ -132,10 +132,10 @@
 
 
 def harmful_work_violations(ledger: Ledger, upstreams: list[SoakUpstream]) -> Iterator[str]:
-    """Yield the works that went on crashing upstreams where all was well long enough before.
+    """Yield the harmful work that still crashed upstreams when it should have been quarantined.
 
-    A run counts that began ``CALM_S`` after the third crash, with nothing disturbed for as long;
-    the crashes themselves are no disturbance of the nodes.
+    A crash counts if it occurred at least ``CALM_S`` after the crash that should have caused the
+    quarantine, with no disturbance for as long.  The crashes do not count as disturbances of nodes.
     """
     crashes_to_quarantine = dict.fromkeys(sorted(harmful_paths()), _CRASHES_TO_QUARANTINE) | {
         _HARMFUL_PART_PATH_PREFIX: _CRASHES_TO_QUARANTINE_PART
--- a/tests/soak/harness.py
+++ b/tests/soak/harness.py
@@ -1,6 +1,7 @@
-"""What the soak runs: node processes before a store and upstreams that live in the soak itself.
+"""The processes of the soak: nodes and spools, with a store and upstreams in the soak's process.
 
-Each node reaches the store, and all nodes reach an upstream, through a proxy that can harm it.
+Each node has its own proxy to the store, and each upstream has a proxy for all nodes.  The proxies
+inject faults into the connections.
 """
 
 import json
@@ -34,19 +35,19 @@
     "version_route",
 ]
 
-# What a node has to end in after SIGTERM; its setting below, and a second of our own.
+# The time within which a node must exit after SIGTERM, passed to it as ``stop_timeout_s`` below.
 STOP_TIMEOUT_S = 5
 _HEARTBEAT_S = 0.4
 # Three heartbeats.
 _LEASE_S = 1.2
-# Items with this at the beginning of their name take so long before their first event.
+# Items whose name has this prefix take ``_SLOW_ITEM_S`` before their first event.
 SLOW_ITEM = "slow-"
 _SLOW_ITEM_S = 0.6
-# Jobs of these have items left long after the last fault: 16 slots take 11 a second.  Nodes let a
-# run go on elsewhere after 1.5 s without an event.
+# Jobs of these have items left long after the last fault, as 16 slots run 11 a second.  The delay
+# is below the 1.5 s without an event after which nodes retry a run elsewhere.
 LONG_ITEM = "long-"
 _LONG_ITEM_S = 1.2
-# So small that a few slow clients reach it.
+# So low that a few slow clients reach it.
 HELD_PROCESS_BYTES = 150_000
 _INI = """\
 [vm]
@@ -112,7 +113,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class SoakProcess:
-    """One program as a process; it keeps its address and its disk over restarts."""
+    """One program as a process, which retains its address and disk over restarts."""
 
     name: str
     module: str
@@ -121,9 +122,9 @@
     store_proxy: FaultProxy
     process: trio.Process | None = None
     paused: bool = False
-    # When it was last told to stop, killed, paused or harmed; for promises with a time bound.
+    # When it was last started or sent a signal; for promises with a time bound.
     disturbed_s: float = float("-inf")
-    # Two faults may want to start it at the same moment.
+    # Two faults may start it concurrently.
     _starting: trio.Lock = field(default_factory=trio.Lock)
 
     @property
@@ -131,7 +132,7 @@
         return self.process is not None and self.process.returncode is None
 
     async def start(self) -> None:
-        """Start the process unless it runs; its log goes on in the same file."""
+        """Start the process unless it is running; it appends to the same log file."""
         async with self._starting:
             if not self.is_running:
                 await self._start()
@@ -146,14 +147,14 @@
         self.disturbed_s = trio.current_time()
 
     def signal(self, number: int) -> None:
-        """Send a signal to this process, by its id, if it still runs."""
+        """Send a signal to this process if it is still running."""
         self.disturbed_s = trio.current_time()
         if self.is_running:
             self.process.send_signal(number)
             self.paused = number == signal.SIGSTOP or (self.paused and number != signal.SIGCONT)
 
     async def end(self) -> None:
-        """Kill the process, if it still runs, and wait for it."""
+        """Kill the process if it is still running, and wait for its exit."""
         if self.is_running:
             self.process.kill()
             await self.process.wait()
@@ -161,7 +162,7 @@
 
 @dataclass(slots=True, kw_only=True)
 class NodeProcess(SoakProcess):
-    """One node, with where its clients reach it."""
+    """One node with the addresses for its clients."""
 
     front: Address
     directory: Address
@@ -169,9 +170,9 @@
 
 @dataclass(slots=True)
 class SlowItemUpstream(EventUpstream):
-    """Takes its time for some items, so that others of their jobs wait."""
+    """Delays the first event of some items, so that other items of their jobs wait."""
 
-    # Not in ``handle``: there the time would pass before the run counts as begun.
+    # Not in ``handle``, where the delay would precede the start of the run.
     async def _run(self, request: Request, responder: Responder, *details: object) -> None:
         if request.path.startswith(f"/letters/{SLOW_ITEM}"):
             await trio.sleep(_SLOW_ITEM_S)
@@ -182,19 +183,19 @@
 
 @dataclass(slots=True)
 class SoakUpstream:
-    """An upstream with the proxy by which nodes reach it; it registers itself while it lives."""
+    """An upstream with its proxy; while ``registered``, heartbeats renew its entry in the store."""
 
     upstream: EventUpstream
     proxy: FaultProxy
     state: str = "ready"
     registered: bool = True
-    # When the store took its last word that it leaves; infinite while it does not.
+    # When the store accepted the entry that says it is leaving; infinite until then.
     leaving_s: float = float("inf")
 
 
 @dataclass(slots=True)
 class SoakHarness:
-    """Store, upstreams and nodes of one run.  ``folder`` gets settings and logs."""
+    """Store, upstreams, nodes and spools of one run; ``folder`` is for settings and logs."""
 
     nursery: trio.Nursery
     folder: Path
@@ -203,14 +204,14 @@
     upstreams: list[SoakUpstream] = field(default_factory=list)
     nodes: list[NodeProcess] = field(default_factory=list)
     spools: list[SoakProcess] = field(default_factory=list)
-    # The newest configuration, and when it was put in force.
+    # The newest configuration, and when it was written to the store.
     config: dict = field(default_factory=config_document)
     config_changed_s: float = float("-inf")
-    # Paths of requests that crash the upstreams that begin them.
+    # Paths of requests that crash the upstreams that start them.
     harmful: set[str] = field(default_factory=set)
-    # Parts of prompts that do.
+    # Parts of prompts that crash upstreams as well.
     harmful_parts: set[str] = field(default_factory=set)
-    # Of the software of upstreams that start.
+    # Software version of upstreams that start from now on.
     version: str = DEFAULT_VERSION
     sequence: int = 0
 
@@ -219,13 +220,13 @@
         return f"{self.network}250"
 
     async def start(self, nodes: int, upstreams: int, spools: int) -> None:
-        """Start everything; returns before the nodes serve."""
+        """Start everything; return before the nodes accept connections."""
         await self.nursery.start(self.store.run, Address(f"{self.network}251", 0))
         self._put_configuration()
         for number in range(upstreams):
             await self.add_upstream(f"i-{number}")
         self.nursery.start_soon(self._send_heartbeats)
-        # The same on all nodes, which have a host each.
+        # The same ports on all nodes, as each node has its own host address.
         ports = free_ports(5, f"{self.network}1")
         for number in range(nodes):
             await self._add_node(number, ports)
@@ -233,11 +234,11 @@
             await self._add_spool(number, ports[-1])
 
     def node(self, name: str) -> NodeProcess:
-        """Return the node of that name."""
+        """Return the node with that name."""
         return next(node for node in self.nodes if node.name == name)
 
     def configure(self, changes: dict) -> None:
-        """Put a new version in force, with a route that only it and later ones have."""
+        """Write a new version, with a route that only it and later versions have."""
         version = self.config["version"] + 1
         routes = [*self.config["routes"], version_route(version)]
         self.config = {**self.config, "routes": routes, **changes, "version": version}
@@ -264,7 +265,7 @@
         return added
 
     def _handle_crash(self, item: SoakUpstream) -> None:
-        """Have a crashed upstream refuse connections, and its entry lapse some time later."""
+        """Refuse connections to a crashed upstream, and delete its entry when its lease expires."""
         item.proxy.take_down()
         item.registered = False
         key = f"servers/{item.upstream.upstream_id}"
@@ -283,7 +284,7 @@
             self.register(item)
 
     def register(self, item: SoakUpstream) -> None:
-        """Write an upstream's own entry, as it does with each heartbeat."""
+        """Write an upstream's entry, as the upstream does with each heartbeat."""
         self.sequence += 1
         address = str(item.proxy.address)
         entry = worker_entry(
@@ -297,7 +298,7 @@
         self.store.state.delete(f"servers/{item.upstream.upstream_id}")
 
     async def end(self) -> None:
-        """Kill every process that was started here."""
+        """Kill all nodes and spools."""
         for process in (*self.nodes, *self.spools):
             await process.end()
 
@@ -305,7 +306,7 @@
         while True:
             await trio.sleep(_HEARTBEAT_S)
             for item in self.upstreams:
-                # An upstream cannot write while the store is away.
+                # An upstream cannot write while the store is down.
                 if item.registered and not self.store.faults.down:
                     self.register(item)
 
@@ -376,7 +377,7 @@
 
 
 async def accepts_connections(node: NodeProcess) -> bool:
-    """Whether a node takes connections."""
+    """Return whether a node accepts connections."""
     try:
         await (await trio.open_tcp_stream(node.front.host, node.front.port)).aclose()
     except OSError:
@@ -385,6 +386,6 @@
 
 
 def loopback_network() -> str:
-    """Return loopback addresses that no other soak on this machine uses."""
+    """Return a prefix of loopback addresses that no other soak on this machine uses."""
     number = os.getpid()
     return f"127.{100 + number // 250 % 100}.{1 + number % 250}."
--- a/tests/soak/lost_ends.py
+++ b/tests/soak/lost_ends.py
@@ -1,6 +1,6 @@
-"""Clients of the soak whose one try to end a job is never acknowledged.
+"""Clients of the soak whose only attempt to end a job is never acknowledged.
 
-Their jobs are so long that items are left when such an end counts as acknowledged.
+Their jobs are so long that items are left when such an end starts to count as acknowledged.
 """
 
 import random
@@ -20,19 +20,20 @@
 _ITEMS = 60
 _SUBMIT_TRIES = 10
 _RETRY_S = 0.2
-# The outage in which ends are tried, as a share of the time of faults.  In a run of 12 s it is
-# longer than the 3.5 s after which a node refuses; in shorter ones the clients leave before that.
+# The outage during which ends are attempted, as a fraction of the time with faults.  In a run of
+# 12 s it is longer than the 3.5 s after which a node refuses; in shorter runs the clients
+# disconnect before that.
 _OUTAGE_SHARE = 0.35
-# Too short for an answer.
+# Too short for an answer to arrive.
 _DISCONNECT_AFTER_S = 0.002
-# With less than this left a call may be given up before it is written.
+# With less time than this, a call may time out before it is written.
 _MIN_TIMEOUT_S = 0.25
 _CONNECT_S = 4.0
 
 
 @dataclass(slots=True)
 class LostEndClient:
-    """Submits one job, tries to end it once, and is gone before that is acknowledged."""
+    """Submits one job, attempts to end it once, and disconnects before that is acknowledged."""
 
     name: str
     harness: SoakHarness
@@ -42,7 +43,7 @@
     job: SoakJob | None = None
 
     async def submit(self) -> None:
-        """Submit the job until it is accepted, a few times."""
+        """Submit the job, with a few retries until it is accepted."""
         items = [f"{LONG_ITEM}{self.name}-{index}" for index in range(_ITEMS)]
         job = self.job = SoakJob(f"job-{self.name}", items, will_be_ended=True)
         job.end_now.set()
@@ -50,12 +51,12 @@
         await self._submit(job)
 
     async def try_end(self, timeout_s: float) -> None:
-        """Try once to end the job, and note what becomes of that."""
+        """Attempt once to end the job, and record the result."""
         if self.job is not None and self.job.accepted:
             await self._end(self.job, timeout_s)
 
     async def end_and_leave(self) -> None:
-        """Send one call to end the job, whole, and close the connection before its answer."""
+        """Send one complete call to end the job, and close the connection before the answer."""
         job, node = self.job, self.rng.choice(self.harness.nodes)
         if job is None or not job.accepted:
             return
@@ -76,7 +77,7 @@
         self._record_lost_end(job, node, pid)
 
     async def end_finally(self) -> None:
-        """End the job after all, so that its items do not keep others waiting."""
+        """End the job with a normal call, so that its items do not delay those of other jobs."""
         await self.try_end(4.0)
 
     async def _submit(self, job: SoakJob) -> None:
@@ -108,7 +109,7 @@
 
     def _record_lost_end(self, job: SoakJob, node: NodeProcess, pid: int) -> None:
         if node.process.pid != pid:
-            # Who was killed while it had the call cannot know of it.
+            # A process that was killed while it handled the call cannot remember the end.
             return
         job.lost_end_s = min(job.lost_end_s, trio.current_time())
         job.lost_end_at = (node.name, pid)
@@ -117,10 +118,11 @@
 async def lose_ends(
     harness: SoakHarness, ledger: Ledger, clients: list[LostEndClient], fault_s: float
 ) -> None:
-    """Lose three ends after the last fault: no node that gets one is harmed after it.
+    """Send three ends that are not acknowledged.
 
-    One comes while the store is away; so does one of a job that waits on disks then; and one client
-    leaves at once.
+    They are sent after the last fault, so that no node is disturbed after it received one.  One is
+    sent while the store is down, one meanwhile for a job that the spools are still storing, and one
+    by a client that disconnects immediately.
     """
     in_outage, on_disks, leaving = clients
     await in_outage.submit()
--- a/tests/soak/overlaps.py
+++ b/tests/soak/overlaps.py
@@ -1,6 +1,6 @@
-"""A second series of faults, which overlaps the first: spools, and nodes that stand still.
+"""A second series of faults, which overlaps the first: faults of spools, and frozen nodes.
 
-It draws from a source of its own, so that a seed of the first series alone stays what it was.
+It has its own random source, so that a seed yields the same first series with or without it.
 """
 
 import signal
@@ -16,7 +16,7 @@
 __all__ = ["OverlapSchedule"]
 
 _FREEZE_S = (1.0, 6.0)
-# How long to wait for a job that is just accepted, and how soon after that its owner stands still.
+# How long to wait for a newly accepted job, and how soon after that its owner is frozen.
 _ACCEPTANCE_S = 2.0
 _AT_START_S = 0.15
 _POLL_S = 0.005
@@ -24,17 +24,17 @@
 
 @dataclass(slots=True)
 class OverlapSchedule(Schedule):
-    """Draws faults as ``Schedule`` does, of other kinds."""
+    """Draws faults like ``Schedule``, but of other kinds."""
 
     def _faults(self) -> list[Callable[[], Awaitable[str]]]:
         freezes = [self._freeze_at_end] * 3 + [self._freeze_at_start] * 3
         spools = [self._kill_spool, self._stop_spool, self._freeze_spool, self._slow_disk]
         return [*freezes, *spools, self._cut_spool, *[self._end_in_outage] * 3]
 
-    # --- nodes that stand still ------------------------------------------------------------------
+    # --- frozen nodes ----------------------------------------------------------------------------
 
     async def _freeze_at_end(self) -> str:
-        """Have a job ended just before or after its owner, or all nodes but one, stand still."""
+        """Have a job ended just before or after its owner, or all nodes but one, are frozen."""
         jobs = [job for job in self.ledger.jobs.values() if job.awaits_end]
         if not jobs:
             return ""
@@ -57,7 +57,7 @@
         return f"{job.job_id} ended {gap_s:.2f} s {order} {names} stood still"
 
     async def _freeze_at_start(self) -> str:
-        """Let the owner of a job that is just accepted stand still, and have it ended meanwhile."""
+        """Freeze the owner of a newly accepted job, and have the job ended meanwhile."""
         with trio.move_on_after(_ACCEPTANCE_S):
             job = await self._accepted_job()
             await trio.sleep(self.rng.uniform(0.0, _AT_START_S))
@@ -71,7 +71,7 @@
         return ""
 
     async def _accepted_job(self) -> SoakJob:
-        """Wait for a job to be accepted whose client means to end it."""
+        """Wait until a job whose client is to end it has been accepted; return that job."""
         started_s = trio.current_time()
         while True:
             for job in reversed(self.ledger.jobs.values()):
@@ -86,7 +86,7 @@
         await trio.sleep(duration_s)
         process.signal(signal.SIGCONT)
 
-    # --- machines with a disk --------------------------------------------------------------------
+    # --- spools ----------------------------------------------------------------------------------
 
     def _spool(self) -> SoakProcess:
         return self.rng.choice(self.harness.spools)
@@ -113,7 +113,7 @@
         return f"{spool.name} stood still"
 
     async def _slow_disk(self, spool: SoakProcess | None = None) -> str:
-        """Let a spool stand still again and again: it waits for its disk in the same way."""
+        """Freeze a spool repeatedly for short times, which has the effect of a slow disk."""
         spool = spool or self._spool()
         until_s = trio.current_time() + self.rng.uniform(1.0, 3.0)
         while trio.current_time() < until_s:
@@ -130,7 +130,7 @@
         return f"{spool.name} cut off from the store"
 
     async def _end_in_outage(self) -> str:
-        """Have a job ended that waits on disks, while they are harmed and the store is away."""
+        """Have a job ended that spools are storing, while the store is down and spools fail."""
         harms = [self._kill_spool, self._freeze_spool, self._slow_disk]
         chosen = [(self.rng.choice(harms), spool) for spool in self.harness.spools]
         self.harness.store.take_down()
--- a/tests/soak/promises.py
+++ b/tests/soak/promises.py
@@ -1,6 +1,6 @@
-"""What clients and upstreams have seen, and which of the promises it breaks.
+"""Records what clients and upstreams saw, and checks it against the promises of the system.
 
-Promises with a time bound hold only where nothing was disturbed for ``CALM_S``.
+Promises with a time bound apply only when nothing was disturbed for ``CALM_S``.
 """
 
 from collections import Counter
@@ -28,17 +28,18 @@
     "expected_text",
 ]
 
-# The users' bounds: how long a part must have been undisturbed, and the time to follow news.
+# The users' bounds: how long a part must have been undisturbed, and how soon updates must apply.
 CALM_S = 3.0
 DRAIN_S = 2.0
 END_S = 3.0
-# Of our own: heartbeats and watches bring an end to all nodes within this when nothing is wrong.
+# Stricter bounds of the soak: without faults, heartbeats and watches report an end to all nodes
+# within these times.
 CALM_END_S = 1.0
 SETTLE_S = 1.0
-# The least time without disturbance after which an end that nobody acknowledged counts as
-# acknowledged; the users' deployments have 4 to 8 s.
+# The minimum time without disturbance after which an unacknowledged end counts as acknowledged; in
+# the users' deployments it is 4 to 8 s.
 ACK_S = 4.0
-# Statuses by which a request has not run and never will.
+# Statuses that promise that a request has not run and never will.
 NOT_RUN_STATUSES = (408, 421, 429, 503)
 _EVENTS = 12
 _STATES = ("completed", "dead_letter")
@@ -46,7 +47,7 @@
 
 @dataclass(slots=True)
 class Disturbance:
-    """When a part was harmed, in trio's time; one that goes on has no end yet."""
+    """When a part was disturbed, in trio's time; the end is infinite while that continues."""
 
     began_s: float
     ended_s: float = float("inf")
@@ -62,9 +63,9 @@
     node: str
     sent_s: float
     at_most_once: bool = False
-    # Number of the first event that it asks for.
+    # Number of the first event that it requests.
     first_event: int = 0
-    # Its client did not wait for the whole answer.
+    # Its client did not wait for the complete answer.
     abandoned: bool = False
     status: int = 0
     seal: str = ""
@@ -74,7 +75,7 @@
 
     @property
     def expected_answer(self) -> bytes:
-        """The whole answer of an upstream of the version that wrote the first event."""
+        """The complete answer of an upstream with the version that sent the first event."""
         version = min(_versions_of(self.answer[: self.answer.find(b"\n\n") + 2]) or {"v1"})
         numbers = range(self.first_event, _EVENTS)
         return b"".join(event_bytes(n, self.path, len(self.body), version) for n in numbers)
@@ -82,7 +83,7 @@
 
 @dataclass(slots=True)
 class SoakJob:
-    """A job as its client knows it: what was said of it, and the results by position."""
+    """A job as its client knows it: the acknowledgements received, and the results by position."""
 
     job_id: str
     items: list[str]
@@ -90,20 +91,20 @@
     may_be_accepted: bool = False
     end_requested: bool = False
     ended_s: float = float("inf")
-    # When a client's one try to end it went without acknowledgement; node and process that got it.
+    # When the only attempt to end it went unacknowledged; the node and process that received it.
     lost_end_s: float = float("inf")
     lost_end_at: tuple[str, int] = ("", 0)
-    # When that counts as acknowledged; infinite unless it does.
+    # When that attempt starts to count as acknowledged; infinite if it never does.
     effective_end_s: float = float("inf")
-    # Its client means to end it; set ``end_now`` to have that done at this moment.
+    # Whether its client is going to end it; setting ``end_now`` makes it do so immediately.
     will_be_ended: bool = False
     end_now: trio.Event = field(default_factory=trio.Event)
-    # The node that accepted it, which owns it at first.
+    # The node that accepted it, and thus its first owner.
     owner: str = ""
-    # What clients that end it have sent, for people.
+    # The calls about it, for the report.
     calls: list[str] = field(default_factory=list)
     results: dict[int, tuple[str, str, str]] = field(default_factory=dict)
-    # When an item was first read as listed.
+    # When each item was first read in the results.
     listed_s: dict[str, float] = field(default_factory=dict)
 
     @property
@@ -116,7 +117,7 @@
 
     @property
     def awaits_end(self) -> bool:
-        """Whether it runs and its client has still to end it."""
+        """Whether it was accepted and its client has not yet started to end it."""
         return (
             self.will_be_ended
             and self.accepted
@@ -129,7 +130,7 @@
         return len(self.results) == len(self.items)
 
     def record_result(self, position: int, result: tuple[str, str, str]) -> str:
-        """Take a result as read; return what is wrong with it, or ""."""
+        """Record a result that was read; return the problem with it, or ""."""
         known = self.results.get(position)
         if known is not None:
             return "" if known == result else f"position {position} held {known}, now {result}"
@@ -150,14 +151,14 @@
 
 
 def expected_text(item_id: str, version: str = DEFAULT_VERSION) -> str:
-    """Return the text of an item's whole output at upstreams of one version."""
+    """Return the complete text of an item's output at upstreams of one version."""
     path = f"/letters/{item_id}"
     events = (event_bytes(n, path, len(item_id), version).decode() for n in range(_EVENTS))
     return "\n".join(event.partition("data: ")[2].strip() for event in events)
 
 
 def _versions_of(answer: bytes) -> set[str]:
-    """Return the versions that wrote the whole events of an answer."""
+    """Return the versions that sent the complete events of an answer."""
     events = answer.decode("utf-8", "replace").split("\n\n")[:-1]
     return versions_in(event.partition("data: ")[2] for event in events)
 
@@ -166,38 +167,38 @@
 class Ledger:
     """Everything seen in one run; ``violations`` has one line for each broken promise.
 
-    ``lost_end_violations`` has those about ends that nobody acknowledged.
+    ``lost_end_violations`` has those about unacknowledged ends.
     """
 
-    # Whom all clients are of that do not say otherwise.
+    # The customer of all clients that do not set another one.
     customer: ClassVar[str] = "caldas"
     key: ClassVar[str] = "key-caldas"
 
     attempts: list[OnlineAttempt] = field(default_factory=list)
-    # Calls that crash upstreams, and those that come beside them.
+    # Calls that crash upstreams, and the harmless ones sent beside them.
     harmful: list[OnlineAttempt] = field(default_factory=list)
     jobs: dict[str, SoakJob] = field(default_factory=dict)
     violations: list[str] = field(default_factory=list)
     lost_end_violations: list[str] = field(default_factory=list)
     disturbances: list[Disturbance] = field(default_factory=list)
-    # Streams that clients took up elsewhere, and those of them that went on there.
+    # Streams that clients resumed at another node, and those of them that continued there.
     resumed_streams: int = 0
     continued_streams: int = 0
-    # The clock of the day less trio's, so that lines here can be found in the nodes' logs.
+    # Unix time minus trio's time, to convert times to those of the nodes' logs.
     unix_offset_s: float = 0.0
 
     def format_time(self, at_s: float) -> str:
-        """Return a moment as the nodes' logs have it, in seconds."""
+        """Return a time in the form of the nodes' logs, in Unix seconds."""
         return f"{at_s + self.unix_offset_s:.3f}"
 
     def was_calm(self, from_s: float, to_s: float) -> bool:
-        """Whether nothing was disturbed from ``CALM_S`` before ``from_s`` to ``to_s``."""
+        """Return whether nothing was disturbed from ``CALM_S`` before ``from_s`` until ``to_s``."""
         return all(
             item.ended_s < from_s - CALM_S or item.began_s > to_s for item in self.disturbances
         )
 
     def judge_answer(self, attempt: OnlineAttempt) -> None:
-        """Check what a client got."""
+        """Check the answer to one attempt."""
         name = f"{attempt.request_id} at {attempt.node}"
         if attempt.status == 200:
             if not attempt.seal:
@@ -212,7 +213,7 @@
             self.violations.append(f"{name}: denied with {attempt.status}")
 
     def judge_stream(self, attempts: Sequence[OnlineAttempt]) -> None:
-        """Check what a client holds of a stream over all its tries."""
+        """Check the events that a client received of one stream over all its attempts."""
         answers = [
             item.answer[: _complete_length(item.answer)] for item in attempts if item.status == 200
         ]
@@ -232,10 +233,10 @@
             self.violations.append(f"{names}: events missing, or twice: {numbers.split()}")
 
     def count_lost_ends(self, processes: Mapping[str, int]) -> float:
-        """Settle when ends that nobody acknowledged count as acknowledged; return the last one.
+        """Determine when unacknowledged ends start to count; return the latest of these times.
 
-        ``processes`` has the process of each node.  One that has started since its client's try
-        cannot know of that.
+        ``processes`` has the process id of each node.  An end never counts if its node was
+        restarted since, as the new process cannot know of it.
         """
         calm_s = max([item.ended_s for item in self.disturbances], default=0.0) + CALM_S
         last_s = float("-inf")
@@ -248,7 +249,7 @@
         return last_s
 
     def judge_runs(self, upstreams: Iterable[SoakUpstream]) -> None:
-        """Check at the end what has run."""
+        """Check, at the end, the runs that upstreams recorded."""
         runs: Counter[str] = Counter()
         for item in upstreams:
             runs.update(item.upstream.runs)
@@ -269,7 +270,7 @@
             self.lost_end_violations += self._late_starts_after_lost_ends(item)
 
     def unfinished_jobs(self) -> list[SoakJob]:
-        """Return the accepted jobs that were not ended and not read to their end."""
+        """Return the accepted jobs that are not ended and whose results are not all read."""
         return [
             job
             for job in self.jobs.values()
@@ -277,7 +278,7 @@
         ]
 
     def judge_jobs(self) -> None:
-        """Check that every accepted job is whole."""
+        """Check that all items of every accepted job were listed."""
         for job in self.unfinished_jobs():
             missing = sorted(set(job.items) - {item for item, _, _ in job.results.values()})
             self.violations.append(f"{job.job_id}: accepted, and never listed: {missing}")
@@ -285,14 +286,14 @@
     def _unsent_runs(self, runs: Counter[str]) -> Iterator[str]:
         known = {attempt.request_id for attempt in (*self.attempts, *self.harmful)}
         known |= {item for job in self.jobs.values() for item in job.items}
-        # Calls of the customers with keys and limits of their own are judged with those, and items
-        # with large bodies by what slow clients read of them.
+        # The calls of customers with their own keys and limits, and the items with large bodies,
+        # are checked in ``customers`` and ``slow``.
         others = {name for name in runs if name.startswith(("k-", "l-", "big-"))}
         for request_id in runs.keys() - known - others:
             yield f"{request_id} has run, and nobody sent it"
 
     def _late_starts(self, item: SoakUpstream) -> Iterator[str]:
-        """Yield runs that began too long after an upstream left or a job was ended."""
+        """Yield runs that began too late after their upstream left, or the item had to stop."""
         jobs = {name: job for job in self.jobs.values() for name in job.items}
         upstream_id = item.upstream.upstream_id
         for request_id, at_s in item.upstream.started:
@@ -315,7 +316,7 @@
                 )
 
     def _late_starts_after_lost_ends(self, item: SoakUpstream) -> Iterator[str]:
-        """Yield runs that began too long after an end counted that nobody acknowledged."""
+        """Yield runs that began too late after an unacknowledged end started to count."""
         ends_s = {
             name: (job.effective_end_s, job.job_id)
             for job in self.jobs.values()
@@ -330,10 +331,10 @@
                 )
 
     def _is_late(self, known_s: float, at_s: float) -> bool:
-        """Whether an item began too long after its job's end was acknowledged, or it was listed.
+        """Return whether a run began too late after its job was ended or its item was listed.
 
-        In calm the bound is shorter: whoever was left alone for ``CALM_S`` and a second more has
-        heard of an end that is that old, also if it came during a disturbance.
+        The bound is shorter in calm: a node undisturbed for ``CALM_S`` and another second has
+        received an end of that age, even if the end was sent during a disturbance.
         """
         late_s = at_s - known_s
         if late_s > END_S:
@@ -342,5 +343,5 @@
 
 
 def _complete_length(answer: bytes) -> int:
-    """Return the length of the whole events at the beginning of ``answer``."""
+    """Return the length of the complete events at the start of ``answer``."""
     return answer.rfind(b"\n\n") + 2 if b"\n\n" in answer else 0
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, cuts one way or silences the connections through it."""
+"""A loopback proxy that delays, resets or silences, in one or both directions, its connections."""
 
 import socket
 import struct
@@ -11,13 +11,13 @@
 __all__ = ["FaultProxy"]
 
 _CHUNK_BYTES = 65536
-# Closing with this sends a reset in place of an orderly end.
+# A linger time of 0 s: closing the socket sends a reset instead of an orderly end.
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 @dataclass(slots=True, eq=False)
 class _Link:
-    """One connection through the proxy, with what is wrong with it."""
+    """One connection through the proxy, with its faults."""
 
     client: trio.SocketStream
     server: trio.SocketStream
@@ -33,7 +33,7 @@
         """End both sides with a reset."""
         for stream in (self.client, self.server):
             if stream.socket.fileno() < 0:
-                # Its own end was faster.
+                # The stream was closed already.
                 continue
             linger = (socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
             stream.socket.setsockopt(*linger)
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class FaultProxy:
-    """Forwards connections to ``target``; open and new connections are harmed apart."""
+    """Forwards connections to ``target``; faults apply to open and to new ones separately."""
 
     target: Address
     address: Address | None = None
@@ -68,23 +68,23 @@
                 await trio.serve_listeners(self._forward, [listener])
 
     def take_down(self) -> None:
-        """Cut every connection and refuse new ones, as the machine of a dead process does."""
+        """Cut every connection and refuse new ones, as the machine of a crashed process does."""
         self._up = trio.Event()
         self._scope.cancel()
 
     def bring_up(self) -> None:
-        """Take connections again."""
+        """Accept connections again."""
         self._up.set()
 
     def reset_open(self) -> None:
-        """Reset every open connection; new ones work."""
+        """Reset every open connection; new ones are not affected."""
         for link in tuple(self._links):
             link.reset()
 
     def silence_open(self, *, requests: bool, answers: bool) -> None:
-        """Swallow what open connections carry from now on, in one direction or both, for good.
+        """Permanently discard the data of open connections, in one direction or both.
 
-        New connections work: only a timeout shows the difference to the caller.
+        New connections are not affected.  A caller notices the fault by a timeout only.
         """
         for link in self._links:
             link.drops_requests |= requests
@@ -124,7 +124,7 @@
             if not link.is_silent:
                 link.reset()
                 return
-        # A silent connection does not tell of its other end's close either.
+        # A silent connection does not forward the close of its other end either.
         await trio.sleep_forever()
 
     def _drops(self, link: _Link, source: trio.SocketStream) -> bool:
--- a/tests/soak/regressions.py
+++ b/tests/soak/regressions.py
@@ -1,4 +1,4 @@
-"""Seeds that have broken a promise once, with the cause that was found."""
+"""Seeds that once broke a promise, with the cause."""
 
 from dataclasses import dataclass
 
@@ -7,9 +7,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Regression:
-    """A seed, its nodes, and how long faults go on; times are real, so it repeats only mostly.
+    """A seed, its nodes, and how long faults are injected.
 
-    Without spools the first series of faults goes on alone, as it was when the seed failed.
+    As it runs in real time, a seed does not always reproduce its failure.  Without spools only the
+    first series of faults runs, as it did when the seed failed.
     """
 
     seed: int
@@ -17,7 +18,7 @@
     fault_s: float
     cause: str
     spools: int = 0
-    # Whether work that crashes upstreams comes as well.
+    # Whether work that crashes upstreams is sent as well.
     harm: bool = False
 
 
--- a/tests/soak/releases.py
+++ b/tests/soak/releases.py
@@ -1,4 +1,4 @@
-"""Releases of upstreams' software under faults, and clients that take streams up elsewhere."""
+"""Releases of upstreams' software under faults, and clients that resume streams elsewhere."""
 
 import re
 from collections.abc import Awaitable, Callable
@@ -13,29 +13,29 @@
 
 __all__ = ["ReleaseSchedule", "ResumingClient"]
 
-# Versions have no order; one may come back.
+# Versions have no order; a version may be released again.
 _VERSIONS = ("v1", "v1.1", "v1.2")
 _MAX_ATTEMPTS = 3
 _MAX_REPLACED = 3
 _MIN_UPSTREAMS = 2
-# A client leaves this soon where its way to a node breaks.
+# When a client that loses its connection to a node disconnects.
 _DISCONNECT_AFTER_S = (0.04, 0.2)
 _DISCONNECT_SHARE = 0.5
 _CLIENT_TIMEOUT_S = 4.0
-# Before a client that was refused comes back.
+# How long a refused client waits before it retries.
 _PAUSE_S = 0.15
 _NUMBER = re.compile(rb"id: (\d+)\ndata: [^\n]*\n\n")
 
 
 @dataclass(slots=True)
 class ReleaseSchedule(Schedule):
-    """Draws releases, which overlap each other, and faults of upstreams and nodes beside them."""
+    """Draws overlapping releases, and faults of upstreams and nodes during them."""
 
     def _faults(self) -> list[Callable[[], Awaitable[str]]]:
         return [*[self._release] * 3, *[self._crash_at] * 3, self._kill, self._kill_all]
 
     async def _release(self) -> str:
-        """Replace some or all upstreams one after the other; what stops halfway stays there."""
+        """Replace several upstreams one by one; a newer release leaves this one incomplete."""
         self.harness.version = version = self.rng.choice(_VERSIONS)
         count = self.rng.randint(1, _MAX_REPLACED)
         replaced = 0
@@ -47,7 +47,7 @@
         return f"{replaced} upstreams released at {version}"
 
     async def _crash_at(self) -> str:
-        """Have an upstream cut its runs and come back, at the version of the newest release."""
+        """Crash an upstream, which restarts with the version of the newest release."""
         item = self._upstream()
         ready = [other for other in self.harness.upstreams if other.registered]
         if len(ready) <= _MIN_UPSTREAMS or item.state != "ready":
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class ResumingClient(OnlineClient):
-    """Calls a route whose streams may go on, and takes up those that break at other nodes."""
+    """Calls a route whose streams may be resumed, and resumes broken ones at other nodes."""
 
     async def run(self) -> None:
         """Call until cancelled."""
@@ -120,6 +120,6 @@
 
 
 def _last_event(attempts: list[OnlineAttempt]) -> int:
-    """Return the number of the last whole event in answers; below 0 for none."""
+    """Return the number of the last complete event in the answers, -1 if there is none."""
     answers = b"".join(item.answer for item in attempts if item.status == 200)
     return max((int(number) for number in _NUMBER.findall(answers)), default=-1)
--- a/tests/soak/runs.py
+++ b/tests/soak/runs.py
@@ -1,4 +1,4 @@
-"""One run of the soak: faults while clients work, then calm, then the last judgement."""
+"""One run of the soak: faults while clients work, then calm, then the final checks."""
 
 import contextlib
 import itertools
@@ -43,28 +43,28 @@
 _ONLINE_CLIENTS = 10
 _ENDING_CLIENTS = 3
 _RESUMING_CLIENTS = 4
-# One for each failure domain; a job counts as kept with two copies.
+# One for each failure domain; a job counts as stored with two copies.
 SPOOLS = 3
 _LOST_END_CLIENTS = 3
 _START_S = 20.0
-# Accepted jobs have this long after the last fault.
+# The time for accepted jobs to finish after the last fault.
 _FINISH_S = 18.0
-# Share of the calls in the calm at the end that has to be answered whole.
+# The share of calls that must get a complete answer in the calm at the end.
 _MIN_SERVED_SHARE = 0.95
 _CALM_RUN_S = 2.0
-# On a busy machine few calls end within that time, and a share of few says little.
+# On a busy machine few calls end within that time, and a share of few calls is not significant.
 _MIN_CALM_CALLS = 60
 _MAX_CALM_RUN_S = 30.0
-# Streams that clients take up at another node.  Faults go on in rounds for them, but not for so
-# long that jobs are given up.
+# Faults are injected in further rounds until clients have resumed this many streams, but no new
+# round begins so late that jobs would reach their deadline.
 _MIN_RESUMED_STREAMS = 10
 _NO_NEW_ROUND_AFTER_S = 20.0
-# How long items are looked for that begin after they may.
+# How long the soak watches for items that begin after the bound.
 _LATE_RUN_WATCH_S = 1.0
 
 
 class SoakReport(msgspec.Struct):
-    """What one seed gave; ``faults`` and ``broken`` are for people."""
+    """The result of one seed; ``faults`` and ``broken`` are text for people."""
 
     seed: int
     calls: int
@@ -72,27 +72,27 @@
     jobs: int
     accepted: int
     ended: int
-    # With these the same schedule is made again.
+    # The parameters that reproduce the schedule.
     nodes: int
     spools: int
     fault_s: float
-    # Ends that nobody acknowledged, and that count as acknowledged.
+    # Unacknowledged ends that count as acknowledged.
     lost_ends: int
-    # Copies of jobs that disks have kept.
+    # Copies of jobs that spools have stored.
     spooled: int
     # Upstreams that were crashed by harmful work.
     crashes: int
-    # Slow clients that nodes have cut off, what was read slowly to its end, a node's most memory.
+    # Slow clients cut off by nodes, bodies read slowly but completely, and peak memory of a node.
     cut_off: int
     read_slowly: int
     memory_bytes: int
     faults: list[str]
     broken: list[str]
     broken_lost_ends: list[str]
-    # Streams that clients took up at another node, and those of them that went on there.
+    # Streams that clients resumed at another node, and those of them that continued there.
     taken_up: int = 0
     went_on: int = 0
-    # What clients have sent about the jobs that ``broken`` names, in the time of the nodes' logs.
+    # The calls about the jobs that ``broken`` names, with the times of the nodes' logs.
     job_calls: dict[str, list[str]] = {}
 
     @property
@@ -110,10 +110,10 @@
     harm: bool = True,
     releases: bool = False,
 ) -> SoakReport:
-    """Run one seed; its folder with logs stays only if a promise was broken.
+    """Run one seed; its folder with logs is retained only if a promise was broken.
 
-    Without ``spools`` there is one series of faults only, and every end is acknowledged.  Without
-    ``harm`` no work crashes upstreams.  With ``releases`` upstreams of several versions serve.
+    Without ``spools`` there is only one series of faults, and no unacknowledged ends.  Without
+    ``harm`` no work crashes upstreams.  With ``releases`` upstreams have different versions.
     """
     logs = new_folder(folder / f"seed-{seed}")
     report = trio.run(_run, seed, logs, fault_s, nodes, spools, harm, releases)
@@ -125,11 +125,11 @@
 
 
 def new_folder(path: Path) -> Path:
-    """Make a folder that is not there yet: logs of an earlier failure of the seed stay."""
+    """Create a new folder, so that the logs of an earlier failure of the seed are retained."""
     names = (f"{path.name}-{number}" for number in itertools.count(2))
     path.parent.mkdir(parents=True, exist_ok=True)
     for candidate in itertools.chain([path], map(path.with_name, names)):
-        # Another process may make the same folder at this moment.
+        # Another process may create the same folder concurrently.
         with contextlib.suppress(FileExistsError):
             candidate.mkdir()
             return candidate
@@ -139,7 +139,8 @@
 async def _run(
     seed: int, logs: Path, fault_s: float, nodes: int, spools: int, harm: bool, releases: bool
 ) -> SoakReport:
-    # Apart: what clients draw depends on the time that calls take, and must not move the faults.
+    # Separate sources: the clients' draws depend on the duration of calls, and must not change the
+    # schedule of faults.
     rng, fault_rng = random.Random(f"clients-{seed}"), random.Random(seed)
     ledger = Ledger(unix_offset_s=time.time() - trio.current_time())
     async with trio.open_nursery() as nursery:
@@ -215,7 +216,7 @@
 
 
 def _count_spooled_copies(logs: Path) -> int:
-    """Count the copies of jobs that spools have logged as kept."""
+    """Count the copies of jobs that spools have logged as stored."""
     lines = [line for log in logs.glob("spool-*.log") for line in log.read_bytes().splitlines()]
     return sum(b'"job_spooled"' in line and b'"outcome":"OK"' in line for line in lines)
 
@@ -230,7 +231,7 @@
 
 
 async def _end_on_signal(*, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
-    """Let SIGTERM end the run in order, so that the processes of the run are ended too."""
+    """On SIGTERM end the run in an orderly way, so that its processes are killed as well."""
     with trio.open_signal_receiver(signal.SIGTERM) as signals:
         task_status.started()
         async for number in signals:
@@ -238,7 +239,7 @@
 
 
 async def _wait_serving(harness: SoakHarness) -> None:
-    """Wait until every node takes connections."""
+    """Wait until every node accepts connections."""
     with trio.fail_after(_START_S):
         for node in harness.nodes:
             while True:
@@ -276,7 +277,7 @@
             clients.start_soon(jobs.read_at_random)
         clients.start_soon(jobs.run)
         async with trio.open_nursery() as during_faults:
-            # Only meanwhile: their calls keep items of jobs from slots.
+            # Only during faults, as their calls take slots from items of jobs.
             for client in customers:
                 during_faults.start_soon(client.run)
             begun_s = trio.current_time()
@@ -319,7 +320,7 @@
         | ResumingClient
     ],
 ) -> AsyncIterator[None]:
-    """Close the connections that clients have kept when the block is left."""
+    """Close the clients' persistent connections when the block is left."""
     try:
         yield
     finally:
@@ -330,7 +331,7 @@
 async def _wait_lost_ends(
     harness: SoakHarness, ledger: Ledger, lost_end_clients: list[LostEndClient]
 ) -> None:
-    """Wait until nothing may begin any more of jobs whose end nobody acknowledged."""
+    """Wait until no more items of jobs with an unacknowledged end may begin."""
     processes = {node.name: node.process.pid for node in harness.nodes}
     counted_s = ledger.count_lost_ends(processes)
     await trio.sleep_until(max(counted_s + END_S + _LATE_RUN_WATCH_S, trio.current_time()))
@@ -339,9 +340,9 @@
 
 
 async def _wait_jobs(ledger: Ledger, reader: JobClient) -> None:
-    """Read every accepted job that nobody ended, until each was read to its end.
+    """Read every accepted job that was not ended, until all its results were read.
 
-    The clients choose among all jobs, so by chance alone one may not be read for long.
+    The clients read jobs at random, so a job may by chance not be read for a long time.
     """
     while unfinished := ledger.unfinished_jobs():
         for job in unfinished:
@@ -350,7 +351,7 @@
 
 
 def _calls_since(ledger: Ledger, from_s: float) -> list[OnlineAttempt]:
-    """Return the calls that were sent since a time and have ended."""
+    """Return the finished calls that were sent since ``from_s``, without configuration polls."""
     return [
         attempt
         for attempt in ledger.attempts
@@ -362,7 +363,7 @@
 
 
 async def _judge_calm(harness: SoakHarness, ledger: Ledger) -> None:
-    """Check that a fleet that was left alone for ``CALM_S`` serves again."""
+    """Check that a fleet serves again after it was undisturbed for ``CALM_S``."""
     await trio.sleep(CALM_S + 1.0)
     from_s = trio.current_time()
     await trio.sleep(_CALM_RUN_S)
--- a/tests/soak/slow.py
+++ b/tests/soak/slow.py
@@ -1,6 +1,6 @@
-"""Clients of the soak that read slowly, read nothing, or do not send their request whole.
+"""Clients of the soak that read slowly or not at all, or send incomplete requests.
 
-What they get is whole or visibly broken off, and the memory of nodes stays bounded.
+Their answers must be complete or visibly truncated, and the memory of nodes must stay bounded.
 """
 
 import itertools
@@ -27,7 +27,7 @@
     "count_cut_off_callers",
 ]
 
-# Begins the names of the items whose bodies are read slowly; they run beside those of the others.
+# Prefix of the names of items whose bodies are read slowly; they run beside those of other jobs.
 BIG_ITEM = "big-"
 _BODY_BYTES = 60_000
 _JOB_INTERVAL_S = 2.0
@@ -35,14 +35,14 @@
 _READ_PAUSE_S = (0.001, 0.05)
 _STALLED_CONNECTIONS = 6
 _STALL_S = 2.0
-# That of the smallest node, which runs nothing else.
+# The memory of the smallest machine for a node, which runs nothing else.
 _MAX_NODE_MEMORY_BYTES = 160 * 1024 * 1024
 _numbers = itertools.count(1)
 
 
 @dataclass(slots=True)
 class SlowReader:
-    """Submits jobs with large bodies, and reads those in small pieces."""
+    """Submits jobs with large bodies, and reads these slowly in small chunks."""
 
     harness: SoakHarness
     ledger: Ledger
@@ -54,7 +54,7 @@
     peak_memory_bytes: int = 0
 
     async def run(self) -> None:
-        """Submit, read and look at the memory of nodes until cancelled."""
+        """Submit, read and measure the memory of nodes until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._submit_jobs)
             nursery.start_soon(self._watch_memory)
@@ -76,7 +76,7 @@
             await trio.sleep(_JOB_INTERVAL_S)
 
     async def _read(self, node: NodeProcess, job_id: str, item: str) -> None:
-        """Read a body; what comes of it is its beginning, and all of it where it looks whole."""
+        """Read a body; check its declared length and that the received bytes are its beginning."""
         data = b""
         try:
             async with slow_client(node.front) as client:
@@ -109,7 +109,7 @@
 
 @dataclass(slots=True)
 class NeverReader:
-    """Asks for large bodies and reads nothing of them, or sends half of a request."""
+    """Requests large bodies without reading them, or sends half of a request."""
 
     harness: SoakHarness
     ledger: Ledger
@@ -118,7 +118,7 @@
     http: HttpClient = field(default_factory=HttpClient)
 
     async def run(self) -> None:
-        """Keep a few such connections until cancelled."""
+        """Hold a few such connections open until cancelled."""
         async with trio.open_nursery() as nursery:
             for _ in range(_STALLED_CONNECTIONS):
                 nursery.start_soon(self._stall_forever)
@@ -140,7 +140,7 @@
 
 
 def slow_client_violations(reader: SlowReader) -> Iterator[str]:
-    """Yield what is wrong after a run."""
+    """Yield the violations at the end of a run."""
     if reader.peak_memory_bytes > _MAX_NODE_MEMORY_BYTES:
         yield f"a node took {reader.peak_memory_bytes} bytes of memory beside slow clients"
     if not reader.complete_bodies:
@@ -148,13 +148,13 @@
 
 
 def count_cut_off_callers(logs: Path) -> int:
-    """Count the slow callers that nodes have logged as cut off."""
+    """Count the slow callers that nodes logged as cut off."""
     lines = [line for log in logs.glob("node-*.log") for line in log.read_bytes().splitlines()]
     return sum(b'"caller_cut_off"' in line for line in lines)
 
 
 def big_body(item: str) -> bytes:
-    """Return the body of an item, which is unlike all others and ends as no part of it does."""
+    """Return the body of an item, which is unique and has a unique end."""
     return (f"{item}.".encode() * _BODY_BYTES)[: _BODY_BYTES - 4] + b"end."
 
 
@@ -171,7 +171,7 @@
 
 
 def _memory_bytes(pid: int) -> int:
-    """Return what a process holds of memory; 0 when it has just ended."""
+    """Return the resident memory of a process; 0 if it has just ended."""
     try:
         lines = Path(f"/proc/{pid}/status").read_text(encoding="ascii").splitlines()
     except OSError:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short seeded run of the soak: real processes, faults from outside, promises from both ends."""
+"""A short seeded run of the soak, seeds that failed before, and unit tests of the soak's parts."""
 
 import functools
 import json
@@ -28,7 +28,7 @@
 from tests.soak.runs import SoakReport, new_folder, run_seed
 from tests.soak.slow import BIG_ITEM, SlowReader, big_body
 
-# Long enough for about ten faults; the long runs are made by hand (docs/SOAK.md).
+# Long enough for about ten faults; longer runs are started by hand (docs/SOAK.md).
 FAULT_S = 6.0
 SEED = 20
 RELEASE_SEED = 44
@@ -39,7 +39,7 @@
 
 @functools.cache
 def seeded_report() -> SoakReport:
-    """Run the seed of CI, once; logs and report of a run that broke a promise stay in ``LOGS``."""
+    """Run the seed of CI once; logs and report of a failed run are retained in ``LOGS``."""
     return run_seed(SEED, LOGS, FAULT_S, NODES)
 
 
@@ -48,7 +48,7 @@
 
 
 def check_report(test: unittest.TestCase, report: SoakReport, about: str = "") -> None:
-    """Check that a run kept the promises, and that there was something to keep."""
+    """Check that a run broke no promise, and that calls succeeded and jobs were ended."""
     message = f"{about} {report.faults}; logs and report are in {LOGS} under the seed"
     test.assertEqual(report.broken, [], message)
     test.assertGreater(report.whole, 0)
@@ -62,10 +62,10 @@
         self.assertGreater(report.spooled, 0)
 
     def test_unacknowledged_end_takes_effect_after_a_while(self) -> None:
-        """A client's one try to end its job is not answered in time, and the job runs on.
+        """Guards against jobs that continue after an unanswered attempt to end them.
 
-        The store was away when the call came, or the job waited on disks, or the client left before
-        the answer.  No node remembers such an end, so items begin for as long as there are any.
+        The store was down when the call arrived, or the job was still being stored, or the client
+        disconnected before the answer.  If no node remembers the end, all items are still run.
         """
         report = seeded_report()
         self.assertGreater(report.lost_ends, 0)
@@ -84,7 +84,7 @@
         self.assertEqual(made, ["seed-3", "seed-3-2", "seed-3-3"])
 
     def test_killing_all_waits_for_the_processes_that_it_killed(self) -> None:
-        """Another fault starts the second node anew while the first one is waited for."""
+        """Another fault restarts the second node while the exit of the first one is awaited."""
 
         class Process:
             def __init__(self, ends: bool = True) -> None:
@@ -105,7 +105,7 @@
                 self.starts += 1
 
         nodes = [Node(), Node()]
-        # Its first number lets the fault happen.
+        # The first number makes ``_kill_all`` kill the nodes.
         rng = mock.Mock(random=lambda: 0.9, uniform=lambda _low, high: high)
         schedule = Schedule(mock.Mock(nodes=nodes), Ledger(), rng)
 
@@ -128,7 +128,7 @@
         self.assertTrue(ledger.was_calm(12.1 + CALM_S, 21.0))
 
     def test_every_run_is_checked_against_the_acknowledged_end_of_its_job(self) -> None:
-        """A run may begin 3 s after the end, and 1 s after it where nothing is disturbed."""
+        """A run may begin up to 3 s after the end, and up to 1 s after it without disturbance."""
         job = SoakJob("job-1", ["item-1"], accepted_s=90.0, end_requested=True, ended_s=100.0)
 
         def violations_of(at_s: float, *disturbances: Disturbance) -> list[str]:
@@ -143,7 +143,7 @@
         self.assertEqual(violations_of(101.9, disturbed), [])
         self.assertEqual(violations_of(102.9, disturbed), [])
         self.assertEqual(len(violations_of(103.1, disturbed)), 1)
-        # Disturbed shortly before the end, and left alone for long enough when this run begins.
+        # Disturbed shortly before the end, but undisturbed for long enough when this run begins.
         self.assertEqual(len(violations_of(102.9, Disturbance(95.0, 98.5))), 1)
         self.assertEqual(violations_of(102.9, Disturbance(95.0)), [])
         self.assertEqual(len(violations_of(103.1, Disturbance(95.0))), 1)
@@ -151,7 +151,7 @@
         self.assertEqual(violations_of(200.0), [])
 
     def test_owners_are_frozen_while_their_jobs_begin_and_end(self) -> None:
-        """The job is ended at most 0.2 s before its owner stands still, or while it does."""
+        """The job is ended at most 0.2 s before its owner is frozen, or while it is frozen."""
         for fault in (OverlapSchedule._freeze_at_end, OverlapSchedule._freeze_at_start):
             for seed in range(20):
                 with self.subTest(fault=fault.__name__, seed=seed):
@@ -173,7 +173,7 @@
         owner = types.SimpleNamespace(
             name="node-1", is_running=True, paused=False, signal=record_signal
         )
-        # All nodes but one: the owner.
+        # Two entries, so that all nodes but one are exactly the owner.
         harness = mock.Mock(nodes=[owner, owner])
         harness.node.return_value = owner
         schedule = OverlapSchedule(harness, Ledger(jobs={"job-1": job}), random.Random(seed))
@@ -215,7 +215,7 @@
         late_s = 102.0 + CALM_S + ACK_S + END_S
         self.assertEqual(violations_of(late_s - 0.1, disturbed), [])
         self.assertEqual(len(violations_of(late_s + 0.1, disturbed)), 1)
-        # The node that got the call has started anew.
+        # The node that received the call was restarted.
         self.assertEqual(violations_of(late_s + 0.1, process=8), [])
 
     def test_listed_item_does_not_run_again(self) -> None:
@@ -244,9 +244,9 @@
         self.assertIn("and at another", job.record_result(1, ("item-1", "dead_letter", "")))
 
     def test_body_is_available_until_the_item_is_listed_or_the_job_ends(self) -> None:
-        """What a reader of the soak makes of a node's denials, and of results that are gone."""
+        """Check how the soak judges a node that denies a body."""
         cases = [
-            # Status of the body, its bytes, results that are read, whether the job was ended.
+            # Expected violation, status and bytes of the body, results, whether the job was ended.
             ("no body", 404, b"", [], False),
             ("", 404, b"", [], True),
             ("another body", 200, b"item-2", [], False),
@@ -379,7 +379,7 @@
         run_async(run)
 
     def test_body_read_slowly_is_complete_or_visibly_truncated(self) -> None:
-        """What the soak makes of an answer: only wrong bytes and a shortened length break it."""
+        """Only wrong bytes and a smaller declared length are violations; truncation is not."""
         item = f"{BIG_ITEM}1"
         body = big_body(item)
         cases = [
@@ -415,7 +415,7 @@
 
 
 class RegressionTest(unittest.TestCase):
-    """Seeds that failed once keep the promises now; there is one test for each of them."""
+    """Seeds that failed once must keep the promises; there is one test for each of them."""
 
     def check(self, case: Regression) -> None:
         report = run_seed(case.seed, LOGS, case.fault_s, case.nodes, case.spools, harm=case.harm)
