--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -162,7 +162,7 @@
                     self.assertTrue(stopped_s - 0.2 <= ended_s <= continued_s)
 
     def freeze(self, fault, seed: int) -> tuple[float, list[tuple[float, int]]]:
-        """Return when the job was violations_of to end, and the signals that its owner got."""
+        """Return when ``end_now`` was set, and the signals that the owner received."""
         job = SoakJob("job-1", ["item-1"], accepted_s=math.inf, will_be_ended=True, owner="node-1")
         signals: list[tuple[float, int]] = []
         ended_s = math.inf
