--- a/tests/builders/customer_load.py
+++ b/tests/builders/customer_load.py
@@ -76,8 +76,8 @@
     def on_time(self, members: Iterable[str]) -> tuple[int, int]:
         """Return how many calls of ``members`` were on time, and how many there were."""
         members = set(members)
-        chosen = [item for item in self.outcomes if item.member in members]
-        return sum(item.on_time for item in chosen), len(chosen)
+        selected = [item for item in self.outcomes if item.member in members]
+        return sum(item.on_time for item in selected), len(selected)
 
     def count(self, members: Iterable[str]) -> str:
         """Return what became of the calls of ``members``, in words."""
@@ -121,7 +121,7 @@
                 routing=routing,
                 seed=seed,
             )
-            fleet.names_customers = named
+            fleet.distinguishes_customers = named
             calm = (1.2, _CALM_SHARE * load.capacity_per_s)
             phases = (calm, (load.step_s, load.step * load.capacity_per_s), calm)
             begin_s = trio.current_time() + calm[0]
--- a/tests/builders/load_player.py
+++ b/tests/builders/load_player.py
@@ -63,7 +63,7 @@
 SERVICE = "desk-llm"
 _AGENT_PORT = 7720
 # Nodes of later groups have died: nobody calls them.
-_MOST_CALLED_GROUP = 1
+_MAX_CALLED_GROUP = 1
 _IDLE_SAMPLE_S = 0.05
 
 
@@ -91,11 +91,11 @@
     arrived_ms: float
     first_event_ms: float
     target_ms: float
-    held_ms: float = 0.0
+    waited_ms: float = 0.0
     refused: bool = False
     upstream_id: str = ""
     # Its upstream is in another failure domain than its node.
-    crossed: bool = False
+    crossed_domain: bool = False
     # It was whole by its deadline, and no pause was too long.
     kept_up: bool = True
     member: str = ""
@@ -279,18 +279,18 @@
         self.nursery.start_soon(self.permits.run)
         self.nursery.start_soon(self._service.run)
 
-    def spoil_reports(self, rng: random.Random, lost_share: float, age_ms: float) -> None:
-        note = self.permits._record_loads
+    def degrade_reports(self, rng: random.Random, lost_share: float, age_ms: float) -> None:
+        record_loads = self.permits._record_loads
 
-        async def note_late(loads: list[LoadSnapshot]) -> None:
+        async def record_delayed(loads: list[LoadSnapshot]) -> None:
             await trio.sleep(rng.uniform(0.0, age_ms) / 1000)
-            note(loads)
+            record_loads(loads)
 
-        def spoil(loads: list[LoadSnapshot]) -> None:
+        def degrade(loads: list[LoadSnapshot]) -> None:
             if rng.random() >= lost_share:
-                self.nursery.start_soon(note_late, loads)
+                self.nursery.start_soon(record_delayed, loads)
 
-        self.permits._record_loads = spoil
+        self.permits._record_loads = degrade
 
     async def handle(self, message: msgspec.Struct, peer: _Peer) -> msgspec.Struct | None:
         return await self._handlers[type(message)](message, peer)
@@ -303,20 +303,20 @@
     nodes: list[PlayedNode]
     slots: int
     running: Counter[str] = field(default_factory=Counter)
-    most_running: int = 0
+    max_running: int = 0
     # None: all upstreams are as fast as ``CallTimes`` has it, at all times.
     speeds: PlayedSpeeds | None = None
     # Whether calls ask under their customer's name.
-    names_customers: bool = True
+    distinguishes_customers: bool = True
     cut_runs: int = 0
     # Slot-seconds that were free, and those of them in which an item waited; both while jobs come.
     idle_slot_s: float = 0.0
     wasted_slot_s: float = 0.0
     # Of items: all that they ran, and the runs with events of those that became whole.
     batch_slot_s: float = 0.0
-    whole_slot_s: float = 0.0
+    useful_slot_s: float = 0.0
     # Runs that were cut off before their first event.
-    barren_runs: int = 0
+    runs_without_output: int = 0
 
     @classmethod
     async def start(
@@ -369,7 +369,7 @@
             upstreams = list(node.view.upstreams.values())
             node.view.replace(node.view.version + 1, reached, upstreams, 0.0)
 
-    def lose_upstreams(self, count: int) -> None:
+    def remove_upstreams(self, count: int) -> None:
         """Let ``count`` upstreams go, which every node sees at once."""
         for node in self.nodes:
             left = list(node.view.upstreams.values())[count:]
@@ -378,7 +378,7 @@
 
     def begin_run(self, upstream_id: str) -> None:
         self.running[upstream_id] += 1
-        self.most_running = max(self.most_running, self.running[upstream_id])
+        self.max_running = max(self.max_running, self.running[upstream_id])
 
     def end_run(self, upstream_id: str) -> None:
         self.running[upstream_id] -= 1
@@ -395,10 +395,10 @@
             members = list(node.view.vms.values())
             node.view.replace(node.view.version + 1, members, records, 0.0)
 
-    def spoil_reports(self, rng: random.Random, lost_share: float, age_ms: float) -> None:
+    def degrade_reports(self, rng: random.Random, lost_share: float, age_ms: float) -> None:
         """Lose some reports of load from now on; the others arrive up to ``age_ms`` late."""
         for node in self.nodes:
-            node.spoil_reports(rng, lost_share, age_ms)
+            node.degrade_reports(rng, lost_share, age_ms)
 
     def set_ranking(self, rank: Ranking | None) -> None:
         """Have all nodes rank upstreams by ``rank``."""
@@ -410,7 +410,7 @@
 
     def callable_nodes(self) -> list[PlayedNode]:
         """Return the nodes that clients still call: all but those that have died."""
-        return [node for node in self.nodes if node.group <= _MOST_CALLED_GROUP]
+        return [node for node in self.nodes if node.group <= _MAX_CALLED_GROUP]
 
     @property
     def total_slots(self) -> int:
@@ -452,31 +452,33 @@
 async def _run_call(
     fleet: PlayedFleet, node: PlayedNode, times: CallTimes, member: str
 ) -> CallOutcome:
-    asking = member if fleet.names_customers else ""
-    call = _Call(token_hex(8), times, member=asking)
+    member_name = member if fleet.distinguishes_customers else ""
+    call = _Call(token_hex(8), times, member=member_name)
     granted: Result[Grant, Fault] | None = None
     with trio.move_on_after(times.patience_ms / 1000):
         granted = await find_permit(node.search, call)
-    held_ms = now_ms() - call.arrived_ms
+    waited_ms = now_ms() - call.arrived_ms
     if not isinstance(granted, Ok):
         refused = granted is not None
-        return CallOutcome(call.arrived_ms, -1.0, times.target_ms, held_ms, refused, member=member)
+        return CallOutcome(
+            call.arrived_ms, -1.0, times.target_ms, waited_ms, refused, member=member
+        )
     grant = granted.ok_value
     # Its upstream may have gone by the end of the run.
-    crossed = fleet.crosses(node, grant.upstream_id)
-    first_ms, kept_up = await _use(fleet, grant, call)
+    crossed_domain = fleet.crosses(node, grant.upstream_id)
+    first_ms, kept_up = await _execute_call(fleet, grant, call)
     return CallOutcome(
         call.arrived_ms,
         first_ms - call.arrived_ms,
         times.target_ms,
         upstream_id=grant.upstream_id,
-        crossed=crossed,
+        crossed_domain=crossed_domain,
         kept_up=kept_up,
         member=member,
     )
 
 
-async def _use(fleet: PlayedFleet, grant: Grant, call: _Call) -> tuple[float, bool]:
+async def _execute_call(fleet: PlayedFleet, grant: Grant, call: _Call) -> tuple[float, bool]:
     """Run a call under its permit; returns the time of the first event, and if all else was good.
 
     It tells its owner what ``AttemptRecord`` tells.
@@ -540,17 +542,17 @@
         self._lengths: dict[str, int] = {}
         self._runs: Counter[str] = Counter()
         # Time of the runs with events, by item.
-        self._gaining_s: Counter[str] = Counter()
+        self._productive_s: Counter[str] = Counter()
         self._pool = ItemPool(lambda: self._jobs, lambda _record, _service: True)
         settings = NodeSettings("0.0.0.0:1", "0.0.0.0:1", "0.0.0.0:1", "0.0.0.0:1")
-        self._asker = ItemPermitRequester(
+        self._requester = ItemPermitRequester(
             settings,
             node.view,
             node.permits,
             node.rng,
             self._waiting,
             self._choose,
-            self._use,
+            self._start_item,
             self._choose_overdue,
             lambda: self._pool.any_overdue(now_ms()),
         )
@@ -570,7 +572,7 @@
         due_at_ms = now_ms() + due_ms
         job = StoredJob(record, items, [], due_at_ms, due_at_ms + 60_000)
         self._jobs.append(job)
-        self._asker.wake()
+        self._requester.wake()
         return job.job_id
 
     async def end_job(self, job_id: str, after_s: float) -> None:
@@ -579,9 +581,9 @@
         self._jobs = [job for job in self._jobs if job.job_id != job_id]
 
     async def run(self) -> None:
-        await self._asker.run(self._next_look_s)
+        await self._requester.run(self._next_poll_s)
 
-    def _next_look_s(self) -> float:
+    def _next_poll_s(self) -> float:
         return min(max(self._pool.next_ready_ms(now_ms()) - now_ms(), 0.0) / 1000, 0.25)
 
     def _waiting(self) -> Counter[str]:
@@ -596,7 +598,7 @@
     def _choose_overdue(self, upstream: UpstreamRecord) -> ItemChoice | None:
         return self._pool.choose_overdue(upstream.upstream_id, SERVICE, now_ms())
 
-    def _use(self, upstream_id: str, grant: Grant) -> None:
+    def _execute_call(self, upstream_id: str, grant: Grant) -> None:
         upstream = self._node.view.upstreams[upstream_id]
         choice = None
         if grant.is_overdue:
@@ -630,27 +632,27 @@
         self._fleet.end_run(grant.upstream_id)
         self._fleet.cut_runs += run.last_event + 1 < length
         ran_ms = now_ms() - record.started_ms
-        self._note_time(name, ran_ms, gained=run.last_event > began_event)
+        self._record_time(name, ran_ms, productive=run.last_event > began_event)
         end = ItemEnd.INTERRUPTED if run.last_event + 1 < length else ItemEnd.COMPLETED
         record.finish(None if end is ItemEnd.COMPLETED else AttemptEnd.REVOKED)
         self._pool.finish(job, run, end, grant.upstream_id, 3, now_ms())
         if end is ItemEnd.COMPLETED:
-            self._fleet.whole_slot_s += self._gaining_s[name]
+            self._fleet.useful_slot_s += self._productive_s[name]
             took_ms = now_ms() - (job.due_ms - job.record.due_in_ms)
             outcome = ItemOutcome(took_ms, job.record.due_in_ms, self._runs[name], job.job_id)
             self.outcomes.append(outcome)
-        self._asker.wake()
+        self._requester.wake()
 
     async def _wait(self, grant: Grant, for_ms: float) -> None:
         """Let time pass, less when the run is cut off."""
         with trio.move_on_after(for_ms / 1000):
             await grant.revoked.wait()
 
-    def _note_time(self, name: str, ran_ms: float, *, gained: bool) -> None:
+    def _record_time(self, name: str, ran_ms: float, *, productive: bool) -> None:
         self._fleet.batch_slot_s += ran_ms / 1000
-        self._fleet.barren_runs += not gained
-        if gained:
-            self._gaining_s[name] += ran_ms / 1000
+        self._fleet.runs_without_output += not productive
+        if productive:
+            self._productive_s[name] += ran_ms / 1000
 
 
 async def _watch_idle(fleet: PlayedFleet, runners: list[_Runner], end_s: float) -> None:
--- a/tests/builders/promises.py
+++ b/tests/builders/promises.py
@@ -22,17 +22,17 @@
 __all__ = [
     "CHAT_SERVICE",
     "TRIP_SERVICE",
-    "ask",
+    "send_request",
     "book",
     "engines_of",
     "expected_lines",
     "job_owner",
     "job_status",
     "kv_down",
-    "lost_vm",
+    "lose_vm",
     "owner_of",
     "result_lines",
-    "stream_whole",
+    "stream_complete_answer",
     "submit",
     "total_admitted",
     "total_running",
@@ -59,7 +59,7 @@
     return sum(engine.stats.admitted for engine in engines)
 
 
-async def lost_vm(vm: LocalVm) -> None:
+async def lose_vm(vm: LocalVm) -> None:
     """Lose all programs of ``vm`` at once; the VM list goes on showing it."""
     vm.kill()
     await vm.stopped.wait()
@@ -75,7 +75,9 @@
         system.standins.kv.bring_up()
 
 
-async def ask(vm: LocalVm, system: LocalSystem, target: str, body: object = None) -> Answer:
+async def send_request(
+    vm: LocalVm, system: LocalSystem, target: str, body: object = None
+) -> Answer:
     """Send a GET, or a POST of ``body``, to the entry of ``vm``."""
     method = "GET" if body is None else "POST"
     return await exchange(system, method, target, body, entry=vm.entry_address)
@@ -88,7 +90,7 @@
     answers: list[Answer] = []
 
     async def answered() -> bool:
-        answers.append(await ask(vm, system, target, body))
+        answers.append(await send_request(vm, system, target, body))
         return answers[-1].status == status
 
     await wait_until(answered)
@@ -99,13 +101,13 @@
     """Submit a job of the first ``lines`` letters through ``vm``; return its identity."""
     content = b"\n".join(job_lines(TRIP_MODEL, max_tokens).splitlines()[:lines])
     file_id = (await upload(GoldenSession(system), content)).json["id"]
-    asked = {"input_file_id": file_id, "endpoint": "/v1/completions", "completion_window": "24h"}
-    return (await ask(vm, system, "/v1/batches", asked)).json["id"]
+    body = {"input_file_id": file_id, "endpoint": "/v1/completions", "completion_window": "24h"}
+    return (await send_request(vm, system, "/v1/batches", body)).json["id"]
 
 
 async def job_status(system: LocalSystem, vm: LocalVm, job_id: str) -> str:
     """Return the status that the entry of ``vm`` tells; empty while it cannot tell."""
-    return (await ask(vm, system, f"/v1/batches/{job_id}")).json.get("status", "")
+    return (await send_request(vm, system, f"/v1/batches/{job_id}")).json.get("status", "")
 
 
 async def job_owner(system: LocalSystem, lost: LocalVm | None = None) -> LocalVm:
@@ -129,10 +131,10 @@
 
 async def result_lines(system: LocalSystem, vm: LocalVm, job_id: str) -> Counter[tuple[str, str]]:
     """Return how often each item and its text, empty for an error, stands in the results."""
-    job = (await ask(vm, system, f"/v1/batches/{job_id}")).json
+    job = (await send_request(vm, system, f"/v1/batches/{job_id}")).json
     found: Counter[tuple[str, str]] = Counter()
     for file_id in (job["output_file_id"], job["error_file_id"]):
-        content = await ask(vm, system, f"/v1/files/{file_id}/content")
+        content = await send_request(vm, system, f"/v1/files/{file_id}/content")
         if content.status != 200:
             raise ValueError(f"{file_id} is answered with {content.status}: {content.body!r}")
         found.update(_name_and_text(line) for line in content.body.splitlines())
@@ -156,12 +158,12 @@
     return found
 
 
-async def stream_whole(
+async def stream_complete_answer(
     system: LocalSystem, vm: LocalVm, question: str, max_tokens: int, model: str = CHAT_MODEL
 ) -> None:
     """Stream an answer; ``ValueError`` unless it is the whole one to ``question``."""
     body = chat_body(question, model=model, max_tokens=max_tokens)
-    answer = await ask(vm, system, "/v1/chat/completions", body)
+    answer = await send_request(vm, system, "/v1/chat/completions", body)
     if answer.status != 200:
         raise ValueError(f"{question!r} is answered with {answer.status}: {answer.body!r}")
     stream = read_stream(answer.body)
@@ -189,6 +191,6 @@
 
 async def owner_of(system: LocalSystem, vm: LocalVm, upstream_id: str) -> LocalVm:
     """Return the VM that grants permits for an upstream, as the entry of ``vm`` sees it."""
-    upstreams = (await ask(vm, system, "/admin/status")).json["upstreams"]
+    upstreams = (await send_request(vm, system, "/admin/status")).json["upstreams"]
     owner = next(item["owner"] for item in upstreams if item["upstream_id"] == upstream_id)
     return system.vms[owner]
--- a/tests/test_heavy_load.py
+++ b/tests/test_heavy_load.py
@@ -40,22 +40,22 @@
 
         return trio.run(play, clock=MockClock(autojump_threshold=0))
 
-    def test_nearly_all_calls_of_a_peak_start_in_time(self) -> None:
+    def test_nearly_all_calls_of_a_peak_are_on_time(self) -> None:
         """With one queue at a time 91 to 93 in 100 did, with three 98 to 99."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 outcomes, fleet = self.play(ONLINE_ROUTING, seed)
                 on_time = sum(outcome.on_time for outcome in outcomes)
                 self.assertGreater(on_time / len(outcomes), 0.96)
-                self.assertLessEqual(fleet.most_running, fleet.slots)
+                self.assertLessEqual(fleet.max_running, fleet.slots)
 
-    def test_nobody_is_refused_and_nobody_starves(self) -> None:
+    def test_no_caller_is_refused_or_starved(self) -> None:
         outcomes, _fleet = self.play(ONLINE_ROUTING, SEEDS[0])
         waits_ms = [outcome.first_event_ms for outcome in outcomes]
         self.assertGreater(min(waits_ms), 0)
         self.assertLess(max(waits_ms), 2000)
 
-    def test_the_load_is_heavy_enough_to_tell_policies_apart(self) -> None:
+    def test_load_is_heavy_enough_to_distinguish_policies(self) -> None:
         outcomes, _fleet = self.play(replace(ONLINE_ROUTING, queues=1), SEEDS[0])
         on_time = sum(outcome.on_time for outcome in outcomes)
         self.assertLess(on_time / len(outcomes), 0.95)
@@ -64,7 +64,7 @@
 class OnlineShortageTest(unittest.TestCase):
     """Upstreams leave until their slots bear two thirds of the calls; callers wait for 2 s."""
 
-    def test_who_cannot_be_served_is_told_so_and_not_left_to_wait(self) -> None:
+    def test_callers_that_cannot_be_served_are_refused_early(self) -> None:
         """Without it 108 of 519 calls were kept until their callers left, and 45 were late.
 
         With it nobody is kept, 32 to 37 are late and 120 refused after 0.8 s, on the average.
@@ -83,9 +83,9 @@
         clock = MockClock(autojump_threshold=0)
         outcomes = [item for seed in SEEDS[:2] for item in trio.run(play, seed, clock=clock)]
         refused = [item for item in outcomes if item.refused]
-        kept = [item for item in outcomes if item.first_event_ms < 0 and not item.refused]
-        self.assertEqual(len(kept), 0)
-        self.assertLess(sum(item.held_ms for item in refused) / len(refused), 1000.0)
+        unanswered = [item for item in outcomes if item.first_event_ms < 0 and not item.refused]
+        self.assertEqual(len(unanswered), 0)
+        self.assertLess(sum(item.waited_ms for item in refused) / len(refused), 1000.0)
         # As many as before are on time: 366 of 519.
         self.assertGreater(sum(item.on_time for item in outcomes) / len(outcomes), 0.67)
 
@@ -109,7 +109,7 @@
             with self.subTest(rank=rank):
                 self.assertGreater(play.on_time([f"customer-{rank}"])[0], 0)
 
-    def test_the_load_is_heavy_enough_to_tell_orders_apart(self) -> None:
+    def test_load_is_heavy_enough_to_distinguish_orders(self) -> None:
         """All calls under one name, as without customers: 0.55 where names give 0.95 to 0.99."""
         load = CustomerLoad()
         one_name = play_customers(load, seed=1, named=False)
@@ -117,7 +117,7 @@
         self.assertLess(self.share_on_time(one_name), 0.75)
         self.assertGreater(self.share_on_time(named), 0.93)
 
-    def test_nobody_below_its_share_is_refused(self) -> None:
+    def test_customers_below_their_share_are_not_refused(self) -> None:
         load = CustomerLoad()
         below = load.below_share()
         outcomes = play_customers(load, seed=2).outcomes
@@ -125,14 +125,14 @@
         self.assertGreater(len(refused), 50)
         self.assertLessEqual(sum(item.member in below for item in refused), 1)
 
-    def test_shares_hold_while_owners_die_and_an_upstream_goes(self) -> None:
+    def test_shares_hold_while_owners_and_an_upstream_are_lost(self) -> None:
         """Three of 18 owners die, which others notice after 1.2 s, and a tenth of the slots goes.
 
         Seeds 1 and 2 gave 0.94 and 0.89, under one name 0.47 and 0.46.
         """
 
         async def disturb(fleet: PlayedFleet) -> None:
-            fleet.lose_upstreams(1)
+            fleet.remove_upstreams(1)
             dead = [[node] for node in fleet.nodes[:3]]
             await fleet.isolate([[], *dead], notice_s=1.2)
 
@@ -178,7 +178,7 @@
 
         return trio.run(play, clock=MockClock(autojump_threshold=0))
 
-    def test_most_of_the_slots_that_are_left_go_into_items_that_are_done_in_time(self) -> None:
+    def test_most_remaining_slots_are_used_for_items_on_time(self) -> None:
         """Of seeds 1 and 2 together 274 items; 227 where the order was by the time due alone."""
         on_time = 0
         for seed in SEEDS[:2]:
--- a/tests/test_promises_calls.py
+++ b/tests/test_promises_calls.py
@@ -20,10 +20,10 @@
     job_owner,
     job_status,
     kv_down,
-    lost_vm,
+    lose_vm,
     owner_of,
     result_lines,
-    stream_whole,
+    stream_complete_answer,
     submit,
     total_admitted,
     total_running,
@@ -35,33 +35,35 @@
 
 
 class OwnAnswerTest(unittest.TestCase):
-    def test_callers_get_their_own_whole_answers_through_a_freeze_a_death_and_a_lost_owner(
+    def test_callers_get_their_own_complete_answers_through_freeze_crash_and_owner_loss(
         self,
     ) -> None:
         async def session(system: LocalSystem) -> None:
             engines = engines_of(system, CHAT_SERVICE)
             first = system.vms["vm-chipre"]
             owner = await owner_of(system, first, engines[0].upstream_id)
-            left = [vm for vm in system.vms.values() if vm is not owner]
+            remaining = [vm for vm in system.vms.values() if vm is not owner]
             async with trio.open_nursery() as nursery:
-                for number in range(CALLERS_PER_ENTRY * len(left)):
-                    vm = left[number % len(left)]
+                for number in range(CALLERS_PER_ENTRY * len(remaining)):
+                    vm = remaining[number % len(remaining)]
                     question = f"Caller {number} asks at {vm.vm_id}"
-                    nursery.start_soon(stream_whole, system, vm, question, 2 * ANSWER_TOKENS)
-                frozen = await self._streaming(engines)
+                    nursery.start_soon(
+                        stream_complete_answer, system, vm, question, 2 * ANSWER_TOKENS
+                    )
+                frozen = await self._wait_streaming(engines)
                 frozen.freeze()
-                await lost_vm(owner)
-                dying = await self._streaming(engines, but=frozen)
+                await lose_vm(owner)
+                crashing = await self._wait_streaming(engines, other_than=frozen)
                 # What it has still to give comes after its callers went elsewhere.
                 frozen.thaw()
-                dying.die()
-                dying.revive()
-            self.assertEqual(dying.deaths, 1)
+                crashing.die()
+                crashing.revive()
+            self.assertEqual(crashing.deaths, 1)
 
         run_session(session)
 
-    async def _streaming(
-        self, engines: list[EngineService], but: EngineService | None = None
+    async def _wait_streaming(
+        self, engines: list[EngineService], other_than: EngineService | None = None
     ) -> EngineService:
         """Wait until all streams of an engine other than ``but`` have got tokens; return it."""
         found: list[EngineService] = []
@@ -69,7 +71,11 @@
         async def streams() -> bool:
             for engine in engines:
                 running = engine.core.model.running.values()
-                if engine is not but and running and all(item.generated >= 4 for item in running):
+                if (
+                    engine is not other_than
+                    and running
+                    and all(item.generated >= 4 for item in running)
+                ):
                     found.append(engine)
             return bool(found)
 
@@ -102,13 +108,13 @@
         for vm in system.vms.values():
             await send(vm)
         self.assertEqual(plain.executions[name], 1, name)
-        whole = {answer.body for answer in answers if answer and answer.status == 200}
-        self.assertLessEqual(len(whole), 1, "all answers are those of the one execution")
+        bodies = {answer.body for answer in answers if answer and answer.status == 200}
+        self.assertLessEqual(len(bodies), 1, "all answers are those of the one execution")
 
     async def _lose_dispatcher(self, system: LocalSystem, plain: PlainService) -> None:
         """Lose the VM that sent a booking before it has the answer; the others must not send it."""
         plain.delay_ms = 60_000
-        lost, *left = system.vms.values()
+        lost, *remaining = system.vms.values()
         name = "lost-dispatcher"
         key = {"idempotency-key": name}
         async with trio.open_nursery() as nursery:
@@ -121,19 +127,19 @@
             # A booking under way holds its entry up, so that it can tell nothing more either.
             lost.kill()
             plain.delay_ms = 0
-            for vm in left:
+            for vm in remaining:
                 answer = await book(system, vm, name, key)
                 self.assertEqual(answer.json["error"]["name"], "ALREADY_CLAIMED")
                 self.assertEqual(answer.json["error"]["outcome"], "unknown")
             plain.listener.take_down()
         plain.listener.bring_up()
-        for vm in left:
+        for vm in remaining:
             await book(system, vm, name, key)
         self.assertEqual(plain.executions[name], 1)
 
 
 class TrueRefusalTest(unittest.TestCase):
-    def test_what_is_refused_as_not_run_never_ran(self) -> None:
+    def test_requests_refused_as_not_run_never_ran(self) -> None:
         async def session(system: LocalSystem) -> None:
             self.outcomes: dict[str, str] = {}
             plain = system.standins.plain["booking-1"]
@@ -152,7 +158,7 @@
             plain.listener.bring_up()
             with kv_down(system):
                 await self._check(system, second, "outage", {"idempotency-key": "outage"})
-            await self._during_loss(system, plain)
+            await self._check_owner_loss(system, plain)
             self.assertEqual(
                 self.outcomes,
                 {
@@ -169,22 +175,22 @@
 
         run_session(session)
 
-    async def _during_loss(self, system: LocalSystem, plain: PlainService) -> None:
+    async def _check_owner_loss(self, system: LocalSystem, plain: PlainService) -> None:
         """Lose the VM that grants the service's permits, which others learn only later."""
         vms = list(system.vms.values())
         owner = await owner_of(system, vms[0], plain.upstream_id)
         other = next(vm for vm in vms if vm is not owner)
-        await lost_vm(owner)
+        await lose_vm(owner)
         await self._check(system, other, "owner lost", {})
 
     async def _check(
         self, system: LocalSystem, vm: LocalVm, name: str, headers: dict[str, str]
     ) -> None:
         answer = await book(system, vm, name, headers)
-        done = "200" if answer.status == 200 else answer.json["error"]["outcome"]
-        self.outcomes[name] = done
+        outcome = "200" if answer.status == 200 else answer.json["error"]["outcome"]
+        self.outcomes[name] = outcome
         executions = system.standins.plain["booking-1"].executions[name]
-        if done == "not_run":
+        if outcome == "not_run":
             self.assertEqual(executions, 0, name)
             self.assertIn("retry-after", answer.headers, name)
         self.assertLessEqual(executions, 1, name)
@@ -205,20 +211,22 @@
             async with trio.open_nursery() as nursery:
                 for number, vm in enumerate([*system.vms.values()] * 3):
                     question = f"Question {number} at {vm.vm_id}"
-                    nursery.start_soon(stream_whole, system, vm, question, 3 * ANSWER_TOKENS)
+                    nursery.start_soon(
+                        stream_complete_answer, system, vm, question, 3 * ANSWER_TOKENS
+                    )
                 await wait_until(self._all_run(streams, 9))
                 leaving = await job_owner(system)
                 leaving.stop.request()
                 with kv_down(system):
-                    await stream_whole(system, leaving, "Still there?", ANSWER_TOKENS)
+                    await stream_complete_answer(system, leaving, "Still there?", ANSWER_TOKENS)
             await leaving.stopped.wait()
-            left = next(vm for vm in system.vms.values() if vm is not leaving)
+            remaining = next(vm for vm in system.vms.values() if vm is not leaving)
 
             async def completed() -> bool:
-                return await job_status(system, left, job_id) == "completed"
+                return await job_status(system, remaining, job_id) == "completed"
 
             await wait_until(completed)
-            self.assertEqual(await result_lines(system, left, job_id), expected)
+            self.assertEqual(await result_lines(system, remaining, job_id), expected)
             cancelled = {engine.upstream_id: engine.stats.cancelled for engine in items + streams}
             self.assertEqual(cancelled, dict.fromkeys(cancelled, 0))
             ran = sum(bool(text) for _, text in expected)
--- a/tests/test_promises_jobs.py
+++ b/tests/test_promises_jobs.py
@@ -13,16 +13,16 @@
 from tests.builders.online import long_permit_timeout
 from tests.builders.promises import (
     TRIP_SERVICE,
-    ask,
     engines_of,
     expected_lines,
     job_owner,
     job_status,
     kv_down,
-    lost_vm,
+    lose_vm,
     owner_of,
     result_lines,
-    stream_whole,
+    send_request,
+    stream_complete_answer,
     submit,
     total_admitted,
     total_running,
@@ -39,10 +39,10 @@
         async def session(system: LocalSystem) -> None:
             first, accepting, last = system.vms.values()
             job_id = await submit(system, accepting, ITEM_TOKENS)
-            await lost_vm(accepting)
+            await lose_vm(accepting)
             await job_owner(system, lost=accepting)
             with kv_down(system):
-                await self._workers_die(system)
+                await self._crash_workers(system)
             for vm in (first, last):
 
                 async def completed(vm=vm) -> bool:
@@ -51,13 +51,13 @@
                 await wait_until(completed)
                 found = await result_lines(system, vm, job_id)
                 self.assertEqual(found, expected_lines(ITEM_TOKENS))
-            await lost_vm(last)
+            await lose_vm(last)
             found = await result_lines(system, first, job_id)
             self.assertEqual(found, expected_lines(ITEM_TOKENS), "readable from one store alone")
 
         run_session(session)
 
-    async def _workers_die(self, system: LocalSystem) -> None:
+    async def _crash_workers(self, system: LocalSystem) -> None:
         """Let a worker die while it runs items, and then again one that does."""
         engines = engines_of(system, TRIP_SERVICE)
 
@@ -79,7 +79,7 @@
             job_id = await submit(system, system.vms["vm-chipre"], ENDLESS)
             owner = await job_owner(system)
             other = next(vm for vm in system.vms.values() if vm is not owner)
-            await lost_vm(owner)
+            await lose_vm(owner)
             system.standins.kv.faults.lose_answer(LostAnswer.AFTER_EFFECT)
             await wait_answer(other, system, f"/v1/batches/{job_id}/cancel", {})
             admitted = total_admitted(engines)
@@ -90,7 +90,7 @@
 
             await wait_until(stopped)
             # Time in which items of the job would run on if it had not stopped.
-            await stream_whole(system, other, "Is it over?", ITEM_TOKENS, TRIP_MODEL)
+            await stream_complete_answer(system, other, "Is it over?", ITEM_TOKENS, TRIP_MODEL)
             self.assertEqual(total_admitted(engines), admitted + 1)
 
         run_session(session)
@@ -114,10 +114,10 @@
             self.assertTrue(sum(engine.stats.cancelled for engine in engines), "batch gave way")
             await self._wait_busy(engines)
             owner = await owner_of(system, first, engines[0].upstream_id)
-            left = [vm for vm in vms if vm is not owner]
-            await lost_vm(owner)
-            await self._burst(system, left, "without an owner")
-            job = (await ask(left[0], system, f"/v1/batches/{job_id}")).json
+            remaining = [vm for vm in vms if vm is not owner]
+            await lose_vm(owner)
+            await self._burst(system, remaining, "without an owner")
+            job = (await send_request(remaining[0], system, f"/v1/batches/{job_id}")).json
             counts = job["request_counts"]
             self.assertEqual((job["status"], counts["completed"]), ("in_progress", 0))
 
@@ -131,7 +131,7 @@
         for vm in system.vms.values():
 
             async def in_force(vm=vm) -> bool:
-                return (await ask(vm, system, "/admin/status")).json["config_version"] == 2
+                return (await send_request(vm, system, "/admin/status")).json["config_version"] == 2
 
             await wait_until(in_force)
 
@@ -149,7 +149,9 @@
             for number in range(self.LIMIT * len(engines_of(system, TRIP_SERVICE))):
                 vm = vms[number % len(vms)]
                 question = f"{name}, question {number}"
-                nursery.start_soon(stream_whole, system, vm, question, ITEM_TOKENS, TRIP_MODEL)
+                nursery.start_soon(
+                    stream_complete_answer, system, vm, question, ITEM_TOKENS, TRIP_MODEL
+                )
 
 
 class LeavingUpstreamTest(unittest.TestCase):
@@ -160,14 +162,14 @@
             job_id = await submit(system, first, ITEM_TOKENS)
             await job_owner(system)
             owner = await owner_of(system, first, leaving.upstream_id)
-            left = [vm for vm in system.vms.values() if vm is not owner]
-            await lost_vm(owner)
+            remaining = [vm for vm in system.vms.values() if vm is not owner]
+            await lose_vm(owner)
             with kv_down(system):
-                await self._leaves(system, left, leaving)
+                await self._mark_leaving(system, remaining, leaving)
             admitted = leaving.stats.admitted
             before = total_admitted(others)
-            await self._use(system, left, "after it left")
-            for vm in left:
+            await self._send_streams(system, remaining, "after it left")
+            for vm in remaining:
 
                 async def completed(vm=vm) -> bool:
                     return await job_status(system, vm, job_id) == "completed"
@@ -177,22 +179,22 @@
             self.assertEqual(total_running([leaving]), 0)
             self.assertGreater(total_admitted(others), before + 12)
             self.assertEqual(
-                await result_lines(system, left[0], job_id), expected_lines(ITEM_TOKENS)
+                await result_lines(system, remaining[0], job_id), expected_lines(ITEM_TOKENS)
             )
 
         run_session(session)
 
-    async def _leaves(
-        self, system: LocalSystem, left: list[LocalVm], leaving: EngineService
+    async def _mark_leaving(
+        self, system: LocalSystem, remaining: list[LocalVm], leaving: EngineService
     ) -> None:
         """Mark a worker as leaving under streams; return once every VM left has seen it."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._use, system, left, "while it leaves")
+            nursery.start_soon(self._send_streams, system, remaining, "while it leaves")
             system.standins.vm_list.mark_leaving(leaving.upstream_id)
-            for vm in left:
+            for vm in remaining:
 
                 async def seen(vm=vm) -> bool:
-                    found = (await ask(vm, system, "/admin/status")).json["upstreams"]
+                    found = (await send_request(vm, system, "/admin/status")).json["upstreams"]
                     return any(
                         item["leaving"] and item["upstream_id"] == leaving.upstream_id
                         for item in found
@@ -200,12 +202,14 @@
 
                 await wait_until(seen)
 
-    async def _use(self, system: LocalSystem, vms: list[LocalVm], name: str) -> None:
+    async def _send_streams(self, system: LocalSystem, vms: list[LocalVm], name: str) -> None:
         async with trio.open_nursery() as nursery:
             for number in range(12):
                 vm = vms[number % len(vms)]
                 question = f"{name}, question {number}"
-                nursery.start_soon(stream_whole, system, vm, question, ITEM_TOKENS, TRIP_MODEL)
+                nursery.start_soon(
+                    stream_complete_answer, system, vm, question, ITEM_TOKENS, TRIP_MODEL
+                )
 
 
 if __name__ == "__main__":
--- a/tests/test_uneven_load.py
+++ b/tests/test_uneven_load.py
@@ -77,7 +77,7 @@
         fleet.speeds.lasting[new.upstream_id] = fleet.speeds.lasting[record.upstream_id]
         staying.append(new)
     fleet.replace_upstreams(staying)
-    fleet.spoil_reports(rng, lost_share=1 / 3, age_ms=1000.0)
+    fleet.degrade_reports(rng, lost_share=1 / 3, age_ms=1000.0)
 
 
 def on_time_share(policy: str, change: _FleetChange | None = None) -> float:
