--- a/tests/builders/customer_load.py
+++ b/tests/builders/customer_load.py
@@ -1,4 +1,4 @@
-"""Calls of customers of very different sizes on a played fleet, and what each of them gets."""
+"""Replays calls of customers of very different sizes on a fleet, with outcomes per customer."""
 
 import random
 from collections import Counter
@@ -14,20 +14,21 @@
 
 __all__ = ["CustomerLoad", "CustomerPlay", "play_customers"]
 
-# Of the deployment with competing customers: the first of 19 events within 308 ms.
+# Those of the deployment with competing customers: 19 events, the first within 308 ms.
 TIMES = CallTimes(target_ms=308.0, deadline_ms=5100.0, patience_ms=2400.0, events=19)
 _SLOTS = 8
 _CALM_SHARE = 0.39
 _SAMPLE_S = 0.005
-# A step begins with free slots, and ends with calls that are under way.
+# A step begins with idle slots, which fill up within this time; measurements start after it.
 _SETTLE_S = 0.3
 
 
 @dataclass(frozen=True, slots=True)
 class CustomerLoad:
-    """``customers`` with sizes by Zipf's law, of which ``busy`` sends ``busy_factor`` its rate.
+    """Customers whose rates follow Zipf's law.
 
-    For ``step_s`` all of them together send ``step`` times what the slots bear.
+    The customer of rank ``busy`` sends ``busy_factor`` times its usual rate.  For ``step_s`` all
+    customers together send ``step`` times the capacity of the slots.
     """
 
     customers: int = 74
@@ -41,19 +42,19 @@
 
     @property
     def capacity_per_s(self) -> float:
-        """The calls a second that all slots bear."""
+        """The calls per second that all slots can serve."""
         run_ms = TIMES.first_event_ms + TIMES.event_ms * (TIMES.events - 1)
         return self.upstreams * _SLOTS * 1000 / run_ms
 
     def rates_per_s(self) -> dict[str, float]:
-        """Return each customer's calls a second in the step."""
+        """Return each customer's calls per second in the step."""
         weights = [(rank + 1) ** -self.zipf for rank in range(self.customers)]
         weights[self.busy] *= self.busy_factor
         scale = self.step * self.capacity_per_s / sum(weights)
         return {f"customer-{rank}": weight * scale for rank, weight in enumerate(weights)}
 
     def below_share(self) -> set[str]:
-        """Return the customers that ask for less than their fair share: the max-min one."""
+        """Return the customers whose demand is below their max-min fair share."""
         left = self.capacity_per_s
         rates = sorted(self.rates_per_s().items(), key=lambda item: item[1])
         below: set[str] = set()
@@ -67,20 +68,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerPlay:
-    """What became of the calls of the step, and the share of its slots that were idle."""
+    """The outcomes of the calls of the step, and the fraction of idle slots during it."""
 
     load: CustomerLoad
     outcomes: list[CallOutcome]
     idle_share: float
 
     def on_time(self, members: Iterable[str]) -> tuple[int, int]:
-        """Return how many calls of ``members`` were on time, and how many there were."""
+        """Return the number of calls of ``members`` on time, and of all their calls."""
         members = set(members)
         selected = [item for item in self.outcomes if item.member in members]
         return sum(item.on_time for item in selected), len(selected)
 
     def count(self, members: Iterable[str]) -> str:
-        """Return what became of the calls of ``members``, in words."""
+        """Return a text with the number of calls of ``members`` by outcome."""
         members = set(members)
         kinds = Counter(
             (
@@ -102,9 +103,9 @@
     disturb: Callable[[PlayedFleet], Awaitable[None]] | None = None,
     routing: RoutingPolicy = ONLINE_ROUTING,
 ) -> CustomerPlay:
-    """Play one step between calm phases; without ``named`` all calls ask under one name.
+    """Replay one step between phases of low load.
 
-    ``disturb`` runs beside the step.
+    Without ``named`` all calls request permits under one name.  ``disturb`` runs during the step.
     """
 
     async def play() -> CustomerPlay:
--- a/tests/builders/load_player.py
+++ b/tests/builders/load_player.py
@@ -1,8 +1,8 @@
-"""Plays a load against owners of permits in virtual time, and tells what callers get.
+"""Replays a load against owners of permits in virtual time, and returns what callers get.
 
-Searches for permits, holders and owners are what ships; channels are calls that take a while, and
-engines have slots and a time between two events, constant or by ``PlayedSpeeds``.  To be run under
-a ``trio`` mock clock.
+Permit search, holders and owners are the production code.  Channels are simulated by delayed calls,
+and engines by slots and a time between events, which is constant or given by ``PlayedSpeeds``.
+Must run under a ``trio`` mock clock.
 """
 
 import random
@@ -62,18 +62,18 @@
 
 SERVICE = "desk-llm"
 _AGENT_PORT = 7720
-# Nodes of later groups have died: nobody calls them.
+# Nodes of groups above this one have crashed, so clients do not call them.
 _MAX_CALLED_GROUP = 1
 _IDLE_SAMPLE_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class CallTimes:
-    """What a call takes and may take: ``target_ms`` and ``deadline_ms`` count from its arrival."""
+    """Durations and bounds of a call; ``target_ms`` and ``deadline_ms`` count from its arrival."""
 
     target_ms: float = 300.0
     deadline_ms: float = 5000.0
-    # After which callers leave without a first event.
+    # How long callers wait for the first event before they leave.
     patience_ms: float = 2000.0
     first_event_ms: float = 45.0
     event_ms: float = 28.0
@@ -83,9 +83,9 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOutcome:
-    """What one caller got; ``first_event_ms`` is below 0 for a refusal or nothing.
+    """The result of one call; ``first_event_ms`` is negative for a refusal or no answer.
 
-    ``held_ms`` is how long a caller was kept that got nothing.
+    ``waited_ms`` is how long a caller waited that got no event.
     """
 
     arrived_ms: float
@@ -94,9 +94,9 @@
     waited_ms: float = 0.0
     refused: bool = False
     upstream_id: str = ""
-    # Its upstream is in another failure domain than its node.
+    # Whether its upstream is in another failure domain than its node.
     crossed_domain: bool = False
-    # It was whole by its deadline, and no pause was too long.
+    # Whether it was complete by its deadline without too long a pause.
     kept_up: bool = True
     member: str = ""
 
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchLoad:
-    """Jobs of ``items`` each come at random times; all of a job is due ``due_ms`` after it."""
+    """Jobs of ``items`` items arrive at random times; all items are due ``due_ms`` later."""
 
     per_s: float
     length_s: float
@@ -115,15 +115,15 @@
     due_ms: float = 18_000.0
     events: int = 182
     event_ms: float = 28.0
-    # Of each run, before its first event.
+    # The delay of each run before its first event.
     first_event_ms: float = 0.0
-    # The client of a job ends it after so long.
+    # How long after the submission its client ends a job.
     ended_after_s: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class ItemOutcome:
-    """What became of a batch item: how long after its job it was done, and in how many runs."""
+    """A completed batch item: how long after its job's arrival, and after how many runs."""
 
     took_ms: float
     due_ms: float
@@ -136,7 +136,7 @@
 
 
 class _Channel:
-    """A way to one node: messages take ``hop_ms``, and are handled even when nobody waits."""
+    """A channel to one node: messages take ``hop_ms``, and are handled even if the caller left."""
 
     def __init__(self, target: "PlayedNode", sender: "PlayedNode", hop_ms: float) -> None:
         self._target = target
@@ -178,7 +178,7 @@
 
 @dataclass(slots=True)
 class _Peer:
-    """The way back to the holder of permits, for what its owner pushes."""
+    """The channel back to the holder of permits, for messages that the owner pushes."""
 
     owner: "PlayedNode"
     holder: "PlayedNode"
@@ -195,7 +195,7 @@
 
 
 class _Channels:
-    """Stands for ``PeerChannels`` of one node."""
+    """Replaces the ``PeerChannels`` of one node."""
 
     def __init__(self, sender: "PlayedNode", nodes: dict[str, "PlayedNode"], hop_ms: float) -> None:
         self._sender = sender
@@ -208,7 +208,7 @@
 
 @dataclass(slots=True)
 class _Search:
-    """What the calls of one node share; see ``PermitSearch``."""
+    """The state that the calls of one node share; see ``PermitSearch``."""
 
     view: FleetView
     permits: PermitClient
@@ -233,7 +233,7 @@
 
 
 class PlayedNode:
-    """One node: holder of permits, owner of some upstreams, and search for permits."""
+    """One node: a holder of permits, the owner of some upstreams, and the permit search."""
 
     def __init__(
         self,
@@ -298,21 +298,21 @@
 
 @dataclass(slots=True)
 class PlayedFleet:
-    """Nodes before upstreams with ``slots`` each; ``running`` counts what runs at each."""
+    """Nodes and upstreams with ``slots`` each; ``running`` counts the runs at each upstream."""
 
     nodes: list[PlayedNode]
     slots: int
     running: Counter[str] = field(default_factory=Counter)
     max_running: int = 0
-    # None: all upstreams are as fast as ``CallTimes`` has it, at all times.
+    # None: all upstreams always have the speed of ``CallTimes``.
     speeds: PlayedSpeeds | None = None
-    # Whether calls ask under their customer's name.
+    # Whether calls request permits under their customer's name.
     distinguishes_customers: bool = True
     cut_runs: int = 0
-    # Slot-seconds that were free, and those of them in which an item waited; both while jobs come.
+    # Slot-seconds that were idle, and those of them in which an item waited, while jobs arrive.
     idle_slot_s: float = 0.0
     wasted_slot_s: float = 0.0
-    # Of items: all that they ran, and the runs with events of those that became whole.
+    # Slot-seconds of all runs of items, and of the runs with events of items that were completed.
     batch_slot_s: float = 0.0
     useful_slot_s: float = 0.0
     # Runs that were cut off before their first event.
@@ -331,7 +331,7 @@
         hop_ms: float = 1.4,
         domains: int = 1,
     ) -> "PlayedFleet":
-        """Start a fleet in which every node sees the others, and let new owners settle."""
+        """Start a fleet in which every node sees the others; wait until owners admit batch work."""
         by_host: dict[str, PlayedNode] = {}
         played = [
             PlayedNode(number, by_host, nursery, routing, seed, hop_ms, f"d{number % domains + 1}")
@@ -354,12 +354,12 @@
         for node in played:
             node.view.replace(1, [other.record() for other in played], records, 0.0)
             node.start()
-        # Owners let batch in after one validity, 1,500 ms.
+        # Owners admit batch work after one permit validity, 1,500 ms.
         await trio.sleep(2.0)
         return cls(played, slots)
 
     async def isolate(self, groups: Sequence[Sequence[PlayedNode]], notice_s: float) -> None:
-        """Cut groups of nodes off from the others; views follow after ``notice_s``."""
+        """Partition groups of nodes from the others; the views change after ``notice_s``."""
         for number, group in enumerate(groups, start=1):
             for node in group:
                 node.group = number
@@ -370,7 +370,7 @@
             node.view.replace(node.view.version + 1, reached, upstreams, 0.0)
 
     def remove_upstreams(self, count: int) -> None:
-        """Let ``count`` upstreams go, which every node sees at once."""
+        """Remove ``count`` upstreams from the views of all nodes at once."""
         for node in self.nodes:
             left = list(node.view.upstreams.values())[count:]
             nodes = list(node.view.vms.values())
@@ -384,24 +384,24 @@
         self.running[upstream_id] -= 1
 
     def factor(self, upstream_id: str) -> float:
-        """Return how many times as long as usual a step takes at an upstream now."""
+        """Return the current slowdown factor of an upstream; 1.0 is the normal speed."""
         if self.speeds is None:
             return 1.0
         return self.speeds.factor(upstream_id, self.running, now_ms())
 
     def replace_upstreams(self, records: list[UpstreamRecord]) -> None:
-        """Have all nodes see other upstreams; what runs at one that has gone may finish."""
+        """Replace the upstreams in all views; runs at removed ones may finish."""
         for node in self.nodes:
             members = list(node.view.vms.values())
             node.view.replace(node.view.version + 1, members, records, 0.0)
 
     def degrade_reports(self, rng: random.Random, lost_share: float, age_ms: float) -> None:
-        """Lose some reports of load from now on; the others arrive up to ``age_ms`` late."""
+        """Lose ``lost_share`` of the load reports from now on; delay others by up to ``age_ms``."""
         for node in self.nodes:
             node.degrade_reports(rng, lost_share, age_ms)
 
     def set_ranking(self, rank: Ranking | None) -> None:
-        """Have all nodes rank upstreams by ``rank``."""
+        """Make all nodes rank upstreams by ``rank``."""
         for node in self.nodes:
             node.search.routing = replace_fields(node.search.routing, rank=rank)
 
@@ -409,7 +409,7 @@
         return node.view.upstreams[upstream_id].failure_domain != node.domain
 
     def callable_nodes(self) -> list[PlayedNode]:
-        """Return the nodes that clients still call: all but those that have died."""
+        """Return the nodes that clients still call: all but the crashed ones."""
         return [node for node in self.nodes if node.group <= _MAX_CALLED_GROUP]
 
     @property
@@ -464,7 +464,7 @@
             call.arrived_ms, -1.0, times.target_ms, waited_ms, refused, member=member
         )
     grant = granted.ok_value
-    # Its upstream may have gone by the end of the run.
+    # Determined now, as the upstream may be removed before the run ends.
     crossed_domain = fleet.crosses(node, grant.upstream_id)
     first_ms, kept_up = await _execute_call(fleet, grant, call)
     return CallOutcome(
@@ -479,9 +479,9 @@
 
 
 async def _execute_call(fleet: PlayedFleet, grant: Grant, call: _Call) -> tuple[float, bool]:
-    """Run a call under its permit; returns the time of the first event, and if all else was good.
+    """Run a call under its permit; return the time of the first event and ``kept_up``.
 
-    It tells its owner what ``AttemptRecord`` tells.
+    An ``AttemptRecord`` reports the progress to the owner.
     """
     times = call.times
     fleet.begin_run(grant.upstream_id)
@@ -509,10 +509,10 @@
     times: CallTimes | None = None,
     draw_member: Callable[[], str] = str,
 ) -> list[CallOutcome]:
-    """Send calls at random times to random nodes and return what became of each.
+    """Send calls at random times to random nodes and return their outcomes.
 
-    ``rates`` are phases: their length in seconds and their calls a second.  ``draw_member`` gives
-    the customer of each call.
+    ``rates`` is a list of phases, each with its length in seconds and its calls per second.
+    ``draw_member`` returns the customer of a call.
     """
     times = times or CallTimes()
     outcomes: list[CallOutcome] = []
@@ -532,7 +532,7 @@
 
 
 class _Runner:
-    """Runs the items of one node's jobs, as ``JobRunner`` does without a store."""
+    """Runs the items of one node's jobs like ``JobRunner``, but without a store."""
 
     def __init__(self, fleet: PlayedFleet, node: PlayedNode, load: BatchLoad) -> None:
         self._fleet = fleet
@@ -541,7 +541,7 @@
         self._jobs: list[StoredJob] = []
         self._lengths: dict[str, int] = {}
         self._runs: Counter[str] = Counter()
-        # Time of the runs with events, by item.
+        # Total time of the runs that produced events, by item.
         self._productive_s: Counter[str] = Counter()
         self._pool = ItemPool(lambda: self._jobs, lambda _record, _service: True)
         settings = NodeSettings("0.0.0.0:1", "0.0.0.0:1", "0.0.0.0:1", "0.0.0.0:1")
@@ -559,7 +559,7 @@
         self.outcomes: list[ItemOutcome] = []
 
     def add_job(self, number: int, rng: random.Random, due_ms: float | None = None) -> str:
-        """Take in a job and return its identity; ``due_ms`` takes the place of the load's."""
+        """Add a job and return its identity; ``due_ms`` overrides that of the load."""
         load = self._load
         names = [f"{number}-{index}" for index in range(load.items)]
         for name in names:
@@ -576,7 +576,7 @@
         return job.job_id
 
     async def end_job(self, job_id: str, after_s: float) -> None:
-        """Let a client end a job; what runs of it may finish."""
+        """End a job after ``after_s``; its running items may finish."""
         await trio.sleep(after_s)
         self._jobs = [job for job in self._jobs if job.job_id != job_id]
 
@@ -644,7 +644,7 @@
         self._requester.wake()
 
     async def _wait(self, grant: Grant, for_ms: float) -> None:
-        """Let time pass, less when the run is cut off."""
+        """Wait for ``for_ms``, or until the permit is revoked."""
         with trio.move_on_after(for_ms / 1000):
             await grant.revoked.wait()
 
@@ -656,7 +656,7 @@
 
 
 async def _watch_idle(fleet: PlayedFleet, runners: list[_Runner], end_s: float) -> None:
-    """Add up the free slots until ``end_s``, seen every ``_IDLE_SAMPLE_S``."""
+    """Sum up the idle slots until ``end_s``, sampled every ``_IDLE_SAMPLE_S``."""
     while trio.current_time() < end_s:
         idle = max(fleet.total_slots - fleet.running.total(), 0)
         waiting = sum(runner.waiting_items() for runner in runners)
@@ -673,9 +673,9 @@
     *,
     late_jobs: int = 0,
 ) -> list[ItemOutcome]:
-    """Send jobs to random nodes; returns what became of their items, ``rest_s`` after the last.
+    """Send jobs to random nodes; return the items completed up to ``rest_s`` after the last job.
 
-    ``late_jobs`` come first, and are due at once.
+    ``late_jobs`` jobs are sent first, and are due immediately.
     """
     nursery = fleet.nodes[0].nursery
     runners = [_Runner(fleet, node, load) for node in fleet.nodes]
--- a/tests/builders/placement_policies.py
+++ b/tests/builders/placement_policies.py
@@ -1,4 +1,4 @@
-"""Other ranking policies for upstreams, to compare with the one in use."""
+"""Alternative ranking policies for upstreams, for comparison with the one in use."""
 
 import random
 from collections.abc import Callable, Sequence
--- a/tests/builders/promises.py
+++ b/tests/builders/promises.py
@@ -1,4 +1,4 @@
-"""Sessions with a whole local system in which parts of it are lost while callers go on."""
+"""Sessions with a complete local system, of which parts are lost while callers continue."""
 
 from collections import Counter
 from collections.abc import Iterable, Iterator
@@ -60,14 +60,14 @@
 
 
 async def lose_vm(vm: LocalVm) -> None:
-    """Lose all programs of ``vm`` at once; the VM list goes on showing it."""
+    """Kill all programs of ``vm`` at once; the VM list still includes it."""
     vm.kill()
     await vm.stopped.wait()
 
 
 @contextmanager
 def kv_down(system: LocalSystem) -> Iterator[None]:
-    """Refuse every call on the key-value service while the block runs."""
+    """Refuse every call to the key-value service while the block runs."""
     system.standins.kv.take_down()
     try:
         yield
@@ -86,7 +86,7 @@
 async def wait_answer(
     vm: LocalVm, system: LocalSystem, target: str, body: object = None, status: int = 200
 ) -> Answer:
-    """Ask again and again until the answer has ``status``."""
+    """Repeat a request until the answer has ``status``."""
     answers: list[Answer] = []
 
     async def answered() -> bool:
@@ -106,7 +106,7 @@
 
 
 async def job_status(system: LocalSystem, vm: LocalVm, job_id: str) -> str:
-    """Return the status that the entry of ``vm`` tells; empty while it cannot tell."""
+    """Return the status that the entry of ``vm`` reports; empty while it cannot report one."""
     return (await send_request(vm, system, f"/v1/batches/{job_id}")).json.get("status", "")
 
 
@@ -130,7 +130,7 @@
 
 
 async def result_lines(system: LocalSystem, vm: LocalVm, job_id: str) -> Counter[tuple[str, str]]:
-    """Return how often each item and its text, empty for an error, stands in the results."""
+    """Count each pair of an item and its text (empty for an error) in the results."""
     job = (await send_request(vm, system, f"/v1/batches/{job_id}")).json
     found: Counter[tuple[str, str]] = Counter()
     for file_id in (job["output_file_id"], job["error_file_id"]):
@@ -149,7 +149,7 @@
 
 
 def expected_lines(max_tokens: int, lines: int = LINES) -> Counter[tuple[str, str]]:
-    """Return the only right results of a job of the first ``lines`` letters."""
+    """Return the correct results of a job of the first ``lines`` letters."""
     found: Counter[tuple[str, str]] = Counter()
     for number, line in enumerate(job_lines(TRIP_MODEL).splitlines()[:lines]):
         prompt = msgspec.json.decode(line)["body"]["prompt"]
@@ -161,7 +161,7 @@
 async def stream_complete_answer(
     system: LocalSystem, vm: LocalVm, question: str, max_tokens: int, model: str = CHAT_MODEL
 ) -> None:
-    """Stream an answer; ``ValueError`` unless it is the whole one to ``question``."""
+    """Stream an answer; raise ``ValueError`` unless it is the complete one to ``question``."""
     body = chat_body(question, model=model, max_tokens=max_tokens)
     answer = await send_request(vm, system, "/v1/chat/completions", body)
     if answer.status != 200:
--- a/tests/test_heavy_load.py
+++ b/tests/test_heavy_load.py
@@ -1,4 +1,4 @@
-"""Heavy loads played in virtual time: what callers get from the policies that ship."""
+"""Heavy loads replayed in virtual time against the production policies."""
 
 import random
 import unittest
@@ -20,13 +20,13 @@
 )
 
 SEEDS = (1, 2, 3)
-# Calls of 0.75 s on 40 slots: 53 a second are all that fit.  Twice 2.4 s of 54 a second between
-# calm phases, as clients come in steps.
+# Calls of 0.75 s on 40 slots, whose capacity is thus 53 calls per second.  The load has two steps
+# of 2.4 s with 54 calls per second, between phases of low load.
 PEAKS = ((3.4, 10.0), (2.4, 54.0), (3.4, 10.0), (2.4, 54.0), (2.0, 5.0))
 
 
 class OnlinePeakTest(unittest.TestCase):
-    """Peaks of online that just exceed all slots."""
+    """Peaks of online calls that just exceed the capacity of all slots."""
 
     def play(self, routing: RoutingPolicy, seed: int) -> tuple[list[CallOutcome], PlayedFleet]:
         async def play() -> tuple[list[CallOutcome], PlayedFleet]:
@@ -41,7 +41,7 @@
         return trio.run(play, clock=MockClock(autojump_threshold=0))
 
     def test_nearly_all_calls_of_a_peak_are_on_time(self) -> None:
-        """With one queue at a time 91 to 93 in 100 did, with three 98 to 99."""
+        """With one queue at a time 91 to 93 % of calls are on time, with three 98 to 99 %."""
         for seed in SEEDS:
             with self.subTest(seed=seed):
                 outcomes, fleet = self.play(ONLINE_ROUTING, seed)
@@ -62,12 +62,12 @@
 
 
 class OnlineShortageTest(unittest.TestCase):
-    """Upstreams leave until their slots bear two thirds of the calls; callers wait for 2 s."""
+    """The remaining upstreams can serve two thirds of the calls; callers wait up to 2 s."""
 
     def test_callers_that_cannot_be_served_are_refused_early(self) -> None:
-        """Without it 108 of 519 calls were kept until their callers left, and 45 were late.
+        """Without early refusal 108 of 519 calls waited until their callers left; 45 were late.
 
-        With it nobody is kept, 32 to 37 are late and 120 refused after 0.8 s, on the average.
+        With it no call does, 32 to 37 are late, and 120 are refused, after 0.8 s on average.
         """
 
         async def play(seed: int) -> list[CallOutcome]:
@@ -86,15 +86,15 @@
         unanswered = [item for item in outcomes if item.first_event_ms < 0 and not item.refused]
         self.assertEqual(len(unanswered), 0)
         self.assertLess(sum(item.waited_ms for item in refused) / len(refused), 1000.0)
-        # As many as before are on time: 366 of 519.
+        # As many calls are on time as without early refusal: 366 of 519.
         self.assertGreater(sum(item.on_time for item in outcomes) / len(outcomes), 0.67)
 
 
 class CompetingCustomersTest(unittest.TestCase):
-    """74 customers ask for 1.9 times what the slots bear, one of them for 8 times its usual."""
+    """74 customers request 1.9 times the capacity of the slots, one of them 8 times its usual."""
 
     def share_on_time(self, *plays: CustomerPlay) -> float:
-        """Return the share on time of the calls of all customers below their fair share."""
+        """Return the on-time fraction of the calls of customers below their fair share."""
         counts = [play.on_time(play.load.below_share()) for play in plays]
         return sum(on_time for on_time, _ in counts) / sum(calls for _, calls in counts)
 
@@ -110,7 +110,7 @@
                 self.assertGreater(play.on_time([f"customer-{rank}"])[0], 0)
 
     def test_load_is_heavy_enough_to_distinguish_orders(self) -> None:
-        """All calls under one name, as without customers: 0.55 where names give 0.95 to 0.99."""
+        """With all calls under one name 0.55 are on time, under their own names 0.95 to 0.99."""
         load = CustomerLoad()
         one_name = play_customers(load, seed=1, named=False)
         named = play_customers(load, seed=1)
@@ -126,9 +126,9 @@
         self.assertLessEqual(sum(item.member in below for item in refused), 1)
 
     def test_shares_hold_while_owners_and_an_upstream_are_lost(self) -> None:
-        """Three of 18 owners die, which others notice after 1.2 s, and a tenth of the slots goes.
+        """Three of 18 owners crash, noticed after 1.2 s, and a tenth of the slots is removed.
 
-        Seeds 1 and 2 gave 0.94 and 0.89, under one name 0.47 and 0.46.
+        Seeds 1 and 2 gave 0.94 and 0.89, and under one name 0.47 and 0.46.
         """
 
         async def disturb(fleet: PlayedFleet) -> None:
@@ -143,7 +143,7 @@
         self.assertLess(self.share_on_time(one_name), 0.7)
 
     def test_shares_hold_while_a_third_of_the_nodes_is_cut_off(self) -> None:
-        """Both sides own every upstream then, so more runs than there are slots."""
+        """Both sides then own every upstream, so that more runs are started than slots exist."""
 
         async def disturb(fleet: PlayedFleet) -> None:
             await fleet.isolate([fleet.nodes[:6]], notice_s=1.2)
@@ -153,9 +153,9 @@
 
 
 class BatchOverloadTest(unittest.TestCase):
-    """More batch items than fit beside online: 9 a second where about 4 do, for 30 s."""
+    """More batch items than fit beside online calls: 9 per second instead of 4, for 30 s."""
 
-    # Each step: 3.4 s of 10 calls a second and 2.4 s of 48.
+    # Each step: 3.4 s with 10 calls per second and 2.4 s with 48.
     STEPS = ((3.4, 10.0), (2.4, 48.0)) * 10
     LOAD = BatchLoad(per_s=0.9, length_s=30.0)
 
@@ -179,7 +179,7 @@
         return trio.run(play, clock=MockClock(autojump_threshold=0))
 
     def test_most_remaining_slots_are_used_for_items_on_time(self) -> None:
-        """Of seeds 1 and 2 together 274 items; 227 where the order was by the time due alone."""
+        """Seeds 1 and 2 together give 274 items on time; ordered by due time only, 227."""
         on_time = 0
         for seed in SEEDS[:2]:
             calls, items = self.play(seed)
--- a/tests/test_promises_calls.py
+++ b/tests/test_promises_calls.py
@@ -1,4 +1,4 @@
-"""What must hold for online requests, bookings and stops while parts of a system fail."""
+"""Promises about online requests, bookings and planned stops while parts of a system fail."""
 
 import unittest
 from collections.abc import Awaitable, Callable
@@ -30,7 +30,7 @@
 )
 
 ANSWER_TOKENS = 80
-# Retries of an entry that has had no successes yet must suffice for all of them.
+# So few that the retry budget of an entry without any successes yet suffices for all of them.
 CALLERS_PER_ENTRY = 3
 
 
@@ -54,7 +54,7 @@
                 frozen.freeze()
                 await lose_vm(owner)
                 crashing = await self._wait_streaming(engines, other_than=frozen)
-                # What it has still to give comes after its callers went elsewhere.
+                # Its remaining tokens arrive after its callers were served by other engines.
                 frozen.thaw()
                 crashing.die()
                 crashing.revive()
@@ -65,7 +65,7 @@
     async def _wait_streaming(
         self, engines: list[EngineService], other_than: EngineService | None = None
     ) -> EngineService:
-        """Wait until all streams of an engine other than ``but`` have got tokens; return it."""
+        """Wait until all streams of an engine but ``other_than`` have got tokens; return it."""
         found: list[EngineService] = []
 
         async def streams() -> bool:
@@ -112,7 +112,7 @@
         self.assertLessEqual(len(bodies), 1, "all answers are those of the one execution")
 
     async def _lose_dispatcher(self, system: LocalSystem, plain: PlainService) -> None:
-        """Lose the VM that sent a booking before it has the answer; the others must not send it."""
+        """Lose the VM that sent a booking before the answer; the others must not send it again."""
         plain.delay_ms = 60_000
         lost, *remaining = system.vms.values()
         name = "lost-dispatcher"
@@ -124,7 +124,7 @@
                 return plain.executions[name] == 1
 
             await wait_until(runs)
-            # A booking under way holds its entry up, so that it can tell nothing more either.
+            # The pending booking blocks the killed entry, so it cannot send updates either.
             lost.kill()
             plain.delay_ms = 0
             for vm in remaining:
@@ -176,7 +176,7 @@
         run_session(session)
 
     async def _check_owner_loss(self, system: LocalSystem, plain: PlainService) -> None:
-        """Lose the VM that grants the service's permits, which others learn only later."""
+        """Lose the VM that grants the service's permits; the others detect that only later."""
         vms = list(system.vms.values())
         owner = await owner_of(system, vms[0], plain.upstream_id)
         other = next(vm for vm in vms if vm is not owner)
@@ -197,7 +197,7 @@
 
 
 class PlannedStopTest(unittest.TestCase):
-    # So few that no limit makes an item give way.
+    # So few that no item has to give way to online requests because of a limit.
     LINES = 30
 
     def test_stop_of_a_vm_under_streams_and_items_cuts_off_nothing_in_an_outage(self) -> None:
--- a/tests/test_promises_jobs.py
+++ b/tests/test_promises_jobs.py
@@ -1,4 +1,4 @@
-"""What must hold for jobs, and between jobs and online requests, while parts of a system fail."""
+"""Promises about jobs, and about online requests beside jobs, while parts of a system fail."""
 
 import unittest
 
@@ -30,7 +30,7 @@
 )
 
 ITEM_TOKENS = 20
-# An item of so many tokens does not end while a test runs.
+# The number of tokens of an item that does not end while a test runs.
 ENDLESS = 20_000
 
 
@@ -58,7 +58,7 @@
         run_session(session)
 
     async def _crash_workers(self, system: LocalSystem) -> None:
-        """Let a worker die while it runs items, and then again one that does."""
+        """Crash an engine that is running items, twice."""
         engines = engines_of(system, TRIP_SERVICE)
 
         async def busy() -> bool:
@@ -89,7 +89,7 @@
                 return cancelled and not total_running(engines)
 
             await wait_until(stopped)
-            # Time in which items of the job would run on if it had not stopped.
+            # Takes some time, in which further items would start if the job had not stopped.
             await stream_complete_answer(system, other, "Is it over?", ITEM_TOKENS, TRIP_MODEL)
             self.assertEqual(total_admitted(engines), admitted + 1)
 
@@ -109,7 +109,7 @@
                 await self._wait_busy(engines)
                 await self._burst(system, vms, "with owners")
             for engine in engines:
-                # While a revocation takes effect, what is revoked runs beside what is granted.
+                # While a revocation takes effect, revoked runs overlap with newly granted ones.
                 self.assertLessEqual(engine.stats.most_running, 2 * self.LIMIT)
             self.assertTrue(sum(engine.stats.cancelled for engine in engines), "batch gave way")
             await self._wait_busy(engines)
@@ -136,7 +136,7 @@
             await wait_until(in_force)
 
     async def _wait_busy(self, engines: list[EngineService]) -> None:
-        """Wait until batch runs wherever online bursts do not keep it out: half of each limit."""
+        """Wait until batch uses half of each limit, the part that online bursts leave to it."""
 
         async def busy() -> bool:
             return all(len(item.core.model.running) >= self.LIMIT // 2 for item in engines)
@@ -144,7 +144,7 @@
         await wait_until(busy)
 
     async def _burst(self, system: LocalSystem, vms: list[LocalVm], name: str) -> None:
-        """Ask as much at once as all engines may run; a batch item before it would not end."""
+        """Send as many requests at once as all engines may run; none may wait for batch items."""
         async with trio.open_nursery() as nursery:
             for number in range(self.LIMIT * len(engines_of(system, TRIP_SERVICE))):
                 vm = vms[number % len(vms)]
@@ -187,7 +187,7 @@
     async def _mark_leaving(
         self, system: LocalSystem, remaining: list[LocalVm], leaving: EngineService
     ) -> None:
-        """Mark a worker as leaving under streams; return once every VM left has seen it."""
+        """Mark an engine as leaving during streams; return when all remaining VMs know of it."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._send_streams, system, remaining, "while it leaves")
             system.standins.vm_list.mark_leaving(leaving.upstream_id)
