--- a/tests/builders/load_player.py
+++ b/tests/builders/load_player.py
@@ -598,7 +598,7 @@
     def _choose_overdue(self, upstream: UpstreamRecord) -> ItemChoice | None:
         return self._pool.choose_overdue(upstream.upstream_id, SERVICE, now_ms())
 
-    def _execute_call(self, upstream_id: str, grant: Grant) -> None:
+    def _start_item(self, upstream_id: str, grant: Grant) -> None:
         upstream = self._node.view.upstreams[upstream_id]
         choice = None
         if grant.is_overdue:
--- a/tests/test_heavy_load.py
+++ b/tests/test_heavy_load.py
@@ -56,7 +56,7 @@
         self.assertLess(max(waits_ms), 2000)
 
     def test_load_is_heavy_enough_to_distinguish_policies(self) -> None:
-        outcomes, _fleet = self.play(replace(ONLINE_ROUTING, queues=1), SEEDS[0])
+        outcomes, _fleet = self.play(replace(ONLINE_ROUTING, max_queues=1), SEEDS[0])
         on_time = sum(outcome.on_time for outcome in outcomes)
         self.assertLess(on_time / len(outcomes), 0.95)
 
