--- a/src/fescuedock/standin/engine_core.py
+++ b/src/fescuedock/standin/engine_core.py
@@ -1,4 +1,4 @@
-"""The inside of a stand-in engine: admits requests, gives tokens in time, keeps the cache."""
+"""The core of a stand-in engine: admits requests, produces tokens on schedule, fills the cache."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class EngineStats:
-    """What the engine has done so far."""
+    """Counts since the engine was created."""
 
     admitted: int = 0
     completed: int = 0
@@ -32,41 +32,41 @@
 
 @dataclass(slots=True)
 class Generation:
-    """One request in the engine; ``ready`` tokens are there, counted from the resume point."""
+    """One admitted request; ``ready`` counts its tokens produced since the resume point."""
 
     request: GenerateRequest
     sequence: Sequence
     ready: int = 0
-    lost: bool = False
+    dropped: bool = False
     _changed: trio.Event = field(default_factory=trio.Event)
 
-    async def wait_tokens(self, taken: int) -> int:
-        """Wait for more tokens than ``taken`` and return their number.
+    async def wait_tokens(self, sent: int) -> int:
+        """Wait until more than ``sent`` tokens are ready and return their number.
 
-        ``DroppedConnectionError`` when the generation was cancelled or its engine died.
+        Raise ``DroppedConnectionError`` when the generation was cancelled or the engine crashed.
         """
-        while self.ready <= taken and not self.lost:
+        while self.ready <= sent and not self.dropped:
             await self._changed.wait()
-        if self.lost:
+        if self.dropped:
             raise DroppedConnectionError("the engine dropped the request")
         return self.ready
 
     def add_token(self) -> None:
         self.ready += 1
-        self._wake()
+        self._notify()
 
-    def lose(self) -> None:
-        self.lost = True
-        self._wake()
+    def drop(self) -> None:
+        self.dropped = True
+        self._notify()
 
-    def _wake(self) -> None:
+    def _notify(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
 
 @dataclass(slots=True)
 class EngineCore:
-    """Steps a ``TokenTimeModel`` by trio's clock; ``run`` must be running."""
+    """Advances a ``TokenTimeModel`` by trio's clock while ``run`` runs."""
 
     profile: EngineProfile
     cache: PrefixCache
@@ -76,7 +76,7 @@
     reported: EngineLoad = _IDLE_LOAD
     model: TokenTimeModel = field(init=False)
     _generations: dict[str, Generation] = field(default_factory=dict)
-    _work: trio.Event = field(default_factory=trio.Event)
+    _work_arrived: trio.Event = field(default_factory=trio.Event)
     _thawed: trio.Event = field(default_factory=trio.Event)
 
     def __post_init__(self) -> None:
@@ -84,39 +84,39 @@
         self._thawed.set()
 
     async def run(self) -> None:
-        """Give tokens until cancelled."""
+        """Produce tokens until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._report_load)
-            await self._step()
+            await self._run_steps()
 
     @property
     def load(self) -> EngineLoad:
-        """The load of this moment, which no caller can see."""
+        """The current load; callers see only ``reported``, which lags behind it."""
         model = self.model
         return EngineLoad(len(model.running), len(model.waiting), model.kv_use)
 
     def admit(self, request: GenerateRequest) -> Generation:
-        """Take a request; an attempt whose identity is running already raises ``ValueError``."""
+        """Admit a request; raise ``ValueError`` if its attempt is running already."""
         if request.attempt_id in self._generations:
             raise ValueError(f"attempt {request.attempt_id!r} is running already")
         resumed = request.resume.tokens if request.resume else 0
-        covered = self.cache.covered(prefix_hashes(request.prompt))
+        cached_blocks = self.cache.cached_prefix_length(prefix_hashes(request.prompt))
         sequence = Sequence(
             request.attempt_id,
             request.prompt_tokens + resumed,
             request.answer_tokens - resumed,
-            covered * BLOCK_TOKENS,
+            cached_blocks * BLOCK_TOKENS,
         )
         generation = Generation(request, sequence)
         self._generations[request.attempt_id] = generation
         self.model.admit(sequence)
         self.stats.admitted += 1
         self.stats.most_running = max(self.stats.most_running, len(self.model.running))
-        self._work.set()
+        self._work_arrived.set()
         return generation
 
     def finish(self, generation: Generation) -> None:
-        """Forget a request whose answer was given or whose caller has left."""
+        """Remove a request that was answered or whose caller has disconnected."""
         attempt_id = generation.request.attempt_id
         if self._generations.pop(attempt_id, None) is None:
             return
@@ -127,25 +127,25 @@
         self.model.cancel(attempt_id)
 
     def cancel(self, attempt_id: str) -> bool:
-        """Cut off a request; whether it was here."""
+        """Cut off a request; return whether it was running or waiting."""
         generation = self._generations.get(attempt_id)
         if generation is None:
             return False
-        generation.lose()
+        generation.drop()
         self.finish(generation)
         return True
 
     def crash(self) -> None:
-        """Lose all requests and the cache, as a process that dies."""
+        """Drop all requests and the cache, as a crashing process does."""
         for generation in self._generations.values():
-            generation.lose()
+            generation.drop()
         self._generations.clear()
         self.model.clear()
         self.cache.clear()
         self.thaw()
 
     def freeze(self) -> None:
-        """Give no tokens until ``thaw``."""
+        """Produce no tokens until ``thaw``."""
         if self._thawed.is_set():
             self._thawed = trio.Event()
 
@@ -155,22 +155,22 @@
     async def wait_thawed(self) -> None:
         await self._thawed.wait()
 
-    async def _step(self) -> None:
+    async def _run_steps(self) -> None:
         due_ms = 0.0
         while True:
             if self.model.is_idle:
-                self._work = trio.Event()
-                await self._work.wait()
+                self._work_arrived = trio.Event()
+                await self._work_arrived.wait()
                 due_ms = now_ms()
             await self._thawed.wait()
             result = self.model.step()
-            # Steps follow each other without gaps when this task is woken a little late.
+            # Schedules from the previous due time, so that late wake-ups leave no gaps.
             due_ms = max(due_ms, now_ms() - result.duration_ms) + result.duration_ms
             await trio.sleep_until(due_ms / 1000)
             await self._thawed.wait()
-            self._hand_out(result)
+            self._deliver(result)
 
-    def _hand_out(self, result: StepResult) -> None:
+    def _deliver(self, result: StepResult) -> None:
         for sequence in result.produced:
             generation = self._generations.get(sequence.sequence_id)
             if generation is not None and generation.sequence is sequence:
@@ -186,7 +186,7 @@
         self.store_blocks(prefix_hashes(generation.request.prompt))
 
     def store_blocks(self, hashes: Iterable[str]) -> None:
-        """Put blocks into the prefix cache."""
+        """Store blocks in the prefix cache and log the event."""
         event = self.cache.store(hashes)
         if event.stored or event.removed:
             self.events.add(event, now_ms())
--- a/src/fescuedock/standin/engine_orders.py
+++ b/src/fescuedock/standin/engine_orders.py
@@ -1,4 +1,4 @@
-"""What a stand-in engine has loaded, and the orders that change it."""
+"""The models, adapters and role of a stand-in engine, and the orders that change them."""
 
 from dataclasses import dataclass, field, replace
 
@@ -17,32 +17,33 @@
 ]
 
 ROLES = ("both", "prefill", "decode")
-# How much faster a role makes an engine at its own work, and slower at the other.
-_ROLE_GAIN = 1.6
+# An engine in the role prefill or decode is faster at that phase, and slower at the other, by this.
+_ROLE_SPEED_FACTOR = 1.6
 
 
 class SupersededOrderError(Exception):
-    """The engine checks fencing numbers and has seen a higher one."""
+    """The engine checks fencing numbers and has already received a higher one."""
 
 
 class BadOrderError(Exception):
-    """The order cannot be carried out."""
+    """The order is unknown or names an unknown role."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReceivedOrder:
-    """An order, when it came and whether it was obeyed."""
+    """An order, when it arrived and whether it was accepted."""
 
     at_s: float
     order: EngineOrder
-    obeyed: bool
+    accepted: bool
 
 
 @dataclass(slots=True)
 class EngineOrders:
-    """The models, adapters and role of one engine; one that begins without models serves any.
+    """The models, adapters and role of one engine.
 
-    Orders are carried out one after the other, as they came.
+    An engine that starts without models serves any model.  Orders are executed one at a time, in
+    the order of their arrival.
     """
 
     weights: WeightStoreService
@@ -55,31 +56,31 @@
     highest_fencing: int = 0
     received: list[ReceivedOrder] = field(default_factory=list)
     _serves_any: bool = field(init=False)
-    _one_at_a_time: trio.Lock = field(default_factory=trio.Lock)
+    _execution_lock: trio.Lock = field(default_factory=trio.Lock)
 
     def __post_init__(self) -> None:
         self._serves_any = not self.models
 
     def serves(self, model: str) -> bool:
-        """Whether a request may name ``model``, the name of a model or an adapter."""
+        """Return whether requests may name ``model``, which is a model or an adapter."""
         return self._serves_any or model in self.models or model in self.adapters
 
-    async def carry_out(self, order: EngineOrder) -> None:
-        """Obey an order, which takes as long as a load takes.
+    async def execute(self, order: EngineOrder) -> None:
+        """Execute an order; a load takes the time to transfer the weights and ``load_ms``.
 
-        ``SupersededOrderError`` and ``BadOrderError`` say that nothing was done.
+        Raise ``SupersededOrderError`` or ``BadOrderError`` before anything has changed.
         """
         action = _ACTIONS.get(order.order)
         if action is None or (order.role and order.role not in ROLES):
-            raise BadOrderError(f"no order {order.order!r} with role {order.role!r}")
+            raise BadOrderError(f"unknown order {order.order!r} or role {order.role!r}")
         superseded = order.fencing < self.highest_fencing
-        obeyed = not (superseded and self.checks_fencing)
-        self.received.append(ReceivedOrder(trio.current_time(), order, obeyed))
-        if not obeyed:
+        accepted = not (superseded and self.checks_fencing)
+        self.received.append(ReceivedOrder(trio.current_time(), order, accepted))
+        if not accepted:
             message = f"fencing number {order.fencing} is below {self.highest_fencing}"
             raise SupersededOrderError(message)
         self.highest_fencing = max(self.highest_fencing, order.fencing)
-        async with self._one_at_a_time:
+        async with self._execution_lock:
             await action(self, order)
 
     async def _load_model(self, order: EngineOrder) -> None:
@@ -121,16 +122,16 @@
 
 
 def profile_of_role(profile: EngineProfile, role: str) -> EngineProfile:
-    """Return the speeds that an engine has in ``role``."""
+    """Return ``profile`` with the speeds of an engine in ``role``."""
     if role == "prefill":
-        gain = _ROLE_GAIN
+        speed_factor = _ROLE_SPEED_FACTOR
     elif role == "decode":
-        gain = 1 / _ROLE_GAIN
+        speed_factor = 1 / _ROLE_SPEED_FACTOR
     else:
-        gain = 1.0
+        speed_factor = 1.0
     return replace(
         profile,
-        step_ms=profile.step_ms * gain,
-        step_ms_per_sequence=profile.step_ms_per_sequence * gain,
-        prefill_ms_per_token=profile.prefill_ms_per_token / gain,
+        step_ms=profile.step_ms * speed_factor,
+        step_ms_per_sequence=profile.step_ms_per_sequence * speed_factor,
+        prefill_ms_per_token=profile.prefill_ms_per_token / speed_factor,
     )
--- a/src/fescuedock/standin/engine_requests.py
+++ b/src/fescuedock/standin/engine_requests.py
@@ -1,13 +1,13 @@
-"""Requests that the stand-in engine takes, and the JSON of its answers."""
+"""Parses generation requests to the stand-in engine and builds the JSON of its responses."""
 
 from dataclasses import dataclass
 
 import msgspec
 
 from fescuedock.backing.engine import ResumePoint
-from fescuedock.standin.token_text import natural_tokens, prompt_tokens
+from fescuedock.standin.token_text import default_answer_tokens, prompt_tokens
 
-__all__ = ["AnswerShape", "BadRequestError", "GenerateRequest", "read_request"]
+__all__ = ["BadRequestError", "GenerateRequest", "ResponseBuilder", "read_request"]
 
 CHAT_PATH = "/v1/chat/completions"
 COMPLETIONS_PATH = "/v1/completions"
@@ -43,14 +43,14 @@
 
 @dataclass(frozen=True, slots=True)
 class GenerateRequest:
-    """One request for an answer of ``answer_tokens``, from token ``first_token`` on."""
+    """A request for an answer of ``answer_tokens`` tokens, to be generated from ``first_token``."""
 
     attempt_id: str
     model: str
     prompt: str
     prompt_tokens: int
     answer_tokens: int
-    limited: bool
+    has_token_limit: bool
     chat: bool
     stream: bool
     include_usage: bool
@@ -62,34 +62,34 @@
 
 
 def read_request(path: str, body: bytes, attempt_id: str) -> GenerateRequest:
-    """Read the body of a chat or text completion; ``BadRequestError`` says what is wrong."""
+    """Parse the body of a chat or text completion; raise ``BadRequestError`` if it is invalid."""
     try:
-        given = msgspec.json.decode(body, type=_Body)
+        decoded = msgspec.json.decode(body, type=_Body)
     except msgspec.MsgspecError as error:
         raise BadRequestError(str(error)) from error
-    prompt = _chat_text(given.messages) if path == CHAT_PATH else _prompt_text(given.prompt)
-    limit = given.max_completion_tokens or given.max_tokens
+    prompt = _chat_text(decoded.messages) if path == CHAT_PATH else _prompt_text(decoded.prompt)
+    limit = decoded.max_completion_tokens or decoded.max_tokens
     if limit is not None and limit < 1:
         raise BadRequestError(f"max_tokens must be at least 1, not {limit}")
-    if given.resume is not None and given.resume.tokens < 0:
-        raise BadRequestError(f"resume.tokens must not be negative: {given.resume.tokens}")
-    natural = natural_tokens(prompt)
+    if decoded.resume is not None and decoded.resume.tokens < 0:
+        raise BadRequestError(f"resume.tokens must not be negative: {decoded.resume.tokens}")
+    default_tokens = default_answer_tokens(prompt)
     return GenerateRequest(
         attempt_id=attempt_id,
-        model=given.model,
+        model=decoded.model,
         prompt=prompt,
         prompt_tokens=prompt_tokens(prompt),
-        answer_tokens=limit or natural,
-        limited=limit is not None,
+        answer_tokens=limit or default_tokens,
+        has_token_limit=limit is not None,
         chat=path == CHAT_PATH,
-        stream=bool(given.stream),
-        include_usage=bool(given.stream_options and given.stream_options.include_usage),
-        resume=given.resume,
+        stream=bool(decoded.stream),
+        include_usage=bool(decoded.stream_options and decoded.stream_options.include_usage),
+        resume=decoded.resume,
     )
 
 
 def _chat_text(messages: list[_Message]) -> str:
-    """Return a conversation as the one text that the engine works on."""
+    """Return a conversation as a single prompt text."""
     if not messages:
         raise BadRequestError("messages must not be empty")
     return "".join(f"<{message.role}>{_content(message)}\n" for message in messages)
@@ -105,34 +105,38 @@
     return prompt if isinstance(prompt, str) else "\n".join(prompt)
 
 
-_PLACE = "<text>"
+_TEXT_PLACEHOLDER = "<text>"
 
 
-class AnswerShape:
-    """Forms the JSON of one answer: OpenAI's chat or text completion, whole or in chunks."""
+class ResponseBuilder:
+    """Builds the JSON of one chat or text completion, as one response or as streamed events."""
 
     __slots__ = ("_created_s", "_request", "_token_head", "_token_tail")
 
     def __init__(self, request: GenerateRequest, created_s: int) -> None:
         self._request = request
         self._created_s = created_s
-        part = {"delta": {"content": _PLACE}} if request.chat else {"text": _PLACE}
+        part = (
+            {"delta": {"content": _TEXT_PLACEHOLDER}}
+            if request.chat
+            else {"text": _TEXT_PLACEHOLDER}
+        )
         event = self._event(part, None)
-        # Everything but the text is the same in each token's event.
-        self._token_head, _, self._token_tail = event.rpartition(_PLACE.encode())
+        # Each token's event differs in its text only.
+        self._token_head, _, self._token_tail = event.rpartition(_TEXT_PLACEHOLDER.encode())
 
     def first_event(self) -> bytes:
-        """Return the event before a chat's first token, empty for text completions."""
+        """Return the event that precedes a chat's first token; empty for text completions."""
         if not self._request.chat:
             return b""
         return self._event({"delta": {"role": "assistant", "content": ""}}, None)
 
     def token_event(self, text: str) -> bytes:
-        """Return a token's event; ``text`` has no characters that JSON escapes."""
+        """Return a token's event; ``text`` must not contain characters that JSON escapes."""
         return self._token_head + text.encode() + self._token_tail
 
     def last_events(self, generated: int) -> bytes:
-        """Return the finish, the usage if asked for, and the end mark."""
+        """Return the events with the finish reason, the usage if requested, and ``[DONE]``."""
         part = {"delta": {}} if self._request.chat else {"text": ""}
         events = self._event(part, self._finish_reason())
         if self._request.include_usage:
@@ -140,8 +144,8 @@
             events += _sse(document)
         return events + b"data: [DONE]\n\n"
 
-    def whole(self, text: str, generated: int) -> bytes:
-        """Return the answer that is not streamed."""
+    def complete_response(self, text: str, generated: int) -> bytes:
+        """Return the body of a response that is not streamed."""
         if self._request.chat:
             part = {"message": {"role": "assistant", "content": text}}
         else:
@@ -167,10 +171,10 @@
         }
 
     def _finish_reason(self) -> str:
-        return "length" if self._request.limited else "stop"
+        return "length" if self._request.has_token_limit else "stop"
 
     def _usage(self, generated: int) -> dict:
-        """Return the usage block; tokens before a resume point count as generated."""
+        """Return the usage block; ``generated`` includes the tokens before a resume point."""
         prompt = self._request.prompt_tokens
         return {
             "prompt_tokens": prompt,
--- a/src/fescuedock/standin/kv_calls.py
+++ b/src/fescuedock/standin/kv_calls.py
@@ -11,7 +11,7 @@
 
 __all__ = ["MAX_VALUE_BYTES", "CallError", "KvCalls", "call_kind", "key_value", "range_end"]
 
-# Codes of gRPC, which the gateway passes on.
+# gRPC status codes, which the gateway passes on.
 _INVALID_ARGUMENT = 3
 _NOT_FOUND = 5
 _OUT_OF_RANGE = 11
@@ -27,7 +27,7 @@
 
 
 class CallError(Exception):
-    """The service refuses a call: HTTP ``status`` and gRPC ``code``."""
+    """The service refuses a call with the HTTP ``status`` and the gRPC ``code``."""
 
     def __init__(self, status: int, code: int, message: str) -> None:
         super().__init__(message)
@@ -36,7 +36,7 @@
 
 
 def call_kind(path: str, body: bytes) -> CallKind:
-    """Return what a call counts as."""
+    """Return the kind under which a call is counted."""
     if path == "/v3/kv/txn":
         return CallKind.DELETE if b'"request_delete_range"' in body else CallKind.PUT
     if path == "/v3/kv/range":
@@ -46,13 +46,13 @@
 
 @dataclass(frozen=True, slots=True)
 class KvCalls:
-    """The calls at one moment."""
+    """Executes calls on ``state`` as of ``now_s``."""
 
     state: KvState
     now_s: float
 
     def execute(self, path: str, body: bytes) -> msgspec.Struct:
-        """Execute one call and return its answer; ``CallError`` when it is refused."""
+        """Execute one call and return its response; raise ``CallError`` when it is refused."""
         entry = _CALLS.get(path)
         if entry is None:
             raise CallError(404, _NOT_FOUND, f"no path {path}")
@@ -65,17 +65,17 @@
 
     def range(self, request: wire.RangeRequest) -> wire.RangeAnswer:
         if request.revision and not request.range_end:
-            return self._past(request)
+            return self._range_at_revision(request)
         if not request.range_end:
             found = self.state.get(request.key.decode())
             kvs = [key_value(found)] if found else []
             return wire.RangeAnswer(self._header(), kvs, count=len(kvs))
         start = request.key.decode()
         page = self.state.page(start, range_end(request.range_end), request.limit)
-        kvs = [key_value(entry, bare=request.keys_only) for entry in page.entries]
+        kvs = [key_value(entry, keys_only=request.keys_only) for entry in page.entries]
         return wire.RangeAnswer(self._header(), kvs, page.more, len(kvs))
 
-    def _past(self, request: wire.RangeRequest) -> wire.RangeAnswer:
+    def _range_at_revision(self, request: wire.RangeRequest) -> wire.RangeAnswer:
         try:
             found = self.state.get(request.key.decode(), request.revision)
         except CompactedError as error:
@@ -87,7 +87,7 @@
     def txn(self, request: wire.TxnRequest) -> wire.TxnAnswer:
         for compare in request.compare:
             if (compare.target, compare.result) != ("MOD", "EQUAL"):
-                message = f"no comparison {compare.target} {compare.result} here"
+                message = f"comparison {compare.target} {compare.result} is not supported"
                 raise CallError(400, _INVALID_ARGUMENT, message)
         puts = [item.request_put for item in request.success if item.request_put is not None]
         if any(len(put.value) > MAX_VALUE_BYTES for put in puts):
@@ -109,8 +109,8 @@
         lease_id = self.state.grant(request.ttl, self.now_s)
         return wire.GrantAnswer(lease_id=lease_id, ttl=request.ttl)
 
-    def keep(self, request: wire.LeaseRequest) -> wire.KeepAnswer:
-        return wire.KeepAnswer(wire.LeaseState(self.state.keep(request.lease_id, self.now_s)))
+    def keep_alive(self, request: wire.LeaseRequest) -> wire.KeepAnswer:
+        return wire.KeepAnswer(wire.LeaseState(self.state.renew(request.lease_id, self.now_s)))
 
     def revoke(self, request: wire.LeaseRequest) -> wire.Empty:
         if not self.state.revoke(request.lease_id):
@@ -125,19 +125,19 @@
     "/v3/kv/range": (wire.RangeRequest, KvCalls.range),
     "/v3/kv/txn": (wire.TxnRequest, KvCalls.txn),
     "/v3/lease/grant": (wire.GrantRequest, KvCalls.grant),
-    "/v3/lease/keepalive": (wire.LeaseRequest, KvCalls.keep),
+    "/v3/lease/keepalive": (wire.LeaseRequest, KvCalls.keep_alive),
     "/v3/lease/revoke": (wire.LeaseRequest, KvCalls.revoke),
 }
 
 
-def key_value(entry: KvEntry, *, bare: bool = False) -> wire.KeyValue:
-    """Return an entry as the gateway shows it, without its value when ``bare``."""
-    value = b"" if bare else entry.value
+def key_value(entry: KvEntry, *, keys_only: bool = False) -> wire.KeyValue:
+    """Return an entry in the gateway's format, without its value when ``keys_only``."""
+    value = b"" if keys_only else entry.value
     return wire.KeyValue(entry.key.encode(), value, entry.mod_revision, entry.lease_id)
 
 
 def range_end(end: bytes) -> str | None:
-    """Return the end of a range, None for the last key."""
+    """Return the end of a range; None if it extends to the last key."""
     return None if end == b"\0" else end.decode()
 
 
--- a/src/fescuedock/standin/kv_service.py
+++ b/src/fescuedock/standin/kv_service.py
@@ -1,4 +1,4 @@
-"""A key-value service: the subset of etcd v3's HTTP/JSON gateway that we use."""
+"""A key-value service with the subset of etcd v3's HTTP/JSON gateway that fescuedock uses."""
 
 from dataclasses import dataclass
 from functools import partial
@@ -15,39 +15,39 @@
 
 __all__ = ["KvService"]
 
-# As etcd's default of --max-request-bytes, a little over 1 MB for the base64 of a 1 MB value.
+# Like etcd's default for --max-request-bytes; leaves room for the base64 encoding of a 1 MB value.
 MAX_REQUEST_BYTES = 1_500_000
 
 
 @dataclass(slots=True)
 class KvService(KvHost):
-    """One service; see ``KvHost``."""
+    """One service; see ``KvHost``.  ``progress_ms`` is the interval of watch progress reports."""
 
     progress_ms: float = 1000.0
 
     def lapse_lease(self, lease_id: int) -> None:
-        """End a lease as if its holder had been paused."""
+        """Expire a lease now, as if its holder had been paused for its whole duration."""
         self.state.revoke(lease_id)
 
     async def handle(self, request: Request, responder: Responder) -> None:
         body = await request.read(2 * MAX_REQUEST_BYTES)
         kind = call_kind(request.path, body)
-        lost = self.faults.count(kind)
+        lost_answer = self.faults.count(kind)
         if self.faults.silent:
             await trio.sleep_forever()
         if self.faults.delay_ms:
             await trio.sleep(self.faults.delay_ms / 1000)
         if kind is CallKind.WATCH:
             create = msgspec.json.decode(body, type=wire.WatchRequest, strict=False).create_request
-            await serve_watch(self.state, create, responder, self.progress_ms, self.cut)
+            await serve_watch(self.state, create, responder, self.progress_ms, self.watches_cut)
             return
-        if lost is None:
+        if lost_answer is None:
             await self._answer(request.path, body, responder)
-        elif lost is LostAnswer.AFTER_EFFECT:
+        elif lost_answer is LostAnswer.AFTER_EFFECT:
             self._execute(request.path, body)
-        elif lost is LostAnswer.LATE_EFFECT:
+        elif lost_answer is LostAnswer.LATE_EFFECT:
             self.execute_late(partial(self._execute, request.path, body))
-        # Returning without an answer cuts the connection.
+        # Returning without a response cuts the connection.
 
     async def _answer(self, path: str, body: bytes, responder: Responder) -> None:
         status, answer = self._execute(path, body)
--- a/src/fescuedock/standin/token_text.py
+++ b/src/fescuedock/standin/token_text.py
@@ -1,20 +1,20 @@
-"""The text that the stand-in engine answers: a function of the prompt and the token's index.
+"""The text that the stand-in engine generates, a function of the prompt and the token's index.
 
-A test thus knows every byte that a caller must get, whichever engine or engines gave it.
+Tests can thus predict every byte of an answer, whichever engines generated it.
 """
 
 from hashlib import blake2b
 
-__all__ = ["answer_text", "natural_tokens", "prompt_tokens", "token_texts"]
+__all__ = ["answer_text", "default_answer_tokens", "prompt_tokens", "token_texts"]
 
 _SYLLABLES = [consonant + vowel for consonant in "bdfklmnprstv" for vowel in "aeiou"]
 _CHARS_PER_TOKEN = 4
-_SHORTEST_TOKENS = 8
-_LENGTHS = 57
+_MIN_ANSWER_TOKENS = 8
+_ANSWER_LENGTHS = 57
 
 
 def token_texts(prompt: str, first: int, count: int) -> list[str]:
-    """Return the texts of ``count`` tokens from index ``first`` on."""
+    """Return the texts of ``count`` tokens, starting at index ``first``."""
     return [_token_text(prompt, index) for index in range(first, first + count)]
 
 
@@ -23,9 +23,9 @@
     return "".join(token_texts(prompt, 0, count))
 
 
-def natural_tokens(prompt: str) -> int:
-    """Return the length of the answer when the caller does not limit it: 8 to 64 tokens."""
-    return _SHORTEST_TOKENS + _digest(prompt)[0] % _LENGTHS
+def default_answer_tokens(prompt: str) -> int:
+    """Return the length of an answer without a limit by the caller, 8 to 64 tokens."""
+    return _MIN_ANSWER_TOKENS + _digest(prompt)[0] % _ANSWER_LENGTHS
 
 
 def prompt_tokens(prompt: str) -> int:
--- a/tests/builders/kv.py
+++ b/tests/builders/kv.py
@@ -1,4 +1,4 @@
-"""An in-memory ``KvStore`` with faults on command, for tests that need no HTTP."""
+"""An in-memory ``KvStore`` with fault injection, for tests that need no HTTP."""
 
 import math
 from collections.abc import AsyncIterator, Callable
@@ -22,12 +22,12 @@
 __all__ = ["LostAnswer", "MemoryKv"]
 
 MAX_VALUE_BYTES = 1024 * 1024
-# How long a silent service is waited for.
+# How long a call to a silent service waits before it fails.
 TIMEOUT_MS = 1500
 
 
 class MemoryKv:
-    """A ``KvStore`` of its own, or one more client of the ``state`` of another.
+    """A ``KvStore`` with its own state, or another client of the given ``state``.
 
     Faults: ``kv.faults.down = True``, ``kv.faults.silent``, ``kv.faults.delay_ms``,
     ``kv.faults.lose_answer(when, nth)``, ``kv.lapse_lease(lease_id)``, ``kv.cut_watches()``.
@@ -37,7 +37,7 @@
     def __init__(self, state: KvState | None = None) -> None:
         self.state = state or KvState()
         self.faults = KvFaults()
-        self._late: list[Callable[[], object]] = []
+        self._late_writes: list[Callable[[], object]] = []
         self._watch_senders: set[trio.MemorySendChannel] = set()
 
     @property
@@ -49,18 +49,18 @@
         self.faults.down = value
 
     def lapse_lease(self, lease_id: int) -> None:
-        """End a lease as if its holder had been paused."""
+        """Expire a lease now, as if its holder had been paused for its whole duration."""
         self.state.revoke(lease_id)
 
     def cut_watches(self) -> None:
-        """Lose the connections of all watches."""
+        """Cut the connections of all watches."""
         for sender in tuple(self._watch_senders):
             self._watch_senders.discard(sender)
             sender.close()
 
-    def land_late_writes(self) -> None:
-        """Let the writes that were held back take effect now."""
-        late, self._late = self._late, []
+    def apply_late_writes(self) -> None:
+        """Apply the writes delayed by ``LostAnswer.LATE_EFFECT`` now."""
+        late, self._late_writes = self._late_writes, []
         for write in late:
             write()
 
@@ -81,8 +81,10 @@
             page = self.state.page(start, prefix_end(prefix), limit)
             if not keys_only:
                 return Ok(page)
-            bare = tuple(KvEntry(e.key, b"", e.mod_revision, e.lease_id) for e in page.entries)
-            return Ok(KvPage(bare, page.revision, page.more))
+            without_values = tuple(
+                KvEntry(e.key, b"", e.mod_revision, e.lease_id) for e in page.entries
+            )
+            return Ok(KvPage(without_values, page.revision, page.more))
 
         return await self._call(CallKind.RANGE, read)
 
@@ -91,13 +93,13 @@
     ) -> Result[int, Fault]:
         def write() -> Result[int, Fault]:
             if len(value) > MAX_VALUE_BYTES:
-                message = f"{key}: {len(value)} bytes are over the limit"
+                message = f"{key}: {len(value)} bytes exceed the limit"
                 return Err(Fault(ResultCode.KV_VALUE_TOO_LARGE, message))
             try:
                 revision = self.state.put_if(key, value, expected_revision, lease_id)
             except LeaseNotFoundError as error:
                 return _conflict(str(error))
-            return Ok(revision) if revision else _conflict(f"{key} is at another revision")
+            return Ok(revision) if revision else _conflict(f"{key} has another revision")
 
         return await self._call(CallKind.PUT, write)
 
@@ -105,7 +107,7 @@
         def write() -> Result[None, Fault]:
             if self.state.delete_if(key, expected_revision):
                 return Ok(None)
-            return _conflict(f"{key} is at another revision")
+            return _conflict(f"{key} has another revision")
 
         return await self._call(CallKind.DELETE, write)
 
@@ -116,7 +118,7 @@
 
     async def keep_lease(self, lease_id: int) -> Result[int, Fault]:
         return await self._call(
-            CallKind.KEEP, lambda: Ok(self.state.keep(lease_id, trio.current_time()))
+            CallKind.KEEP, lambda: Ok(self.state.renew(lease_id, trio.current_time()))
         )
 
     async def revoke_lease(self, lease_id: int) -> Result[None, Fault]:
@@ -134,7 +136,7 @@
         sender, receiver = trio.open_memory_channel(math.inf)
         end = prefix_end(prefix)
 
-        def tell(event: KvEvent) -> None:
+        def send_event(event: KvEvent) -> None:
             if sender in self._watch_senders and in_range(event.key, prefix, end):
                 sender.send_nowait(event)
 
@@ -142,14 +144,14 @@
             sender.close()
         else:
             self._replay(sender, prefix, from_revision)
-            self.state.listeners.append(tell)
+            self.state.listeners.append(send_event)
             self._watch_senders.add(sender)
         try:
             yield receiver
         finally:
             self._watch_senders.discard(sender)
-            if tell in self.state.listeners:
-                self.state.listeners.remove(tell)
+            if send_event in self.state.listeners:
+                self.state.listeners.remove(send_event)
 
     def _replay(self, sender: trio.MemorySendChannel, prefix: str, from_revision: int) -> None:
         if not from_revision:
@@ -173,10 +175,10 @@
         if lost is None:
             return execute()
         if lost is LostAnswer.LATE_EFFECT:
-            self._late.append(execute)
+            self._late_writes.append(execute)
         if lost is LostAnswer.AFTER_EFFECT:
             execute()
-        return Err(Fault(ResultCode.KV_UNKNOWN, f"answer to {kind} lost on command", 1000))
+        return Err(Fault(ResultCode.KV_UNKNOWN, f"response to {kind} lost on command", 1000))
 
     async def _time_out(self, kind: CallKind) -> Err[Fault]:
         await trio.sleep(TIMEOUT_MS / 1000)
--- a/tests/builders/load_player.py
+++ b/tests/builders/load_player.py
@@ -1,8 +1,8 @@
-"""Plays a load against owners of permits in virtual time, and tells what callers get.
+"""Replays a load against owners of permits in virtual time, and returns what callers get.
 
-Searches for permits, holders and owners are what ships; channels are calls that take a while, and
-engines have slots and a time between two events, constant or by ``PlayedSpeeds``.  To be run under
-a ``trio`` mock clock.
+Permit search, holders and owners are the production code.  Channels are simulated by delayed calls,
+and engines by slots and a time between events, which is constant or given by ``PlayedSpeeds``.
+Must run under a ``trio`` mock clock.
 """
 
 import random
@@ -62,18 +62,18 @@
 
 SERVICE = "desk-llm"
 _AGENT_PORT = 7720
-# Nodes of later groups have died: nobody calls them.
-_MOST_CALLED_GROUP = 1
+# Nodes of groups above this one have crashed, so clients do not call them.
+_MAX_CALLED_GROUP = 1
 _IDLE_SAMPLE_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
 class CallTimes:
-    """What a call takes and may take: ``target_ms`` and ``deadline_ms`` count from its arrival."""
+    """Durations and bounds of a call; ``target_ms`` and ``deadline_ms`` count from its arrival."""
 
     target_ms: float = 300.0
     deadline_ms: float = 5000.0
-    # After which callers leave without a first event.
+    # How long callers wait for the first event before they leave.
     patience_ms: float = 2000.0
     first_event_ms: float = 45.0
     event_ms: float = 28.0
@@ -83,20 +83,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CallOutcome:
-    """What one caller got; ``first_event_ms`` is below 0 for a refusal or nothing.
+    """The result of one call; ``first_event_ms`` is negative for a refusal or no answer.
 
-    ``held_ms`` is how long a caller was kept that got nothing.
+    ``waited_ms`` is how long a caller waited that got no event.
     """
 
     arrived_ms: float
     first_event_ms: float
     target_ms: float
-    held_ms: float = 0.0
+    waited_ms: float = 0.0
     refused: bool = False
     upstream_id: str = ""
-    # Its upstream is in another failure domain than its node.
-    crossed: bool = False
-    # It was whole by its deadline, and no pause was too long.
+    # Whether its upstream is in another failure domain than its node.
+    crossed_domain: bool = False
+    # Whether it was complete by its deadline without too long a pause.
     kept_up: bool = True
     member: str = ""
 
@@ -107,7 +107,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BatchLoad:
-    """Jobs of ``items`` each come at random times; all of a job is due ``due_ms`` after it."""
+    """Jobs of ``items`` items arrive at random times; all items are due ``due_ms`` later."""
 
     per_s: float
     length_s: float
@@ -115,15 +115,15 @@
     due_ms: float = 18_000.0
     events: int = 182
     event_ms: float = 28.0
-    # Of each run, before its first event.
+    # The delay of each run before its first event.
     first_event_ms: float = 0.0
-    # The client of a job ends it after so long.
+    # How long after the submission its client ends a job.
     ended_after_s: float = float("inf")
 
 
 @dataclass(frozen=True, slots=True)
 class ItemOutcome:
-    """What became of a batch item: how long after its job it was done, and in how many runs."""
+    """A completed batch item: how long after its job's arrival, and after how many runs."""
 
     took_ms: float
     due_ms: float
@@ -136,7 +136,7 @@
 
 
 class _Channel:
-    """A way to one node: messages take ``hop_ms``, and are handled even when nobody waits."""
+    """A channel to one node: messages take ``hop_ms``, and are handled even if the caller left."""
 
     def __init__(self, target: "PlayedNode", sender: "PlayedNode", hop_ms: float) -> None:
         self._target = target
@@ -178,7 +178,7 @@
 
 @dataclass(slots=True)
 class _Peer:
-    """The way back to the holder of permits, for what its owner pushes."""
+    """The channel back to the holder of permits, for messages that the owner pushes."""
 
     owner: "PlayedNode"
     holder: "PlayedNode"
@@ -195,7 +195,7 @@
 
 
 class _Channels:
-    """Stands for ``PeerChannels`` of one node."""
+    """Replaces the ``PeerChannels`` of one node."""
 
     def __init__(self, sender: "PlayedNode", nodes: dict[str, "PlayedNode"], hop_ms: float) -> None:
         self._sender = sender
@@ -208,7 +208,7 @@
 
 @dataclass(slots=True)
 class _Search:
-    """What the calls of one node share; see ``PermitSearch``."""
+    """The state that the calls of one node share; see ``PermitSearch``."""
 
     view: FleetView
     permits: PermitClient
@@ -233,7 +233,7 @@
 
 
 class PlayedNode:
-    """One node: holder of permits, owner of some upstreams, and search for permits."""
+    """One node: a holder of permits, the owner of some upstreams, and the permit search."""
 
     def __init__(
         self,
@@ -279,18 +279,18 @@
         self.nursery.start_soon(self.permits.run)
         self.nursery.start_soon(self._service.run)
 
-    def spoil_reports(self, rng: random.Random, lost_share: float, age_ms: float) -> None:
-        note = self.permits._record_loads
+    def degrade_reports(self, rng: random.Random, lost_share: float, age_ms: float) -> None:
+        record_loads = self.permits._record_loads
 
-        async def note_late(loads: list[LoadSnapshot]) -> None:
+        async def record_delayed(loads: list[LoadSnapshot]) -> None:
             await trio.sleep(rng.uniform(0.0, age_ms) / 1000)
-            note(loads)
+            record_loads(loads)
 
-        def spoil(loads: list[LoadSnapshot]) -> None:
+        def degrade(loads: list[LoadSnapshot]) -> None:
             if rng.random() >= lost_share:
-                self.nursery.start_soon(note_late, loads)
+                self.nursery.start_soon(record_delayed, loads)
 
-        self.permits._record_loads = spoil
+        self.permits._record_loads = degrade
 
     async def handle(self, message: msgspec.Struct, peer: _Peer) -> msgspec.Struct | None:
         return await self._handlers[type(message)](message, peer)
@@ -298,25 +298,25 @@
 
 @dataclass(slots=True)
 class PlayedFleet:
-    """Nodes before upstreams with ``slots`` each; ``running`` counts what runs at each."""
+    """Nodes and upstreams with ``slots`` each; ``running`` counts the runs at each upstream."""
 
     nodes: list[PlayedNode]
     slots: int
     running: Counter[str] = field(default_factory=Counter)
-    most_running: int = 0
-    # None: all upstreams are as fast as ``CallTimes`` has it, at all times.
+    max_running: int = 0
+    # None: all upstreams always have the speed of ``CallTimes``.
     speeds: PlayedSpeeds | None = None
-    # Whether calls ask under their customer's name.
-    names_customers: bool = True
+    # Whether calls request permits under their customer's name.
+    distinguishes_customers: bool = True
     cut_runs: int = 0
-    # Slot-seconds that were free, and those of them in which an item waited; both while jobs come.
+    # Slot-seconds that were idle, and those of them in which an item waited, while jobs arrive.
     idle_slot_s: float = 0.0
     wasted_slot_s: float = 0.0
-    # Of items: all that they ran, and the runs with events of those that became whole.
+    # Slot-seconds of all runs of items, and of the runs with events of items that were completed.
     batch_slot_s: float = 0.0
-    whole_slot_s: float = 0.0
+    useful_slot_s: float = 0.0
     # Runs that were cut off before their first event.
-    barren_runs: int = 0
+    runs_without_output: int = 0
 
     @classmethod
     async def start(
@@ -331,7 +331,7 @@
         hop_ms: float = 1.4,
         domains: int = 1,
     ) -> "PlayedFleet":
-        """Start a fleet in which every node sees the others, and let new owners settle."""
+        """Start a fleet in which every node sees the others; wait until owners admit batch work."""
         by_host: dict[str, PlayedNode] = {}
         played = [
             PlayedNode(number, by_host, nursery, routing, seed, hop_ms, f"d{number % domains + 1}")
@@ -354,12 +354,12 @@
         for node in played:
             node.view.replace(1, [other.record() for other in played], records, 0.0)
             node.start()
-        # Owners let batch in after one validity, 1,500 ms.
+        # Owners admit batch work after one permit validity, 1,500 ms.
         await trio.sleep(2.0)
         return cls(played, slots)
 
     async def isolate(self, groups: Sequence[Sequence[PlayedNode]], notice_s: float) -> None:
-        """Cut groups of nodes off from the others; views follow after ``notice_s``."""
+        """Partition groups of nodes from the others; the views change after ``notice_s``."""
         for number, group in enumerate(groups, start=1):
             for node in group:
                 node.group = number
@@ -369,8 +369,8 @@
             upstreams = list(node.view.upstreams.values())
             node.view.replace(node.view.version + 1, reached, upstreams, 0.0)
 
-    def lose_upstreams(self, count: int) -> None:
-        """Let ``count`` upstreams go, which every node sees at once."""
+    def remove_upstreams(self, count: int) -> None:
+        """Remove ``count`` upstreams from the views of all nodes at once."""
         for node in self.nodes:
             left = list(node.view.upstreams.values())[count:]
             nodes = list(node.view.vms.values())
@@ -378,30 +378,30 @@
 
     def begin_run(self, upstream_id: str) -> None:
         self.running[upstream_id] += 1
-        self.most_running = max(self.most_running, self.running[upstream_id])
+        self.max_running = max(self.max_running, self.running[upstream_id])
 
     def end_run(self, upstream_id: str) -> None:
         self.running[upstream_id] -= 1
 
     def factor(self, upstream_id: str) -> float:
-        """Return how many times as long as usual a step takes at an upstream now."""
+        """Return the current slowdown factor of an upstream; 1.0 is the normal speed."""
         if self.speeds is None:
             return 1.0
         return self.speeds.factor(upstream_id, self.running, now_ms())
 
     def replace_upstreams(self, records: list[UpstreamRecord]) -> None:
-        """Have all nodes see other upstreams; what runs at one that has gone may finish."""
+        """Replace the upstreams in all views; runs at removed ones may finish."""
         for node in self.nodes:
             members = list(node.view.vms.values())
             node.view.replace(node.view.version + 1, members, records, 0.0)
 
-    def spoil_reports(self, rng: random.Random, lost_share: float, age_ms: float) -> None:
-        """Lose some reports of load from now on; the others arrive up to ``age_ms`` late."""
+    def degrade_reports(self, rng: random.Random, lost_share: float, age_ms: float) -> None:
+        """Lose ``lost_share`` of the load reports from now on; delay others by up to ``age_ms``."""
         for node in self.nodes:
-            node.spoil_reports(rng, lost_share, age_ms)
+            node.degrade_reports(rng, lost_share, age_ms)
 
     def set_ranking(self, rank: Ranking | None) -> None:
-        """Have all nodes rank upstreams by ``rank``."""
+        """Make all nodes rank upstreams by ``rank``."""
         for node in self.nodes:
             node.search.routing = replace_fields(node.search.routing, rank=rank)
 
@@ -409,8 +409,8 @@
         return node.view.upstreams[upstream_id].failure_domain != node.domain
 
     def callable_nodes(self) -> list[PlayedNode]:
-        """Return the nodes that clients still call: all but those that have died."""
-        return [node for node in self.nodes if node.group <= _MOST_CALLED_GROUP]
+        """Return the nodes that clients still call: all but the crashed ones."""
+        return [node for node in self.nodes if node.group <= _MAX_CALLED_GROUP]
 
     @property
     def total_slots(self) -> int:
@@ -452,34 +452,36 @@
 async def _run_call(
     fleet: PlayedFleet, node: PlayedNode, times: CallTimes, member: str
 ) -> CallOutcome:
-    asking = member if fleet.names_customers else ""
-    call = _Call(token_hex(8), times, member=asking)
+    member_name = member if fleet.distinguishes_customers else ""
+    call = _Call(token_hex(8), times, member=member_name)
     granted: Result[Grant, Fault] | None = None
     with trio.move_on_after(times.patience_ms / 1000):
         granted = await find_permit(node.search, call)
-    held_ms = now_ms() - call.arrived_ms
+    waited_ms = now_ms() - call.arrived_ms
     if not isinstance(granted, Ok):
         refused = granted is not None
-        return CallOutcome(call.arrived_ms, -1.0, times.target_ms, held_ms, refused, member=member)
+        return CallOutcome(
+            call.arrived_ms, -1.0, times.target_ms, waited_ms, refused, member=member
+        )
     grant = granted.ok_value
-    # Its upstream may have gone by the end of the run.
-    crossed = fleet.crosses(node, grant.upstream_id)
-    first_ms, kept_up = await _use(fleet, grant, call)
+    # Determined now, as the upstream may be removed before the run ends.
+    crossed_domain = fleet.crosses(node, grant.upstream_id)
+    first_ms, kept_up = await _execute_call(fleet, grant, call)
     return CallOutcome(
         call.arrived_ms,
         first_ms - call.arrived_ms,
         times.target_ms,
         upstream_id=grant.upstream_id,
-        crossed=crossed,
+        crossed_domain=crossed_domain,
         kept_up=kept_up,
         member=member,
     )
 
 
-async def _use(fleet: PlayedFleet, grant: Grant, call: _Call) -> tuple[float, bool]:
-    """Run a call under its permit; returns the time of the first event, and if all else was good.
+async def _execute_call(fleet: PlayedFleet, grant: Grant, call: _Call) -> tuple[float, bool]:
+    """Run a call under its permit; return the time of the first event and ``kept_up``.
 
-    It tells its owner what ``AttemptRecord`` tells.
+    An ``AttemptRecord`` reports the progress to the owner.
     """
     times = call.times
     fleet.begin_run(grant.upstream_id)
@@ -507,10 +509,10 @@
     times: CallTimes | None = None,
     draw_member: Callable[[], str] = str,
 ) -> list[CallOutcome]:
-    """Send calls at random times to random nodes and return what became of each.
+    """Send calls at random times to random nodes and return their outcomes.
 
-    ``rates`` are phases: their length in seconds and their calls a second.  ``draw_member`` gives
-    the customer of each call.
+    ``rates`` is a list of phases, each with its length in seconds and its calls per second.
+    ``draw_member`` returns the customer of a call.
     """
     times = times or CallTimes()
     outcomes: list[CallOutcome] = []
@@ -530,7 +532,7 @@
 
 
 class _Runner:
-    """Runs the items of one node's jobs, as ``JobRunner`` does without a store."""
+    """Runs the items of one node's jobs like ``JobRunner``, but without a store."""
 
     def __init__(self, fleet: PlayedFleet, node: PlayedNode, load: BatchLoad) -> None:
         self._fleet = fleet
@@ -539,25 +541,25 @@
         self._jobs: list[StoredJob] = []
         self._lengths: dict[str, int] = {}
         self._runs: Counter[str] = Counter()
-        # Time of the runs with events, by item.
-        self._gaining_s: Counter[str] = Counter()
+        # Total time of the runs that produced events, by item.
+        self._productive_s: Counter[str] = Counter()
         self._pool = ItemPool(lambda: self._jobs, lambda _record, _service: True)
         settings = NodeSettings("0.0.0.0:1", "0.0.0.0:1", "0.0.0.0:1", "0.0.0.0:1")
-        self._asker = ItemPermitRequester(
+        self._requester = ItemPermitRequester(
             settings,
             node.view,
             node.permits,
             node.rng,
             self._waiting,
             self._choose,
-            self._use,
+            self._start_item,
             self._choose_overdue,
             lambda: self._pool.any_overdue(now_ms()),
         )
         self.outcomes: list[ItemOutcome] = []
 
     def add_job(self, number: int, rng: random.Random, due_ms: float | None = None) -> str:
-        """Take in a job and return its identity; ``due_ms`` takes the place of the load's."""
+        """Add a job and return its identity; ``due_ms`` overrides that of the load."""
         load = self._load
         names = [f"{number}-{index}" for index in range(load.items)]
         for name in names:
@@ -570,18 +572,18 @@
         due_at_ms = now_ms() + due_ms
         job = StoredJob(record, items, [], due_at_ms, due_at_ms + 60_000)
         self._jobs.append(job)
-        self._asker.wake()
+        self._requester.wake()
         return job.job_id
 
     async def end_job(self, job_id: str, after_s: float) -> None:
-        """Let a client end a job; what runs of it may finish."""
+        """End a job after ``after_s``; its running items may finish."""
         await trio.sleep(after_s)
         self._jobs = [job for job in self._jobs if job.job_id != job_id]
 
     async def run(self) -> None:
-        await self._asker.run(self._next_look_s)
+        await self._requester.run(self._next_poll_s)
 
-    def _next_look_s(self) -> float:
+    def _next_poll_s(self) -> float:
         return min(max(self._pool.next_ready_ms(now_ms()) - now_ms(), 0.0) / 1000, 0.25)
 
     def _waiting(self) -> Counter[str]:
@@ -596,7 +598,7 @@
     def _choose_overdue(self, upstream: UpstreamRecord) -> ItemChoice | None:
         return self._pool.choose_overdue(upstream.upstream_id, SERVICE, now_ms())
 
-    def _use(self, upstream_id: str, grant: Grant) -> None:
+    def _start_item(self, upstream_id: str, grant: Grant) -> None:
         upstream = self._node.view.upstreams[upstream_id]
         choice = None
         if grant.is_overdue:
@@ -630,31 +632,31 @@
         self._fleet.end_run(grant.upstream_id)
         self._fleet.cut_runs += run.last_event + 1 < length
         ran_ms = now_ms() - record.started_ms
-        self._note_time(name, ran_ms, gained=run.last_event > began_event)
+        self._record_time(name, ran_ms, productive=run.last_event > began_event)
         end = ItemEnd.INTERRUPTED if run.last_event + 1 < length else ItemEnd.COMPLETED
         record.finish(None if end is ItemEnd.COMPLETED else AttemptEnd.REVOKED)
         self._pool.finish(job, run, end, grant.upstream_id, 3, now_ms())
         if end is ItemEnd.COMPLETED:
-            self._fleet.whole_slot_s += self._gaining_s[name]
+            self._fleet.useful_slot_s += self._productive_s[name]
             took_ms = now_ms() - (job.due_ms - job.record.due_in_ms)
             outcome = ItemOutcome(took_ms, job.record.due_in_ms, self._runs[name], job.job_id)
             self.outcomes.append(outcome)
-        self._asker.wake()
+        self._requester.wake()
 
     async def _wait(self, grant: Grant, for_ms: float) -> None:
-        """Let time pass, less when the run is cut off."""
+        """Wait for ``for_ms``, or until the permit is revoked."""
         with trio.move_on_after(for_ms / 1000):
             await grant.revoked.wait()
 
-    def _note_time(self, name: str, ran_ms: float, *, gained: bool) -> None:
+    def _record_time(self, name: str, ran_ms: float, *, productive: bool) -> None:
         self._fleet.batch_slot_s += ran_ms / 1000
-        self._fleet.barren_runs += not gained
-        if gained:
-            self._gaining_s[name] += ran_ms / 1000
+        self._fleet.runs_without_output += not productive
+        if productive:
+            self._productive_s[name] += ran_ms / 1000
 
 
 async def _watch_idle(fleet: PlayedFleet, runners: list[_Runner], end_s: float) -> None:
-    """Add up the free slots until ``end_s``, seen every ``_IDLE_SAMPLE_S``."""
+    """Sum up the idle slots until ``end_s``, sampled every ``_IDLE_SAMPLE_S``."""
     while trio.current_time() < end_s:
         idle = max(fleet.total_slots - fleet.running.total(), 0)
         waiting = sum(runner.waiting_items() for runner in runners)
@@ -671,9 +673,9 @@
     *,
     late_jobs: int = 0,
 ) -> list[ItemOutcome]:
-    """Send jobs to random nodes; returns what became of their items, ``rest_s`` after the last.
+    """Send jobs to random nodes; return the items completed up to ``rest_s`` after the last job.
 
-    ``late_jobs`` come first, and are due at once.
+    ``late_jobs`` jobs are sent first, and are due immediately.
     """
     nursery = fleet.nodes[0].nursery
     runners = [_Runner(fleet, node, load) for node in fleet.nodes]
--- a/tests/soak/runs.py
+++ b/tests/soak/runs.py
@@ -1,4 +1,4 @@
-"""One run of the soak: faults while clients work, then calm, then the last judgement."""
+"""One run of the soak: faults while clients work, then calm, then the final checks."""
 
 import contextlib
 import itertools
@@ -14,17 +14,18 @@
 import trio
 
 from tests.soak.clients import ConfigWatcher, JobClient, OnlineClient
-from tests.soak.customers import HotClient, KeyClient, broken_by_customers
+from tests.soak.customers import KeyRotationClient, OverLimitClient, customer_violations
 from tests.soak.ending import EndingClient
-from tests.soak.faults import Schedule, first_configuration
+from tests.soak.faults import Schedule, initial_configuration
 from tests.soak.harmful import (
     BAD_PART,
-    CAUSES,
+    HARMFUL_CALLS,
     HarmfulClient,
     HarmfulPartClient,
-    harm_after_enough,
     harmful_paths,
+    harmful_work_violations,
 )
+from tests.soak.harness import SoakHarness, accepts_connections, loopback_network
 from tests.soak.lost_ends import LostEndClient, lose_ends
 from tests.soak.overlaps import OverlapSchedule
 from tests.soak.promises import CALM_S, END_S, Ledger, OnlineAttempt
@@ -32,39 +33,38 @@
 from tests.soak.slow import (
     NeverReader,
     SlowReader,
-    broken_by_slow_clients,
-    cut_off_callers,
+    count_cut_off_callers,
+    slow_client_violations,
 )
-from tests.soak.world import World, own_network, serves
 
 __all__ = ["SPOOLS", "SoakReport", "new_folder", "run_seed"]
 
 _UPSTREAMS = 4
 _ONLINE_CLIENTS = 10
 _ENDING_CLIENTS = 3
-_RESUMING = 4
-# One for each failure domain; a job counts as kept with two copies.
+_RESUMING_CLIENTS = 4
+# One for each failure domain; a job counts as stored with two copies.
 SPOOLS = 3
-_LOST_ENDS = 3
+_LOST_END_CLIENTS = 3
 _START_S = 20.0
-# Accepted jobs have this long after the last fault.
+# The time for accepted jobs to finish after the last fault.
 _FINISH_S = 18.0
-# Share of the calls in the calm at the end that has to be answered whole.
-_SERVED_SHARE = 0.95
+# The share of calls that must get a complete answer in the calm at the end.
+_MIN_SERVED_SHARE = 0.95
 _CALM_RUN_S = 2.0
-# On a busy machine few calls end within that time, and a share of few says little.
-_CALM_CALLS = 60
-_MOST_CALM_RUN_S = 30.0
-# Streams that clients take up at another node.  Faults go on in rounds for them, but not for so
-# long that jobs are given up.
-_LEAST_TAKEN_UP = 10
-_LAST_ROUND_S = 20.0
-# How long items are looked for that begin after they may.
-_LATE_S = 1.0
+# On a busy machine few calls end within that time, and a share of few calls is not significant.
+_MIN_CALM_CALLS = 60
+_MAX_CALM_RUN_S = 30.0
+# Faults are injected in further rounds until clients have resumed this many streams, but no new
+# round begins so late that jobs would reach their deadline.
+_MIN_RESUMED_STREAMS = 10
+_NO_NEW_ROUND_AFTER_S = 20.0
+# How long the soak watches for items that begin after the bound.
+_LATE_RUN_WATCH_S = 1.0
 
 
 class SoakReport(msgspec.Struct):
-    """What one seed gave; ``faults`` and ``broken`` are for people."""
+    """The result of one seed; ``faults`` and ``broken`` are text for people."""
 
     seed: int
     calls: int
@@ -72,27 +72,27 @@
     jobs: int
     accepted: int
     ended: int
-    # With these the same schedule is made again.
+    # The parameters that reproduce the schedule.
     nodes: int
     spools: int
     fault_s: float
-    # Ends that nobody acknowledged, and that count as acknowledged.
+    # Unacknowledged ends that count as acknowledged.
     lost_ends: int
-    # Copies of jobs that disks have kept.
+    # Copies of jobs that spools have stored.
     spooled: int
     # Upstreams that were crashed by harmful work.
     crashes: int
-    # Slow clients that nodes have cut off, what was read slowly to its end, a node's most memory.
+    # Slow clients cut off by nodes, bodies read slowly but completely, and peak memory of a node.
     cut_off: int
     read_slowly: int
     memory_bytes: int
     faults: list[str]
     broken: list[str]
     broken_lost_ends: list[str]
-    # Streams that clients took up at another node, and those of them that went on there.
+    # Streams that clients resumed at another node, and those of them that continued there.
     taken_up: int = 0
     went_on: int = 0
-    # What clients have sent about the jobs that ``broken`` names, in the time of the nodes' logs.
+    # The calls about the jobs that ``broken`` names, with the times of the nodes' logs.
     job_calls: dict[str, list[str]] = {}
 
     @property
@@ -110,10 +110,10 @@
     harm: bool = True,
     releases: bool = False,
 ) -> SoakReport:
-    """Run one seed; its folder with logs stays only if a promise was broken.
+    """Run one seed; its folder with logs is retained only if a promise was broken.
 
-    Without ``spools`` there is one series of faults only, and every end is acknowledged.  Without
-    ``harm`` no work crashes upstreams.  With ``releases`` upstreams of several versions serve.
+    Without ``spools`` there is only one series of faults, and no unacknowledged ends.  Without
+    ``harm`` no work crashes upstreams.  With ``releases`` upstreams have different versions.
     """
     logs = new_folder(folder / f"seed-{seed}")
     report = trio.run(_run, seed, logs, fault_s, nodes, spools, harm, releases)
@@ -124,169 +124,180 @@
     return report
 
 
-def new_folder(wanted: Path) -> Path:
-    """Make a folder that is not there yet: logs of an earlier failure of the seed stay."""
-    names = (f"{wanted.name}-{number}" for number in itertools.count(2))
-    wanted.parent.mkdir(parents=True, exist_ok=True)
-    for path in itertools.chain([wanted], map(wanted.with_name, names)):
-        # Another process may make the same folder at this moment.
+def new_folder(path: Path) -> Path:
+    """Create a new folder, so that the logs of an earlier failure of the seed are retained."""
+    names = (f"{path.name}-{number}" for number in itertools.count(2))
+    path.parent.mkdir(parents=True, exist_ok=True)
+    for candidate in itertools.chain([path], map(path.with_name, names)):
+        # Another process may create the same folder concurrently.
         with contextlib.suppress(FileExistsError):
-            path.mkdir()
-            return path
+            candidate.mkdir()
+            return candidate
     raise AssertionError("there is always another name")
 
 
 async def _run(
     seed: int, logs: Path, fault_s: float, nodes: int, spools: int, harm: bool, releases: bool
 ) -> SoakReport:
-    # Apart: what clients draw depends on the time that calls take, and must not move the faults.
+    # Separate sources: the clients' draws depend on the duration of calls, and must not change the
+    # schedule of faults.
     rng, fault_rng = random.Random(f"clients-{seed}"), random.Random(seed)
     ledger = Ledger(unix_offset_s=time.time() - trio.current_time())
     async with trio.open_nursery() as nursery:
-        world = World(nursery, logs, own_network(), config=first_configuration())
-        harmers: list[HarmfulClient] = []
+        harness = SoakHarness(nursery, logs, loopback_network(), config=initial_configuration())
+        harmful_clients: list[HarmfulClient] = []
         if harm:
-            world.harmful |= harmful_paths()
+            harness.harmful |= harmful_paths()
             harm_rng = random.Random(f"harm-{seed}")
-            harmers += [HarmfulClient(n, world, ledger, harm_rng) for n in range(CAUSES)]
-            world.harmful_parts.add(BAD_PART)
+            harmful_clients += [
+                HarmfulClient(n, harness, ledger, harm_rng) for n in range(HARMFUL_CALLS)
+            ]
+            harness.harmful_parts.add(BAD_PART)
             part_rng = random.Random(f"parts-{seed}")
-            harmers.append(HarmfulPartClient(CAUSES, world, ledger, part_rng))
+            harmful_clients.append(HarmfulPartClient(HARMFUL_CALLS, harness, ledger, part_rng))
         customer_rng = random.Random(f"customers-{seed}")
-        changing = KeyClient(world, ledger, customer_rng)
-        hot = HotClient(world, ledger, customer_rng)
+        key_client = KeyRotationClient(harness, ledger, customer_rng)
+        over_limit = OverLimitClient(harness, ledger, customer_rng)
         slow_rng = random.Random(f"slow-{seed}")
-        reader = SlowReader(world, ledger, slow_rng)
-        slow = [reader, NeverReader(world, ledger, slow_rng, reader)]
-        schedules = [Schedule(world, ledger, fault_rng)]
+        reader = SlowReader(harness, ledger, slow_rng)
+        slow = [reader, NeverReader(harness, ledger, slow_rng, reader)]
+        schedules = [Schedule(harness, ledger, fault_rng)]
         if spools:
             overlap_rng = random.Random(f"overlaps-{seed}")
-            schedules.append(OverlapSchedule(world, ledger, overlap_rng))
+            schedules.append(OverlapSchedule(harness, ledger, overlap_rng))
         resuming: list[ResumingClient] = []
         if releases:
             release_rng = random.Random(f"releases-{seed}")
-            schedules.append(ReleaseSchedule(world, ledger, release_rng))
-            resuming += [ResumingClient(world, ledger, release_rng) for _ in range(_RESUMING)]
+            schedules.append(ReleaseSchedule(harness, ledger, release_rng))
+            resuming += [
+                ResumingClient(harness, ledger, release_rng) for _ in range(_RESUMING_CLIENTS)
+            ]
         await nursery.start(_end_on_signal)
         try:
-            await world.start(nodes, _UPSTREAMS, spools)
-            await _wait_serving(world)
-            meanwhile = [changing, hot, *resuming]
-            await _soak(world, ledger, schedules, rng, [*harmers, *slow], meanwhile, fault_s)
+            await harness.start(nodes, _UPSTREAMS, spools)
+            await _wait_serving(harness)
+            during_faults = [key_client, over_limit, *resuming]
+            await _soak(
+                harness, ledger, schedules, rng, [*harmful_clients, *slow], during_faults, fault_s
+            )
         finally:
             with trio.CancelScope(shield=True):
-                await world.end()
-        ledger.judge_runs(world.upstreams)
-        ledger.broken += harm_after_enough(ledger, world.upstreams)
-        ledger.broken += broken_by_slow_clients(reader)
-        ledger.broken += broken_by_customers(ledger, world.upstreams, changing, hot)
+                await harness.end()
+        ledger.judge_runs(harness.upstreams)
+        ledger.violations += harmful_work_violations(ledger, harness.upstreams)
+        ledger.violations += slow_client_violations(reader)
+        ledger.violations += customer_violations(ledger, harness.upstreams, key_client, over_limit)
         nursery.cancel_scope.cancel()
-    whole = sum(attempt.whole and attempt.status == 200 for attempt in ledger.attempts)
+    complete = sum(attempt.complete and attempt.status == 200 for attempt in ledger.attempts)
     accepted = sum(job.accepted for job in ledger.jobs.values())
     return SoakReport(
         seed,
         len(ledger.attempts),
-        whole,
+        complete,
         len(ledger.jobs),
         accepted,
         sum(job.has_ended for job in ledger.jobs.values()),
         nodes,
         spools,
         fault_s,
-        sum(job.counted_end_s < float("inf") for job in ledger.jobs.values()),
-        _spooled(logs),
-        sum(len(item.upstream.crashes) for item in world.upstreams),
-        cut_off_callers(logs),
-        reader.whole,
-        reader.most_memory_bytes,
-        [line for schedule in schedules for line in schedule.told],
-        ledger.broken,
-        ledger.broken_lost_ends,
-        ledger.taken_up,
-        ledger.went_on,
-        _calls_of_broken(ledger),
+        sum(job.effective_end_s < float("inf") for job in ledger.jobs.values()),
+        _count_spooled_copies(logs),
+        sum(len(item.upstream.crashes) for item in harness.upstreams),
+        count_cut_off_callers(logs),
+        reader.complete_bodies,
+        reader.peak_memory_bytes,
+        [line for schedule in schedules for line in schedule.descriptions],
+        ledger.violations,
+        ledger.lost_end_violations,
+        ledger.resumed_streams,
+        ledger.continued_streams,
+        _calls_of_violations(ledger),
     )
 
 
-def _spooled(logs: Path) -> int:
-    """Count the copies of jobs that spools have logged as kept."""
+def _count_spooled_copies(logs: Path) -> int:
+    """Count the copies of jobs that spools have logged as stored."""
     lines = [line for log in logs.glob("spool-*.log") for line in log.read_bytes().splitlines()]
     return sum(b'"job_spooled"' in line and b'"outcome":"OK"' in line for line in lines)
 
 
-def _calls_of_broken(ledger: Ledger) -> dict[str, list[str]]:
-    told = "\n".join(ledger.broken + ledger.broken_lost_ends) + "\n"
+def _calls_of_violations(ledger: Ledger) -> dict[str, list[str]]:
+    violations = "\n".join(ledger.violations + ledger.lost_end_violations) + "\n"
     return {
         job.job_id: job.calls
         for job in ledger.jobs.values()
-        if any(f"{job.job_id}{after}" in told for after in (",", ":", " "))
+        if any(f"{job.job_id}{after}" in violations for after in (",", ":", " "))
     }
 
 
 async def _end_on_signal(*, task_status: trio.TaskStatus = trio.TASK_STATUS_IGNORED) -> None:
-    """Let SIGTERM end the run in order, so that the processes of the run are ended too."""
+    """On SIGTERM end the run in an orderly way, so that its processes are killed as well."""
     with trio.open_signal_receiver(signal.SIGTERM) as signals:
         task_status.started()
         async for number in signals:
             raise SystemExit(128 + number)
 
 
-async def _wait_serving(world: World) -> None:
-    """Wait until every node takes connections."""
+async def _wait_serving(harness: SoakHarness) -> None:
+    """Wait until every node accepts connections."""
     with trio.fail_after(_START_S):
-        for node in world.nodes:
+        for node in harness.nodes:
             while True:
-                if await serves(node):
+                if await accepts_connections(node):
                     break
                 await trio.sleep(0.05)
         await trio.sleep(1.0)
 
 
 async def _soak(
-    world: World,
+    harness: SoakHarness,
     ledger: Ledger,
     schedules: list[Schedule],
     rng: random.Random,
     others: list[HarmfulClient | SlowReader | NeverReader],
-    customers: list[KeyClient | HotClient | ResumingClient],
+    customers: list[KeyRotationClient | OverLimitClient | ResumingClient],
     fault_s: float,
 ) -> None:
-    online = [OnlineClient(world, ledger, rng) for _ in range(_ONLINE_CLIENTS)]
-    jobs = JobClient(world, ledger, rng)
-    watcher = ConfigWatcher(world, ledger)
-    enders = [
-        EndingClient(f"end-{number}", world, ledger, rng) for number in range(_ENDING_CLIENTS)
+    online = [OnlineClient(harness, ledger, rng) for _ in range(_ONLINE_CLIENTS)]
+    jobs = JobClient(harness, ledger, rng)
+    watcher = ConfigWatcher(harness, ledger)
+    ending_clients = [
+        EndingClient(f"end-{number}", harness, ledger, rng) for number in range(_ENDING_CLIENTS)
     ]
-    losers = [
-        LostEndClient(f"lost-{number}", world, ledger, rng)
-        for number in range(_LOST_ENDS if world.spools else 0)
+    lost_end_clients = [
+        LostEndClient(f"lost-{number}", harness, ledger, rng)
+        for number in range(_LOST_END_CLIENTS if harness.spools else 0)
     ]
-    takes_up = any(isinstance(client, ResumingClient) for client in customers)
-    everyone = [*online, jobs, watcher, *enders, *losers, *others, *customers]
-    async with _closing(everyone), trio.open_nursery() as clients:
-        for client in (*online, watcher, *enders, *others):
+    has_resuming_clients = any(isinstance(client, ResumingClient) for client in customers)
+    all_clients = [*online, jobs, watcher, *ending_clients, *lost_end_clients, *others, *customers]
+    async with _closing(all_clients), trio.open_nursery() as clients:
+        for client in (*online, watcher, *ending_clients, *others):
             clients.start_soon(client.run)
         for _ in range(2):
-            clients.start_soon(jobs.read_some)
+            clients.start_soon(jobs.read_at_random)
         clients.start_soon(jobs.run)
-        async with trio.open_nursery() as meanwhile:
-            # Only meanwhile: their calls keep items of jobs from slots.
+        async with trio.open_nursery() as during_faults:
+            # Only during faults, as their calls take slots from items of jobs.
             for client in customers:
-                meanwhile.start_soon(client.run)
+                during_faults.start_soon(client.run)
             begun_s = trio.current_time()
             while True:
                 async with trio.open_nursery() as faults:
                     for schedule in schedules:
                         faults.start_soon(schedule.run, fault_s)
                 passed_s = trio.current_time() - begun_s
-                if not takes_up or ledger.taken_up >= _LEAST_TAKEN_UP or passed_s > _LAST_ROUND_S:
+                if (
+                    not has_resuming_clients
+                    or ledger.resumed_streams >= _MIN_RESUMED_STREAMS
+                    or passed_s > _NO_NEW_ROUND_AFTER_S
+                ):
                     break
-            meanwhile.cancel_scope.cancel()
-        jobs.submits.cancel()
-        if losers:
-            await lose_ends(world, ledger, losers, fault_s)
-        await _judge_calm(world, ledger)
-        await _wait_lost_ends(world, ledger, losers)
+            during_faults.cancel_scope.cancel()
+        jobs.submit_scope.cancel()
+        if lost_end_clients:
+            await lose_ends(harness, ledger, lost_end_clients, fault_s)
+        await _judge_calm(harness, ledger)
+        await _wait_lost_ends(harness, ledger, lost_end_clients)
         with trio.move_on_after(_FINISH_S):
             await _wait_jobs(ledger, jobs)
         ledger.judge_jobs()
@@ -302,14 +313,14 @@
         | EndingClient
         | LostEndClient
         | HarmfulClient
-        | KeyClient
-        | HotClient
+        | KeyRotationClient
+        | OverLimitClient
         | SlowReader
         | NeverReader
         | ResumingClient
     ],
 ) -> AsyncIterator[None]:
-    """Close the connections that clients have kept when the block is left."""
+    """Close the clients' persistent connections when the block is left."""
     try:
         yield
     finally:
@@ -317,19 +328,21 @@
             await client.http.close()
 
 
-async def _wait_lost_ends(world: World, ledger: Ledger, losers: list[LostEndClient]) -> None:
-    """Wait until nothing may begin any more of jobs whose end nobody acknowledged."""
-    processes = {node.name: node.process.pid for node in world.nodes}
+async def _wait_lost_ends(
+    harness: SoakHarness, ledger: Ledger, lost_end_clients: list[LostEndClient]
+) -> None:
+    """Wait until no more items of jobs with an unacknowledged end may begin."""
+    processes = {node.name: node.process.pid for node in harness.nodes}
     counted_s = ledger.count_lost_ends(processes)
-    await trio.sleep_until(max(counted_s + END_S + _LATE_S, trio.current_time()))
-    for loser in losers:
-        await loser.end_for_good()
+    await trio.sleep_until(max(counted_s + END_S + _LATE_RUN_WATCH_S, trio.current_time()))
+    for client in lost_end_clients:
+        await client.end_finally()
 
 
 async def _wait_jobs(ledger: Ledger, reader: JobClient) -> None:
-    """Read every accepted job that nobody ended, until each was read to its end.
+    """Read every accepted job that was not ended, until all its results were read.
 
-    The clients choose among all jobs, so by chance alone one may not be read for long.
+    The clients read jobs at random, so a job may by chance not be read for a long time.
     """
     while unfinished := ledger.unfinished_jobs():
         for job in unfinished:
@@ -338,27 +351,29 @@
 
 
 def _calls_since(ledger: Ledger, from_s: float) -> list[OnlineAttempt]:
-    """Return the calls that were sent since a time and have ended."""
+    """Return the finished calls that were sent since ``from_s``, without configuration polls."""
     return [
         attempt
         for attempt in ledger.attempts
         if attempt.sent_s >= from_s
         and attempt.ended_s
         and attempt.path[1] != "v"
-        and not attempt.left
+        and not attempt.abandoned
     ]
 
 
-async def _judge_calm(world: World, ledger: Ledger) -> None:
-    """Check that a fleet that was left alone for ``CALM_S`` serves again."""
+async def _judge_calm(harness: SoakHarness, ledger: Ledger) -> None:
+    """Check that a fleet serves again after it was undisturbed for ``CALM_S``."""
     await trio.sleep(CALM_S + 1.0)
     from_s = trio.current_time()
     await trio.sleep(_CALM_RUN_S)
     calls = _calls_since(ledger, from_s)
-    with trio.move_on_after(_MOST_CALM_RUN_S - _CALM_RUN_S):
-        while len(calls) < _CALM_CALLS:
+    with trio.move_on_after(_MAX_CALM_RUN_S - _CALM_RUN_S):
+        while len(calls) < _MIN_CALM_CALLS:
             await trio.sleep(0.1)
             calls = _calls_since(ledger, from_s)
-    whole = sum(attempt.whole and attempt.status == 200 for attempt in calls)
-    if not calls or whole < _SERVED_SHARE * len(calls):
-        ledger.broken.append(f"in the calm at the end {whole} of {len(calls)} calls were served")
+    complete = sum(attempt.complete and attempt.status == 200 for attempt in calls)
+    if not calls or complete < _MIN_SERVED_SHARE * len(calls):
+        ledger.violations.append(
+            f"in the calm at the end {complete} of {len(calls)} calls were served"
+        )
--- a/tests/test_standin_kv.py
+++ b/tests/test_standin_kv.py
@@ -1,4 +1,4 @@
-"""The key-value stand-in over HTTP with our client: semantics, faults, watches, counts."""
+"""The stand-in key-value service with the etcd client: semantics, faults, watches and counts."""
 
 import unittest
 
@@ -19,14 +19,14 @@
 from tests.builders.standins import etcd_client, open_http, run_async, running_kv
 
 MEGABYTE = 1024 * 1024
-NOBODY = Address("127.0.0.1", 1)
+UNUSED_ADDRESS = Address("127.0.0.1", 1)
 
 keys = st.sampled_from(["a", "a/1", "a/2", "b"])
 steps = st.lists(
     st.tuples(
         st.sampled_from(["put", "delete", "get", "range"]),
         keys,
-        # Whether the revision expected is the true one.
+        # Whether the expected revision is the current one.
         st.booleans(),
         st.sampled_from([None, None, *LostAnswer]),
     ),
@@ -35,7 +35,11 @@
 
 
 class DictOracle:
-    """The same operations on a dict, done when and only when the service says so or is unsure."""
+    """Applies the same operations to a dict and compares it with the service.
+
+    A write is applied if the service confirms it.  If its result is unknown, the value is read back
+    and must be either the old or the new one.
+    """
 
     def __init__(self, test: unittest.TestCase, kv: KvStore) -> None:
         self.test = test
@@ -43,39 +47,43 @@
         self.values: dict[str, bytes] = {}
         self.revisions: dict[str, int] = {}
 
-    async def step(self, kind: str, key: str, right: bool, number: int) -> None:
-        expected = self.revisions.get(key, 0) if right else 999_999
+    async def step(self, kind: str, key: str, expected_is_current: bool, number: int) -> None:
+        expected = self.revisions.get(key, 0) if expected_is_current else 999_999
         match kind:
             case "put":
                 value = b"%d" % number
                 result = await self.kv.put_if(key, value, expected)
-                await self.settle(key, value, right, result)
+                await self.settle_write(key, value, expected_is_current, result)
             case "delete":
                 result = await self.kv.delete_if(key, expected)
-                await self.settle(key, None, right, result)
+                await self.settle_write(key, None, expected_is_current, result)
             case "get":
                 await self.check(key)
             case "range":
                 page = (await self.kv.get_range("a")).unwrap()
                 seen = {entry.key: entry.value for entry in page.entries}
-                wanted = {k: v for k, v in sorted(self.values.items()) if k.startswith("a")}
-                self.test.assertEqual(list(seen.items()), list(wanted.items()))
+                expected_values = {
+                    k: v for k, v in sorted(self.values.items()) if k.startswith("a")
+                }
+                self.test.assertEqual(list(seen.items()), list(expected_values.items()))
 
-    async def settle(self, key: str, value: bytes | None, may: bool, result) -> None:
-        """Apply a write that was done; read back one that may have been."""
+    async def settle_write(self, key: str, value: bytes | None, allowed: bool, result) -> None:
+        """Apply a confirmed write; read back the value if the result is unknown."""
         if isinstance(result, Ok):
-            self.test.assertTrue(may)
+            self.test.assertTrue(allowed)
             self.set(key, value, result.ok_value)
             return
         code = result.err_value.code
         if code is ResultCode.KV_CONFLICT:
-            self.test.assertFalse(may)
+            self.test.assertFalse(allowed)
             return
         self.test.assertEqual(code, ResultCode.KV_UNKNOWN)
         found = (await self.kv.get(key)).unwrap()
-        there = found.value if found else None
-        self.test.assertIn(there, (value, self.values.get(key)) if may else (self.values.get(key),))
-        self.set(key, there, found.mod_revision if found else 0)
+        stored = found.value if found else None
+        self.test.assertIn(
+            stored, (value, self.values.get(key)) if allowed else (self.values.get(key),)
+        )
+        self.set(key, stored, found.mod_revision if found else 0)
 
     def set(self, key: str, value: bytes | None, revision: int | None) -> None:
         if value is None:
@@ -93,16 +101,16 @@
 class EtcdKvTest(unittest.TestCase):
     @settings(max_examples=60)
     @given(steps)
-    def test_agrees_with_a_dict_whatever_answers_are_lost(self, drawn):
+    def test_agrees_with_a_dict_whichever_responses_are_lost(self, drawn):
         async def run() -> None:
             async with running_kv() as (service, kv):
-                # A late write lands while it is read back, or never within this test.
+                # An hour, so that a write read back as absent takes no effect during the test.
                 service.faults.late_effect_ms = 3_600_000
                 oracle = DictOracle(self, kv)
-                for number, (kind, key, right, lost) in enumerate(drawn):
+                for number, (kind, key, expected_is_current, lost) in enumerate(drawn):
                     if lost and kind in ("put", "delete"):
                         service.faults.lose_answer(lost)
-                    await oracle.step(kind, key, right, number)
+                    await oracle.step(kind, key, expected_is_current, number)
                 for key in ("a", "a/1", "a/2", "b"):
                     await oracle.check(key)
 
@@ -110,14 +118,14 @@
 
     @settings(max_examples=100)
     @given(steps)
-    def test_the_in_memory_store_agrees_as_well(self, drawn):
+    def test_memory_store_agrees_with_a_dict(self, drawn):
         async def run() -> None:
             kv = MemoryKv()
             oracle = DictOracle(self, kv)
-            for number, (kind, key, right, lost) in enumerate(drawn):
+            for number, (kind, key, expected_is_current, lost) in enumerate(drawn):
                 if lost and kind in ("put", "delete"):
                     kv.faults.lose_answer(lost)
-                await oracle.step(kind, key, right, number)
+                await oracle.step(kind, key, expected_is_current, number)
 
         run_async(run, trio.testing.MockClock(autojump_threshold=0))
 
@@ -148,7 +156,7 @@
 
         run_async(run)
 
-    def test_a_service_that_is_down_promises_that_nothing_was_written(self):
+    def test_unavailable_service_means_nothing_was_written(self):
         async def run() -> None:
             async with running_kv() as (service, kv):
                 service.take_down()
@@ -162,7 +170,7 @@
 
         run_async(run)
 
-    def test_a_service_that_does_not_answer_leaves_a_write_unknown(self):
+    def test_result_of_a_write_without_response_is_unknown(self):
         async def run() -> None:
             async with running_kv(timeout_ms=50) as (service, kv):
                 service.faults.silent = True
@@ -172,10 +180,10 @@
 
         run_async(run)
 
-    def test_the_next_address_is_used_and_kept(self):
+    def test_client_switches_to_the_next_address_and_stays_there(self):
         async def run() -> None:
             async with running_kv() as (service, _), open_http() as http:
-                kv = etcd_client(http, NOBODY, service.address)
+                kv = etcd_client(http, UNUSED_ADDRESS, service.address)
                 self.assertEqual(await kv.put_if("k", b"1", 0), Ok(2))
                 self.assertEqual((await kv.get("k")).unwrap(), KvEntry("k", b"1", 2))
                 async with kv.watch("k", 2) as events:
@@ -183,7 +191,7 @@
 
         run_async(run)
 
-    def test_a_lease_takes_its_keys_along(self):
+    def test_keys_are_deleted_with_their_lease(self):
         async def run() -> None:
             async with running_kv() as (service, kv):
                 lease_id = (await kv.grant_lease(5)).unwrap()
@@ -198,7 +206,7 @@
 
         run_async(run)
 
-    def test_calls_are_counted_and_a_watch_is_one(self):
+    def test_calls_are_counted_and_a_watch_counts_once(self):
         async def run() -> None:
             async with running_kv() as (service, kv):
                 async with kv.watch("", 1) as events:
@@ -210,7 +218,8 @@
         run_async(run)
 
 
-# By path.  Protobuf's JSON writes 64-bit numbers as strings and leaves out zeros and defaults.
+# Responses by path.  Protobuf's JSON encodes 64-bit integers as strings and omits default values
+# such as 0.
 PROTOBUF_JSON = {
     "/v3/kv/range": b'{"header":{"revision":"7"},"kvs":[{"key":"aw==","mod_revision":"6"}]}',
     "/v3/kv/txn": b'{"header":{"revision":"7"}}',
@@ -228,9 +237,9 @@
 
 
 class ProtobufJsonTest(unittest.TestCase):
-    """The gateway's answers as its protocol defines them, which our stand-in writes more simply."""
+    """Responses in the gateway's own encoding, which differs from the stand-in's plainer JSON."""
 
-    def test_numbers_may_be_strings_and_zeros_left_out(self):
+    def test_numbers_may_be_strings_and_zeros_may_be_omitted(self):
         async def run() -> None:
             async with served(answer_in_protobuf_json) as (_, address), open_http() as http:
                 kv = etcd_client(http, address)
@@ -242,15 +251,15 @@
                 self.assertEqual(await kv.grant_lease(5), Ok(9007199254740993))
                 self.assertEqual(await kv.keep_lease(9007199254740993), Ok(0))
                 async with kv.watch("k", 8) as events:
-                    told = [event async for event in events]
+                    received = [event async for event in events]
             put, deleted = KvEvent("k", 8, KvEntry("k", b"v", 8)), KvEvent("k", 9, None)
-            self.assertEqual(told, [put, deleted])
+            self.assertEqual(received, [put, deleted])
 
         run_async(run)
 
 
 class WatchTest(unittest.TestCase):
-    def test_tells_of_the_past_and_of_what_comes(self):
+    def test_delivers_past_and_future_events(self):
         async def run() -> None:
             async with running_kv() as (_, kv):
                 await kv.put_if("w/1", b"old", 0)
@@ -263,7 +272,7 @@
 
         run_async(run)
 
-    def test_from_revision_0_begins_when_the_block_is_entered(self):
+    def test_revision_0_starts_when_the_block_is_entered(self):
         async def run() -> None:
             async with running_kv() as (_, kv):
                 await kv.put_if("w", b"1", 0)
@@ -273,7 +282,7 @@
 
         run_async(run)
 
-    def test_compacted_past_is_a_gap_and_the_end(self):
+    def test_compacted_revision_yields_a_gap_and_ends_the_channel(self):
         async def run() -> None:
             async with running_kv() as (service, kv):
                 for number in range(4):
@@ -289,7 +298,7 @@
         async def run() -> None:
             async with running_kv() as (service, kv):
                 async with kv.watch("w", 0) as events:
-                    # Progress messages come meanwhile and are not events.
+                    # Progress reports that arrive meanwhile are not events.
                     await trio.sleep(0.12)
                     service.cut_watches()
                     self.assertEqual([event async for event in events], [])
@@ -299,12 +308,15 @@
 
     def test_an_unreachable_service_ends_the_channel_at_once(self):
         async def run() -> None:
-            async with open_http() as http, etcd_client(http, NOBODY).watch("w", 0) as events:
+            async with (
+                open_http() as http,
+                etcd_client(http, UNUSED_ADDRESS).watch("w", 0) as events,
+            ):
                 self.assertEqual([event async for event in events], [])
 
         run_async(run)
 
-    def test_a_silent_service_ends_the_channel_in_time(self):
+    def test_unresponsive_service_ends_the_channel_after_a_timeout(self):
         async def run() -> None:
             async with running_kv(timeout_ms=1000) as (service, kv):
                 service.faults.silent = True
@@ -313,7 +325,7 @@
 
         run_async(run, trio.testing.MockClock(rate=20))
 
-    def test_a_watch_that_is_taken_and_never_begun_ends_in_time(self):
+    def test_accepted_watch_that_never_starts_ends_after_a_timeout(self):
         async def never_begin(request: Request, responder: Responder) -> None:
             async with responder.stream(200, []):
                 await trio.sleep_forever()
@@ -328,30 +340,30 @@
 
         run_async(run, trio.testing.MockClock(rate=20))
 
-    def test_errors_of_the_block_come_out_as_they_are(self):
+    def test_exceptions_in_the_block_propagate_unchanged(self):
         async def run() -> None:
             async with running_kv() as (_, kv):
                 with self.assertRaises(LookupError):
                     async with kv.watch("w", 0):
                         raise LookupError
-                # The client is of further use.
+                # The client remains usable.
                 self.assertIsInstance(await kv.get("w"), Ok)
 
         run_async(run)
 
 
 class KvStateTest(unittest.TestCase):
-    def test_a_lease_ends_with_its_time(self):
+    def test_lease_expires_after_its_ttl(self):
         state = KvState()
         lease_id = state.grant(10, now_s=0.0)
         state.put("k", b"1", lease_id)
-        self.assertEqual(state.keep(lease_id, now_s=9.0), 10)
+        self.assertEqual(state.renew(lease_id, now_s=9.0), 10)
         state.expire(now_s=18.9)
         self.assertIsNotNone(state.get("k"))
         state.expire(now_s=19.0)
         self.assertIsNone(state.get("k"))
 
-    def test_a_key_that_changed_its_lease_outlives_the_old_one(self):
+    def test_key_moved_to_another_lease_survives_the_old_lease(self):
         state = KvState()
         old, new = state.grant(10, 0.0), state.grant(10, 0.0)
         state.put("k", b"1", old)
@@ -359,7 +371,7 @@
         state.revoke(old)
         self.assertEqual(state.get("k").value, b"2")
 
-    def test_a_compacted_past_does_not_hide_keys_that_stayed(self):
+    def test_compaction_does_not_hide_unchanged_keys(self):
         state = KvState()
         state.put("old", b"1")
         state.put("other", b"2")
@@ -376,7 +388,7 @@
             state.get("k", 2)
         self.assertEqual(state.get("k", state.revision - 1).value[:2], b"98")
 
-    def test_the_past_is_readable_until_it_is_compacted(self):
+    def test_old_revisions_are_readable_until_compacted(self):
         state = KvState()
         for value in (b"1", b"2", b"3"):
             state.put("k", value)
--- a/tests/test_standin_platform.py
+++ b/tests/test_standin_platform.py
@@ -1,4 +1,4 @@
-"""The other stand-ins: VM list, weight store, plain service, control interface, program."""
+"""The other stand-ins: VM list, weight store, plain service, control interface and settings."""
 
 import tempfile
 import unittest
@@ -40,7 +40,7 @@
 
         run_async(run)
 
-    def test_the_vm_list_and_its_tag(self):
+    def test_vm_list_and_its_etag(self):
         async def test(standins: Standins, http: HttpClient) -> None:
             client = VmListClient(http, standins.platform_settings())
             first = (await client.read()).unwrap()
@@ -54,7 +54,7 @@
                     ("plain-1", "plain", "demo-plain", False),
                 ],
             )
-            standins.vm_list.leave("engine-2")
+            standins.vm_list.mark_leaving("engine-2")
             standins.vm_list.remove("plain-1")
             standins.add_system_vm("vm-1", "hall-b", AGENT)
             second = (await client.read()).unwrap()
@@ -71,21 +71,21 @@
         async def run() -> None:
             service = VmListService(lag_ms=5000)
             service.add(SYSTEM_VM)
-            empty = service.shown()
+            empty = service.visible_version()
             self.assertNotIn(b"vm-9", empty.body)
             await trio.sleep(4.9)
-            self.assertEqual(service.shown(), empty)
+            self.assertEqual(service.visible_version(), empty)
             await trio.sleep(0.2)
-            self.assertIn(b"vm-9", service.shown().body)
+            self.assertIn(b"vm-9", service.visible_version().body)
             service.remove("vm-9")
-            self.assertIn(b"vm-9", service.shown().body)
+            self.assertIn(b"vm-9", service.visible_version().body)
             await trio.sleep(5)
-            self.assertNotIn(b"vm-9", service.shown().body)
-            self.assertNotEqual(service.shown().etag, empty.etag)
+            self.assertNotIn(b"vm-9", service.visible_version().body)
+            self.assertNotEqual(service.visible_version().etag, empty.etag)
 
         run_async(run, trio.testing.MockClock(autojump_threshold=0))
 
-    def test_loads_share_the_rate_of_the_weight_store(self):
+    def test_concurrent_loads_share_the_rate_of_the_weight_store(self):
         store = WeightStoreService(bytes_per_s=100)
 
         async def run() -> None:
@@ -94,7 +94,7 @@
                 for _ in range(3):
                     nursery.start_soon(store.load, 50)
             self.assertAlmostEqual(trio.current_time() - began_s, 1.5)
-            self.assertEqual((store.loads, store.most_loads_at_once), (3, 3))
+            self.assertEqual((store.loads, store.max_concurrent_loads), (3, 3))
 
         run_async(run, trio.testing.MockClock(autojump_threshold=0))
 
@@ -127,7 +127,7 @@
 
         self.run_with_standins(test)
 
-    def test_faults_are_commanded_over_http(self):
+    def test_faults_are_injected_over_http(self):
         async def test(standins: Standins, http: HttpClient) -> None:
             async def command(path: str, **fields: object) -> int:
                 body = msgspec.json.encode(fields)
@@ -161,14 +161,14 @@
             path.write_text(text, encoding="utf-8")
             return load_standin_settings(path)
 
-    def test_a_good_file(self):
+    def test_valid_file(self):
         loaded = self.load("[standin]\nengines = 2\nsystem_vms = a/hall-a/127.0.0.1:7001\n")
         self.assertEqual(
             loaded.unwrap(),
             StandinSettings(engines=2, system_vms="a/hall-a/127.0.0.1:7001"),
         )
 
-    def test_every_problem_is_named(self):
+    def test_every_problem_is_reported(self):
         text = "[standin]\nengines = many\nhost = localhost\nsystem_vms = a/7001\nshape = 1\n[x]\n"
         problems = str(self.load(text).unwrap_err())
         for part in ("engines = many", "host = localhost", "system_vms = a/7001", "shape", "[x]"):
--- a/tests/test_uneven_load.py
+++ b/tests/test_uneven_load.py
@@ -14,7 +14,7 @@
 
 from fescuedock.node.online import ONLINE_ROUTING
 from tests.builders.load_player import CallOutcome, CallTimes, PlayedFleet, play_calls
-from tests.builders.placement_ways import POLICIES, oracle
+from tests.builders.placement_policies import POLICIES, oracle
 from tests.builders.played_speeds import PlayedSpeeds
 
 SEEDS = (1, 2, 4)
@@ -77,7 +77,7 @@
         fleet.speeds.lasting[new.upstream_id] = fleet.speeds.lasting[record.upstream_id]
         staying.append(new)
     fleet.replace_upstreams(staying)
-    fleet.spoil_reports(rng, lost_share=1 / 3, age_ms=1000.0)
+    fleet.degrade_reports(rng, lost_share=1 / 3, age_ms=1000.0)
 
 
 def on_time_share(policy: str, change: _FleetChange | None = None) -> float:
