--- a/bench/batch.py
+++ b/bench/batch.py
@@ -35,15 +35,15 @@
     async with open_bench_system() as system:
         limit = await run_direct(system, job_lines(_FLEET_ITEMS, 0, "direct"))
         print(f"engines alone, closed loops:    {limit:7.1f} items/s")
-        whole = await run_job(system, job_lines(_FLEET_ITEMS, 0, "whole"))
+        all_valid = await run_job(system, job_lines(_FLEET_ITEMS, 0, "whole"))
         print(
-            f"a job of {whole.items}, none impossible: {whole.items_per_s:7.1f} items/s,"
-            f" {whole.items_per_s / limit:.2f} of the limit, {whole.run_s:.1f} s"
+            f"a job of {all_valid.items}, none impossible: {all_valid.items_per_s:7.1f} items/s,"
+            f" {all_valid.items_per_s / limit:.2f} of the limit, {all_valid.run_s:.1f} s"
         )
         mixed = await run_job(system, job_lines(_FLEET_ITEMS, _BAD_EVERY, "mixed"))
         print(
             f"a job of {mixed.items}, {mixed.failed} impossible: {mixed.items_per_s:9.1f} items/s,"
-            f" {mixed.run_s:.1f} s, {mixed.run_s / whole.run_s:.2f} of the time without"
+            f" {mixed.run_s:.1f} s, {mixed.run_s / all_valid.run_s:.2f} of the time without"
         )
         stopped_s = await cancel_time_s(system, job_lines(_FLEET_ITEMS, 0, "cancelled"))
         print(f"cancel until no engine runs an item: {stopped_s * 1000:.0f} ms (read each 50 ms)")
@@ -77,10 +77,10 @@
         f"\nitems run again after a kill, of {_KILL_ITEMS} (up to {_KILL_IN_FLIGHT} are in flight)"
     )
     for tenth in range(1, 10):
-        again = run_killed(
+        rerun_items = run_killed(
             _job(_KILL_ITEMS, max_items_in_flight=_KILL_IN_FLIGHT), _KILL_ITEMS * tenth // 10
         )
-        print(f"  at {tenth}/10: {again:4}, {again / _KILL_ITEMS:.1%}")
+        print(f"  at {tenth}/10: {rerun_items:4}, {rerun_items / _KILL_ITEMS:.1%}")
 
 
 def _report_large(items: int) -> None:
--- a/bench/batch_fleet.py
+++ b/bench/batch_fleet.py
@@ -73,18 +73,18 @@
 async def run_job(system: LocalSystem, lines: list[bytes]) -> JobFigures:
     """Submit a job and wait until it is whole."""
     file_id = await _upload(system, b"\n".join(lines))
-    asked = {"input_file_id": file_id, "endpoint": PATH, "completion_window": "24h"}
+    job_request = {"input_file_id": file_id, "endpoint": PATH, "completion_window": "24h"}
     puts_before = system.standins.kv.faults.calls[CallKind.PUT]
     started_s = trio.current_time()
-    job = (await post(system, "/v1/batches", asked)).json
+    job = (await post(system, "/v1/batches", job_request)).json
     while job["status"] != "completed":
         await trio.sleep(POLL_S)
         job = (await exchange(system, "GET", f"/v1/batches/{job['id']}")).json
     run_s = trio.current_time() - started_s
-    puts = system.standins.kv.faults.calls[CallKind.PUT] - puts_before
+    kv_puts_made = system.standins.kv.faults.calls[CallKind.PUT] - puts_before
     counts = job["request_counts"]
     assert counts["completed"] + counts["failed"] == len(lines)
-    return JobFigures(len(lines), counts["failed"], run_s, puts)
+    return JobFigures(len(lines), counts["failed"], run_s, kv_puts_made)
 
 
 async def run_direct(system: LocalSystem, lines: list[bytes]) -> float:
@@ -114,8 +114,8 @@
 async def cancel_time_s(system: LocalSystem, lines: list[bytes]) -> float:
     """Return the time from a cancel's acknowledgement until no engine runs an item of the job."""
     file_id = await _upload(system, b"\n".join(lines))
-    asked = {"input_file_id": file_id, "endpoint": PATH, "completion_window": "24h"}
-    job = (await post(system, "/v1/batches", asked)).json
+    job_request = {"input_file_id": file_id, "endpoint": PATH, "completion_window": "24h"}
+    job = (await post(system, "/v1/batches", job_request)).json
     models = [engine.core.model for engine in system.standins.engines.values()]
 
     async def full() -> bool:
--- a/bench/batch_lean.py
+++ b/bench/batch_lean.py
@@ -88,7 +88,7 @@
 
     job: LeanJob
     result: LeanResult
-    keep_log: bool = False
+    retain_log: bool = False
     log: list[bytes] = field(default_factory=list)
 
     async def put_segment(self, body: bytes, items: int) -> Result[SegmentRef, Fault]:
@@ -106,13 +106,13 @@
     async def append_log(self, _job_id: str, records: Sequence[bytes]) -> Result[int, Fault]:
         await trio.sleep(0.005)
         self.result.log_bytes += sum(map(len, records)) * LOG_COPIES
-        if self.keep_log:
+        if self.retain_log:
             self.log += records
         return Ok(LOG_COPIES)
 
-    async def read_log(self, _job_id: str, take) -> Result[int, Fault]:
+    async def read_log(self, _job_id: str, on_records) -> Result[int, Fault]:
         for _copy in range(LOG_COPIES):
-            take(self.log)
+            on_records(self.log)
             await trio.sleep(0.005)
         return Ok(LOG_COPIES)
 
@@ -154,13 +154,13 @@
 
     job: LeanJob
     result: LeanResult = field(default_factory=LeanResult)
-    keep_log: bool = False
+    retain_log: bool = False
     stores: ForgetfulStores = field(init=False)
     kv: CountingKv = field(init=False)
     runners: int = 0
 
     def __post_init__(self) -> None:
-        self.stores = ForgetfulStores(self.job, self.result, self.keep_log)
+        self.stores = ForgetfulStores(self.job, self.result, self.retain_log)
         self.kv = CountingKv(self.result)
 
     @property
@@ -255,7 +255,7 @@
     """Kill the runner once, let another finish; returns how many items ran again."""
 
     async def run() -> int:
-        fleet = LeanFleet(job, keep_log=True)
+        fleet = LeanFleet(job, retain_log=True)
         await fleet.accept()
         await fleet.run(kill_after)
         await fleet.run()
--- a/bench/batch_slopes.py
+++ b/bench/batch_slopes.py
@@ -22,9 +22,9 @@
 
 def main() -> None:
     """Run a job for the slopes and the largest one for its memory."""
-    began_s = time.process_time()
+    started_s = time.process_time()
     result = run_lean(_job(_ITEMS))
-    item_us = (time.process_time() - began_s) * 1e6 / _ITEMS
+    item_us = (time.process_time() - started_s) * 1e6 / _ITEMS
     large = run_lean(_job(_LARGE_ITEMS))
     measured = {
         "batch_item_us": Slope(round(item_us, 1), "us", _COMMAND, _METHOD),
--- a/bench/capacity_model.py
+++ b/bench/capacity_model.py
@@ -94,7 +94,7 @@
     """Rates at the peak, of the whole fleet."""
 
     items_per_s: float
-    asks_per_node_s: float
+    permit_requests_per_node_s: float
     online_in_flight: float
     batch_in_flight: float
     item_tokens: float
@@ -108,7 +108,7 @@
     item_s = (assumed.first_token_ms + item_tokens * assumed.token_ms) / 1000
     return _Peak(
         items_per_s=items_per_s,
-        asks_per_node_s=(target.requests_per_s + items_per_s) / target.nodes,
+        permit_requests_per_node_s=(target.requests_per_s + items_per_s) / target.nodes,
         online_in_flight=target.requests_per_s * online_s,
         batch_in_flight=items_per_s * item_s,
         item_tokens=item_tokens,
@@ -119,14 +119,14 @@
     """Return the control work of one node: what it does as holder and as owner of permits."""
     value = {name: slope.value for name, slope in slopes.items()}
     peak = _peak(target, assumed)
-    asks = peak.asks_per_node_s
+    permit_requests = peak.permit_requests_per_node_s
     held = (peak.online_in_flight + peak.batch_in_flight) / target.nodes
     # With far more owners than permits held, nearly every permit has an owner to itself.
     valid_ms = assumed.permit_valid_ms or validity_ms(AgentSettings(port=0), target.nodes)
     renewals = held * assumed.renewals_per_validity / (valid_ms / 1000)
     polls = target.upstreams / target.nodes / (assumed.load_poll_ms / 1000)
     changes = target.config_changes_per_day / _DAY_S
-    ask_bytes = value["permit_ask_bytes"] + value["permit_reply_bytes"]
+    request_bytes = value["permit_ask_bytes"] + value["permit_reply_bytes"]
     renew_bytes = value["permit_renew_bytes"] + value["permit_renew_reply_bytes"]
     return [
         Load(
@@ -138,9 +138,9 @@
         ),
         Load(
             "permits: asks and ends",
-            asks,
-            asks * (value["channel_call_us"] + value["permit_cycle_us"]),
-            asks * (ask_bytes + value["permit_ended_bytes"]),
+            permit_requests,
+            permit_requests * (value["channel_call_us"] + value["permit_cycle_us"]),
+            permit_requests * (request_bytes + value["permit_ended_bytes"]),
             "(requests/s + items/s) / nodes; holder and owner together",
         ),
         Load(
--- a/bench/config_spread.py
+++ b/bench/config_spread.py
@@ -107,18 +107,18 @@
         self.at(max(node.next_due_ms(), self.now_ms + 1), lambda: self.run(node))
 
     def wake(self, node: ConfigNode) -> None:
-        self.perform(node, node.tick(self.now_ms))
+        self.run_actions(node, node.tick(self.now_ms))
         due_ms = node.next_due_ms()
         if due_ms < self.now_ms + self.limits.pull_timeout_ms:
-            self.at(due_ms, lambda: self.perform(node, node.tick(self.now_ms)))
+            self.at(due_ms, lambda: self.run_actions(node, node.tick(self.now_ms)))
 
-    def perform(self, node: ConfigNode, actions: list[Action]) -> None:
+    def run_actions(self, node: ConfigNode, actions: list[Action]) -> None:
         for action in actions:
             match action:
                 case ReadRevision():
-                    self.call_kv(lambda asked: self.take_revision(node, asked))
+                    self.call_kv(lambda requested_ms: self.handle_revision(node, requested_ms))
                 case ReadRecord():
-                    self.call_kv(lambda asked: self.take_record(node, asked))
+                    self.call_kv(lambda requested_ms: self.handle_record(node, requested_ms))
                 case Pull(vm, message):
                     self.pull(node, vm.vm_id, message)
                 case PushTo(vms, message):
@@ -128,31 +128,31 @@
     def call_kv(self, answer: Callable[[float], None]) -> None:
         self.kv_calls += 1
         self.bytes_sent += KV_CALL_BYTES
-        asked_ms = self.now_ms
-        self.at(asked_ms + self.network.kv_ms, lambda: answer(asked_ms))
+        requested_ms = self.now_ms
+        self.at(requested_ms + self.network.kv_ms, lambda: answer(requested_ms))
 
-    def take_revision(self, node: ConfigNode, asked_ms: float) -> None:
+    def handle_revision(self, node: ConfigNode, requested_ms: float) -> None:
         revision = self.kv_revision if self.network.kv_up else None
-        self.perform(node, node.on_revision(revision, asked_ms))
+        self.run_actions(node, node.on_revision(revision, requested_ms))
 
-    def take_record(self, node: ConfigNode, asked_ms: float) -> None:
+    def handle_record(self, node: ConfigNode, requested_ms: float) -> None:
         if self.network.kv_up:
             self.bytes_sent += len(self.kv_value or b"") * 4 // 3
-            node.on_record(self.kv_value, self.kv_revision, asked_ms)
+            node.on_record(self.kv_value, self.kv_revision, requested_ms)
             self.wake(node)
 
     def pull(self, node: ConfigNode, vm_id: str, message: msgspec.Struct) -> None:
-        asked_ms = self.now_ms
+        requested_ms = self.now_ms
 
         def arrive() -> None:
             answer = self.index[vm_id].on_pull(message, self.now_ms)
-            self.push(node, answer, asked_ms)
+            self.push(node, answer, requested_ms)
 
         self.send(len(msgspec.msgpack.encode(message)), arrive)
 
-    def push(self, node: ConfigNode, message: msgspec.Struct, asked_ms: float) -> None:
+    def push(self, node: ConfigNode, message: msgspec.Struct, requested_ms: float) -> None:
         def arrive() -> None:
-            node.on_push(message, asked_ms, self.now_ms)
+            node.on_push(message, requested_ms, self.now_ms)
             self.wake(node)
 
         self.send(len(msgspec.msgpack.encode(message)), arrive)
@@ -169,16 +169,16 @@
             delta = ConfigDelta(delta.patch, delta.applied, self.kv_revision)
             node.replica.accept(record, delta)
             self.wake(node)
-        began_ms = self.now_ms
+        started_ms = self.now_ms
         behind = list(self.nodes)
 
-        def all_have_it() -> bool:
+        def all_updated() -> bool:
             while behind and behind[-1].version >= record.version:
                 behind.pop()
             return not behind
 
-        self.run_until(began_ms + 60000, all_have_it)
-        return self.now_ms - began_ms if all_have_it() else float("inf")
+        self.run_until(started_ms + 60000, all_updated)
+        return self.now_ms - started_ms if all_updated() else float("inf")
 
 
 def measure(fleet: Fleet, *, acceptor_dies: bool = False) -> tuple[list[float], float]:
@@ -241,13 +241,13 @@
         Fleet(1, Network()).nodes[0].replica.record, PatchRequest(0, "all", document), 0
     ).unwrap()
     request = member_patch(1, "patch-0123456789abcdef")
-    began_s = time.perf_counter()
+    started_s = time.perf_counter()
     record, delta = apply_request(record, request, 0).unwrap()
-    apply_ms = (time.perf_counter() - began_s) * 1000
+    apply_ms = (time.perf_counter() - started_s) * 1000
     data = encode_record(record)
-    began_s = time.perf_counter()
+    started_s = time.perf_counter()
     decode_record(data)
-    decode_ms = (time.perf_counter() - began_s) * 1000
+    decode_ms = (time.perf_counter() - started_s) * 1000
     print("\nrecord of 2,700 members with two keys each and 35 models:")
     print(f"  document {len(record.document)} B, record in the service {len(data)} B compressed")
     print(f"  delta of one change {len(msgspec.msgpack.encode(delta))} B")
@@ -265,9 +265,9 @@
     replica = Fleet(1, Network()).nodes[0].replica
     request = PatchRequest(0, "all", document)
     data = encode_record(apply_request(replica.record, request, 0).unwrap()[0])
-    began_s = time.process_time()
+    started_s = time.process_time()
     decode_record(data)
-    read_us = (time.process_time() - began_s) * 1e6
+    read_us = (time.process_time() - started_s) * 1e6
     command = "python -m bench.config_spread --record"
     record_slopes(
         {
--- a/bench/engine_cost.py
+++ b/bench/engine_cost.py
@@ -44,17 +44,17 @@
 
 
 @dataclass(slots=True)
-class Pacer:
+class ReadPacer:
     """Lets the server send a token only when the client has the one before."""
 
-    taken: trio.Event
+    has_read: trio.Event
 
-    def take(self) -> None:
-        self.taken.set()
+    def signal_read(self) -> None:
+        self.has_read.set()
 
     async def wait(self) -> None:
-        await self.taken.wait()
-        self.taken = trio.Event()
+        await self.has_read.wait()
+        self.has_read = trio.Event()
 
 
 def token_events() -> list[bytes]:
@@ -67,7 +67,7 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-async def serve_canned(stream: trio.SocketStream, events: list[bytes], pacer: Pacer) -> None:
+async def serve_canned(stream: trio.SocketStream, events: list[bytes], pacer: ReadPacer) -> None:
     """Answer any request with ``events``, one chunk each, at the client's pace."""
     await stream.receive_some(65536)
     await stream.send_all(HEAD)
@@ -77,7 +77,7 @@
     await stream.send_all(chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n")
 
 
-async def read_raw(address: Address, pacer: Pacer) -> int:
+async def read_raw(address: Address, pacer: ReadPacer) -> int:
     """Read the answer with a bare socket and count the reads that brought tokens."""
     stream = await trio.open_tcp_stream(address.host, address.port)
     await stream.send_all(b"POST / HTTP/1.1\r\n\r\n")
@@ -86,12 +86,12 @@
         data = await stream.receive_some(65536)
         if b"data: {" in data:
             count += 1
-            pacer.take()
+            pacer.signal_read()
     await stream.aclose()
     return count
 
 
-async def read_with_client(address: Address, pacer: Pacer) -> int:
+async def read_with_client(address: Address, pacer: ReadPacer) -> int:
     """Read the answer with ``EngineClient``."""
     upstream = UpstreamRecord("u", "r", "d", address.host, address.port, UpstreamKind.ENGINE, "s")
     client = EngineClient(HttpClient())
@@ -100,17 +100,17 @@
         async for event in events:
             if event.text:
                 count += 1
-                pacer.take()
+                pacer.signal_read()
     return count
 
 
-Reader = Callable[[Address, Pacer], Awaitable[int]]
+Reader = Callable[[Address, ReadPacer], Awaitable[int]]
 
 
 async def token_cost_us(reader: Reader) -> float:
     """Return CPU microseconds per token, both ends together, with ``reader``."""
     events = token_events()
-    pacer = Pacer(trio.Event())
+    pacer = ReadPacer(trio.Event())
     listeners = await trio.open_tcp_listeners(0, host=LOOPBACK.host)
     address = Address(LOOPBACK.host, listeners[0].socket.getsockname()[1])
 
@@ -119,9 +119,9 @@
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(trio.serve_listeners, serve, listeners)
-        began_s = time.process_time()
+        started_s = time.process_time()
         count = await reader(address, pacer)
-        used_s = time.process_time() - began_s
+        used_s = time.process_time() - started_s
         nursery.cancel_scope.cancel()
     return used_s / count * 1e6
 
@@ -157,9 +157,9 @@
     address = Address(LOOPBACK.host, listeners[0].socket.getsockname()[1])
     async with trio.open_nursery() as nursery:
         nursery.start_soon(trio.serve_listeners, serve_kv_canned, listeners)
-        began_s = time.process_time()
+        started_s = time.process_time()
         await caller(address)
-        used_s = time.process_time() - began_s
+        used_s = time.process_time() - started_s
         nursery.cancel_scope.cancel()
     return used_s / KV_CALLS * 1e6
 
@@ -177,8 +177,8 @@
     for client, raw in ((TOKEN_CLIENT, TOKEN_RAW), (KV_CLIENT, KV_RAW)):
         # Rounds that follow each other see the same load of the machine.
         pairs = zip(costs[client], costs[raw], strict=True)
-        over_us = statistics.median(ours - bare for ours, bare in pairs)
-        print(f"{client + ' over raw':38} {over_us:7.1f}")
+        difference_us = statistics.median(client_us - raw_us for client_us, raw_us in pairs)
+        print(f"{client + ' over raw':38} {difference_us:7.1f}")
     if "--record" in sys.argv:
         _record(statistics.median(costs[TOKEN_CLIENT]), statistics.median(costs[KV_CLIENT]))
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -34,16 +34,16 @@
 _IDLE_MS = 3000.0
 
 
-def _spread_ms(fleet: Fleet, knows: Callable) -> list[float]:
+def _spread_ms(fleet: Fleet, is_informed: Callable) -> list[float]:
     """Return, sorted, when each running VM came to know what ``knows`` asks of it."""
     start_ms = fleet.now_ms
     waiting = set(fleet.running())
     times: list[float] = []
     while waiting and fleet.now_ms - start_ms < LIMIT_MS:
         fleet.run(20)
-        done = {node for node in waiting if knows(node)}
-        times += [fleet.now_ms - start_ms] * len(done)
-        waiting -= done
+        informed = {node for node in waiting if is_informed(node)}
+        times += [fleet.now_ms - start_ms] * len(informed)
+        waiting -= informed
     return times + [float("inf")] * len(waiting)
 
 
@@ -66,7 +66,7 @@
         fleet.leave(vm_name(2))
         leave = _spread_ms(fleet, lambda node: vm_name(2) not in node.live())
         fleet.run(2000)
-        lost = _lose_one(fleet)
+        lost = _measure_loss_of_one(fleet)
         print(
             f"{size} | {join_ms / 1000:.1f} | {sent:.1f} {sent_bytes:.0f} {cpu_ms:.2f} | "
             f"{_rank(leave, 0.5):.0f} {_rank(leave, 0.99):.0f} {leave[-1]:.0f} | {lost}",
@@ -89,7 +89,7 @@
     )
 
 
-def _lose_one(fleet: Fleet) -> str:
+def _measure_loss_of_one(fleet: Fleet) -> str:
     victim = vm_name(1)
     before = {node.vm_id: node.sent_bytes for node in fleet.running()}
     fleet.kill(victim)
@@ -97,11 +97,11 @@
     suspect_ms = fleet.run_until(
         lambda: any(_state(node, victim) == "suspect" for node in fleet.running()), LIMIT_MS
     )
-    gone = [suspect_ms + t for t in _spread_ms(fleet, lambda node: victim not in node.view())]
+    removed_ms = [suspect_ms + t for t in _spread_ms(fleet, lambda node: victim not in node.view())]
     elapsed_s = max(10.0, (fleet.now_ms - start_ms) / 1000)
     fleet.run(start_ms + elapsed_s * 1000 - fleet.now_ms)
     busiest = max(node.sent_bytes - before[node.vm_id] for node in fleet.running()) / elapsed_s
-    times = [suspect_ms / 1000, _rank(gone, 0.5) / 1000, gone[-1] / 1000]
+    times = [suspect_ms / 1000, _rank(removed_ms, 0.5) / 1000, removed_ms[-1] / 1000]
     return " ".join(f"{time_s:.1f}" for time_s in times) + f" | {busiest:.0f}"
 
 
@@ -197,8 +197,8 @@
 
 def main(arguments: list[str]) -> None:
     """Run the named sections, or all; ``--record`` keeps their slopes."""
-    wanted = [name for name in arguments if not name.startswith("--")] or list(SECTIONS)
-    for name in wanted:
+    sections = [name for name in arguments if not name.startswith("--")] or list(SECTIONS)
+    for name in sections:
         start_s = time.monotonic()
         print(f"# {name}", flush=True)
         slopes = SECTIONS[name]()
--- a/bench/fleet_agent.py
+++ b/bench/fleet_agent.py
@@ -100,10 +100,10 @@
             count = int(updates_per_s)
             if count:
                 names = self._rng.sample(list(self._records), count)
-                news = [self._renewed(name) for name in names]
+                updates = [self._next_update(name) for name in names]
                 # Each change comes from about three peers before it has spread.
                 for _ in range(3):
-                    self._send(Gossip, self._rng.choice(list(self._records)), news[:7])
+                    self._send(Gossip, self._rng.choice(list(self._records)), updates[:7])
             await trio.sleep(0.5)
 
     def _answer(self, data: bytes) -> None:
@@ -132,10 +132,10 @@
             if own[bucket_of(member.vm_id)] != bucket_hashes[bucket_of(member.vm_id)]
         ]
         for start in range(0, max(1, len(chosen)), _UPDATES_IN_SYNC):
-            more = start + _UPDATES_IN_SYNC < len(chosen)
-            self._send(SyncReply, name, more, chosen[start : start + _UPDATES_IN_SYNC])
+            has_more = start + _UPDATES_IN_SYNC < len(chosen)
+            self._send(SyncReply, name, has_more, chosen[start : start + _UPDATES_IN_SYNC])
 
-    def _renewed(self, name: str) -> VmUpdate:
+    def _next_update(self, name: str) -> VmUpdate:
         old = self._records[name]
         profile = VmProfile(*[getattr(old.profile, item) for item in VmProfile.__struct_fields__])
         profile.entry_load = (profile.entry_load + 1) % 8
@@ -203,13 +203,15 @@
                 standins.vm_list.add(vm)
             with _process(settings, Path(folder)) as process:
                 try:
-                    return await _feed(settings, peers, process.pid, peer_count, changes)
+                    return await _measure_in_fleet(
+                        settings, peers, process.pid, peer_count, changes
+                    )
                 except* trio.TooSlowError:
                     log = (Path(folder) / "log").read_text(encoding="utf-8")
                     raise RuntimeError(f"the agent ended with {process.poll()}: {log}") from None
 
 
-async def _feed(
+async def _measure_in_fleet(
     settings: Settings, peers: _Peers, pid: int, peer_count: int, changes: int
 ) -> dict[str, float]:
     """Be the rest of the fleet and of the VM while the process is measured."""
--- a/bench/fleet_callers.py
+++ b/bench/fleet_callers.py
@@ -25,12 +25,12 @@
 class _Caller:
     place: CallerPlace
     next_ms: float
-    answer: list[str] = field(default_factory=list)
+    entries: list[str] = field(default_factory=list)
     expires_ms: float = 0.0
 
 
 @dataclass(slots=True)
-class _Scene:
+class _Simulation:
     """Callers and the entries they use; an entry in ``closed`` refuses connections."""
 
     fleet: Fleet
@@ -42,7 +42,7 @@
     refused: Counter[str] = field(default_factory=Counter)
     last_served_ms: dict[str, float] = field(default_factory=dict)
     last_refused_ms: dict[str, float] = field(default_factory=dict)
-    most_tries: int = 0
+    max_attempts: int = 0
 
     def run(self, duration_ms: float) -> None:
         end_ms = self.fleet.now_ms + duration_ms
@@ -54,10 +54,10 @@
                     caller.next_ms += 1000.0
                     self._request(caller)
 
-    def forget_counts(self) -> None:
+    def reset_counts(self) -> None:
         for counts in (self.served, self.refused):
             counts.clear()
-        self.most_tries = 0
+        self.max_attempts = 0
 
     def _announce_load(self) -> None:
         now_ms = self.fleet.now_ms
@@ -72,11 +72,11 @@
     def _request(self, caller: _Caller) -> None:
         """Use the kept answer in its order; ask anew when it has expired or nothing answers."""
         now_ms = self.fleet.now_ms
-        for tries in range(1, 20):
-            if not caller.answer or caller.expires_ms <= now_ms:
-                self._ask(caller)
-            entry = caller.answer[0]
-            self.most_tries = max(self.most_tries, tries)
+        for attempt in range(1, 20):
+            if not caller.entries or caller.expires_ms <= now_ms:
+                self._refresh_entries(caller)
+            entry = caller.entries[0]
+            self.max_attempts = max(self.max_attempts, attempt)
             if entry not in self.closed:
                 self.served[entry] += 1
                 self.last_served_ms[entry] = now_ms
@@ -84,14 +84,14 @@
                 return
             self.refused[entry] += 1
             self.last_refused_ms[entry] = now_ms
-            caller.answer.pop(0)
+            caller.entries.pop(0)
 
-    def _ask(self, caller: _Caller) -> None:
+    def _refresh_entries(self, caller: _Caller) -> None:
         open_nodes = [node for node in self.fleet.running() if node.vm_id not in self.closed]
-        known = [self.fleet.nodes[name] for name in caller.answer if name not in self.closed]
+        known = [self.fleet.nodes[name] for name in caller.entries if name not in self.closed]
         node: Node = known[0] if known else self.rng.choice(open_nodes)
-        named = eligible_entries(node.membership.records())
-        caller.answer = [vm.vm_id for vm in rank_entries(named, caller.place, self.rng)]
+        eligible = eligible_entries(node.membership.records())
+        caller.entries = [vm.vm_id for vm in rank_entries(eligible, caller.place, self.rng)]
         caller.expires_ms = self.fleet.now_ms + _VALID_MS
 
 
@@ -100,41 +100,41 @@
     print(f"{_CALLERS} callers, one request a second each, answers kept {_VALID_MS / 1000:.0f} s")
     print("callers | phase | requests | busiest and idlest entry, over the mean | refused | tries")
     for label, weights in (("even", (1, 1, 1)), ("half in one domain", (2, 1, 1)), ("no hint", ())):
-        _run_scene(label, weights)
+        _run_simulation(label, weights)
 
 
-def _run_scene(label: str, weights: tuple[int, ...]) -> None:
+def _run_simulation(label: str, weights: tuple[int, ...]) -> None:
     rng = random.Random(11)
     fleet = Fleet(9)
     fleet.run(10000)
     callers = [
         _Caller(_place(rng, weights), fleet.now_ms + rng.uniform(0, 1000)) for _ in range(_CALLERS)
     ]
-    scene = _Scene(fleet, rng, callers)
-    scene.run(15000)
-    scene.forget_counts()
-    scene.run(45000)
-    _print(label, "all nine", scene, 9)
+    simulation = _Simulation(fleet, rng, callers)
+    simulation.run(15000)
+    simulation.reset_counts()
+    simulation.run(45000)
+    _print(label, "all nine", simulation, 9)
     left_ms = fleet.now_ms
     profile = profile_of(4)
     ready = [ProfileProgram.AGENT]
     leaving = msgspec.structs.replace(profile, ready=ready)
     fleet.nodes[_LEAVING].membership.set_profile(leaving, fleet.now_ms)
-    scene.run(_SPREAD_MS + _VALID_MS)
-    scene.closed.add(_LEAVING)
-    scene.run(17000)
-    _print(label, "one leaves", scene, 8)
-    last_ms = scene.last_served_ms[_LEAVING] - left_ms
+    simulation.run(_SPREAD_MS + _VALID_MS)
+    simulation.closed.add(_LEAVING)
+    simulation.run(17000)
+    _print(label, "one leaves", simulation, 8)
+    last_ms = simulation.last_served_ms[_LEAVING] - left_ms
     print(
         f"  last request to the leaving entry {last_ms / 1000:.1f} s after; it closes after 13.0 s"
     )
-    scene.forget_counts()
+    simulation.reset_counts()
     died_ms = fleet.now_ms
     fleet.kill(_DYING)
-    scene.closed.add(_DYING)
-    scene.run(30000)
-    _print(label, "one dies", scene, 7)
-    last_ms = scene.last_refused_ms.get(_DYING, died_ms) - died_ms
+    simulation.closed.add(_DYING)
+    simulation.run(30000)
+    _print(label, "one dies", simulation, 7)
+    last_ms = simulation.last_refused_ms.get(_DYING, died_ms) - died_ms
     print(f"  last refused connection {last_ms / 1000:.1f} s after its loss", flush=True)
 
 
@@ -144,12 +144,14 @@
     return CallerPlace(f"domain-{rng.choices(range(3), weights)[0]}")
 
 
-def _print(label: str, phase: str, scene: _Scene, entries: int) -> None:
-    left = [vm_name(number) for number in range(9) if vm_name(number) not in scene.closed]
-    mean = scene.served.total() / entries
-    shares = [scene.served[name] / mean for name in left]
+def _print(label: str, phase: str, simulation: _Simulation, entries: int) -> None:
+    open_entries = [
+        vm_name(number) for number in range(9) if vm_name(number) not in simulation.closed
+    ]
+    mean = simulation.served.total() / entries
+    shares = [simulation.served[name] / mean for name in open_entries]
     print(
-        f"{label} | {phase} | {scene.served.total()} | {max(shares):.2f} {min(shares):.2f} | "
-        f"{scene.refused.total()} | {scene.most_tries}"
+        f"{label} | {phase} | {simulation.served.total()} | {max(shares):.2f} {min(shares):.2f} | "
+        f"{simulation.refused.total()} | {simulation.max_attempts}"
     )
-    scene.forget_counts()
+    simulation.reset_counts()
--- a/bench/fleet_trials.py
+++ b/bench/fleet_trials.py
@@ -20,7 +20,7 @@
 
 LIMIT_MS = 60000.0
 # Larger fleets know each other from the start, since their joining takes the loop long.
-_LARGEST_JOIN = 185
+_MAX_SIMULATED_JOIN_VMS = 185
 
 
 def domains_of(size: int) -> int:
@@ -30,7 +30,7 @@
 def joined(size: int, seed: int = 1, **options) -> tuple[Fleet, float]:
     """Start all VMs at once; return when each knows all."""
     fleet = Fleet(size, domains=domains_of(size), seed=seed, **options)
-    if size > _LARGEST_JOIN:
+    if size > _MAX_SIMULATED_JOIN_VMS:
         fleet.introduce_all()
     nodes = fleet.nodes.values()
     took_ms = fleet.run_until(lambda: all(len(node.live()) == size for node in nodes), LIMIT_MS)
@@ -47,7 +47,7 @@
         self.suspected: Counter[str] = Counter()
         self._suspect: set[tuple[str, str]] = set()
 
-    def look(self) -> None:
+    def poll(self) -> None:
         running = {node.vm_id for node in self._fleet.running()}
         missing, suspect = set(), set()
         for node in self._fleet.running():
@@ -70,7 +70,7 @@
         removals = _Removals(fleet)
         for _ in range(300):
             fleet.run(200)
-            removals.look()
+            removals.poll()
         print(
             f"{loss:.0%} | 37 | 60 | {removals.removed.total()} | {removals.suspected.total()}",
             flush=True,
@@ -81,36 +81,36 @@
 _SEEDS = 2
 
 
-def _slow_run(aware: bool, seed: int, pause_ms: tuple[float, float]) -> tuple[int, int, int]:
+def _slow_run(health_aware: bool, seed: int, pause_ms: tuple[float, float]) -> tuple[int, int, int]:
     """Let a third of 18 VMs stop and go for a minute at 5% loss; return what became of the rest."""
-    fleet, _ = joined(18, seed, health_aware=aware)
+    fleet, _ = joined(18, seed, health_aware=health_aware)
     fleet.run(5000)
     fleet.loss = 0.05
     slow = [vm_name(number) for number in range(_SLOW_VMS)]
     rng = random.Random(seed)
     removals = _Removals(fleet)
     changes_ms = dict.fromkeys(slow, (fleet.now_ms, False))
-    witness = fleet.nodes[vm_name(17)]
-    first = {name: item.incarnation for name, item in witness.view().items()}
+    observer = fleet.nodes[vm_name(17)]
+    first_incarnations = {name: item.incarnation for name, item in observer.view().items()}
     for step in range(1200):
         fleet.run(50)
         for name, (due_ms, paused) in changes_ms.items():
             if due_ms <= fleet.now_ms:
-                _turn(fleet, name, paused)
+                _toggle_pause(fleet, name, paused)
                 span_ms = rng.uniform(50, 300) if paused else rng.uniform(*pause_ms)
                 changes_ms[name] = (fleet.now_ms + span_ms, not paused)
         if step % 4 == 0:
-            removals.look()
-    last = {name: item.incarnation for name, item in witness.view().items()}
+            removals.poll()
+    last_incarnations = {name: item.incarnation for name, item in observer.view().items()}
     steady = set(fleet.nodes) - set(slow)
     return (
         sum(removals.removed.values()),
         sum(removals.suspected[name] for name in steady),
-        sum(last.get(name, 0) - first[name] for name in steady),
+        sum(last_incarnations.get(name, 0) - first_incarnations[name] for name in steady),
     )
 
 
-def _turn(fleet: Fleet, name: str, paused: bool) -> None:
+def _toggle_pause(fleet: Fleet, name: str, paused: bool) -> None:
     if paused:
         fleet.wake(name)
     else:
@@ -123,11 +123,11 @@
     for pause_ms in ((300.0, 900.0), (1000.0, 4000.0)):
         results: dict[bool, list[tuple[int, int, int]]] = {True: [], False: []}
         for seed in range(_SEEDS):
-            for aware in (True, False) if seed % 2 else (False, True):
-                results[aware].append(_slow_run(aware, seed, pause_ms))
-        for aware, rows in results.items():
+            for health_aware in (True, False) if seed % 2 else (False, True):
+                results[health_aware].append(_slow_run(health_aware, seed, pause_ms))
+        for health_aware, rows in results.items():
             sums = [sum(column) for column in zip(*rows, strict=True)]
-            label = "on" if aware else "off"
+            label = "on" if health_aware else "off"
             print(
                 f"{pause_ms[0]:.0f}-{pause_ms[1]:.0f} | {label} | {len(rows)} | {sums[0]} | "
                 f"{sums[1]} | {sums[2]}  each run: {rows}",
@@ -144,14 +144,15 @@
         fleet, _ = joined(9, removal_share=share)
         fleet.reaches = lambda a, b: "vm-000" not in (a.vm_id, b.vm_id)
         fleet.run(120000)
-        alone = 9 - len(fleet.nodes["vm-000"].live())
+        cut_off_dropped = 9 - len(fleet.nodes["vm-000"].live())
         split = Fleet(12, domains=2, removal_share=share)
         split.run(20000)
         split.reaches = lambda a, b: a.number % 2 == b.number % 2
         split.run(60000)
         dropped = statistics.mean(12 - len(node.live()) for node in split.running())
         print(
-            f"{share} | {alone} | {dropped:.1f} of the other hall's 6 (mean over VMs)", flush=True
+            f"{share} | {cut_off_dropped} | {dropped:.1f} of the other hall's 6 (mean over VMs)",
+            flush=True,
         )
 
 
@@ -161,13 +162,13 @@
     started_s = time.process_time()
     for _ in range(rounds):
         CODEC.decode(CODEC.encode(message))
-    both_us = (time.process_time() - started_s) * 1e6 / rounds
+    codec_us = (time.process_time() - started_s) * 1e6 / rounds
     size_bytes = len(CODEC.encode(message))
-    print(f"one heartbeat: {size_bytes} bytes, {both_us:.0f} us to encode and decode")
+    print(f"one heartbeat: {size_bytes} bytes, {codec_us:.0f} us to encode and decode")
     print("VMs | full mesh: datagrams/s in and out, bytes/s, CPU of the codec alone, per VM")
     for size in (9, 37, 74, 185, 370):
         peers = size - 1
         print(
-            f"{size} | {2 * peers} | {2 * peers * size_bytes} | {peers * both_us / 1e4:.2f}%",
+            f"{size} | {2 * peers} | {2 * peers * size_bytes} | {peers * codec_us / 1e4:.2f}%",
             flush=True,
         )
--- a/bench/item_yield.py
+++ b/bench/item_yield.py
@@ -57,7 +57,7 @@
     calls_on_time: int = 0
     items: int = 0
     items_on_time: int = 0
-    cut: int = 0
+    ended_early: int = 0
     idle_slot_s: float = 0.0
     wasted_slot_s: float = 0.0
 
@@ -66,13 +66,14 @@
         self.calls_on_time += sum(call.on_time for call in calls)
         self.items += len(items)
         self.items_on_time += sum(item.on_time for item in items)
-        self.cut += fleet.cut_runs
+        self.ended_early += fleet.cut_runs
         self.idle_slot_s += fleet.idle_slot_s
         self.wasted_slot_s += fleet.wasted_slot_s
 
     def __str__(self) -> str:
         return (
-            f"cut {self.cut} for {self.items} ({self.cut / max(self.items, 1):.2f}); "
+            f"cut {self.ended_early} for {self.items} "
+            f"({self.ended_early / max(self.items, 1):.2f}); "
             f"items on time {self.items_on_time}; online {self.calls_on_time} of {self.calls} "
             f"({self.calls_on_time / self.calls:.4f}); idle {self.idle_slot_s:.0f}, "
             f"with items waiting {self.wasted_slot_s:.0f} slot-s"
--- a/bench/lost_answers.py
+++ b/bench/lost_answers.py
@@ -79,18 +79,18 @@
     kv = MemoryKv()
     kv.faults.delay_ms = 3
     written: list[tuple[int, bytes]] = []
-    told: list[tuple[bytes, Result[int, Fault]]] = []
+    results_seen: list[tuple[bytes, Result[int, Fault]]] = []
     kv.state.listeners.append(lambda event: written.append((event.revision, event.entry.value)))
 
     async def write(name: str) -> None:
         for number in range(WRITES):
-            found = (await kv.get(KEY)).unwrap()
+            current = (await kv.get(KEY)).unwrap()
             value = f"{name}{number}".encode()
             if rng.random() < 0.3:
                 kv.faults.lose_answer(rng.choice(list(LostAnswer)), rng.randint(1, 3))
-            revision = found.mod_revision if found else 0
-            result = await put(kv, KEY, value, revision, lambda there, v=value: there == v)
-            told.append((value, result))
+            revision = current.mod_revision if current else 0
+            result = await put(kv, KEY, value, revision, lambda stored, v=value: stored == v)
+            results_seen.append((value, result))
             await trio.sleep(rng.random() * 0.05)
 
     async def land_late() -> None:
@@ -108,15 +108,17 @@
         kv.land_late_writes()
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-    return judge(told, written, kv.faults.total_calls)
+    return judge(results_seen, written, kv.faults.total_calls)
 
 
 def judge(
-    told: list[tuple[bytes, Result[int, Fault]]], written: list[tuple[int, bytes]], calls: int
+    results_seen: list[tuple[bytes, Result[int, Fault]]],
+    written: list[tuple[int, bytes]],
+    calls: int,
 ) -> Counts:
-    counts = Counts(writes=len(told), calls=calls)
+    counts = Counts(writes=len(results_seen), calls=calls)
     values = {value for _, value in written}
-    for value, result in told:
+    for value, result in results_seen:
         if isinstance(result, Ok):
             counts.said_there_but_not += (result.ok_value, value) not in written
         elif result.err_value.code is ResultCode.KV_UNKNOWN:
--- a/bench/mix.py
+++ b/bench/mix.py
@@ -12,7 +12,7 @@
 import time
 from collections.abc import Iterable, Sequence
 
-from bench.mix_runs import Faults, Plan, RunResult, run_direct, run_oracle, run_ours
+from bench.mix_runs import Faults, Plan, RunResult, run_direct, run_oracle, run_with_permits
 from bench.mix_traffic import DEPLOYMENTS, Deployment
 
 SEEDS = (1, 2)
@@ -55,38 +55,41 @@
     weight = deployment.objectives.online_weight
     print(f"\n{deployment.name}, online_weight {weight:g}, seeds {SEEDS}")
     plans = [Plan(deployment, seed) for seed in SEEDS]
-    alone: list[RunResult] = []
+    online_only: list[RunResult] = []
     direct: list[RunResult] = []
-    ours: list[RunResult] = []
+    with_permits: list[RunResult] = []
     for plan in plans:
-        alone.append(run_ours(dataclasses.replace(plan, batch=False)))
+        online_only.append(run_with_permits(dataclasses.replace(plan, batch=False)))
         direct.append(run_direct(plan))
-        ours.append(run_ours(plan))
-    base = summarize(deployment, alone)
-    print_base(base)
-    print_ratios("(b) no policy", summarize(deployment, direct), base)
-    found = summarize(deployment, ours)
-    print_ratios("(c) permits", found, base)
-    level, oracle = _best_oracle(deployment, plans, alone, base)
-    print_ratios(f"oracle, level {level}", oracle, base)
-    share = found.batch_tokens_per_s / oracle.batch_tokens_per_s
+        with_permits.append(run_with_permits(plan))
+    baseline = summarize(deployment, online_only)
+    print_base(baseline)
+    print_ratios("(b) no policy", summarize(deployment, direct), baseline)
+    summary = summarize(deployment, with_permits)
+    print_ratios("(c) permits", summary, baseline)
+    level, oracle = _best_oracle(deployment, plans, online_only, baseline)
+    print_ratios(f"oracle, level {level}", oracle, baseline)
+    share = summary.batch_tokens_per_s / oracle.batch_tokens_per_s
     print(f"  batch: {share:.0%} of the oracle")
-    p50, p99 = (_quantile(found.revocations_ms, share) for share in (0.5, 0.99))
+    p50, p99 = (_quantile(summary.revocations_ms, share) for share in (0.5, 0.99))
     print(f"  burst to batch out of the way: p50 {p50:.1f} ms, p99 {p99:.1f} ms")
-    _report_fault(deployment, base, "a worker killed", Faults(kill_worker_ms=FAULT_MS))
-    _report_fault(deployment, base, "an owner killed", Faults(kill_owner_ms=FAULT_MS))
+    _report_fault(deployment, baseline, "a worker killed", Faults(kill_worker_ms=FAULT_MS))
+    _report_fault(deployment, baseline, "an owner killed", Faults(kill_owner_ms=FAULT_MS))
     sys.stdout.flush()
 
 
-def _report_fault(deployment: Deployment, base: Summary, name: str, faults: Faults) -> None:
+def _report_fault(deployment: Deployment, baseline: Summary, name: str, faults: Faults) -> None:
     plan = Plan(deployment, SEEDS[0], faults=faults)
     without = dataclasses.replace(plan, batch=False)
-    print_ratios(f"(a) {name}", summarize(deployment, [run_ours(without)]), base)
-    print_ratios(f"(c) {name}", summarize(deployment, [run_ours(plan)]), base)
+    print_ratios(f"(a) {name}", summarize(deployment, [run_with_permits(without)]), baseline)
+    print_ratios(f"(c) {name}", summarize(deployment, [run_with_permits(plan)]), baseline)
 
 
 def _best_oracle(
-    deployment: Deployment, plans: Sequence[Plan], alone: Sequence[RunResult], base: Summary
+    deployment: Deployment,
+    plans: Sequence[Plan],
+    online_only: Sequence[RunResult],
+    baseline: Summary,
 ) -> tuple[int, Summary]:
     """Return the highest level that keeps the bound that the deployment cares for.
 
@@ -98,12 +101,12 @@
         middle = (low + high) // 2
         level = ORACLE_LEVELS[middle]
         runs = [
-            run_oracle(plan, old, level, ORACLE_GUARD_MS)
-            for plan, old in zip(plans, alone, strict=True)
+            run_oracle(plan, online_run, level, ORACLE_GUARD_MS)
+            for plan, online_run in zip(plans, online_only, strict=True)
         ]
-        found = summarize(deployment, runs)
-        if _keeps_bound(deployment, found, base):
-            best = (level, found)
+        summary = summarize(deployment, runs)
+        if _meets_bound(deployment, summary, baseline):
+            best = (level, summary)
             low = middle + 1
         else:
             high = middle - 1
@@ -112,12 +115,12 @@
     return best
 
 
-def _keeps_bound(deployment: Deployment, found: Summary, base: Summary) -> bool:
+def _meets_bound(deployment: Deployment, summary: Summary, baseline: Summary) -> bool:
     objectives = deployment.objectives
     if objectives.online_weight < 0.5:
-        return found.attained >= objectives.online_share
-    first = found.first_tokens_ms[1] / base.first_tokens_ms[1]
-    gap = found.gaps_ms[1] / base.gaps_ms[1]
+        return summary.attained >= objectives.online_share
+    first = summary.first_tokens_ms[1] / baseline.first_tokens_ms[1]
+    gap = summary.gaps_ms[1] / baseline.gaps_ms[1]
     return max(first, gap) <= TAIL_BOUND
 
 
@@ -136,14 +139,15 @@
             load=load * capacity,
             deadline_ms=OVERLOAD_DEADLINE_MS,
         )
-        run = run_ours(plan)
+        run = run_with_permits(plan)
         good = run.goodput_per_s(OVERLOAD_DEADLINE_MS)
         print(f"  {load:3.1f}x: {good:6.1f} good/s, refused {run.refused_share():.3f}")
     calm_ms = OVERLOAD_DURATION_MS / 2
     plan = dataclasses.replace(plan, calm_from_ms=calm_ms)
-    took_ms = run_ours(plan).recovered_ms(calm_ms, deployment.objectives)
+    recovery_ms = run_with_permits(plan).recovered_ms(calm_ms, deployment.objectives)
     print(
-        f"  last refusal or late first token {took_ms / 1000:.1f} s after {OVERLOADS[-1]:g}x ended"
+        f"  last refusal or late first token {recovery_ms / 1000:.1f} s after "
+        f"{OVERLOADS[-1]:g}x ended"
     )
     sys.stdout.flush()
 
@@ -175,26 +179,28 @@
     return ordered[min(int(share * len(ordered)), len(ordered) - 1)]
 
 
-def print_base(base: Summary) -> None:
+def print_base(baseline: Summary) -> None:
     """Print what online alone had."""
-    first = " / ".join(f"{value:.0f}" for value in base.first_tokens_ms)
-    gaps = " / ".join(f"{value:.1f}" for value in base.gaps_ms)
+    first = " / ".join(f"{value:.0f}" for value in baseline.first_tokens_ms)
+    gaps = " / ".join(f"{value:.1f}" for value in baseline.gaps_ms)
     print(f"  (a) online alone, p50 / p99 / p99.9: first token {first} ms, between {gaps} ms")
-    print(f"      objectives kept by {base.attained:.3f}, refused {base.refused:.4f}")
+    print(f"      objectives kept by {baseline.attained:.3f}, refused {baseline.refused:.4f}")
 
 
-def print_ratios(name: str, found: Summary, base: Summary) -> None:
+def print_ratios(name: str, summary: Summary, baseline: Summary) -> None:
     """Print ``found`` as ratios to ``base``."""
-    first = _ratios(found.first_tokens_ms, base.first_tokens_ms)
-    gaps = _ratios(found.gaps_ms, base.gaps_ms)
+    first = _ratios(summary.first_tokens_ms, baseline.first_tokens_ms)
+    gaps = _ratios(summary.gaps_ms, baseline.gaps_ms)
     print(
-        f"  {name:22s} first token x {first}, between x {gaps}, objectives {found.attained:.3f}, "
-        f"refused {found.refused:.4f}, batch {found.batch_tokens_per_s:.0f} tokens/s"
+        f"  {name:22s} first token x {first}, between x {gaps}, objectives {summary.attained:.3f}, "
+        f"refused {summary.refused:.4f}, batch {summary.batch_tokens_per_s:.0f} tokens/s"
     )
 
 
-def _ratios(found: Sequence[float], base: Sequence[float]) -> str:
-    return " ".join(f"{mine / theirs:.2f}" for mine, theirs in zip(found, base, strict=True))
+def _ratios(summary: Sequence[float], baseline: Sequence[float]) -> str:
+    return " ".join(
+        f"{value / reference:.2f}" for value, reference in zip(summary, baseline, strict=True)
+    )
 
 
 if __name__ == "__main__":
--- a/bench/mix_actors.py
+++ b/bench/mix_actors.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from bench.mix_traffic import Arrival, Deployment, spread
+from bench.mix_traffic import Arrival, Deployment, random_token_count
 from bench.virtual import Attempt, VirtualEngine, VirtualLoop
 from fescuedock.core.admission import Admission
 from fescuedock.core.permits.actions import Action, Granted, Refused, Revoked
@@ -70,27 +70,27 @@
 class OwnerHost:
     """One agent that owns one upstream; a dead one is silent."""
 
-    def __init__(self, fleet: "Fleet", upstream_id: str, make: OwnerFactory) -> None:
+    def __init__(self, fleet: "Fleet", upstream_id: str, make_owner: OwnerFactory) -> None:
         self.fleet = fleet
         self.upstream_id = upstream_id
         self.alive = True
         self._replies: dict[str, Callable[[Action, LoadSnapshot], None]] = {}
         self._holders: dict[str, Holder] = {}
-        self.core = make(fleet.settings, VALID_MS)
+        self.core = make_owner(fleet.settings, VALID_MS)
         terms = UpstreamTerms(fleet.deployment.objectives)
         owned = {upstream_id: OwnedUpstream(SERVICE, terms)}
         self.core.set_upstreams(owned, {SERVICE: len(fleet.engines)}, fleet.loop.now_ms)
         fleet.loop.after(TICK_MS, self._tick)
         fleet.loop.after(fleet.settings.load_poll_ms, self._poll)
 
-    def ask(self, ask: PermitAsk, holder: "Holder", reply: Callable) -> None:
+    def handle_request(self, request: PermitAsk, holder: "Holder", reply: Callable) -> None:
         if not self.alive:
             return
         self._holders[holder.holder_id] = holder
-        self._replies[ask.attempt_id] = reply
-        self._perform(self.core.submit(ask, self.fleet.loop.now_ms))
+        self._replies[request.attempt_id] = reply
+        self._perform(self.core.submit(request, self.fleet.loop.now_ms))
 
-    def renew(self, message: PermitRenew, holder: "Holder", reply: Callable) -> None:
+    def handle_renewal(self, message: PermitRenew, holder: "Holder", reply: Callable) -> None:
         if not self.alive:
             return
         self._holders[holder.holder_id] = holder
@@ -98,7 +98,7 @@
         self._perform(renewal.actions)
         self.fleet.loop.after(HOP_MS, reply, renewal.reply)
 
-    def end(self, message: PermitsEnded) -> None:
+    def handle_ended(self, message: PermitsEnded) -> None:
         if self.alive:
             self._perform(self.core.end(message, self.fleet.loop.now_ms))
 
@@ -139,7 +139,7 @@
         self.fleet = fleet
         self.holder_id = holder_id
         self.loads: dict[str, tuple[LoadSnapshot, float]] = {}
-        self._book = GrantRegistry()
+        self._grants = GrantRegistry()
         self._numbers = itertools.count()
         self._reporting = False
         fleet.loop.after(VALID_MS / 3, self._renew)
@@ -147,36 +147,38 @@
     def next_attempt(self) -> str:
         return f"{self.holder_id}/{next(self._numbers)}"
 
-    def ask(self, ask: PermitAsk, done: Callable[[Action | None], None]) -> None:
+    def request_permit(self, request: PermitAsk, done: Callable[[Action | None], None]) -> None:
         """Ask the owner; ``done`` gets its action, or None when it stays silent."""
         sent_ms = self.fleet.loop.now_ms
         answered: list[Action | None] = []
 
-        def take(action: Action | None, load: LoadSnapshot | None) -> None:
+        def on_answer(action: Action | None, load: LoadSnapshot | None) -> None:
             if answered:
                 return
             answered.append(action)
             if load is not None:
                 self.loads[load.upstream_id] = (load, self.fleet.loop.now_ms)
             if isinstance(action, Granted):
-                grant = HeldGrant(ask, self.fleet.loop.now_ms, sent_ms + action.valid_ms)
-                self._book.add(grant)
+                grant = HeldGrant(request, self.fleet.loop.now_ms, sent_ms + action.valid_ms)
+                self._grants.add(grant)
             elif action is None:
                 outcome = AttemptOutcome.CANCELLED
-                given_up = EndedPermit(ask.attempt_id, ask.upstream_id, outcome, ask.work_class)
-                self._book.abandon(given_up)
+                abandoned = EndedPermit(
+                    request.attempt_id, request.upstream_id, outcome, request.work_class
+                )
+                self._grants.abandon(abandoned)
                 self._report_soon()
             done(action)
 
-        host = self.fleet.owners[ask.upstream_id]
-        self.fleet.loop.after(HOP_MS, host.ask, ask, self, take)
-        self.fleet.loop.after(ask.wait_ms + OWNER_TIMEOUT_MS, take, None, None)
+        host = self.fleet.owners[request.upstream_id]
+        self.fleet.loop.after(HOP_MS, host.handle_request, request, self, on_answer)
+        self.fleet.loop.after(request.wait_ms + OWNER_TIMEOUT_MS, on_answer, None, None)
 
-    def hold_local(self, ask: PermitAsk) -> None:
-        self._book.add(HeldGrant(ask, self.fleet.loop.now_ms, float("inf"), local=True))
+    def hold_local(self, request: PermitAsk) -> None:
+        self._grants.add(HeldGrant(request, self.fleet.loop.now_ms, float("inf"), local=True))
 
-    def end(self, ended: EndedPermit) -> None:
-        if self._book.end(ended) is not None:
+    def report_ended(self, ended: EndedPermit) -> None:
+        if self._grants.end(ended) is not None:
             self._report_soon()
 
     def revoke(self, permit_id: str, decided_ms: float | None = None) -> None:
@@ -189,38 +191,42 @@
 
     def _report(self) -> None:
         self._reporting = False
-        for ended in self._book.drain_ended():
+        for ended in self._grants.drain_ended():
             message = PermitsEnded(self.holder_id, [ended])
-            self.fleet.loop.after(HOP_MS, self.fleet.owners[ended.upstream_id].end, message)
+            self.fleet.loop.after(
+                HOP_MS, self.fleet.owners[ended.upstream_id].handle_ended, message
+            )
 
     def _renew(self) -> None:
         sent_ms = self.fleet.loop.now_ms
         groups: dict[str, list[HeldGrant]] = {}
-        for grant in self._book:
+        for grant in self._grants:
             if not grant.local:
                 groups.setdefault(grant.request.upstream_id, []).append(grant)
         for upstream_id, group in groups.items():
             message = PermitRenew(self.holder_id, [grant.as_held(sent_ms) for grant in group])
             host = self.fleet.owners[upstream_id]
-            self.fleet.loop.after(HOP_MS, host.renew, message, self, self._renewed(group, sent_ms))
-        for permit_id in self._book.lapsed(sent_ms):
+            self.fleet.loop.after(
+                HOP_MS, host.handle_renewal, message, self, self._renewed(group, sent_ms)
+            )
+        for permit_id in self._grants.lapsed(sent_ms):
             self.revoke(permit_id)
         self.fleet.loop.after(VALID_MS / 3, self._renew)
 
     def _renewed(self, group: list[HeldGrant], sent_ms: float) -> Callable:
-        def take(reply: object) -> None:
+        def on_answer(reply: object) -> None:
             for load in reply.loads:
                 self.loads[load.upstream_id] = (load, self.fleet.loop.now_ms)
-            self._book.record_renewal(
+            self._grants.record_renewal(
                 [grant.request.attempt_id for grant in group], sent_ms + reply.valid_ms
             )
             for permit_id in reply.revoked:
                 self.revoke(permit_id)
 
-        return take
+        return on_answer
 
-    def note_token(self, attempt_id: str) -> None:
-        grant = self._book.get(attempt_id)
+    def record_token(self, attempt_id: str) -> None:
+        grant = self._grants.get(attempt_id)
         if grant is not None:
             if not grant.generated_tokens:
                 grant.first_token_ms = self.fleet.loop.now_ms - grant.granted_ms
@@ -239,9 +245,9 @@
         self._admission = Admission()
 
     def serve(self, result: OnlineResult) -> None:
-        self._try(result, avoid=frozenset())
+        self._route_request(result, avoid=frozenset())
 
-    def _try(self, result: OnlineResult, avoid: frozenset[str]) -> None:
+    def _route_request(self, result: OnlineResult, avoid: frozenset[str]) -> None:
         arrival = result.arrival
         now_ms = self.fleet.loop.now_ms
         candidates = [
@@ -258,8 +264,8 @@
             result.refused = True
             return
         slack_ms = left_ms - run_ms
-        asks = deque(plan_requests(choices, slack_ms, self._policy))
-        self._ask_next(result, asks, avoid, slack_ms)
+        planned_requests = deque(plan_requests(choices, slack_ms, self._policy))
+        self._request_next(result, planned_requests, avoid, slack_ms)
 
     def _candidate(self, upstream_id: str) -> Candidate:
         now_ms = self.fleet.loop.now_ms
@@ -268,24 +274,24 @@
         silent = self._silent.is_silent(upstream_id, now_ms)
         return Candidate(upstream_id, HOP_MS, fresh, silent)
 
-    def _ask_next(
+    def _request_next(
         self,
         result: OnlineResult,
-        asks: deque[PlannedRequest],
+        planned_requests: deque[PlannedRequest],
         avoid: frozenset[str],
         slack_ms: float,
     ) -> None:
-        if not asks:
+        if not planned_requests:
             result.refused = True
             return
-        step = asks.popleft()
-        message = self._message(result, step, slack_ms)
-        if step.local:
-            if self._local.try_acquire(step.upstream_id):
+        planned = planned_requests.popleft()
+        message = self._message(result, planned, slack_ms)
+        if planned.local:
+            if self._local.try_acquire(planned.upstream_id):
                 self.hold_local(message)
                 self._run(result, message, avoid, local=True)
             else:
-                self._ask_next(result, asks, avoid, slack_ms)
+                self._request_next(result, planned_requests, avoid, slack_ms)
             return
 
         def done(action: Action | None) -> None:
@@ -293,15 +299,15 @@
                 self._run(result, message, avoid, local=False)
                 return
             if action is None:
-                self._silent.record_silence(step.upstream_id, self.fleet.loop.now_ms)
-                asks.append(PlannedRequest(step.upstream_id, local=True))
-            self._ask_next(result, asks, avoid, slack_ms)
+                self._silent.record_silence(planned.upstream_id, self.fleet.loop.now_ms)
+                planned_requests.append(PlannedRequest(planned.upstream_id, local=True))
+            self._request_next(result, planned_requests, avoid, slack_ms)
 
-        self.ask(message, done)
+        self.request_permit(message, done)
 
-    def _message(self, result: OnlineResult, step: PlannedRequest, slack_ms: float) -> PermitAsk:
+    def _message(self, result: OnlineResult, planned: PlannedRequest, slack_ms: float) -> PermitAsk:
         return PermitAsk(
-            upstream_id=step.upstream_id,
+            upstream_id=planned.upstream_id,
             attempt_id=self.next_attempt(),
             holder_id=self.holder_id,
             service=SERVICE,
@@ -310,34 +316,34 @@
             slack_ms=int(slack_ms),
             prompt_tokens=result.arrival.prompt_tokens,
             max_tokens=result.arrival.answer_tokens,
-            wait_ms=int(step.wait_ms),
+            wait_ms=int(planned.wait_ms),
         )
 
     def _run(
-        self, result: OnlineResult, ask: PermitAsk, avoid: frozenset[str], local: bool
+        self, result: OnlineResult, request: PermitAsk, avoid: frozenset[str], local: bool
     ) -> None:
-        run = _OnlineRun(self, result, ask, self.fleet.loop.now_ms)
-        result.upstream_id = ask.upstream_id
+        run = _OnlineRun(self, result, request, self.fleet.loop.now_ms)
+        result.upstream_id = request.upstream_id
 
-        def on_end(whole: bool) -> None:
+        def on_end(completed: bool) -> None:
             span = (run.started_ms, self.fleet.loop.now_ms)
-            self.fleet.spans.setdefault(ask.upstream_id, []).append(span)
+            self.fleet.spans.setdefault(request.upstream_id, []).append(span)
             if local:
-                self._local.release(ask.upstream_id)
-            ended = run.ended(whole)
-            self.end(ended)
-            if whole:
+                self._local.release(request.upstream_id)
+            ended = run.ended(completed)
+            self.report_ended(ended)
+            if completed:
                 times = self._admission.times(SERVICE)
                 times.observe(run.tokens, ended.inter_token_ms, self.fleet.loop.now_ms)
                 result.finished_ms = self.fleet.loop.now_ms
             else:
-                self._try(result, avoid | {ask.upstream_id})
+                self._route_request(result, avoid | {request.upstream_id})
 
         done = len(result.gaps_ms) + (result.first_token_ms >= 0)
-        prompt_tokens = ask.prompt_tokens + done
-        left = max(result.arrival.answer_tokens - done, 1)
-        attempt = Attempt(ask.attempt_id, prompt_tokens, left, run.on_token, on_end)
-        self.fleet.loop.after(HOP_MS, self.fleet.engines[ask.upstream_id].start, attempt)
+        prompt_tokens = request.prompt_tokens + done
+        remaining_tokens = max(result.arrival.answer_tokens - done, 1)
+        attempt = Attempt(request.attempt_id, prompt_tokens, remaining_tokens, run.on_token, on_end)
+        self.fleet.loop.after(HOP_MS, self.fleet.engines[request.upstream_id].start, attempt)
 
 
 @dataclass(slots=True)
@@ -346,7 +352,7 @@
 
     entry: Entry
     result: OnlineResult
-    ask: PermitAsk
+    request: PermitAsk
     started_ms: float
     first_ms: float = -1.0
     last_ms: float = -1.0
@@ -362,20 +368,20 @@
             self.first_ms = now_ms
         self.last_ms = now_ms
         self.tokens += 1
-        self.entry.note_token(self.ask.attempt_id)
+        self.entry.record_token(self.request.attempt_id)
 
-    def ended(self, whole: bool) -> EndedPermit:
-        outcome = AttemptOutcome.COMPLETED if whole else AttemptOutcome.TRUNCATED
+    def ended(self, completed: bool) -> EndedPermit:
+        outcome = AttemptOutcome.COMPLETED if completed else AttemptOutcome.TRUNCATED
         first_ms = self.first_ms - self.started_ms if self.tokens else -1.0
         mean_ms = (self.last_ms - self.first_ms) / (self.tokens - 1) if self.tokens > 1 else -1.0
         return EndedPermit(
-            self.ask.attempt_id,
-            self.ask.upstream_id,
+            self.request.attempt_id,
+            self.request.upstream_id,
             outcome,
             WorkClass.ONLINE,
             first_ms,
             mean_ms,
-            self.ask.prompt_tokens,
+            self.request.prompt_tokens,
             self.tokens,
         )
 
@@ -393,7 +399,7 @@
 class BatchRunner(Holder):
     """Runs an endless backlog: keeps open asks at each owner, resumes what was revoked."""
 
-    OPEN_ASKS = 4
+    OPEN_REQUESTS = 4
     WAIT_MS = 5000
 
     def __init__(self, fleet: "Fleet", holder_id: str, rng: random.Random) -> None:
@@ -406,11 +412,11 @@
         self._rng = rng
         self._items = itertools.count()
         # Revoked items, by the upstream that has read their prompts.
-        self._begun: dict[str, deque[Item]] = {name: deque() for name in fleet.engines}
+        self._pending_items: dict[str, deque[Item]] = {name: deque() for name in fleet.engines}
         self._running: dict[str, tuple[Item, str]] = {}
         for upstream_id in fleet.engines:
-            for _ in range(self.OPEN_ASKS):
-                self._open_ask(upstream_id)
+            for _ in range(self.OPEN_REQUESTS):
+                self._open_request(upstream_id)
 
     def revoke(self, permit_id: str, decided_ms: float | None = None) -> None:
         running = self._running.pop(permit_id, None)
@@ -419,7 +425,7 @@
         item, upstream_id = running
         self.revoked += 1
         self.fleet.loop.after(HOP_MS, self._cancel, upstream_id, permit_id, decided_ms)
-        self._begun[upstream_id].append(item)
+        self._pending_items[upstream_id].append(item)
         self._end(permit_id, upstream_id, AttemptOutcome.REVOKED)
 
     def _cancel(self, upstream_id: str, permit_id: str, decided_ms: float | None) -> None:
@@ -428,18 +434,18 @@
             self.revocations_ms.append(self.fleet.loop.now_ms - decided_ms)
 
     def _next_item(self, upstream_id: str) -> Item:
-        if self._begun[upstream_id]:
-            return self._begun[upstream_id].popleft()
+        if self._pending_items[upstream_id]:
+            return self._pending_items[upstream_id].popleft()
         deployment = self.fleet.deployment
         return Item(
             f"item{next(self._items)}",
-            spread(self._rng, deployment.batch_prompt_tokens),
-            spread(self._rng, deployment.batch_answer_tokens),
+            random_token_count(self._rng, deployment.batch_prompt_tokens),
+            random_token_count(self._rng, deployment.batch_answer_tokens),
         )
 
-    def _open_ask(self, upstream_id: str) -> None:
+    def _open_request(self, upstream_id: str) -> None:
         item = self._next_item(upstream_id)
-        ask = PermitAsk(
+        request = PermitAsk(
             upstream_id=upstream_id,
             attempt_id=self.next_attempt(),
             holder_id=self.holder_id,
@@ -453,18 +459,18 @@
 
         def done(action: Action | None) -> None:
             if isinstance(action, Granted):
-                self._run(item, ask)
-                self._open_ask(upstream_id)
+                self._run(item, request)
+                self._open_request(upstream_id)
                 return
-            self._begun[upstream_id].appendleft(item)
+            self._pending_items[upstream_id].appendleft(item)
             refused = isinstance(action, Refused) and action.code is not ResultCode.REVOKED
             delay_ms = max(action.retry_after_ms, 50) if refused else 200
-            self.fleet.loop.after(delay_ms, self._open_ask, upstream_id)
+            self.fleet.loop.after(delay_ms, self._open_request, upstream_id)
 
-        self.ask(ask, done)
+        self.request_permit(request, done)
 
-    def _run(self, item: Item, ask: PermitAsk) -> None:
-        attempt_id, upstream_id = ask.attempt_id, ask.upstream_id
+    def _run(self, item: Item, request: PermitAsk) -> None:
+        attempt_id, upstream_id = request.attempt_id, request.upstream_id
         self._running[attempt_id] = (item, upstream_id)
         self.redone_tokens += item.done_tokens
 
@@ -472,23 +478,23 @@
             if attempt_id in self._running:
                 item.done_tokens += 1
                 self.tokens += 1
-                self.note_token(attempt_id)
+                self.record_token(attempt_id)
 
-        def on_end(whole: bool) -> None:
+        def on_end(completed: bool) -> None:
             if self._running.pop(attempt_id, None) is None:
                 return
-            if whole:
+            if completed:
                 self.items_done += 1
             else:
-                self._begun[upstream_id].append(item)
-            outcome = AttemptOutcome.COMPLETED if whole else AttemptOutcome.TRUNCATED
+                self._pending_items[upstream_id].append(item)
+            outcome = AttemptOutcome.COMPLETED if completed else AttemptOutcome.TRUNCATED
             self._end(attempt_id, upstream_id, outcome)
 
-        left = max(item.answer_tokens - item.done_tokens, 1)
+        remaining_tokens = max(item.answer_tokens - item.done_tokens, 1)
         attempt = Attempt(
             attempt_id,
             item.prompt_tokens,
-            left,
+            remaining_tokens,
             on_token,
             on_end,
             prompt_key=item.key,
@@ -497,7 +503,7 @@
         self.fleet.loop.after(HOP_MS, self.fleet.engines[upstream_id].start, attempt)
 
     def _end(self, permit_id: str, upstream_id: str, outcome: AttemptOutcome) -> None:
-        self.end(EndedPermit(permit_id, upstream_id, outcome, WorkClass.BATCH))
+        self.report_ended(EndedPermit(permit_id, upstream_id, outcome, WorkClass.BATCH))
 
 
 @dataclass(slots=True)
@@ -514,7 +520,7 @@
     spans: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
 
     @classmethod
-    def of(cls, loop: VirtualLoop, plan: "Plan") -> "Fleet":
+    def for_plan(cls, loop: VirtualLoop, plan: "Plan") -> "Fleet":
         """Return the engines of a run, without owners."""
         fleet = cls(loop, plan.deployment, plan.settings, plan.deadline_ms)
         for number in range(WORKERS):
--- a/bench/mix_runs.py
+++ b/bench/mix_runs.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 
 from bench.mix_actors import HOP_MS, BatchRunner, Entry, Fleet, Item, OnlineResult, OwnerHost
-from bench.mix_traffic import Deployment, arrivals_of, spread
+from bench.mix_traffic import Deployment, arrivals_of, random_token_count
 from bench.virtual import Attempt, VirtualLoop
 from fescuedock.core.permits.owner import PermitOwner
 from fescuedock.schema.config import Objectives
@@ -22,17 +22,17 @@
     "RunResult",
     "run_direct",
     "run_oracle",
-    "run_ours",
     "run_plan",
+    "run_with_permits",
 ]
 
 ENTRIES = 4
 DIRECT_BATCH_PER_WORKER = 64
-DETECT_OWNER_MS = 4000.0
+OWNER_DETECTION_MS = 4000.0
 WARM_UP_MS = 20_000.0
 
 # Gives how many batch attempts may run at a worker, and whether new prompts may be read there.
-Allowed = Callable[[str], tuple[int, bool]]
+BatchLimit = Callable[[str], tuple[int, bool]]
 
 
 @dataclass(frozen=True, slots=True)
@@ -140,25 +140,25 @@
     results: list[OnlineResult],
 ) -> RunResult:
     """Let time pass and gather what came of it; batch counts from the end of the warm-up."""
-    before = [0]
+    warm_up_tokens = [0]
 
-    def note() -> None:
-        before[0] = batch.tokens if batch else 0
+    def record_warm_up_tokens() -> None:
+        warm_up_tokens[0] = batch.tokens if batch else 0
 
-    loop.after(WARM_UP_MS, note)
+    loop.after(WARM_UP_MS, record_warm_up_tokens)
     loop.run_until(plan.duration_ms)
     result = RunResult(results, plan.duration_ms)
     if batch:
-        result.batch_tokens = batch.tokens - before[0]
+        result.batch_tokens = batch.tokens - warm_up_tokens[0]
         result.revoked = batch.revoked
         result.redone_tokens = batch.redone_tokens
     return result
 
 
-def run_ours(plan: Plan) -> RunResult:
+def run_with_permits(plan: Plan) -> RunResult:
     """Run with owners and permits; without batch it is "online alone"."""
     loop = VirtualLoop()
-    fleet = Fleet.of(loop, plan)
+    fleet = Fleet.for_plan(loop, plan)
     fleet.owners = {name: OwnerHost(fleet, name, plan.make_owner) for name in fleet.engines}
     entries = [Entry(fleet, f"e{i}", plan.rng(f"entry{i}")) for i in range(ENTRIES)]
     results = plan.results()
@@ -187,24 +187,24 @@
             fleet.owners["w1"] = OwnerHost(fleet, "w1", plan.make_owner)
 
         fleet.loop.after(faults.kill_owner_ms, kill)
-        fleet.loop.after(faults.kill_owner_ms + DETECT_OWNER_MS, replace)
+        fleet.loop.after(faults.kill_owner_ms + OWNER_DETECTION_MS, replace)
 
 
 class DirectOnline:
     """Online straight to engines: the less busy of two, as far as one sender can know."""
 
     def __init__(
-        self, fleet: Fleet, rng: random.Random, load_of: Callable[[str], int] | None = None
+        self, fleet: Fleet, rng: random.Random, load_at_engine: Callable[[str], int] | None = None
     ) -> None:
         self._fleet = fleet
         self._rng = rng
         self._busy = dict.fromkeys(fleet.engines, 0)
-        self._load_of = load_of or self._busy.__getitem__
+        self._load_at_engine = load_at_engine or self._busy.__getitem__
         self._number = 0
 
     def serve(self, result: OnlineResult, upstream_id: str = "") -> None:
         pair = self._rng.sample(list(self._busy), 2)
-        chosen = upstream_id or min(pair, key=self._load_of)
+        chosen = upstream_id or min(pair, key=self._load_at_engine)
         self._number += 1
         self._busy[chosen] += 1
         loop = self._fleet.loop
@@ -217,7 +217,7 @@
                 result.gaps_ms.append(loop.now_ms - last_ms[0])
             last_ms[0] = loop.now_ms
 
-        def on_end(_whole: bool) -> None:
+        def on_end(_completed: bool) -> None:
             self._busy[chosen] -= 1
             result.finished_ms = loop.now_ms
 
@@ -235,14 +235,14 @@
 class DirectBatch:
     """Batch straight to engines, with so many attempts at each as ``allowed`` says."""
 
-    def __init__(self, fleet: Fleet, rng: random.Random, allowed: Allowed) -> None:
+    def __init__(self, fleet: Fleet, rng: random.Random, batch_limit: BatchLimit) -> None:
         self.tokens = 0
         self.revoked = 0
         self.redone_tokens = 0
         self._fleet = fleet
         self._rng = rng
-        self._allowed = allowed
-        self._kept: dict[str, list[Item]] = {name: [] for name in fleet.engines}
+        self._batch_limit = batch_limit
+        self._suspended: dict[str, list[Item]] = {name: [] for name in fleet.engines}
         self._running: dict[str, dict[str, Item]] = {name: {} for name in fleet.engines}
         self._number = 0
         for name in fleet.engines:
@@ -253,24 +253,26 @@
 
     def _adjust(self, name: str) -> None:
         running = self._running[name]
-        allowed, may_read = self._allowed(name)
-        while len(running) > max(allowed, 0):
+        batch_limit, may_start_prompts = self._batch_limit(name)
+        while len(running) > max(batch_limit, 0):
             attempt_id, item = running.popitem()
             self.revoked += 1
             self._fleet.engines[name].cancel(attempt_id)
-            self._kept[name].append(item)
-        while len(running) < allowed and (may_read or self._kept[name]):
+            self._suspended[name].append(item)
+        while len(running) < batch_limit and (may_start_prompts or self._suspended[name]):
             self._start(name)
         self._fleet.loop.after(5.0, self._adjust, name)
 
     def _start(self, name: str) -> None:
         deployment = self._fleet.deployment
-        kept = self._kept[name]
+        suspended = self._suspended[name]
         # What was begun goes on without reading its prompt again: an oracle loses nothing.
-        prompt_tokens = 1 if kept else spread(self._rng, deployment.batch_prompt_tokens)
+        prompt_tokens = (
+            1 if suspended else random_token_count(self._rng, deployment.batch_prompt_tokens)
+        )
         self._number += 1
-        answer_tokens = spread(self._rng, deployment.batch_answer_tokens)
-        item = kept.pop() if kept else Item("", prompt_tokens, answer_tokens)
+        answer_tokens = random_token_count(self._rng, deployment.batch_answer_tokens)
+        item = suspended.pop() if suspended else Item("", prompt_tokens, answer_tokens)
         attempt_id = f"b{self._number}"
         self._running[name][attempt_id] = item
 
@@ -278,18 +280,18 @@
             item.done_tokens += 1
             self.tokens += 1
 
-        def on_end(_whole: bool) -> None:
+        def on_end(_completed: bool) -> None:
             self._running[name].pop(attempt_id, None)
 
-        left = max(item.answer_tokens - item.done_tokens, 1)
-        attempt = Attempt(attempt_id, prompt_tokens, left, on_token, on_end)
+        remaining_tokens = max(item.answer_tokens - item.done_tokens, 1)
+        attempt = Attempt(attempt_id, prompt_tokens, remaining_tokens, on_token, on_end)
         self._fleet.engines[name].start(attempt)
 
 
 def run_direct(plan: Plan) -> RunResult:
     """Run with no policy: online and batch go straight to the engines."""
     loop = VirtualLoop()
-    fleet = Fleet.of(loop, plan)
+    fleet = Fleet.for_plan(loop, plan)
     results = plan.results()
     online = DirectOnline(fleet, plan.rng("direct"))
     for item in results:
@@ -298,35 +300,37 @@
     return run_plan(loop, plan, batch, results)
 
 
-def run_oracle(plan: Plan, alone: RunResult, level: int, guard_ms: float) -> RunResult:
+def run_oracle(plan: Plan, online_only: RunResult, level: int, guard_ms: float) -> RunResult:
     """Run with a batch scheduler that knows where and when online will arrive.
 
     Batch fills each engine up to ``level`` less the online attempts of the next ``guard_ms`` (from
     the run with online alone), gives way before they come, and loses nothing by it.
     """
     loop = VirtualLoop()
-    fleet = Fleet.of(loop, plan)
+    fleet = Fleet.for_plan(loop, plan)
     results = plan.results()
     online = DirectOnline(fleet, plan.rng("direct"))
-    for item, old in zip(results, alone.results, strict=True):
-        loop.after(item.arrival.at_ms, online.serve, item, old.upstream_id)
-    batch = DirectBatch(fleet, plan.rng("batch"), _knowing(loop, alone.spans, level, guard_ms))
+    for item, online_run in zip(results, online_only.results, strict=True):
+        loop.after(item.arrival.at_ms, online.serve, item, online_run.upstream_id)
+    batch = DirectBatch(
+        fleet, plan.rng("batch"), _clairvoyant_limit(loop, online_only.spans, level, guard_ms)
+    )
     return run_plan(loop, plan, batch, results)
 
 
-def _knowing(
+def _clairvoyant_limit(
     loop: VirtualLoop, spans: dict[str, Sequence[tuple[float, float]]], level: int, guard_ms: float
-) -> Allowed:
+) -> BatchLimit:
     starts = {name: sorted(start for start, _ in items) for name, items in spans.items()}
     ends = {name: sorted(end for _, end in items) for name, items in spans.items()}
 
-    def allowed(name: str) -> tuple[int, bool]:
+    def batch_limit(name: str) -> tuple[int, bool]:
         if name not in starts:
             return level, True
-        begun = bisect_right(starts[name], loop.now_ms)
-        soon = bisect_right(starts[name], loop.now_ms + guard_ms)
-        over = bisect_left(ends[name], loop.now_ms)
+        started_count = bisect_right(starts[name], loop.now_ms)
+        soon_started_count = bisect_right(starts[name], loop.now_ms + guard_ms)
+        ended_count = bisect_left(ends[name], loop.now_ms)
         # No prompt of batch is read when online is about to come.
-        return level - (soon - over), soon == begun
+        return level - (soon_started_count - ended_count), soon_started_count == started_count
 
-    return allowed
+    return batch_limit
--- a/bench/mix_traffic.py
+++ b/bench/mix_traffic.py
@@ -6,7 +6,7 @@
 
 from fescuedock.schema.config import Objectives
 
-__all__ = ["DEPLOYMENTS", "Arrival", "Deployment", "LoadAt", "arrivals_of", "spread"]
+__all__ = ["DEPLOYMENTS", "Arrival", "Deployment", "LoadAt", "arrivals_of", "random_token_count"]
 
 # Gives the multiple of a deployment's rates at a time.
 LoadAt = Callable[[float], float]
@@ -92,8 +92,8 @@
         arrivals.append(
             Arrival(
                 at_ms,
-                spread(rng, deployment.prompt_tokens),
-                spread(rng, deployment.answer_tokens),
+                random_token_count(rng, deployment.prompt_tokens),
+                random_token_count(rng, deployment.answer_tokens),
                 rng.choice(_MEMBERS),
                 in_burst,
             )
@@ -101,6 +101,6 @@
     return arrivals
 
 
-def spread(rng: random.Random, mean: int) -> int:
+def random_token_count(rng: random.Random, mean: int) -> int:
     """Return a token count around ``mean``: half of it fixed, half exponential."""
     return max(2, int(mean / 2 + rng.expovariate(2.0 / mean)))
--- a/bench/mix_variants.py
+++ b/bench/mix_variants.py
@@ -8,7 +8,7 @@
 
 from bench.mix import print_base, print_ratios, summarize
 from bench.mix_actors import Fleet
-from bench.mix_runs import DirectBatch, DirectOnline, Plan, RunResult, run_ours, run_plan
+from bench.mix_runs import DirectBatch, DirectOnline, Plan, RunResult, run_plan, run_with_permits
 from bench.mix_traffic import DEPLOYMENTS, Deployment
 from bench.virtual import VirtualLoop
 from fescuedock.core.permits.limits import UpstreamLimits
@@ -20,12 +20,12 @@
 
 SEEDS = (1, 2)
 FIXED_LIMITS = (16, 32, 48)
-DECENTRALISED_LEVELS = (16, 32)
+OWNERLESS_LEVELS = (16, 32)
 
 Variant = Callable[[Plan], RunResult]
 
 
-class _WaitingQueue(UpstreamQueue):
+class _NonRevokingQueue(UpstreamQueue):
     """Never takes batch back: online starts at once all the same, beside all of it."""
 
     def _revoke_excess_batch(self, now_ms: float) -> list:
@@ -68,38 +68,43 @@
     """Run each variant on both deployments."""
     for deployment in DEPLOYMENTS:
         plans = [Plan(deployment, seed) for seed in SEEDS]
-        alone = [run_ours(dataclasses.replace(plan, batch=False)) for plan in plans]
-        base = summarize(deployment, alone)
+        online_only = [run_with_permits(dataclasses.replace(plan, batch=False)) for plan in plans]
+        baseline = summarize(deployment, online_only)
         print(f"\n{deployment.name}")
-        print_base(base)
+        print_base(baseline)
         for name, variant in _variants(deployment):
-            found = summarize(deployment, [variant(plan) for plan in plans])
-            print_ratios(name, found, base)
+            summary = summarize(deployment, [variant(plan) for plan in plans])
+            print_ratios(name, summary, baseline)
 
 
 def _variants(deployment: Deployment) -> list[tuple[str, Variant]]:
-    variants: list[tuple[str, Variant]] = [("as shipped", run_ours), ("waiting", _waiting)]
-    variants += [(f"fixed limit {limit}", _fixed(limit)) for limit in FIXED_LIMITS]
-    variants += [(f"no owner, level {level}", _ownerless(level)) for level in DECENTRALISED_LEVELS]
+    variants: list[tuple[str, Variant]] = [
+        ("as shipped", run_with_permits),
+        ("waiting", _run_without_revocation),
+    ]
+    variants += [(f"fixed limit {limit}", _fixed_limit_variant(limit)) for limit in FIXED_LIMITS]
+    variants += [
+        (f"no owner, level {level}", _ownerless_variant(level)) for level in OWNERLESS_LEVELS
+    ]
     return variants
 
 
-def _waiting(plan: Plan) -> RunResult:
-    return run_ours(dataclasses.replace(plan, make_owner=_owner_with(_WaitingQueue)))
+def _run_without_revocation(plan: Plan) -> RunResult:
+    return run_with_permits(dataclasses.replace(plan, make_owner=_owner_with(_NonRevokingQueue)))
 
 
-def _fixed(limit: int) -> Variant:
+def _fixed_limit_variant(limit: int) -> Variant:
     def run(plan: Plan) -> RunResult:
         settings = PermitSettings(start_limit=limit)
         objectives = Objectives(first_token_ms=1e9, inter_token_ms=1e9, online_weight=0.0)
         deployment = dataclasses.replace(plan.deployment, objectives=objectives)
         plan = dataclasses.replace(plan, deployment=deployment, settings=settings)
-        return run_ours(dataclasses.replace(plan, make_owner=_owner_with(_FixedQueue)))
+        return run_with_permits(dataclasses.replace(plan, make_owner=_owner_with(_FixedQueue)))
 
     return run
 
 
-def _ownerless(level: int) -> Variant:
+def _ownerless_variant(level: int) -> Variant:
     """Nobody owns an upstream.
 
     Online takes the less loaded of two, batch fills up to ``level``; both know the engines' own
@@ -108,27 +113,27 @@
 
     def run(plan: Plan) -> RunResult:
         loop = VirtualLoop()
-        fleet = Fleet.of(loop, plan)
+        fleet = Fleet.for_plan(loop, plan)
         reports = dict.fromkeys(fleet.engines, (0, 0))
         # The one batch sender, once it is there: its first starts come before any report.
-        batches: list[DirectBatch] = []
+        started_batches: list[DirectBatch] = []
 
         def poll() -> None:
             for name, engine in fleet.engines.items():
                 reports[name] = engine.report() or (0, 0)
             loop.after(plan.settings.load_poll_ms, poll)
 
-        def allowed(name: str) -> tuple[int, bool]:
-            own = batches[0].running_at(name) if batches else 0
-            return level - max(sum(reports[name]) - own, 0), True
+        def batch_limit(name: str) -> tuple[int, bool]:
+            own_running = started_batches[0].running_at(name) if started_batches else 0
+            return level - max(sum(reports[name]) - own_running, 0), True
 
         poll()
         results = plan.results()
         online = DirectOnline(fleet, plan.rng("direct"), lambda name: sum(reports[name]))
         for item in results:
             loop.after(item.arrival.at_ms, online.serve, item)
-        batches.append(DirectBatch(fleet, plan.rng("batch"), allowed))
-        return run_plan(loop, plan, batches[0], results)
+        started_batches.append(DirectBatch(fleet, plan.rng("batch"), batch_limit))
+        return run_plan(loop, plan, started_batches[0], results)
 
     return run
 
--- a/bench/node_costs.py
+++ b/bench/node_costs.py
@@ -68,9 +68,9 @@
     await trio.sleep(_IDLE_S)
     idle_ms_per_s = (_mean_ms(world.nodes) - before_ms) / _IDLE_S
     before_ms = _mean_ms(world.nodes)
-    began_s = trio.current_time()
+    started_s = trio.current_time()
     await _call_all(world)
-    idle_ms = idle_ms_per_s * (trio.current_time() - began_s)
+    idle_ms = idle_ms_per_s * (trio.current_time() - started_s)
     calls_ms = (_mean_ms(world.nodes) - before_ms - idle_ms) * len(world.nodes)
     return NodeCosts(len(world.nodes), start_ms, idle_ms_per_s, calls_ms / _CALLS)
 
--- a/bench/online_cost.py
+++ b/bench/online_cost.py
@@ -50,7 +50,7 @@
 
 
 @dataclass(slots=True)
-class Used:
+class CpuUse:
     """CPU of one run, in microseconds."""
 
     entry_us: float
@@ -61,9 +61,9 @@
 class Costs:
     """CPU of each round by the kind of request."""
 
-    by_kind: dict[str, list[Used]] = field(default_factory=dict)
+    by_kind: dict[str, list[CpuUse]] = field(default_factory=dict)
 
-    def add(self, kind: str, used: Used) -> None:
+    def add(self, kind: str, used: CpuUse) -> None:
         self.by_kind.setdefault(kind, []).append(used)
 
     def median(self, kind: str, part: str) -> float:
@@ -142,12 +142,12 @@
 async def first_token_ms(http: HttpClient, address: Address, body: dict[str, object]) -> float:
     """Return the time to the first bytes of the answer; the rest is read as well."""
     data = msgspec.json.encode(body)
-    began_s = trio.current_time()
+    started_s = trio.current_time()
     first_s = 0.0
     async with http.request(address, "POST", CHAT, [], data) as response:
         async for _ in response.chunks():
             first_s = first_s or trio.current_time()
-    return (first_s - began_s) * 1000
+    return (first_s - started_s) * 1000
 
 
 def cpu_us(pids: list[int]) -> float:
@@ -161,10 +161,10 @@
     )
 
 
-async def measured(setup: Setup, idle: Used, body: dict[str, object]) -> Used:
+async def measure_requests(setup: Setup, idle: CpuUse, body: dict[str, object]) -> CpuUse:
     """Send ``REQUESTS`` requests through the entry; return the CPU for each."""
-    began_s = trio.current_time()
-    before = Used(cpu_us(setup.entry_pids), cpu_us(setup.agent_pids))
+    started_s = trio.current_time()
+    before = CpuUse(cpu_us(setup.entry_pids), cpu_us(setup.agent_pids))
     waiting = iter(range(REQUESTS))
 
     async def caller() -> None:
@@ -174,33 +174,35 @@
     async with trio.open_nursery() as nursery:
         for _ in range(CONCURRENT):
             nursery.start_soon(caller)
-    took_s = trio.current_time() - began_s
-    entry_us = cpu_us(setup.entry_pids) - before.entry_us - idle.entry_us * took_s
-    agents_us = cpu_us(setup.agent_pids) - before.agents_us - idle.agents_us * took_s
-    return Used(entry_us / REQUESTS, agents_us / REQUESTS)
+    elapsed_s = trio.current_time() - started_s
+    entry_us = cpu_us(setup.entry_pids) - before.entry_us - idle.entry_us * elapsed_s
+    agents_us = cpu_us(setup.agent_pids) - before.agents_us - idle.agents_us * elapsed_s
+    return CpuUse(entry_us / REQUESTS, agents_us / REQUESTS)
 
 
-async def idle_use(setup: Setup) -> Used:
+async def idle_use(setup: Setup) -> CpuUse:
     """Return the CPU for each second without requests."""
-    before = Used(cpu_us(setup.entry_pids), cpu_us(setup.agent_pids))
+    before = CpuUse(cpu_us(setup.entry_pids), cpu_us(setup.agent_pids))
     await trio.sleep(IDLE_S)
     entry_us = (cpu_us(setup.entry_pids) - before.entry_us) / IDLE_S
-    return Used(entry_us, (cpu_us(setup.agent_pids) - before.agents_us) / IDLE_S)
+    return CpuUse(entry_us, (cpu_us(setup.agent_pids) - before.agents_us) / IDLE_S)
 
 
 async def compare_first_tokens(setup: Setup) -> None:
     direct: list[float] = []
-    ours: list[float] = []
+    through_entry: list[float] = []
     for number in range(PAIRS):
         body = body_of(f"question {number}", SHORT_TOKENS)
         direct.append(await first_token_ms(setup.http, setup.engine, body))
-        ours.append(await first_token_ms(setup.http, setup.entry, body))
+        through_entry.append(await first_token_ms(setup.http, setup.entry, body))
     print("first token, ms       p50    p90    p99")
-    for name, values in (("direct", direct), ("entry", ours)):
+    for name, values in (("direct", direct), ("entry", through_entry)):
         cuts = statistics.quantiles(values, n=100)
         print(f"{name:18} {cuts[49]:6.2f} {cuts[89]:6.2f} {cuts[98]:6.2f}")
-    added = sorted(there - here for there, here in zip(ours, direct, strict=True))
-    ratio = statistics.median(ours) / statistics.median(direct)
+    added = sorted(
+        entry_ms - direct_ms for entry_ms, direct_ms in zip(through_entry, direct, strict=True)
+    )
+    ratio = statistics.median(through_entry) / statistics.median(direct)
     print(f"added, median of pairs {added[len(added) // 2]:.2f} ms; ratio of medians {ratio:.3f}")
 
 
@@ -214,7 +216,7 @@
     }
     for _ in range(ROUNDS):
         for kind, body in kinds.items():
-            costs.add(kind, await measured(setup, idle, body))
+            costs.add(kind, await measure_requests(setup, idle, body))
     print(
         f"idle: entry {idle.entry_us / 1e4:.2f}%, each agent {idle.agents_us / 3e4:.2f}% of a core"
     )
@@ -236,8 +238,10 @@
         )
 
 
-def _slope(value_us: float, what: str) -> Slope:
-    return Slope(round(value_us, 1), "us", "python -m bench.online_cost --record", f"CPU {what}")
+def _slope(value_us: float, description: str) -> Slope:
+    return Slope(
+        round(value_us, 1), "us", "python -m bench.online_cost --record", f"CPU {description}"
+    )
 
 
 async def main() -> None:
--- a/bench/online_overload.py
+++ b/bench/online_overload.py
@@ -49,7 +49,7 @@
     last_bad_s: float = 0.0
 
     @property
-    def is_over(self) -> bool:
+    def is_complete(self) -> bool:
         return self.results.total() == self.offered
 
     def row(self) -> str:
@@ -72,19 +72,19 @@
     return statistics.quantiles(values, n=100)[percent - 1]
 
 
-async def send(fleet: OnlineFleet, phase: Phase, began_s: float, number: int) -> None:
+async def send(fleet: OnlineFleet, phase: Phase, started_s: float, number: int) -> None:
     body = chat_body(f"request {number}", max_tokens=TOKENS)
     sent_s = trio.current_time()
     name, first_s = await _outcome(fleet, body)
-    took_s = trio.current_time() - sent_s
+    elapsed_s = trio.current_time() - sent_s
     if name == "whole":
-        name = "good" if took_s <= DEADLINE_MS / 1000 else "late"
+        name = "good" if elapsed_s <= DEADLINE_MS / 1000 else "late"
         phase.first_token_s.append(first_s - sent_s)
     else:
-        phase.refused_after_s.append(took_s)
+        phase.refused_after_s.append(elapsed_s)
     phase.results[name] += 1
     if name != "good":
-        phase.last_bad_s = max(phase.last_bad_s, sent_s - began_s)
+        phase.last_bad_s = max(phase.last_bad_s, sent_s - started_s)
 
 
 async def _outcome(fleet: OnlineFleet, body: dict[str, object]) -> tuple[str, float]:
@@ -108,9 +108,9 @@
     fleet: OnlineFleet, nursery: trio.Nursery, phase: Phase, rng: random.Random
 ) -> None:
     """Offer the phase's load; requests still running go on into the next phase."""
-    began_s = trio.current_time()
-    while trio.current_time() < began_s + PHASE_S:
-        nursery.start_soon(send, fleet, phase, began_s, rng.getrandbits(40))
+    started_s = trio.current_time()
+    while trio.current_time() < started_s + PHASE_S:
+        nursery.start_soon(send, fleet, phase, started_s, rng.getrandbits(40))
         phase.offered += 1
         await trio.sleep(rng.expovariate(CAPACITY_PER_S * phase.load))
 
@@ -125,7 +125,7 @@
     ):
         for phase in phases:
             await run_phase(fleet, nursery, phase, rng)
-        await wait_until(lambda: all(phase.is_over for phase in phases))
+        await wait_until(lambda: all(phase.is_complete for phase in phases))
     print(f"capacity {CAPACITY_PER_S:.1f}/s, deadline {DEADLINE_MS} ms; times in s")
     print("load  offered  goodput  ft p50   ft p99  ref p50  ref p99  others")
     for phase in phases:
--- a/bench/permit_costs.py
+++ b/bench/permit_costs.py
@@ -51,7 +51,7 @@
         held = [_held(number) for number in range(8)]
         started_s = time.process_time()
         for number in range(CYCLES):
-            owner.submit(_ask(number), number * 10.0)
+            owner.submit(_permit_request(number), number * 10.0)
             owner.end(permits.PermitsEnded("vm-1/entry", [_ended(number)]), number * 10.0 + 5)
         cycles.append((time.process_time() - started_s) * 1e6 / CYCLES)
         started_s = time.process_time()
@@ -70,7 +70,7 @@
     ended = codec.encode(permits.PermitsEnded("vm-123/entry/7f3a", [_ended(1)]))
     reply = permits.PermitReply(code=0, load=load, permit_id="p" * 22, valid_ms=VALID_MS)
     return {
-        "permit_ask_bytes": len(codec.encode(_ask(1))),
+        "permit_ask_bytes": len(codec.encode(_permit_request(1))),
         "permit_reply_bytes": len(codec.encode(reply)),
         "permit_ended_bytes": len(ended),
         "permit_renew_bytes": len(one),
@@ -85,7 +85,7 @@
     return owner
 
 
-def _ask(number: int) -> PermitAsk:
+def _permit_request(number: int) -> PermitAsk:
     return PermitAsk(
         upstream_id=UPSTREAM,
         attempt_id=f"attempt-{number:014}",
--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -21,13 +21,13 @@
     load = LoadSnapshot(
         name, number % 9, 0, 0, 8, 60.0, True, 5.0, 60.0, 0.01, 25.0, 500.0, 1.2, 40.0
     )
-    heard = number % 3
+    report_state = number % 3
     return Candidate(
         name,
         0.5,
-        load if heard == 0 else None,
-        speed=load if heard < 2 else None,
-        speed_age_ms=200.0 if heard == 0 else 3000.0,
+        load if report_state == 0 else None,
+        speed=load if report_state < 2 else None,
+        speed_age_ms=200.0 if report_state == 0 else 3000.0,
         same_domain=number % 3 == 0,
     )
 
--- a/bench/queue_costs.py
+++ b/bench/queue_costs.py
@@ -34,18 +34,18 @@
     queue = UpstreamQueue(
         "u1", PermitSettings(), UpstreamTerms(slots=SLOTS), 2000, rebuild_ms=0.0, now_ms=0.0
     )
-    asks = [_ask(number, customers) for number in range(CALLS)]
+    requests = [_permit_request(number, customers) for number in range(CALLS)]
     started_s = time.process_time()
-    for number, ask in enumerate(asks):
+    for number, request in enumerate(requests):
         now_ms = number * 10.0
-        queue.submit(ask, now_ms)
-        over = number - SLOTS - waiting + 1
-        if over >= 0:
-            queue.end(_ended(over), now_ms + 5.0)
+        queue.submit(request, now_ms)
+        ended_number = number - SLOTS - waiting + 1
+        if ended_number >= 0:
+            queue.end(_ended(ended_number), now_ms + 5.0)
     return (time.process_time() - started_s) * 1e6 / CALLS
 
 
-def _ask(number: int, customers: int) -> PermitAsk:
+def _permit_request(number: int, customers: int) -> PermitAsk:
     return PermitAsk(
         upstream_id="u1",
         attempt_id=f"attempt-{number}",
--- a/bench/quota_ways.py
+++ b/bench/quota_ways.py
@@ -27,21 +27,21 @@
 )
 from tests.builders.quota_single_owner import Allowances, QuotaRoute, SingleOwnerFleet
 
-__all__ = ["LOADS", "Figures", "compare", "run_way"]
+__all__ = ["LOADS", "Figures", "compare", "run_strategy"]
 
 _WINDOW_MS = 5000.0
-_OVER = 0.1
-_SLACK = 20.0
+_TOLERANCE_SHARE = 0.1
+_TOLERANCE_CALLS = 20.0
 # Limits are this many times what customers usually send.
-_LIMIT_TIMES = 1.6
-_TOLD_EACH_MS = 500.0
+_LIMIT_FACTOR = 1.6
+_DEMAND_REPORT_INTERVAL_MS = 500.0
 _RUN_MS = 24_000.0
-_HOT_MS = (8000.0, 13_000.0)
+_HOT_PERIOD_MS = (8000.0, 13_000.0)
 _DOWN_MS = 1200.0
 # Grants that an owner may have that its stand-in has not been told of.
-_UNTOLD = 5
+_MAX_UNREPORTED_GRANTS = 5
 # The third largest customer is hot.
-_HOT = 2
+_HOT_CUSTOMER_INDEX = 2
 
 
 class Load(msgspec.Struct, frozen=True):
@@ -58,7 +58,7 @@
     )
 
 
-def _with(size: int, count: int, granting: list[int], rng: random.Random) -> list[int]:
+def _pick_nodes(size: int, count: int, granting: list[int], rng: random.Random) -> list[int]:
     """Return ``count`` nodes, those that are ``granting`` first."""
     others = [node for node in range(size) if node not in granting]
     return [*granting, *rng.sample(others, count - len(granting))]
@@ -66,15 +66,15 @@
 
 def _restarts(size: int, granting: list[int], rng: random.Random) -> list[Change]:
     """A third of the nodes restart in groups of six, the owner among the first."""
-    return _rolled(_with(size, size // 3, granting[:1], rng))
+    return _rolling_restart(_pick_nodes(size, size // 3, granting[:1], rng))
 
 
-def _keepers_restart(size: int, granting: list[int], rng: random.Random) -> list[Change]:
+def _share_owners_restart(size: int, granting: list[int], rng: random.Random) -> list[Change]:
     """The same, with all keepers of the hot customer's shares in the first groups."""
-    return _rolled(_with(size, size // 3, granting, rng))
+    return _rolling_restart(_pick_nodes(size, size // 3, granting, rng))
 
 
-def _rolled(nodes: list[int]) -> list[Change]:
+def _rolling_restart(nodes: list[int]) -> list[Change]:
     changes, at_ms = [], 9000.0
     for first in range(0, len(nodes), 6):
         changes.append(Change(at_ms, down=frozenset(nodes[first : first + 6])))
@@ -84,32 +84,32 @@
 
 def _cut_off(size: int, granting: list[int], rng: random.Random) -> list[Change]:
     """16 of 54 nodes are each cut off from all others for 5 s, the owner among them."""
-    return _alone(_with(size, size * 16 // 54, granting[:1], rng))
+    return _isolate_each(_pick_nodes(size, size * 16 // 54, granting[:1], rng))
 
 
-def _keepers_cut_off(size: int, granting: list[int], rng: random.Random) -> list[Change]:
-    return _alone(_with(size, size * 16 // 54, granting, rng))
+def _share_owners_cut_off(size: int, granting: list[int], rng: random.Random) -> list[Change]:
+    return _isolate_each(_pick_nodes(size, size * 16 // 54, granting, rng))
 
 
-def _alone(nodes: list[int]) -> list[Change]:
+def _isolate_each(nodes: list[int]) -> list[Change]:
     groups = {node: number + 1 for number, node in enumerate(nodes)}
     return [Change(10_000.0, groups), Change(15_000.0)]
 
 
-def _together(size: int, granting: list[int], rng: random.Random) -> list[Change]:
+def _cut_off_together(size: int, granting: list[int], rng: random.Random) -> list[Change]:
     """16 of 54 nodes are cut off from the others, but reach each other."""
-    nodes = _with(size, size * 16 // 54, granting[:1], rng)
+    nodes = _pick_nodes(size, size * 16 // 54, granting[:1], rng)
     return [Change(10_000.0, dict.fromkeys(nodes, 1)), Change(15_000.0)]
 
 
 def _halves(size: int, granting: list[int], rng: random.Random) -> list[Change]:
-    nodes = _with(size, size // 2, granting[:1], rng)
+    nodes = _pick_nodes(size, size // 2, granting[:1], rng)
     return [Change(10_000.0, dict.fromkeys(nodes, 1)), Change(15_000.0)]
 
 
 def _second_cut(size: int, granting: list[int], rng: random.Random) -> list[Change]:
     """16 nodes are cut off, and 16 others 2.5 s later, when the first are back."""
-    nodes = _with(size, 2 * (size * 16 // 54), granting[:1], rng)
+    nodes = _pick_nodes(size, 2 * (size * 16 // 54), granting[:1], rng)
     half = len(nodes) // 2
     return [
         Change(9000.0, {node: number + 1 for number, node in enumerate(nodes[:half])}),
@@ -122,7 +122,7 @@
     return [Change(10_000.0, down=frozenset(range(size))), Change(10_000.0 + _DOWN_MS)]
 
 
-class Way(Protocol):
+class Strategy(Protocol):
     """Decides on one call: customer, node, time."""
 
     def admit(self, customer: Customer, node: int, now_ms: float) -> AdmissionResult: ...
@@ -131,14 +131,14 @@
 class _LoggingOwners:
     """Owners that count a sliding window, and learn of what others granted as ``learn`` says."""
 
-    def __init__(self, world: FleetSimulation) -> None:
-        self._world = world
+    def __init__(self, simulation: FleetSimulation) -> None:
+        self._simulation = simulation
         self._route = QuotaRoute()
-        size = len(world.names)
+        size = len(simulation.names)
         # By node: the grants of each customer that the node knows of.
         self.logs: list[dict[str, deque[float]]] = [{} for _ in range(size)]
         self._allowances = [Allowances() for _ in range(size)]
-        world.on_start = self.start
+        simulation.on_start = self.start
 
     def start(self, node: int, _now_ms: float) -> None:
         self.logs[node] = {}
@@ -150,120 +150,124 @@
             log_ms.popleft()
         return log_ms
 
-    def used(self, node: int, customer: str, now_ms: float) -> int:
+    def granted_count(self, node: int, customer: str, now_ms: float) -> int:
         return len(self.log(node, customer, now_ms))
 
-    def learn(self, node: int, owner: int, customer: str, now_ms: float) -> None:
+    def receive_report(self, node: int, owner: int, customer: str, now_ms: float) -> None:
         """Let ``owner`` learn from an ask of ``node``."""
 
-    def granted(self, node: int, owner: int, customer: str, now_ms: float) -> int:
+    def record_grant(self, node: int, owner: int, customer: str, now_ms: float) -> int:
         """Note a grant to ``node``; return further messages."""
         self.log(owner, customer, now_ms).append(now_ms)
         return 0
 
     def admit(self, customer: Customer, node: int, now_ms: float) -> AdmissionResult:
-        world, messages, name = self._world, 0, customer.name
+        simulation, messages, name = self._simulation, 0, customer.name
         limit = _limit(customer)
-        for owner_name in self._route.owners_of(name, world.views[node]):
-            owner = world.names.index(owner_name)
+        for owner_name in self._route.owners_of(name, simulation.views[node]):
+            owner = simulation.names.index(owner_name)
             messages += 2 * (owner != node)
-            if owner != node and not world.reaches(node, owner):
+            if owner != node and not simulation.reaches(node, owner):
                 continue
-            if 2 * len(world.views[owner]) < len(world.names):
+            if 2 * len(simulation.views[owner]) < len(simulation.names):
                 continue
-            self.learn(node, owner, name, now_ms)
-            if self.used(owner, name, now_ms) + 1 > limit + _SLACK / 4:
+            self.receive_report(node, owner, name, now_ms)
+            if self.granted_count(owner, name, now_ms) + 1 > limit + _TOLERANCE_CALLS / 4:
                 return AdmissionResult(False, messages)
-            return AdmissionResult(True, messages + self.granted(node, owner, name, now_ms))
-        taken = self._allowances[node].try_acquire(customer, len(world.names), now_ms)
-        return AdmissionResult(taken, messages)
+            return AdmissionResult(True, messages + self.record_grant(node, owner, name, now_ms))
+        admitted = self._allowances[node].try_acquire(customer, len(simulation.names), now_ms)
+        return AdmissionResult(admitted, messages)
 
 
-class AskersReport(_LoggingOwners):
+class RequestersReport(_LoggingOwners):
     """Asks tell what the asker has used of late; an owner adds up what others granted."""
 
-    def __init__(self, world: FleetSimulation) -> None:
-        super().__init__(world)
-        size = len(world.names)
+    def __init__(self, simulation: FleetSimulation) -> None:
+        super().__init__(simulation)
+        size = len(simulation.names)
         # By asker: the times and owners of its grants, of which its asks give those of others.
-        self._own: list[dict[str, deque[tuple[float, int]]]] = [{} for _ in range(size)]
-        self._told: list[dict[tuple[str, int], list[float]]] = [{} for _ in range(size)]
+        self._own_grants: list[dict[str, deque[tuple[float, int]]]] = [{} for _ in range(size)]
+        self._reported: list[dict[tuple[str, int], list[float]]] = [{} for _ in range(size)]
 
     def start(self, node: int, now_ms: float) -> None:
         super().start(node, now_ms)
-        self._own[node], self._told[node] = {}, {}
+        self._own_grants[node], self._reported[node] = {}, {}
 
-    def learn(self, node: int, owner: int, customer: str, now_ms: float) -> None:
-        own = self._own[node].get(customer, ())
-        told = [at_ms for at_ms, by in own if by != owner]
-        self._told[owner][customer, node] = told
+    def receive_report(self, node: int, owner: int, customer: str, now_ms: float) -> None:
+        own = self._own_grants[node].get(customer, ())
+        reported = [at_ms for at_ms, by in own if by != owner]
+        self._reported[owner][customer, node] = reported
 
-    def used(self, node: int, customer: str, now_ms: float) -> int:
+    def granted_count(self, node: int, customer: str, now_ms: float) -> int:
         since_ms = now_ms - _WINDOW_MS
-        told = (
+        reported = (
             sum(at_ms > since_ms for at_ms in times)
-            for (name, _), times in self._told[node].items()
+            for (name, _), times in self._reported[node].items()
             if name == customer
         )
-        return super().used(node, customer, now_ms) + sum(told)
+        return super().granted_count(node, customer, now_ms) + sum(reported)
 
-    def granted(self, node: int, owner: int, customer: str, now_ms: float) -> int:
-        own = self._own[node].setdefault(customer, deque(maxlen=200))
+    def record_grant(self, node: int, owner: int, customer: str, now_ms: float) -> int:
+        own = self._own_grants[node].setdefault(customer, deque(maxlen=200))
         own.append((now_ms, owner))
-        return super().granted(node, owner, customer, now_ms)
+        return super().record_grant(node, owner, customer, now_ms)
 
 
 class OwnerReports(_LoggingOwners):
     """An owner tells its stand-in of its grants, up to ``_UNTOLD`` of them late."""
 
-    def __init__(self, world: FleetSimulation) -> None:
-        super().__init__(world)
-        self._untold: dict[tuple[int, str], list[float]] = {}
+    def __init__(self, simulation: FleetSimulation) -> None:
+        super().__init__(simulation)
+        self._unreported: dict[tuple[int, str], list[float]] = {}
 
     def start(self, node: int, now_ms: float) -> None:
         super().start(node, now_ms)
-        for key in [key for key in self._untold if key[0] == node]:
-            del self._untold[key]
-
-    def granted(self, node: int, owner: int, customer: str, now_ms: float) -> int:
-        super().granted(node, owner, customer, now_ms)
-        untold = self._untold.setdefault((owner, customer), [])
-        untold.append(now_ms)
-        if len(untold) < _UNTOLD:
+        for key in [key for key in self._unreported if key[0] == node]:
+            del self._unreported[key]
+
+    def record_grant(self, node: int, owner: int, customer: str, now_ms: float) -> int:
+        super().record_grant(node, owner, customer, now_ms)
+        unreported = self._unreported.setdefault((owner, customer), [])
+        unreported.append(now_ms)
+        if len(unreported) < _MAX_UNREPORTED_GRANTS:
             return 0
-        pair = self._route.owners_of(customer, self._world.views[owner])
+        pair = self._route.owners_of(customer, self._simulation.views[owner])
         for name in pair:
-            other = self._world.names.index(name)
-            if other != owner and self._world.reaches(owner, other):
+            other = self._simulation.names.index(name)
+            if other != owner and self._simulation.reaches(owner, other):
                 log_ms = self.log(other, customer, now_ms)
-                merged = sorted([*log_ms, *untold])
+                merged = sorted([*log_ms, *unreported])
                 log_ms.clear()
                 log_ms.extend(merged)
-        untold.clear()
+        unreported.clear()
         return 2
 
 
 class ShareByDemand:
     """Each node serves a part of the limit by the demand that nodes have told all others of."""
 
-    def __init__(self, world: FleetSimulation) -> None:
-        self._world = world
-        self._asked: dict[tuple[str, str, int], int] = {}
+    def __init__(self, simulation: FleetSimulation) -> None:
+        self._simulation = simulation
+        self._call_counts: dict[tuple[str, str, int], int] = {}
         self._buckets: dict[tuple[str, int, float], Bucket] = {}
 
     def admit(self, customer: Customer, node: int, now_ms: float) -> AdmissionResult:
-        world, asked, period = self._world, self._asked, int(now_ms / _TOLD_EACH_MS)
-        own = (customer.name, world.names[node], period)
-        first = own not in asked
-        asked[own] = asked.get(own, 0) + 1
-        names = world.views[node]
-        total = sum(asked.get((customer.name, name, period - 1), 0) for name in names)
-        demand = asked.get((customer.name, world.names[node], period - 1), 0)
-        even = 1.0 / len(names)
-        part = even if not total else max(demand / total, even / 2)
-        size = 1.0 + (customer.burst + _SLACK / 2) * part
-        terms = BucketTerms(customer.rate_per_s * part, size, size)
-        key = (customer.name, node, world.started_ms[node])
+        simulation, call_counts, period = (
+            self._simulation,
+            self._call_counts,
+            int(now_ms / _DEMAND_REPORT_INTERVAL_MS),
+        )
+        own = (customer.name, simulation.names[node], period)
+        first = own not in call_counts
+        call_counts[own] = call_counts.get(own, 0) + 1
+        names = simulation.views[node]
+        total = sum(call_counts.get((customer.name, name, period - 1), 0) for name in names)
+        demand = call_counts.get((customer.name, simulation.names[node], period - 1), 0)
+        even_share = 1.0 / len(names)
+        share = even_share if not total else max(demand / total, even_share / 2)
+        size = 1.0 + (customer.burst + _TOLERANCE_CALLS / 2) * share
+        terms = BucketTerms(customer.rate_per_s * share, size, size)
+        key = (customer.name, node, simulation.started_ms[node])
         bucket = self._buckets.setdefault(key, Bucket(size, now_ms))
         return AdmissionResult(bucket.try_acquire(terms, now_ms), (len(names) - 1) * first)
 
@@ -271,20 +275,22 @@
 class EvenParts:
     """Each node serves the same part of the limit and tells nobody anything."""
 
-    def __init__(self, world: FleetSimulation) -> None:
-        self._world = world
+    def __init__(self, simulation: FleetSimulation) -> None:
+        self._simulation = simulation
         self._allowances: dict[tuple[int, float], Allowances] = {}
 
     def admit(self, customer: Customer, node: int, now_ms: float) -> AdmissionResult:
-        key = (node, self._world.started_ms[node])
+        key = (node, self._simulation.started_ms[node])
         allowance = self._allowances.setdefault(key, Allowances())
-        return AdmissionResult(allowance.try_acquire(customer, len(self._world.names), now_ms), 0)
+        return AdmissionResult(
+            allowance.try_acquire(customer, len(self._simulation.names), now_ms), 0
+        )
 
 
-WAYS: dict[str, Callable[[FleetSimulation], Way]] = {
+STRATEGIES: dict[str, Callable[[FleetSimulation], Strategy]] = {
     "shares": BucketFleet,
     "one owner": SingleOwnerFleet,
-    "askers report": AskersReport,
+    "askers report": RequestersReport,
     "owner reports": OwnerReports,
     "demand": ShareByDemand,
     "even": EvenParts,
@@ -293,12 +299,12 @@
     Load("calm"),
     Load("hot", 5.6),
     Load("calm, a third restarts", 1.0, _restarts),
-    Load("calm, all keepers restart", 1.0, _keepers_restart),
+    Load("calm, all keepers restart", 1.0, _share_owners_restart),
     Load("hot, a third restarts", 5.6, _restarts),
-    Load("hot, all keepers restart", 5.6, _keepers_restart),
+    Load("hot, all keepers restart", 5.6, _share_owners_restart),
     Load("hot, 16 of 54 cut off", 5.6, _cut_off),
-    Load("hot, all keepers cut off", 5.6, _keepers_cut_off),
-    Load("hot, 16 cut off together", 5.6, _together),
+    Load("hot, all keepers cut off", 5.6, _share_owners_cut_off),
+    Load("hot, 16 cut off together", 5.6, _cut_off_together),
     Load("hot, halves", 5.6, _halves),
     Load("hot, second cut", 5.6, _second_cut),
     Load("hot, all lose power", 5.6, _power_loss),
@@ -330,8 +336,8 @@
     """Print the figures of each way, one JSON line each."""
     for seed in range(seeds):
         for load in LOADS:
-            for way in WAYS:
-                figures = run_way(way, load, nodes, customers, calls_per_s, seed)
+            for way in STRATEGIES:
+                figures = run_strategy(way, load, nodes, customers, calls_per_s, seed)
                 print(msgspec.json.encode(figures).decode())
 
 
@@ -340,7 +346,7 @@
     weights = [1.0 / (rank + 1) ** 0.8 for rank in range(count)]
     usual = [calls_per_s * weight / sum(weights) for weight in weights]
     return [
-        (Customer(f"customer-{rank}", _LIMIT_TIMES * rate, _LIMIT_TIMES * rate), rate)
+        (Customer(f"customer-{rank}", _LIMIT_FACTOR * rate, _LIMIT_FACTOR * rate), rate)
         for rank, rate in enumerate(usual)
     ]
 
@@ -353,65 +359,70 @@
     for number, (_, rate_per_s) in enumerate(customers):
         now_ms = 0.0
         while now_ms < _RUN_MS:
-            hot = number == _HOT and _HOT_MS[0] <= now_ms < _HOT_MS[1]
+            hot = number == _HOT_CUSTOMER_INDEX and _HOT_PERIOD_MS[0] <= now_ms < _HOT_PERIOD_MS[1]
             now_ms += rng.expovariate(rate_per_s * (load.times if hot else 1.0)) * 1000
             calls.append((now_ms, number))
     yield from sorted(calls)
 
 
-def run_way(
+def run_strategy(
     way: str, load: Load, nodes: int, customers: int, calls_per_s: float, seed: int
 ) -> Figures:
     """Play one load, by one way."""
     rng = random.Random(seed)
-    known = _customers(customers, calls_per_s)
+    customer_rates = _customers(customers, calls_per_s)
     names = [f"node-{number}" for number in range(nodes)]
-    hot = known[_HOT][0]
+    hot = customer_rates[_HOT_CUSTOMER_INDEX][0]
     owner = names.index(QuotaRoute().owners_of(hot.name, names)[0])
-    keepers = BucketFleet(FleetSimulation(nodes, (), rng)).share_owners(hot)
-    granting = list(dict.fromkeys([owner, *keepers]))
-    world = FleetSimulation(nodes, load.changes(nodes, granting, rng), rng)
-    fleet = WAYS[way](world)
-    owed: list[deque[float]] = [deque() for _ in known]
-    ran: list[list[float]] = [[] for _ in known]
-    refused = [0] * len(known)
-    messages = within = count = below = 0
-    for now_ms, number in _calls(known, load, rng):
-        customer = known[number][0]
-        world.advance(now_ms)
-        up = [node for node in range(nodes) if world.is_up(node)]
+    share_owners = BucketFleet(FleetSimulation(nodes, (), rng)).share_owners(hot)
+    granting = list(dict.fromkeys([owner, *share_owners]))
+    simulation = FleetSimulation(nodes, load.changes(nodes, granting, rng), rng)
+    fleet = STRATEGIES[way](simulation)
+    within_limit_ms: list[deque[float]] = [deque() for _ in customer_rates]
+    run_times_ms: list[list[float]] = [[] for _ in customer_rates]
+    refused = [0] * len(customer_rates)
+    messages = within = count = refused_below = 0
+    for now_ms, number in _calls(customer_rates, load, rng):
+        customer = customer_rates[number][0]
+        simulation.advance(now_ms)
+        up = [node for node in range(nodes) if simulation.is_up(node)]
         if not up:
             continue
-        is_owed = _is_owed(owed[number], customer, now_ms)
+        is_within_limit = _is_within_limit(within_limit_ms[number], customer, now_ms)
         admission = fleet.admit(customer, rng.choice(up), now_ms)
-        count, messages, within = count + 1, messages + admission.messages, within + is_owed
+        count, messages, within = count + 1, messages + admission.messages, within + is_within_limit
         if admission.admitted:
-            ran[number].append(now_ms)
+            run_times_ms[number].append(now_ms)
         else:
-            refused[number] += is_owed
-            in_window = len(ran[number]) - bisect_right(ran[number], now_ms - _WINDOW_MS)
-            below += in_window + 1 <= _limit(customer)
-    fullest = max(_fullest(times, known[number][0]) for number, times in enumerate(ran))
+            refused[number] += is_within_limit
+            in_window = len(run_times_ms[number]) - bisect_right(
+                run_times_ms[number], now_ms - _WINDOW_MS
+            )
+            refused_below += in_window + 1 <= _limit(customer)
+    fullest = max(
+        _window_utilization(times, customer_rates[number][0])
+        for number, times in enumerate(run_times_ms)
+    )
     return Figures(
         way,
         load.name,
         seed,
         round(100 * sum(refused) / within, 3),
-        refused[_HOT],
-        below,
+        refused[_HOT_CUSTOMER_INDEX],
+        refused_below,
         round(fullest, 3),
         round(messages / count, 2),
         getattr(fleet, "store_calls", 0),
     )
 
 
-def _is_owed(owed_ms: deque[float], customer: Customer, now_ms: float) -> bool:
+def _is_within_limit(counted_ms: deque[float], customer: Customer, now_ms: float) -> bool:
     """Whether a call is within its customer's limit by a sliding window; notes it if so."""
-    while owed_ms and owed_ms[0] <= now_ms - _WINDOW_MS:
-        owed_ms.popleft()
-    if len(owed_ms) + 1 > _limit(customer):
+    while counted_ms and counted_ms[0] <= now_ms - _WINDOW_MS:
+        counted_ms.popleft()
+    if len(counted_ms) + 1 > _limit(customer):
         return False
-    owed_ms.append(now_ms)
+    counted_ms.append(now_ms)
     return True
 
 
@@ -419,9 +430,9 @@
     return customer.rate_per_s * _WINDOW_MS / 1000 + customer.burst
 
 
-def _fullest(times_ms: list[float], customer: Customer) -> float:
+def _window_utilization(times_ms: list[float], customer: Customer) -> float:
     """Return the most that ran in a window over what may; above 1 a limit is broken."""
-    allowed = _limit(customer) * (1 + _OVER) + _SLACK
+    allowed = _limit(customer) * (1 + _TOLERANCE_SHARE) + _TOLERANCE_CALLS
     return busiest_window(times_ms, _WINDOW_MS)[0] / allowed
 
 
--- a/bench/reader_costs.py
+++ b/bench/reader_costs.py
@@ -26,7 +26,7 @@
 REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"
 HEADERS = [("transfer-encoding", "chunked")]
 NS_PER_US = 1000
-Way = Callable[[HttpConnection], Awaitable[None]]
+WriteMethod = Callable[[HttpConnection], Awaitable[None]]
 
 
 async def by_put(connection: HttpConnection) -> None:
@@ -65,7 +65,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def play(way: Way) -> float:
+async def measure_event_us(method: WriteMethod) -> float:
     """Return the CPU time of an event in microseconds."""
     near, far = trio.socket.socketpair()
     with near, far:
@@ -76,9 +76,9 @@
             head = await connection.next_head()
             connection.begin_body(head)
             await connection.send_events(h11.Response(status_code=200, headers=HEADERS))
-            began_ns = time.process_time_ns()
-            await way(connection)
-            used_ns += time.process_time_ns() - began_ns
+            started_ns = time.process_time_ns()
+            await method(connection)
+            used_ns += time.process_time_ns() - started_ns
             await connection.send_events(h11.EndOfMessage())
             os.read(far.fileno(), 65536)
             await connection.prepare_next()
@@ -87,16 +87,18 @@
 
 def main() -> None:
     """Print the cost of each way."""
-    ways: list[Way] = [by_send, by_writer_task]
+    methods: list[WriteMethod] = [by_send, by_writer_task]
     if hasattr(HttpConnection, "put_part"):
-        ways.insert(0, by_put)
-    found: dict[str, list[float]] = {}
+        methods.insert(0, by_put)
+    costs_by_method: dict[str, list[float]] = {}
     for _ in range(ROUNDS):
-        for way in ways:
-            found.setdefault(way.__name__, []).append(trio.run(play, way))
-    for name, costs in found.items():
-        least, median = min(costs), statistics.median(costs)
-        sys.stdout.write(f"{name:16} least {least:6.2f} us, median {median:6.2f} us an event\n")
+        for method in methods:
+            costs_by_method.setdefault(method.__name__, []).append(
+                trio.run(measure_event_us, method)
+            )
+    for name, costs in costs_by_method.items():
+        minimum, median = min(costs), statistics.median(costs)
+        sys.stdout.write(f"{name:16} least {minimum:6.2f} us, median {median:6.2f} us an event\n")
 
 
 if __name__ == "__main__":
--- a/bench/slow_peers.py
+++ b/bench/slow_peers.py
@@ -26,7 +26,11 @@
 BURSTS = (30, 120)
 # Those that take nothing leave after the deadline of a call.
 PATIENCE_MS = 5_000
-KINDS = (("stalled", 0.2, 0, 0), ("slow", 0.2, 20_000, 100_000), ("fast", 0.6, 300_000, 2_000_000))
+CLIENT_KINDS = (
+    ("stalled", 0.2, 0, 0),
+    ("slow", 0.2, 20_000, 100_000),
+    ("fast", 0.6, 300_000, 2_000_000),
+)
 
 
 class NewAreLast(HeldBytes):
@@ -71,7 +75,7 @@
 
     kind: str
     rate: float
-    left_bytes: int
+    remaining_bytes: int
     leaves_ms: float
 
 
@@ -79,51 +83,57 @@
     return (new_rate if peer.is_new(now_ms) else peer.rate(now_ms), -peer.held_bytes)
 
 
-def play(way: type[HeldBytes], seed: int, burst_clients: int) -> tuple[Counter[str], Counter[str]]:
+def play(
+    policy: type[HeldBytes], seed: int, burst_clients: int
+) -> tuple[Counter[str], Counter[str]]:
     """Return by kind how many clients came, and how many were cut off."""
     rng = random.Random(seed)
-    held = way(BOUNDS)
+    held = policy(BOUNDS)
     clients: dict[int, Client] = {}
-    came: Counter[str] = Counter()
-    cut: Counter[str] = Counter()
+    arrived: Counter[str] = Counter()
+    disconnected: Counter[str] = Counter()
 
     def arrive(kind: str, rate: float, now_ms: float) -> None:
-        number = sum(came.values())
-        came[kind] += 1
+        number = sum(arrived.values())
+        arrived[kind] += 1
         size_bytes = int(15_000 * (870 / 15) ** rng.random())
         clients[number] = Client(kind, rate, size_bytes, now_ms + PATIENCE_MS)
         for slowest in held.hold(number, size_bytes, now_ms):
-            cut[clients.pop(slowest).kind] += 1
+            disconnected[clients.pop(slowest).kind] += 1
 
     for now_ms in range(0, SPAN_MS, STEP_MS):
         for number, client in list(clients.items()):
-            taken_bytes = min(int(client.rate * STEP_MS / 1000), client.left_bytes)
-            client.left_bytes -= taken_bytes
-            held.record_released(number, taken_bytes, now_ms)
-            if not client.left_bytes or (not client.rate and now_ms >= client.leaves_ms):
+            read_bytes = min(int(client.rate * STEP_MS / 1000), client.remaining_bytes)
+            client.remaining_bytes -= read_bytes
+            held.record_released(number, read_bytes, now_ms)
+            if not client.remaining_bytes or (not client.rate and now_ms >= client.leaves_ms):
                 held.forget(number)
                 del clients[number]
         if rng.random() < ARRIVALS_PER_S * STEP_MS / 1000:
-            [kind] = rng.choices(KINDS, [share for _, share, _, _ in KINDS])
+            [kind] = rng.choices(CLIENT_KINDS, [share for _, share, _, _ in CLIENT_KINDS])
             arrive(kind[0], rng.uniform(kind[2], kind[3]), now_ms)
         if now_ms % BURST_EVERY_MS == 0:
             for _ in range(burst_clients):
                 arrive("stalled", 0.0, now_ms)
-    return came, cut
+    return arrived, disconnected
 
 
 def main() -> None:
     """Print how many of each kind were cut off, over all seeds."""
-    ways = (HeldBytes, NewAreLast, NewAreFirst, NewAreTypical, LargestFirst, OldestFirst)
+    policies = (HeldBytes, NewAreLast, NewAreFirst, NewAreTypical, LargestFirst, OldestFirst)
     for burst_clients in BURSTS:
-        for way in ways:
-            came: Counter[str] = Counter()
-            cut: Counter[str] = Counter()
+        for policy in policies:
+            arrived: Counter[str] = Counter()
+            disconnected: Counter[str] = Counter()
             for seed in SEEDS:
-                for total, part in zip((came, cut), play(way, seed, burst_clients), strict=True):
+                for total, part in zip(
+                    (arrived, disconnected), play(policy, seed, burst_clients), strict=True
+                ):
                     total.update(part)
-            shares = "  ".join(f"{kind} {cut[kind]}/{came[kind]}" for kind, *_ in KINDS)
-            sys.stdout.write(f"bursts of {burst_clients:<5}{way.__name__:15}{shares}\n")
+            shares = "  ".join(
+                f"{kind} {disconnected[kind]}/{arrived[kind]}" for kind, *_ in CLIENT_KINDS
+            )
+            sys.stdout.write(f"bursts of {burst_clients:<5}{policy.__name__:15}{shares}\n")
 
 
 if __name__ == "__main__":
--- a/bench/stops.py
+++ b/bench/stops.py
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class _Results:
-    asked: int = 0
+    requests: int = 0
     served_by_leaving: int = 0
     problems: Counter[str] = field(default_factory=Counter)
     leaving: set[str] = field(default_factory=set)
@@ -83,27 +83,29 @@
 async def _call_forever(system: LocalSystem, results: _Results, rng: random.Random) -> None:
     """Be one caller; its connections are its own."""
     http = HttpClient()
-    answer: list[str] = []
+    entries: list[str] = []
     expires_s = 0.0
     while True:
-        if not answer or trio.current_time() >= expires_s:
-            asked_s = trio.current_time()
-            known = Address.parse(answer[0]) if answer else system.entry_address
-            named = await _named(http, known, system.entry_address)
-            answer = [entry.address for entry in named.entries]
+        if not entries or trio.current_time() >= expires_s:
+            requested_s = trio.current_time()
+            current_entry = Address.parse(entries[0]) if entries else system.entry_address
+            response_entries = await _fetch_entries(http, current_entry, system.entry_address)
+            entries = [entry.address for entry in response_entries.entries]
             # Counted from before the question: the answer may have been long on its way.
-            expires_s = asked_s + named.valid_for_ms / 1000
+            expires_s = requested_s + response_entries.valid_for_ms / 1000
             continue
-        results.asked += 1
-        results.served_by_leaving += answer[0] in results.leaving
-        problem = await _stream(http, Address.parse(answer[0]), rng)
+        results.requests += 1
+        results.served_by_leaving += entries[0] in results.leaving
+        problem = await _stream(http, Address.parse(entries[0]), rng)
         if problem:
             results.problems[problem] += 1
         await trio.sleep(rng.uniform(0, 0.05))
 
 
-async def _named(http: HttpClient, known: Address, first: Address) -> EntriesAnswer:
-    for address in (known, first):
+async def _fetch_entries(
+    http: HttpClient, current_entry: Address, fallback_entry: Address
+) -> EntriesAnswer:
+    for address in (current_entry, fallback_entry):
         try:
             async with http.request(address, "GET", "/v1/entries") as response:
                 if response.status == 200:
@@ -174,7 +176,9 @@
     count = int(sys.argv[1]) if len(sys.argv) > 1 else _STOPS
     results = trio.run(measure_stops, count)
     print(f"{len(results.stop_s)} stops, {max(results.stop_s):.1f} s the longest")
-    print(f"{results.asked} requests, {results.served_by_leaving} of them sent to a leaving entry")
+    print(
+        f"{results.requests} requests, {results.served_by_leaving} of them sent to a leaving entry"
+    )
     print(f"{results.problems.total()} cut or refused {dict(results.problems)}")
 
 
--- a/bench/virtual.py
+++ b/bench/virtual.py
@@ -74,7 +74,7 @@
         tokens = attempt.prompt_tokens + attempt.resumed_tokens
         cached = attempt.prompt_tokens if attempt.prompt_key in self._cache else 0
         self._model.admit(Sequence(attempt.attempt_id, tokens, attempt.answer_tokens, cached))
-        self._go_on()
+        self._schedule_step()
 
     def cancel(self, attempt_id: str) -> None:
         self._attempts.pop(attempt_id, None)
@@ -95,7 +95,7 @@
             self._reports.pop(0)
         return self._reports[0][1:] if self.alive else None
 
-    def _go_on(self) -> None:
+    def _schedule_step(self) -> None:
         if not self._stepping and not self._model.is_idle:
             self._stepping = True
             result = self._model.step()
@@ -103,26 +103,26 @@
 
     def _finish_step(self, produced: tuple[Sequence, ...]) -> None:
         self._stepping = False
-        told: list[tuple[Attempt, bool]] = []
+        notifications: list[tuple[Attempt, bool]] = []
         for sequence in produced:
             attempt = self._attempts.get(sequence.sequence_id)
             if attempt is not None:
-                self._keep_prompt(attempt)
-                told.append((attempt, sequence.is_finished))
+                self._cache_prompt(attempt)
+                notifications.append((attempt, sequence.is_finished))
                 if sequence.is_finished:
                     del self._attempts[sequence.sequence_id]
-        self.loop.after(self.hop_ms, _tell, told)
-        self._go_on()
+        self.loop.after(self.hop_ms, _notify_callers, notifications)
+        self._schedule_step()
 
-    def _keep_prompt(self, attempt: Attempt) -> None:
+    def _cache_prompt(self, attempt: Attempt) -> None:
         if attempt.prompt_key and attempt.prompt_key not in self._cache:
             self._cache[attempt.prompt_key] = None
             if len(self._cache) > self.cached_prompts:
                 self._cache.popitem(last=False)
 
 
-def _tell(told: list[tuple[Attempt, bool]]) -> None:
-    for attempt, finished in told:
+def _notify_callers(notifications: list[tuple[Attempt, bool]]) -> None:
+    for attempt, finished in notifications:
         attempt.tokens += 1
         attempt.on_token()
         if finished:
--- a/bench/worth.py
+++ b/bench/worth.py
@@ -11,11 +11,11 @@
 
 import msgspec
 
-__all__ = ["DayWorth", "ScoreEntry", "compare", "table"]
+__all__ = ["DayWorth", "ScoreEntry", "compare", "format_table"]
 
 _JOURNAL = Path(__file__).resolve().parent.parent / "journal"
 # Days that were drawn for one score only, which no other score has.
-_DRAWN = "fresh-"
+_SINGLE_SCORE_PREFIX = "fresh-"
 
 
 class DayWorth(msgspec.Struct, rename={"worth": "G"}):
@@ -56,7 +56,7 @@
     histories: dict[tuple[str, str], _History] = {}
     for score in scores:
         for day in score.days:
-            if day.name.startswith(_DRAWN):
+            if day.name.startswith(_SINGLE_SCORE_PREFIX):
                 continue
             history = histories.setdefault((score.site or "", day.name), _History())
             history.worths.append(day.worth)
@@ -64,7 +64,7 @@
     return histories
 
 
-def table(histories: dict[tuple[str, str], _History]) -> str:
+def format_table(histories: dict[tuple[str, str], _History]) -> str:
     """Return a row for each day: first, best and last worth, and days with a broken rule."""
     rows = [f"{'site':14} {'day':10} {'first':>7} {'best':>7} {'last':>7} {'broken':>7}"]
     for (site, day), history in sorted(histories.items()):
@@ -79,7 +79,7 @@
     if not scores:
         print(f"no score in {_JOURNAL}", file=sys.stderr)
         return 1
-    print(table(compare(scores)))
+    print(format_table(compare(scores)))
     return 0
 
 
--- a/tests/day_account.py
+++ b/tests/day_account.py
@@ -35,7 +35,7 @@
         return self.fields.get("message_type", "")
 
     @property
-    def began_s(self) -> float:
+    def started_s(self) -> float:
         return self.at_s - self.fields.get("took_ms", 0.0) / 1000
 
 
@@ -78,22 +78,22 @@
             self._add_run(line)
 
     def _add_call(self, line: LogLine) -> None:
-        for window, share_s in self._spread(line):
+        for window, share_s in self._split_by_window(line):
             window.online_s += share_s
         arrived_s = line.at_s - line.fields["since_receipt_ms"] / 1000
         window = self._window(arrived_s)
         window.calls += 1
-        window.long_waits += (line.began_s - arrived_s) * 1000 > _LONG_WAIT_MS
+        window.long_waits += (line.started_s - arrived_s) * 1000 > _LONG_WAIT_MS
 
     def _add_run(self, line: LogLine) -> None:
-        for window, share_s in self._spread(line):
+        for window, share_s in self._split_by_window(line):
             window.batch_s += share_s
         self._window(line.at_s).ends[line.fields["attempt_end"]] += 1
         self._runs[line.fields["item_id"]] += 1
 
-    def _spread(self, line: LogLine) -> Iterator[tuple[_Window, float]]:
+    def _split_by_window(self, line: LogLine) -> Iterator[tuple[_Window, float]]:
         """Yield the windows that a run lies in, with the seconds that lie in each."""
-        at_s = line.began_s
+        at_s = line.started_s
         while at_s < line.at_s:
             number = int(at_s // self._length_s)
             end_s = min(line.at_s, (number + 1) * self._length_s)
--- a/tests/test_quota_shares.py
+++ b/tests/test_quota_shares.py
@@ -6,7 +6,7 @@
 
 from hypothesis import given, settings
 
-from bench.quota_ways import LOADS, run_way
+from bench.quota_ways import LOADS, run_strategy
 from fescuedock.core.customers import Customer
 from tests.builders.quota_fleet import BucketFleet, Change, FleetSimulation, busiest_window
 from tests.builders.quota_single_owner import SingleOwnerFleet
@@ -159,7 +159,7 @@
         number of calls refused before the limit had been used.
         """
         [load] = [load for load in LOADS if load.name == load_name]
-        figures = [run_way(policy, load, NODES, 74, 141.0, seed) for seed in self.SEEDS]
+        figures = [run_strategy(policy, load, NODES, 74, 141.0, seed) for seed in self.SEEDS]
         within_pct = sum(item.refused_within_limit_pct for item in figures) / len(figures)
         return within_pct, sum(item.refused_below for item in figures) / len(figures)
 
--- a/tests/test_worth_table.py
+++ b/tests/test_worth_table.py
@@ -5,7 +5,7 @@
 import unittest
 from pathlib import Path
 
-from bench.worth import compare, read_scores, table
+from bench.worth import compare, format_table, read_scores
 
 
 def entry(at: str, cmd: str = "score", **worths: float) -> str:
@@ -25,7 +25,7 @@
             (folder / "d.json").write_text(entry("4", cmd="run", quiet=0.2))
             histories = compare(read_scores(folder))
         self.assertEqual(list(histories), [("manizales", "quiet")])
-        row = table(histories).splitlines()[1].split()
+        row = format_table(histories).splitlines()[1].split()
         self.assertEqual(row, ["manizales", "quiet", "0.900", "0.900", "0.800", "0"])
 
 
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -34,7 +34,7 @@
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 LOGS = ROOT / "test-logs"
 # More than this many known faults are to be mended first.
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 _SEPARATOR = " | "
 # These take longest, and so begin first.
 _LONG_MODULES = (
@@ -67,8 +67,8 @@
         if len(fields) != len(KnownRed.__struct_fields__):
             raise ValueError(f"a line of KNOWN-RED.txt has {len(fields)} fields: {line!r}")
         found.append(KnownRed(*fields))
-    if len(found) > MOST_KNOWN_RED:
-        raise ValueError(f"KNOWN-RED.txt lists {len(found)} tests, {MOST_KNOWN_RED} at most may be")
+    if len(found) > MAX_KNOWN_RED:
+        raise ValueError(f"KNOWN-RED.txt lists {len(found)} tests, {MAX_KNOWN_RED} at most may be")
     return found
 
 
