--- a/bench/batch.py
+++ b/bench/batch.py
@@ -1,10 +1,10 @@
-"""What batch work costs and how fast it goes.
+"""Measure the cost and throughput of batch work.
 
     make bench-batch                      all but the large job, about a minute
     python -m bench.batch --items=110000  the large job alone, for its memory
 
-Whole jobs run through ``fescuedock local`` on sockets: six stand-in engines, three VMs and this
-bench share one process and so one core.  Costs for each item come from the runner's own code in
+Complete jobs run through ``fescuedock local`` on sockets: six stand-in engines, three VMs and this
+bench share one process and therefore one core.  Costs per item come from the runner's own code in
 virtual time (``bench.batch_lean``).
 """
 
@@ -91,7 +91,7 @@
 
 
 def main() -> None:
-    """Run what the command line asks for."""
+    """Run the sections selected by the command line."""
     for argument in sys.argv[1:]:
         name, _, value = argument.partition("=")
         if name != "--items":
--- a/bench/batch_fleet.py
+++ b/bench/batch_fleet.py
@@ -1,4 +1,4 @@
-"""Whole jobs through a local system on sockets, and the same items straight at its engines."""
+"""Run jobs through a local system on sockets, or their items directly on its engines."""
 
 import tempfile
 from collections.abc import AsyncIterator
@@ -22,7 +22,7 @@
 PATH = "/v1/completions"
 MAX_TOKENS = 16
 POLL_S = 0.05
-# Slow enough that the engines, and not this process's one core, are the limit.
+# Slow enough that the engines are the bottleneck, not the one core of this process.
 STEP_MS = 60.0
 MAX_SEQUENCES = 16
 _BOUNDARY = "fescuedock-bench"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobFigures:
-    """One job: how long it took from its submission until it was whole, and what it cost."""
+    """Time from the submission of a job to its completion, and its cost."""
 
     items: int
     failed: int
@@ -44,7 +44,7 @@
 
 @asynccontextmanager
 async def open_bench_system() -> AsyncIterator[LocalSystem]:
-    """Run a local system whose engines are slow and take few sequences."""
+    """Run a local system whose engines are slow and admit few sequences."""
     slow = replace_fields(standin_settings(), step_ms=STEP_MS, max_sequences=MAX_SEQUENCES)
     with (
         tempfile.TemporaryDirectory(prefix="fescuedock-bench-") as folder,
@@ -55,9 +55,9 @@
 
 
 def job_lines(items: int, bad_every: int, salt: str) -> list[bytes]:
-    """Return lines of which each ``bad_every``-th one cannot be done; 0 for none.
+    """Return input lines of which each ``bad_every``-th one cannot succeed; 0 for none.
 
-    They take turns in being refused for good and in failing on each attempt.
+    These lines alternate between a permanent refusal and a failure on each attempt.
     """
     lines = []
     for number in range(items):
@@ -71,7 +71,7 @@
 
 
 async def run_job(system: LocalSystem, lines: list[bytes]) -> JobFigures:
-    """Submit a job and wait until it is whole."""
+    """Submit a job and wait until it is completed."""
     file_id = await _upload(system, b"\n".join(lines))
     job_request = {"input_file_id": file_id, "endpoint": PATH, "completion_window": "24h"}
     puts_before = system.standins.kv.faults.calls[CallKind.PUT]
@@ -88,7 +88,7 @@
 
 
 async def run_direct(system: LocalSystem, lines: list[bytes]) -> float:
-    """Return the items per second of the engines alone, each kept full by closed loops."""
+    """Return the items per second of the engines without our system, saturated by closed loops."""
     client = EngineClient(system.http)
     waiting = list(enumerate(lines))
     started_s = trio.current_time()
--- a/bench/batch_lean.py
+++ b/bench/batch_lean.py
@@ -1,8 +1,8 @@
-"""One job through the runner's own code in virtual time, with platform, stores and upstreams faked.
+"""Run one job through the shipped runner in virtual time with fake platform, stores and upstreams.
 
-The job's state machine, its task, the scheduler and the record's encoding are those that ship.
-Stores count bytes and forget them, so that memory is the runner's alone; upstreams answer after a
-tenth of a second of virtual time.
+The job's state machine, its task, the scheduler and the record's encoding are the shipped ones.
+Stores count bytes and discard them, so that the memory measured is that of the runner; upstreams
+answer after about a tenth of a second of virtual time.
 """
 
 import itertools
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeanJob:
-    """What is run."""
+    """Parameters of the job."""
 
     items: int
     line_bytes: int
@@ -52,7 +52,7 @@
 
 @dataclass(slots=True)
 class LeanResult:
-    """What it cost.  Bytes count every copy that the settings ask for."""
+    """Costs of the job; byte counts include every copy that the settings require."""
 
     kv_calls: int = 0
     record_bytes: int = 0
@@ -65,7 +65,7 @@
 
 
 class CountingKv(MemoryKv):
-    """Also counts the bytes of records written."""
+    """A key-value service that also counts the bytes of the records written."""
 
     def __init__(self, result: LeanResult) -> None:
         super().__init__()
@@ -77,14 +77,14 @@
         self._result.record_bytes = max(self._result.record_bytes, len(value))
         self._result.kv_bytes += len(value)
         done = await super().put_if(key, value, expected_revision, lease_id=lease_id)
-        # The stand-in keeps the past of each key; the service's memory is not the runner's.
+        # Drops the stand-in's history of each key, whose memory is not the runner's.
         self.state._history.clear()
         return done
 
 
 @dataclass(slots=True)
 class ForgetfulStores:
-    """Takes segments and log records, makes input on demand; keeps the log only if asked to."""
+    """Discards segments, generates input on demand, and holds the log only with ``retain_log``."""
 
     job: LeanJob
     result: LeanResult
@@ -168,7 +168,7 @@
         return job_key(PlatformSettings("127.0.0.1:1", "127.0.0.1:1").key_prefix, JOB_ID)
 
     async def accept(self) -> None:
-        """Make the job's record and its entry in the index."""
+        """Write the job's record and its entry in the index."""
         prefix = PlatformSettings("127.0.0.1:1", "127.0.0.1:1").key_prefix
         await self.kv.put_if(self.key, encode_record(_record(self.job)), 0)
         await self.kv.put_if(open_job_key(prefix, JOB_ID), b"", 0)
@@ -176,7 +176,7 @@
         self.result.kv_bytes = 0
 
     async def run(self, kill_after: int = 0) -> None:
-        """Run the job with a new runner; with ``kill_after``, until so many attempts began."""
+        """Run the job with a new runner; with ``kill_after``, stop it at that total of attempts."""
         self.runners += 1
         context = self._context()
         run = JobRun(JOB_ID, str(context.name), self.job.settings, context.random)
@@ -192,7 +192,7 @@
     async def _dispatch(
         self, context: RunnerContext, task: JobTask, kill_after: int, nursery: trio.Nursery
     ) -> None:
-        """Start every item that may run, as if each permit were granted at once."""
+        """Start every runnable item, as if each permit were granted immediately."""
         answer = msgspec.json.encode({"text": "y" * self.job.answer_bytes})
         for upstream in itertools.cycle(f"u{number}" for number in range(UPSTREAMS)):
             assignment = context.scheduler.claim(SERVICE, upstream, lambda _name: 1.0, now_ms())
@@ -208,7 +208,7 @@
     async def _run_item(
         self, context: RunnerContext, task: JobTask, assignment: Assignment, answer: bytes
     ) -> None:
-        # Spread, so that items do not end all at once.
+        # Random durations, so that items do not all end at the same time.
         await trio.sleep(ITEM_S * context.random.uniform(0.5, 1.5))
         context.scheduler.on_ended(assignment, now_ms())
         end = AttemptEnd(EndKind.DONE, 200, answer)
@@ -252,7 +252,7 @@
 
 
 def run_killed(job: LeanJob, kill_after: int) -> int:
-    """Kill the runner once, let another finish; returns how many items ran again."""
+    """Kill the runner once, finish with another; return the number of repeated attempts."""
 
     async def run() -> int:
         fleet = LeanFleet(job, retain_log=True)
--- a/bench/batch_slopes.py
+++ b/bench/batch_slopes.py
@@ -1,7 +1,7 @@
 """Slopes of the batch runner: ``python -m bench.batch_slopes [--record]``.
 
-The shipped runner works through jobs in virtual time with everything around it faked
-(``bench.batch_lean``), so that processor time and memory are the runner's own.
+The shipped runner processes jobs in virtual time against fakes (``bench.batch_lean``), so that
+processor time and memory are those of the runner.
 """
 
 import sys
@@ -21,7 +21,7 @@
 
 
 def main() -> None:
-    """Run a job for the slopes and the largest one for its memory."""
+    """Run one job for the slopes and a larger one for its memory."""
     started_s = time.process_time()
     result = run_lean(_job(_ITEMS))
     item_us = (time.process_time() - started_s) * 1e6 / _ITEMS
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,6 +1,6 @@
 """Recompute the tables of ``docs/CAPACITY.md`` from ``bench/slopes.json``: ``make capacity``.
 
-With ``--check`` nothing is written, and a page that is not current ends the program with 1.
+With ``--check`` it writes nothing and exits with 1 if the page is out of date.
 """
 
 import re
@@ -29,7 +29,7 @@
 
 
 def main() -> int:
-    """Fill the page, or check it; returns the exit code."""
+    """Update the page, or check it; return the exit code."""
     text = PAGE.read_text(encoding="utf-8")
     filled = filled_page(text, read_slopes())
     if filled == text:
@@ -44,7 +44,7 @@
 
 
 def filled_page(text: str, slopes: dict[str, Slope]) -> str:
-    """Return ``text`` with every marked table made anew; ``KeyError`` names a missing slope."""
+    """Return ``text`` with every marked table recomputed; ``KeyError`` names a missing slope."""
     target, assumed = Target(), Assumptions()
     tables = {
         "slopes": _slopes_table(slopes),
@@ -116,7 +116,7 @@
 
 
 def _scale_table(slopes: dict[str, Slope]) -> str:
-    """Return what one node and the key-value service carry as work and fleet grow together."""
+    """Return the loads of one node and the key-value service as load and fleet scale together."""
     rows = []
     for scale in _SCALES:
         target = _scaled(scale)
--- a/bench/capacity_model.py
+++ b/bench/capacity_model.py
@@ -1,4 +1,4 @@
-"""The target's sizes, what we assume about them, and the load that each mechanism then carries.
+"""Target sizes, assumptions, and the resulting load of each mechanism.
 
 Pure arithmetic on measured slopes: ``bench.capacity`` prints it into ``docs/CAPACITY.md``.
 """
@@ -14,16 +14,16 @@
 __all__ = ["Assumptions", "Load", "Target", "control_loads", "data_loads", "kv_loads", "total"]
 
 _DAY_S = 86400
-# As the shipped scanner reads the index.
+# Page size and interval of the shipped scanner of the job index.
 _PAGE_KEYS = 1000
 _SCAN_S = 10
-# Of bench.fleet's section kv.
+# Failure domains in the section kv of bench.fleet.
 _MEASURED_DOMAINS = 7
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """What the users ask for in about two years."""
+    """The load that the users require in about two years."""
 
     nodes: int = 370
     upstreams: int = 690
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Assumptions:
-    """What the target leaves open; each is named on the page."""
+    """Values that the target leaves open; the capacity page names each."""
 
     batch_hours: float = 8
     online_tokens: float = 100
@@ -54,7 +54,7 @@
     result_bytes: float = 1000
     copies: int = 3
     renewals_per_validity: int = 3
-    # 0 takes what the shipped policy gives a fleet of the target's size.
+    # 0 uses the validity of the shipped policy for a fleet of the target's size.
     permit_valid_ms: float = 0
     load_poll_ms: float = 500
     load_page_bytes: float = 1000
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What one mechanism costs one node, or the key-value service, each second at the peak."""
+    """The load of one mechanism on one node or the key-value service per second at the peak."""
 
     mechanism: str
     per_s: float
@@ -91,7 +91,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Peak:
-    """Rates at the peak, of the whole fleet."""
+    """Peak rates; of the entire fleet unless the name says per node."""
 
     items_per_s: float
     permit_requests_per_node_s: float
@@ -116,12 +116,13 @@
 
 
 def control_loads(target: Target, assumed: Assumptions, slopes: Mapping[str, Slope]) -> list[Load]:
-    """Return the control work of one node: what it does as holder and as owner of permits."""
+    """Return the control load of one node, as holder and owner of permits."""
     value = {name: slope.value for name, slope in slopes.items()}
     peak = _peak(target, assumed)
     permit_requests = peak.permit_requests_per_node_s
     held = (peak.online_in_flight + peak.batch_in_flight) / target.nodes
-    # With far more owners than permits held, nearly every permit has an owner to itself.
+    # A node holds few permits compared to the number of owners, so each renewal message carries
+    # about one permit.
     valid_ms = assumed.permit_valid_ms or validity_ms(AgentSettings(port=0), target.nodes)
     renewals = held * assumed.renewals_per_validity / (valid_ms / 1000)
     polls = target.upstreams / target.nodes / (assumed.load_poll_ms / 1000)
@@ -168,7 +169,7 @@
 
 
 def data_loads(target: Target, assumed: Assumptions, slopes: Mapping[str, Slope]) -> list[Load]:
-    """Return the data work of one node at the peak, if it is spread evenly."""
+    """Return the data load of one node at the peak, assuming an even distribution."""
     value = {name: slope.value for name, slope in slopes.items()}
     peak = _peak(target, assumed)
     requests = target.requests_per_s / target.nodes
@@ -225,7 +226,7 @@
 
 
 def _group_interval_s(items_per_s: float) -> float:
-    """Return the time between two commits of a job that ends so many items a second."""
+    """Return the time between two commits of a job that completes ``items_per_s``."""
     settings = BatchSettings(port=0)
     full_s = settings.group_items / items_per_s
     aged_s = max(settings.group_age_ms / 1000, settings.group_min_items / items_per_s)
@@ -233,7 +234,7 @@
 
 
 def kv_loads(target: Target, assumed: Assumptions, slopes: Mapping[str, Slope]) -> list[Load]:
-    """Return calls on the key-value service from the whole fleet; ``bytes_per_s`` is left 0."""
+    """Return key-value calls of the entire fleet; ``bytes_per_s`` is 0."""
     value = {name: slope.value for name, slope in slopes.items()}
     peak = _peak(target, assumed)
     jobs = target.jobs_per_day / (assumed.batch_hours * 3600)
--- a/bench/config_spread.py
+++ b/bench/config_spread.py
@@ -1,9 +1,9 @@
-"""How fast a configuration version spreads, and what it costs, as the fleet grows.
+"""Measure how fast a configuration version spreads, and at what cost, as the fleet grows.
 
-Joins the shipped ``ConfigNode`` objects by a plain loop that delays and drops their messages, in
-virtual time.  Membership is stood for by one probe a second from each VM to another at random,
-which tells both their versions.  Run it with ``python -m bench.config_spread``;
-with ``--record`` it only records its slopes.
+An event loop in virtual time connects the shipped ``ConfigNode`` objects and delays and drops their
+messages.  Membership is simulated by one probe per second from each VM to a random other, which
+exchanges their versions.  Run it with ``python -m bench.config_spread``; with ``--record`` it only
+records its slopes.
 """
 
 import heapq
@@ -32,7 +32,7 @@
 DAY_S = 86400
 # TCP, IP and ZeroMQ headers and acknowledgements of one message, and its digest.
 OVERHEAD_BYTES = 150
-# Request and answer of one call to the key-value service that reads no value.
+# Request and response of one key-value call that reads no value.
 KV_CALL_BYTES = 700
 PROBE_MS = 1000.0
 
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """Nodes, a queue of events by time, and counts."""
+    """Simulated nodes, an event queue in order of time, and traffic counts."""
 
     size: int
     network: Network
@@ -93,7 +93,7 @@
             self.at(self.now_ms + self.rng.uniform(0.5, 1.5), deliver)
 
     def probe(self, node: ConfigNode) -> None:
-        """Stand for a probe of membership and its answer; their bytes are membership's."""
+        """Simulate a membership probe and its answer; their bytes are not counted here."""
         other = self.rng.choice(self.nodes)
         for sender, receiver in ((node, other), (other, node)):
             if self.rng.random() >= self.network.loss:
@@ -158,7 +158,7 @@
         self.send(len(msgspec.msgpack.encode(message)), arrive)
 
     def change(self, number: int, *, acceptor_dies: bool = False) -> float:
-        """Accept one patch at a VM picked at random; return the time until all have it."""
+        """Accept one patch at a random VM; return the time until all have the version."""
         newest = max(self.nodes, key=lambda node: node.version).replica.record
         request = member_patch(newest.version, f"patch-{number}-0123456789abcdef")
         record, delta = apply_request(newest, request, 0).unwrap()
@@ -182,7 +182,7 @@
 
 
 def measure(fleet: Fleet, *, acceptor_dies: bool = False) -> tuple[list[float], float]:
-    """Return the spread times of the changes, and the bytes for each node and change."""
+    """Return the spread times of the changes, and the bytes per node and change."""
     fleet.run_until(10000)
     times: list[float] = []
     spread_bytes = 0
@@ -235,7 +235,7 @@
 
 
 def print_sizes() -> None:
-    """Print the sizes and CPU times of a full fleet's record."""
+    """Print the sizes and CPU times of the record of the largest configuration."""
     document = config_document(members=2700, models=35, keys=2)
     record, _ = apply_request(
         Fleet(1, Network()).nodes[0].replica.record, PatchRequest(0, "all", document), 0
@@ -259,7 +259,7 @@
 
 
 def record_costs() -> None:
-    """Record what one change costs one VM of the target's fleet."""
+    """Record the cost of one change for one VM of the largest fleet."""
     _, change_bytes = measure(Fleet(FLEETS[-1], Network()))
     document = config_document(members=2700, models=35, keys=2)
     replica = Fleet(1, Network()).nodes[0].replica
--- a/bench/engine_cost.py
+++ b/bench/engine_cost.py
@@ -1,10 +1,10 @@
-"""What our clients cost: CPU per streamed token of the engine client, and per key-value call.
+"""Measure the CPU time of the clients: per streamed token of an engine, and per key-value call.
 
     python -m bench.engine_cost [--record]
 
-Each figure is CPU time of this process, the least and the median of interleaved rounds; on a busy
-machine the least is the one to compare.  Both ends run in it, so the other end's share is measured
-by itself (``raw`` rows: a bare socket read of the same bytes) and taken off.
+Each figure is CPU time of this process, as minimum and median of interleaved rounds; on a busy
+machine compare the minimum.  Both ends run in this process, so the cost of the server end is
+measured separately (``raw`` rows: a plain socket read of the same bytes) and subtracted.
 """
 
 import base64
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class ReadPacer:
-    """Lets the server send a token only when the client has the one before."""
+    """Delays each token of the server until the client has read the previous one."""
 
     has_read: trio.Event
 
@@ -58,7 +58,7 @@
 
 
 def token_events() -> list[bytes]:
-    """Return the events of an answer of ``TOKENS`` tokens, as the stand-in engine forms them."""
+    """Return the events of an answer of ``TOKENS`` tokens in the stand-in engine's format."""
     shape = AnswerShape(read_request(PATH, BODY, "attempt"), created_s=1)
     return [shape.token_event(text) for text in token_texts("hello", 0, TOKENS)]
 
@@ -78,7 +78,7 @@
 
 
 async def read_raw(address: Address, pacer: ReadPacer) -> int:
-    """Read the answer with a bare socket and count the reads that brought tokens."""
+    """Read the answer with a plain socket and count the reads that contained tokens."""
     stream = await trio.open_tcp_stream(address.host, address.port)
     await stream.send_all(b"POST / HTTP/1.1\r\n\r\n")
     count = 0
@@ -127,13 +127,13 @@
 
 
 async def serve_kv_canned(stream: trio.SocketStream) -> None:
-    """Answer every request, which comes in one piece, with the same entry."""
+    """Answer every read, which holds one complete request, with the same entry."""
     while await stream.receive_some(65536):
         await stream.send_all(KV_ANSWER)
 
 
 async def call_raw(address: Address) -> None:
-    """Exchange the bytes of the calls with a bare socket."""
+    """Exchange the bytes of the calls with a plain socket."""
     stream = await trio.open_tcp_stream(address.host, address.port)
     for _ in range(KV_CALLS):
         await stream.send_all(KV_REQUEST)
@@ -175,7 +175,7 @@
     for name, values in costs.items():
         print(f"{name:30} {min(values):8.1f} {statistics.median(values):7.1f}")
     for client, raw in ((TOKEN_CLIENT, TOKEN_RAW), (KV_CLIENT, KV_RAW)):
-        # Rounds that follow each other see the same load of the machine.
+        # Adjacent rounds run under about the same load of the machine, so compare in pairs.
         pairs = zip(costs[client], costs[raw], strict=True)
         difference_us = statistics.median(client_us - raw_us for client_us, raw_us in pairs)
         print(f"{client + ' over raw':38} {difference_us:7.1f}")
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,7 +1,7 @@
-"""Membership and configuration as the fleet grows.
+"""Measure membership and configuration as the fleet grows.
 
-``python -m bench.fleet [--record] [SECTION...]``: the shipped core objects are joined by the loop
-of ``tests.builders.membership``; times are virtual unless a line says CPU.  Sections: sizes, loss,
+``python -m bench.fleet [--record] [SECTION...]``: the event loop of ``tests.builders.membership``
+connects the shipped core objects; times are virtual unless a line says CPU.  Sections: sizes, loss,
 slowness, damping, heartbeats, kv, callers, agent.
 """
 
@@ -35,7 +35,7 @@
 
 
 def _spread_ms(fleet: Fleet, is_informed: Callable) -> list[float]:
-    """Return, sorted, when each running VM came to know what ``knows`` asks of it."""
+    """Return the sorted delays until ``is_informed`` holds for each running VM."""
     start_ms = fleet.now_ms
     waiting = set(fleet.running())
     times: list[float] = []
@@ -52,7 +52,7 @@
 
 
 def measure_sizes() -> dict[str, Slope]:
-    """Join, cost when idle, spread of a leave, detection of a loss, for each size."""
+    """Measure the join, idle cost, spread of a leave and detection of a loss for each size."""
     slopes: dict[str, Slope] = {}
     print(
         "size | join all s | idle msgs/s B/s CPU ms/s per VM | leave known p50 p99 last ms | ",
@@ -121,7 +121,7 @@
 
 
 def measure_kv() -> dict[str, Slope]:
-    """Key-value calls for the configuration; membership itself makes none."""
+    """Count key-value calls for the configuration; membership itself makes none."""
     slopes: dict[str, Slope] = {}
     print("size | key-value calls/s of the whole fleet | messages/s between agents")
     for size in SIZES:
@@ -148,7 +148,7 @@
     for tick in range(10 * (seconds + 30)):
         now_ms = 100.0 * tick
         if tick == 300:
-            # The start, when everybody reads the record, is not counted.
+            # Excludes the start, when every node reads the record.
             counts.clear()
         for node in nodes.values():
             _confirm(node, nodes, record, now_ms, counts)
@@ -196,7 +196,7 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Run the named sections, or all; ``--record`` keeps their slopes."""
+    """Run the named sections, or all; ``--record`` stores their slopes."""
     sections = [name for name in arguments if not name.startswith("--")] or list(SECTIONS)
     for name in sections:
         start_s = time.monotonic()
--- a/bench/fleet_agent.py
+++ b/bench/fleet_agent.py
@@ -1,7 +1,7 @@
-"""What one real agent process costs among many: a section of bench.fleet.
+"""Measure one real agent process in a large fleet: a section of bench.fleet.
 
-The process is fed by a generator of its peers' messages, with three programs of its own VM that
-follow its view, a VM list and a key-value service.
+A generator sends the messages of its peers; three programs of its VM follow its view, and stand-ins
+serve the VM list and the key-value service.
 """
 
 import itertools
@@ -54,7 +54,7 @@
 
 
 class _Peers:
-    """All other VMs of the fleet, behind one socket on every address of 127.0.0.0/8."""
+    """All other VMs of the fleet, served by one socket on every address of 127.0.0.0/8."""
 
     def __init__(self, count: int, udp: UdpSocket, agent: Address, codec) -> None:
         self._udp = udp
@@ -93,7 +93,7 @@
                     self._answer(data)
 
     async def probe_forever(self, updates_per_s: float) -> None:
-        """Send what a VM gets in each second: one probe, and gossip about changes."""
+        """Send the messages that a VM receives each second: one probe, and gossip about changes."""
         while True:
             self._send(Probe, self._rng.choice(list(self._records)), self._rng.getrandbits(40), [])
             await trio.sleep(0.5)
@@ -101,7 +101,7 @@
             if count:
                 names = self._rng.sample(list(self._records), count)
                 updates = [self._next_update(name) for name in names]
-                # Each change comes from about three peers before it has spread.
+                # A VM receives each change from about three peers while it spreads.
                 for _ in range(3):
                     self._send(Gossip, self._rng.choice(list(self._records)), updates[:7])
             await trio.sleep(0.5)
@@ -169,7 +169,7 @@
 
 
 def measure_agent() -> dict[str, Slope]:
-    """Run the process in a small quiet fleet, and in a large one with changes every second."""
+    """Measure the process in a small idle fleet, and in a large one with changes each second."""
     slopes: dict[str, Slope] = {}
     print("VMs | upstreams | changes/s | CPU | RSS MB | datagrams/s in, out | bytes/s in, out")
     cases = ((9, _UPSTREAMS_SMALL, 0), (_PEERS + 1, _UPSTREAMS, 4))
@@ -214,7 +214,7 @@
 async def _measure_in_fleet(
     settings: Settings, peers: _Peers, pid: int, peer_count: int, changes: int
 ) -> dict[str, float]:
-    """Be the rest of the fleet and of the VM while the process is measured."""
+    """Simulate the rest of the fleet and of the VM while the process is measured."""
     codec = open_codec(settings.vm)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(peers.answer_forever)
@@ -261,7 +261,7 @@
 
 
 def _free_port(host: str) -> int:
-    """Return a port that is free for TCP and UDP alike."""
+    """Return a port that is free for both TCP and UDP."""
     while True:
         with open_udp(Address(host, 0)) as udp, socket.socket() as tcp:
             try:
@@ -289,7 +289,7 @@
 
 @contextmanager
 def _process(settings: Settings, folder: Path):
-    """Run the agent as the process it is in a deployment; give its identity."""
+    """Run the agent in its own process, as in a deployment; yield the process."""
     file = folder / "vm.ini"
     sections = {
         "vm": settings.vm,
--- a/bench/fleet_callers.py
+++ b/bench/fleet_callers.py
@@ -1,4 +1,4 @@
-"""How callers spread over nine entries while one leaves and one dies; a section of bench.fleet."""
+"""Distribution of callers over nine entries while one leaves and one dies; part of bench.fleet."""
 
 import random
 from collections import Counter
@@ -70,7 +70,7 @@
                 node.membership.set_profile(loaded, now_ms)
 
     def _request(self, caller: _Caller) -> None:
-        """Use the kept answer in its order; ask anew when it has expired or nothing answers."""
+        """Try the stored entries in order; fetch them again once expired or all have refused."""
         now_ms = self.fleet.now_ms
         for attempt in range(1, 20):
             if not caller.entries or caller.expires_ms <= now_ms:
@@ -96,7 +96,7 @@
 
 
 def measure_callers() -> None:
-    """Print shares and refusals before, during and after a leave and a loss."""
+    """Print the load shares and refusals before and after a leave and a loss."""
     print(f"{_CALLERS} callers, one request a second each, answers kept {_VALID_MS / 1000:.0f} s")
     print("callers | phase | requests | busiest and idlest entry, over the mean | refused | tries")
     for label, weights in (("even", (1, 1, 1)), ("half in one domain", (2, 1, 1)), ("no hint", ())):
--- a/bench/fleet_trials.py
+++ b/bench/fleet_trials.py
@@ -1,4 +1,4 @@
-"""Trials of what membership does and of what it might have done; sections of bench.fleet."""
+"""Membership under loss, slowness and partitions, and its alternatives; sections of bench.fleet."""
 
 import random
 import statistics
@@ -19,7 +19,7 @@
 ]
 
 LIMIT_MS = 60000.0
-# Larger fleets know each other from the start, since their joining takes the loop long.
+# Larger fleets start with all members known, since simulating their join takes too long.
 _MAX_SIMULATED_JOIN_VMS = 185
 
 
@@ -28,7 +28,7 @@
 
 
 def joined(size: int, seed: int = 1, **options) -> tuple[Fleet, float]:
-    """Start all VMs at once; return when each knows all."""
+    """Start all VMs at once; return the fleet and the time until each knows all others."""
     fleet = Fleet(size, domains=domains_of(size), seed=seed, **options)
     if size > _MAX_SIMULATED_JOIN_VMS:
         fleet.introduce_all()
@@ -38,7 +38,7 @@
 
 
 class _Removals:
-    """Counts, for each step of the loop, VMs that run but are newly missing from a view."""
+    """Counts, at each poll, running VMs that are newly missing or suspected in a view."""
 
     def __init__(self, fleet: Fleet) -> None:
         self._fleet = fleet
@@ -62,7 +62,7 @@
 
 
 def measure_loss() -> None:
-    """False removals and suspicions while datagrams are lost, repeated and late."""
+    """Count false removals and suspicions while datagrams are lost, repeated and delayed."""
     print("loss | VMs | s | views that dropped a running VM | views that suspected one")
     for loss in (0.05, 0.2):
         fleet, _ = joined(37)
@@ -82,7 +82,10 @@
 
 
 def _slow_run(health_aware: bool, seed: int, pause_ms: tuple[float, float]) -> tuple[int, int, int]:
-    """Let a third of 18 VMs stop and go for a minute at 5% loss; return what became of the rest."""
+    """Pause and resume a third of 18 VMs for a minute at 5% loss.
+
+    Return the removals of running VMs, and the suspicions and refutations of the steady ones.
+    """
     fleet, _ = joined(18, seed, health_aware=health_aware)
     fleet.run(5000)
     fleet.loss = 0.05
@@ -118,7 +121,7 @@
 
 
 def measure_slowness() -> None:
-    """Awareness of this VM's own slowness on and off, interleaved, with the same seeds."""
+    """Compare the VM's awareness of its own slowness on and off, interleaved on equal seeds."""
     print("pauses ms | aware | runs | dropped a running VM | suspected a steady VM | refutations")
     for pause_ms in ((300.0, 900.0), (1000.0, 4000.0)):
         results: dict[bool, list[tuple[int, int, int]]] = {True: [], False: []}
@@ -136,7 +139,7 @@
 
 
 def measure_damping() -> None:
-    """What a VM that is cut off from all others drops, by the removal share."""
+    """Count the VMs that an isolated VM removes, by ``removal_share``."""
     print(
         "removal_share | VMs that a cut-off VM of 9 dropped after 120 s | after a lost hall of 2 "
     )
@@ -157,7 +160,7 @@
 
 
 def measure_heartbeats(rounds: int = 4000) -> None:
-    """What a heartbeat a second from everybody to everybody would cost, by the codec's cost."""
+    """Estimate the cost of one heartbeat per second between all pairs from the codec's cost."""
     message = Probe(DatagramHead("vm-000", "vm-001", 1796228201799, 77, 12), 123456789, [])
     started_s = time.process_time()
     for _ in range(rounds):
--- a/bench/item_yield.py
+++ b/bench/item_yield.py
@@ -1,4 +1,4 @@
-"""Plays items beside steps of online demand: runs cut, work on time, free slots.
+"""Simulate batch items during steps of online demand: runs cut, work on time, free slots.
 
 python -m bench.item_yield --load rhythm --jobs_per_s 0.48 --seeds 1,2,3
 """
@@ -30,9 +30,10 @@
 
 
 def phases(load: str, length_s: float, rng: random.Random) -> list[tuple[float, float]]:
-    """Return lengths in seconds and calls a second of one play.
+    """Return the phases of one simulation as length in seconds and calls per second.
 
-    ``load``: "rhythm" for steady steps, "random" for steps of random length and height, "even".
+    ``load`` is "rhythm" for periodic steps, "random" for steps of random length and height, or
+    "even" for a constant rate.
     """
     if load == "even":
         return [(length_s, MEAN_PER_S)]
@@ -51,7 +52,7 @@
 
 @dataclass(slots=True)
 class Figures:
-    """What one play, or several together, came to."""
+    """Sums over one or more simulations."""
 
     calls: int = 0
     calls_on_time: int = 0
@@ -111,7 +112,7 @@
     warm_s: float = 0.0,
     seeds: tuple[int, ...] = (1, 2, 3),
 ) -> None:
-    """Play each seed and print the figures of all of them together."""
+    """Simulate each seed and print the sums over all of them."""
     figures = Figures()
     for seed in seeds if isinstance(seeds, (tuple, list)) else (seeds,):
         trio.run(
--- a/bench/lost_answers.py
+++ b/bench/lost_answers.py
@@ -1,9 +1,9 @@
-"""What becomes of writes whose answer is lost, by ways of following them up.
+"""Compare ways of resolving writes whose answer is lost.
 
     python -m bench.lost_answers
 
-Three writers write one key on top of each other, ten times each; three writes in ten lose an
-answer (before or after their effect, or with the effect coming late).  Virtual time, seeded.
+Three writers overwrite one key concurrently, ten times each; three in ten writes lose an answer
+(before or after their effect, or with a delayed effect).  Virtual time, seeded.
 """
 
 import random
@@ -30,7 +30,11 @@
 
 @dataclass(slots=True)
 class Counts:
-    """What the writers were told, against what happened."""
+    """Results reported to the writers compared with the actual writes.
+
+    ``said_there_but_not`` counts writes reported as stored that were not, ``said_not_but_there``
+    the reverse.
+    """
 
     writes: int = 0
     unknown: int = 0
@@ -44,12 +48,12 @@
 
 
 async def give_up(kv, key, value, revision, is_ours):
-    """Take the first answer."""
+    """Return the first result."""
     return await kv.put_if(key, value, revision)
 
 
 async def read_once(kv, key, value, revision, is_ours):
-    """After a lost answer look once what is there."""
+    """After a lost answer read the key once."""
     result = await kv.put_if(key, value, revision)
     if isinstance(result, Ok) or result.err_value.code is not ResultCode.KV_UNKNOWN:
         return result
@@ -57,7 +61,7 @@
 
 
 async def repeat_and_read(kv, key, value, revision, is_ours):
-    """Repeat until there is an answer; after a conflict look what is there."""
+    """Repeat the write until it is answered; after a conflict read the key."""
     while True:
         result = await kv.put_if(key, value, revision)
         if isinstance(result, Ok):
--- a/bench/mix.py
+++ b/bench/mix.py
@@ -1,10 +1,10 @@
-"""Online and batch on the same engines: what batch costs online, and what it gets.
+"""Measure how batch work slows online requests on shared engines, and its own throughput.
 
-Run as ``python -m bench.mix``.  For each deployment and seed the same traffic runs, one after the
-other, (a) with online alone, (b) with online and batch straight to the engines, (c) with our
-permits, and under a clairvoyant scheduler; then (c) again with a worker and an owner killed, and
-with two and four times the load that the engines can carry.  Virtual time, so a rerun gives the
-same figures.
+Run as ``python -m bench.mix``.  For each deployment and seed the same traffic runs in sequence
+(a) with online only, (b) with online and batch sent directly to the engines, (c) with permits, and
+under a clairvoyant scheduler; then (c) again with a worker and an owner killed, and with two and
+four times the load that the engines can carry.  It runs in virtual time, so a rerun gives the same
+figures.
 """
 
 import dataclasses
@@ -17,7 +17,7 @@
 
 SEEDS = (1, 2)
 SHARES = (0.5, 0.99, 0.999)
-# The oracle's levels, of which the highest that keeps the bound is taken.
+# Concurrency levels of the oracle; the highest level that meets the bound is reported.
 ORACLE_LEVELS = (12, 16, 20, 24, 32, 36, 40)
 ORACLE_GUARD_MS = 40.0
 TAIL_BOUND = 1.10
@@ -31,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Summary:
-    """Quantiles of several runs together; ``attained`` is the share that kept the objectives."""
+    """Pooled quantiles of several runs; ``attained`` is the share that met the objectives."""
 
     first_tokens_ms: tuple[float, ...]
     gaps_ms: tuple[float, ...]
@@ -91,9 +91,10 @@
     online_only: Sequence[RunResult],
     baseline: Summary,
 ) -> tuple[int, Summary]:
-    """Return the highest level that keeps the bound that the deployment cares for.
+    """Return the highest level that meets the deployment's bound, and its summary.
 
-    With a weight of 1 that is the tail of online alone, else the objectives.
+    With an ``online_weight`` of at least 0.5 the bound is ``TAIL_BOUND`` times the p99 latencies of
+    online without batch, otherwise the share of requests that meet the objectives.
     """
     best: tuple[int, Summary] | None = None
     low, high = 0, len(ORACLE_LEVELS) - 1
@@ -125,7 +126,7 @@
 
 
 def _report_overload(deployment: Deployment) -> None:
-    """Print goodput at multiples of the online load that the engines can just carry."""
+    """Print goodput at multiples of the online load at the capacity of the engines."""
     print(
         f"\n{deployment.name}: goodput under overload, answers within {OVERLOAD_DEADLINE_MS:g} ms"
     )
@@ -153,7 +154,7 @@
 
 
 def summarize(deployment: Deployment, runs: Sequence[RunResult]) -> Summary:
-    """Put several runs together."""
+    """Return pooled quantiles and mean rates of several runs."""
     first = _quantiles(value for run in runs for value in run.first_tokens_ms())
     gaps = _quantiles(value for run in runs for value in run.gaps_ms())
     count = len(runs)
@@ -180,7 +181,7 @@
 
 
 def print_base(baseline: Summary) -> None:
-    """Print what online alone had."""
+    """Print the figures of online without batch."""
     first = " / ".join(f"{value:.0f}" for value in baseline.first_tokens_ms)
     gaps = " / ".join(f"{value:.1f}" for value in baseline.gaps_ms)
     print(f"  (a) online alone, p50 / p99 / p99.9: first token {first} ms, between {gaps} ms")
@@ -188,7 +189,7 @@
 
 
 def print_ratios(name: str, summary: Summary, baseline: Summary) -> None:
-    """Print ``found`` as ratios to ``base``."""
+    """Print the latencies of ``summary`` as ratios to those of ``baseline``."""
     first = _ratios(summary.first_tokens_ms, baseline.first_tokens_ms)
     gaps = _ratios(summary.gaps_ms, baseline.gaps_ms)
     print(
--- a/bench/mix_actors.py
+++ b/bench/mix_actors.py
@@ -1,7 +1,7 @@
-"""The actors of the mixed bench: owners, entries and a batch runner around the core's decisions.
+"""Simulated owners, entries and a batch runner for the mixed online and batch bench.
 
-Messages take ``HOP_MS`` each way.  What decides is the code that ships (``core.permits``,
-``core.routing``); what is here only carries messages and plays the daemons' loops.
+The shipped code makes the decisions (``core.permits``, ``core.routing``); this module delivers the
+messages, which take ``HOP_MS`` each way, and simulates the loops of the daemons.
 """
 
 import itertools
@@ -56,19 +56,19 @@
 
 @dataclass(slots=True)
 class OnlineResult:
-    """What one online caller saw; gaps are times between tokens."""
+    """Latencies and outcome of one online request; gaps are times between tokens."""
 
     arrival: Arrival
     first_token_ms: float = -1.0
     gaps_ms: list[float] = field(default_factory=list)
     finished_ms: float = -1.0
     refused: bool = False
-    # Where it ran last.
+    # Upstream of the last attempt.
     upstream_id: str = ""
 
 
 class OwnerHost:
-    """One agent that owns one upstream; a dead one is silent."""
+    """An agent that owns one upstream; while not alive it answers no message."""
 
     def __init__(self, fleet: "Fleet", upstream_id: str, make_owner: OwnerFactory) -> None:
         self.fleet = fleet
@@ -133,7 +133,7 @@
 
 
 class Holder:
-    """What entries and runners have in common: permits held, renewed and ended."""
+    """Base of entries and runners: holds, renews and ends permits."""
 
     def __init__(self, fleet: "Fleet", holder_id: str) -> None:
         self.fleet = fleet
@@ -148,7 +148,7 @@
         return f"{self.holder_id}/{next(self._numbers)}"
 
     def request_permit(self, request: PermitAsk, done: Callable[[Action | None], None]) -> None:
-        """Ask the owner; ``done`` gets its action, or None when it stays silent."""
+        """Request a permit of the owner; ``done`` receives its action, or None after a timeout."""
         sent_ms = self.fleet.loop.now_ms
         answered: list[Action | None] = []
 
@@ -182,7 +182,7 @@
             self._report_soon()
 
     def revoke(self, permit_id: str, decided_ms: float | None = None) -> None:
-        """Entries have nothing that is revoked."""
+        """Do nothing: permits of online requests are not revoked."""
 
     def _report_soon(self) -> None:
         if not self._reporting:
@@ -234,7 +234,7 @@
 
 
 class Entry(Holder):
-    """Serves online requests by the routing and the permits that ship."""
+    """Serves online requests with the shipped routing and permits."""
 
     def __init__(self, fleet: "Fleet", holder_id: str, rng: random.Random) -> None:
         super().__init__(fleet, holder_id)
@@ -348,7 +348,7 @@
 
 @dataclass(slots=True)
 class _OnlineRun:
-    """One online attempt under way."""
+    """State of one running online attempt."""
 
     entry: Entry
     result: OnlineResult
@@ -388,7 +388,7 @@
 
 @dataclass(slots=True)
 class Item:
-    """One batch item; generated tokens are kept over revocations."""
+    """One batch item; its generated tokens are retained after a revocation."""
 
     key: str
     prompt_tokens: int
@@ -397,7 +397,7 @@
 
 
 class BatchRunner(Holder):
-    """Runs an endless backlog: keeps open asks at each owner, resumes what was revoked."""
+    """Runs an endless backlog: keeps permit requests open at each owner, resumes revoked items."""
 
     OPEN_REQUESTS = 4
     WAIT_MS = 5000
@@ -411,7 +411,8 @@
         self.revocations_ms: list[float] = []
         self._rng = rng
         self._items = itertools.count()
-        # Revoked items, by the upstream that has read their prompts.
+        # Items to run next by upstream: interrupted items, whose prompts it has read, and items
+        # whose permit request failed.
         self._pending_items: dict[str, deque[Item]] = {name: deque() for name in fleet.engines}
         self._running: dict[str, tuple[Item, str]] = {}
         for upstream_id in fleet.engines:
@@ -508,7 +509,7 @@
 
 @dataclass(slots=True)
 class Fleet:
-    """The virtual fleet of one run."""
+    """The simulated fleet of one run."""
 
     loop: VirtualLoop
     deployment: Deployment
@@ -516,12 +517,12 @@
     deadline_ms: float
     engines: dict[str, VirtualEngine] = field(default_factory=dict)
     owners: dict[str, OwnerHost] = field(default_factory=dict)
-    # Of each upstream, from when to when an online attempt ran there.
+    # Start and end times of the online attempts at each upstream.
     spans: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
 
     @classmethod
     def for_plan(cls, loop: VirtualLoop, plan: "Plan") -> "Fleet":
-        """Return the engines of a run, without owners."""
+        """Return a fleet with the engines of a run, without owners."""
         fleet = cls(loop, plan.deployment, plan.settings, plan.deadline_ms)
         for number in range(WORKERS):
             fleet.engines[f"w{number}"] = VirtualEngine(loop, plan.profile, HOP_MS)
--- a/bench/mix_runs.py
+++ b/bench/mix_runs.py
@@ -1,4 +1,4 @@
-"""One run of the mixed bench: a deployment's traffic under one way of sharing the engines."""
+"""One run of the mixed bench: a deployment's traffic under one policy of sharing the engines."""
 
 import math
 import random
@@ -31,13 +31,13 @@
 OWNER_DETECTION_MS = 4000.0
 WARM_UP_MS = 20_000.0
 
-# Gives how many batch attempts may run at a worker, and whether new prompts may be read there.
+# Returns how many batch attempts may run at a worker, and whether new prompts may start there.
 BatchLimit = Callable[[str], tuple[int, bool]]
 
 
 @dataclass(frozen=True, slots=True)
 class Faults:
-    """Times of what is to go wrong; below 0 is never."""
+    """Times of injected faults; a negative time disables the fault."""
 
     kill_worker_ms: float = -1.0
     kill_owner_ms: float = -1.0
@@ -45,13 +45,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What to run."""
+    """Parameters of one run."""
 
     deployment: Deployment
     seed: int
     duration_ms: float = 80_000.0
     load: float = 1.0
-    # From when on the load is only half of what the engines can carry.
+    # From this time on the load is half the capacity of the engines.
     calm_from_ms: float = math.inf
     batch: bool = True
     settings: PermitSettings = field(default_factory=PermitSettings)
@@ -64,7 +64,7 @@
         return self.load if at_ms < self.calm_from_ms else self.deployment.capacity_load / 2
 
     def results(self) -> list[OnlineResult]:
-        """Return the requests to come, each with nothing seen of it yet."""
+        """Return the results of all requests of the run, without measurements yet."""
         arrivals = arrivals_of(self.deployment, self.seed, self.duration_ms, self.load_at)
         return [OnlineResult(arrival) for arrival in arrivals]
 
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True)
 class RunResult:
-    """What one run gave; samples are of requests that arrived after the warm-up."""
+    """Results of one run; samples come from requests that arrived after the warm-up."""
 
     results: list[OnlineResult]
     duration_ms: float
@@ -82,7 +82,7 @@
     revoked: int = 0
     redone_tokens: int = 0
     revocations_ms: list[float] = field(default_factory=list)
-    # Per worker: times at which online requests were sent there, and when they ended.
+    # Start and end times of the online requests at each worker.
     spans: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
 
     def _measured(self) -> list[OnlineResult]:
@@ -95,12 +95,15 @@
         return [gap for item in self._measured() for gap in item.gaps_ms]
 
     def attained_share(self, objectives: Objectives) -> float:
-        """Share of the requests whose first token and mean gap kept the objectives."""
+        """Return the share of requests whose first token and mean gap met the objectives."""
         kept = [_attains(item, objectives) for item in self._measured()]
         return sum(kept) / max(len(kept), 1)
 
     def goodput_per_s(self, deadline_ms: float) -> float:
-        """Whole answers within their deadline; requests due after the end do not count."""
+        """Return the rate of complete answers within their deadline.
+
+        Requests whose deadline lies after the end of the run do not count.
+        """
         due = [
             item
             for item in self._measured()
@@ -110,7 +113,7 @@
         return good / ((self.duration_ms - deadline_ms - WARM_UP_MS) / 1000)
 
     def recovered_ms(self, calm_from_ms: float, objectives: Objectives) -> float:
-        """Return the time from the calm to the last arrival that was refused or late."""
+        """Return the time from ``calm_from_ms`` to the last arrival that was refused or late."""
         bad = [
             item.arrival.at_ms
             for item in self.results
@@ -139,7 +142,7 @@
     batch: "BatchRunner | DirectBatch | None",
     results: list[OnlineResult],
 ) -> RunResult:
-    """Let time pass and gather what came of it; batch counts from the end of the warm-up."""
+    """Run the loop to the end and return the results; batch counts start after the warm-up."""
     warm_up_tokens = [0]
 
     def record_warm_up_tokens() -> None:
@@ -156,7 +159,7 @@
 
 
 def run_with_permits(plan: Plan) -> RunResult:
-    """Run with owners and permits; without batch it is "online alone"."""
+    """Run with owners and permits; with ``plan.batch`` false, online is the only load."""
     loop = VirtualLoop()
     fleet = Fleet.for_plan(loop, plan)
     fleet.owners = {name: OwnerHost(fleet, name, plan.make_owner) for name in fleet.engines}
@@ -191,7 +194,10 @@
 
 
 class DirectOnline:
-    """Online straight to engines: the less busy of two, as far as one sender can know."""
+    """Sends online requests directly to engines, to the less loaded of two random ones.
+
+    By default the load of an engine is the count of requests that this sender has running there.
+    """
 
     def __init__(
         self, fleet: Fleet, rng: random.Random, load_at_engine: Callable[[str], int] | None = None
@@ -233,7 +239,7 @@
 
 
 class DirectBatch:
-    """Batch straight to engines, with so many attempts at each as ``allowed`` says."""
+    """Sends batch attempts directly to engines, up to ``batch_limit`` at each."""
 
     def __init__(self, fleet: Fleet, rng: random.Random, batch_limit: BatchLimit) -> None:
         self.tokens = 0
@@ -266,7 +272,7 @@
     def _start(self, name: str) -> None:
         deployment = self._fleet.deployment
         suspended = self._suspended[name]
-        # What was begun goes on without reading its prompt again: an oracle loses nothing.
+        # A suspended item resumes without a new prefill, so that the oracle loses no work.
         prompt_tokens = (
             1 if suspended else random_token_count(self._rng, deployment.batch_prompt_tokens)
         )
@@ -303,8 +309,8 @@
 def run_oracle(plan: Plan, online_only: RunResult, level: int, guard_ms: float) -> RunResult:
     """Run with a batch scheduler that knows where and when online will arrive.
 
-    Batch fills each engine up to ``level`` less the online attempts of the next ``guard_ms`` (from
-    the run with online alone), gives way before they come, and loses nothing by it.
+    Batch fills each engine up to ``level`` minus the online attempts of the next ``guard_ms``, as
+    recorded in the run without batch.  It yields before they arrive and loses no work.
     """
     loop = VirtualLoop()
     fleet = Fleet.for_plan(loop, plan)
@@ -330,7 +336,7 @@
         started_count = bisect_right(starts[name], loop.now_ms)
         soon_started_count = bisect_right(starts[name], loop.now_ms + guard_ms)
         ended_count = bisect_left(ends[name], loop.now_ms)
-        # No prompt of batch is read when online is about to come.
+        # Batch starts no prefill when an online attempt starts within the guard interval.
         return level - (soon_started_count - ended_count), soon_started_count == started_count
 
     return batch_limit
--- a/bench/mix_traffic.py
+++ b/bench/mix_traffic.py
@@ -1,4 +1,4 @@
-"""Seeded online traffic of the two deployments, with bursts of seconds, and their batch items."""
+"""Seeded online traffic of two deployments, with bursts of several seconds, and batch items."""
 
 import random
 from collections.abc import Callable
@@ -8,13 +8,13 @@
 
 __all__ = ["DEPLOYMENTS", "Arrival", "Deployment", "LoadAt", "arrivals_of", "random_token_count"]
 
-# Gives the multiple of a deployment's rates at a time.
+# Returns the load factor of a deployment's rates at a time in ms.
 LoadAt = Callable[[float], float]
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What one customer sends; token counts are means of exponential spreads, with a floor."""
+    """Traffic of one deployment; token counts are means, see ``random_token_count``."""
 
     name: str
     objectives: Objectives
@@ -26,7 +26,7 @@
     answer_tokens: int
     batch_prompt_tokens: int
     batch_answer_tokens: int
-    # Multiple of the traffic whose mean the six engines can just carry, found by trial.
+    # Load factor at which the mean traffic equals the capacity of the six engines.
     capacity_load: float
 
 
@@ -41,7 +41,7 @@
     in_burst: bool
 
 
-# Short classifications at a counter; drafts of letters at night.
+# Online: short classifications at a counter; batch: drafts of letters at night.
 MANIZALES = Deployment(
     "manizales",
     Objectives(first_token_ms=500, inter_token_ms=31, online_share=0.99, online_weight=1.0),
@@ -55,7 +55,7 @@
     batch_answer_tokens=300,
     capacity_load=5.0,
 )
-# Longer answers to teachers and drivers; rosters of letters.
+# Online: longer answers to teachers and drivers; batch: letters by roster.
 VANDENBROUCKE = Deployment(
     "vandenbroucke",
     Objectives(first_token_ms=1000, inter_token_ms=31, online_share=0.95, online_weight=0.0),
@@ -76,7 +76,7 @@
 def arrivals_of(
     deployment: Deployment, seed: int, duration_ms: float, load: LoadAt
 ) -> list[Arrival]:
-    """Return the online requests of ``duration_ms``; ``load`` multiplies the rates of a time."""
+    """Return the online requests of ``duration_ms``; ``load`` returns the rate factor at a time."""
     rng = random.Random(f"{deployment.name}/{seed}")
     arrivals: list[Arrival] = []
     at_ms = 0.0
--- a/bench/mix_variants.py
+++ b/bench/mix_variants.py
@@ -1,4 +1,4 @@
-"""Policies that were not taken, on the traffic of ``bench.mix``, for docs/decisions/permits.md.
+"""Compare rejected permit policies on the traffic of ``bench.mix``, for docs/decisions/permits.md.
 
 Run as ``python -m bench.mix_variants``.
 """
@@ -26,7 +26,7 @@
 
 
 class _NonRevokingQueue(UpstreamQueue):
-    """Never takes batch back: online starts at once all the same, beside all of it."""
+    """Never revokes batch: online starts immediately and runs concurrently with it."""
 
     def _revoke_excess_batch(self, now_ms: float) -> list:
         return []
@@ -36,14 +36,14 @@
 
 
 class _FixedLimits(UpstreamLimits):
-    """Stays where the settings start it."""
+    """Keeps the start limit of the settings."""
 
     def adjust(self, online: int, batch: int, now_ms: float) -> None:
         return
 
 
 class _FixedQueue(UpstreamQueue):
-    """Has a limit that no latency moves; online still revokes batch above it."""
+    """Keeps its limit whatever the latency; online still revokes batch above it."""
 
     def __init__(self, upstream_id: str, settings: PermitSettings, *rest: object) -> None:
         super().__init__(upstream_id, settings, *rest)
@@ -53,7 +53,7 @@
 
 def _owner_with(queue_type: type[UpstreamQueue]) -> type[PermitOwner]:
     class Owner(PermitOwner):
-        """An owner with another kind of queue."""
+        """An owner that creates queues of ``queue_type``."""
 
         def _new_queue(
             self, upstream_id: str, terms: UpstreamTerms, now_ms: float
@@ -105,17 +105,18 @@
 
 
 def _ownerless_variant(level: int) -> Variant:
-    """Nobody owns an upstream.
+    """Return a variant without owners.
 
-    Online takes the less loaded of two, batch fills up to ``level``; both know the engines' own
-    reports only, which lag.
+    Online chooses the less loaded of two engines and batch fills up to ``level``; both know only
+    the engines' own load reports, which lag.
     """
 
     def run(plan: Plan) -> RunResult:
         loop = VirtualLoop()
         fleet = Fleet.for_plan(loop, plan)
         reports = dict.fromkeys(fleet.engines, (0, 0))
-        # The one batch sender, once it is there: its first starts come before any report.
+        # Holds the batch sender once it is constructed: its constructor already calls
+        # ``batch_limit`` for its first attempts.
         started_batches: list[DirectBatch] = []
 
         def poll() -> None:
--- a/bench/node_costs.py
+++ b/bench/node_costs.py
@@ -1,7 +1,7 @@
-"""What a node costs in processor time: its start, an idle second, and an online call.
+"""Measure the processor time of a node: its start, an idle second, and an online call.
 
-Runs real node processes with stand-ins in this one: ``python -m bench.node_costs [--nodes N]``.
-Processor time includes the kernel's; other work on the machine makes it up to twice as much.
+Runs real node processes, and stand-ins in this one: ``python -m bench.node_costs [--nodes N]``.
+Processor time includes the kernel's; other load on the machine can double it.
 """
 
 import os
@@ -21,14 +21,14 @@
 
 __all__ = ["measure"]
 
-# The least that the settings of a world allow.
+# The minimum that the settings of a ``World`` allow.
 _SPOOLS = 3
 _IDLE_S = 10.0
 _SETTLE_S = 5.0
 _CALLS = 400
 _CALLS_PER_S = 40.0
 _TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-# Fields of /proc/PID/stat behind the command's name: user and system time.
+# Indices in /proc/PID/stat after the command name: user and system time.
 _USER_FIELD, _SYSTEM_FIELD = 11, 12
 
 
--- a/bench/online_cost.py
+++ b/bench/online_cost.py
@@ -1,11 +1,11 @@
-"""What an online request costs by way of an entry, against the engine reached directly.
+"""Compare the cost of online requests through an entry with direct requests to the engine.
 
     python -m bench.online_cost [--record]
 
-The programs run as processes of their own.  Requests alternate between the two ways, so that both
-meet the same machine.  First-token times are the caller's; CPU is what the kernel counted for the
-entry's process and for the agents' together, less their use while idle.  Two lengths of answers
-give the slopes: CPU for each request, and for each streamed token.
+The programs run in separate processes.  Requests alternate between the two paths, so that both run
+under the same machine load.  The caller measures first-token times; CPU is the kernel's count for
+the entry's process and for all agents, minus their idle use.  Answers of two lengths give the
+slopes: CPU per request and per streamed token.
 """
 
 import statistics
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class Setup:
-    """The running programs, and the two ways to an answer."""
+    """The running programs, and the addresses of the entry and of an engine."""
 
     http: HttpClient
     entry: Address
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True)
 class Costs:
-    """CPU of each round by the kind of request."""
+    """CPU per request of each round, by kind of request."""
 
     by_kind: dict[str, list[CpuUse]] = field(default_factory=dict)
 
@@ -140,7 +140,7 @@
 
 
 async def first_token_ms(http: HttpClient, address: Address, body: dict[str, object]) -> float:
-    """Return the time to the first bytes of the answer; the rest is read as well."""
+    """Return the time to the first bytes of the answer, and read it to its end."""
     data = msgspec.json.encode(body)
     started_s = trio.current_time()
     first_s = 0.0
@@ -162,7 +162,7 @@
 
 
 async def measure_requests(setup: Setup, idle: CpuUse, body: dict[str, object]) -> CpuUse:
-    """Send ``REQUESTS`` requests through the entry; return the CPU for each."""
+    """Send ``REQUESTS`` requests through the entry; return the CPU per request."""
     started_s = trio.current_time()
     before = CpuUse(cpu_us(setup.entry_pids), cpu_us(setup.agent_pids))
     waiting = iter(range(REQUESTS))
@@ -181,7 +181,7 @@
 
 
 async def idle_use(setup: Setup) -> CpuUse:
-    """Return the CPU for each second without requests."""
+    """Return the CPU per second without requests."""
     before = CpuUse(cpu_us(setup.entry_pids), cpu_us(setup.agent_pids))
     await trio.sleep(IDLE_S)
     entry_us = (cpu_us(setup.entry_pids) - before.entry_us) / IDLE_S
--- a/bench/online_overload.py
+++ b/bench/online_overload.py
@@ -1,10 +1,10 @@
-"""Goodput of online requests when more come than the engines can serve, and the recovery after.
+"""Measure online goodput under overload, and the recovery afterwards.
 
     python -m bench.online_overload
 
-One entry, one owner and two small stand-in engines in one process, real sockets.  Requests come at
-random times, at multiples of the engines' capacity, one phase after the other on the same fleet.
-Goodput counts whole answers within their deadline, by the phase in which the request came.
+One entry, one owner and two small stand-in engines run in one process with real sockets.  Requests
+arrive at random times, at multiples of the engines' capacity, in successive phases on the same
+fleet.  Goodput counts complete answers within their deadline, by the phase of their arrival.
 """
 
 import random
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Phase:
-    """What became of the requests of one phase; times in seconds."""
+    """Results of the requests that arrived in one phase; times in seconds."""
 
     load: float
     offered: int = 0
@@ -107,7 +107,7 @@
 async def run_phase(
     fleet: OnlineFleet, nursery: trio.Nursery, phase: Phase, rng: random.Random
 ) -> None:
-    """Offer the phase's load; requests still running go on into the next phase."""
+    """Send the requests of the phase; those still running continue into the next phase."""
     started_s = trio.current_time()
     while trio.current_time() < started_s + PHASE_S:
         nursery.start_soon(send, fleet, phase, started_s, rng.getrandbits(40))
--- a/bench/part_ways.py
+++ b/bench/part_ways.py
@@ -1,10 +1,11 @@
-"""Ways to find the part of prompts that ends upstreams, on the same seeds.
+"""Compare strategies that find the prompt part that crashes upstreams, on the same seeds.
 
 python -m bench.part_ways
 
-Callers send works that are no two alike.  Each prompt has a first part and another shared one; some
-have a part that ends its upstream 80 ms into its run.  Upstreams also end for other causes.  Each
-way sees the ends that its nodes see, and says which works may run, alone or beside others.
+Every unit of work is distinct.  Each prompt consists of a first part and another shared part; some
+contain a harmful part that crashes its upstream 80 ms into its run.  Upstreams also end for other
+causes.  A strategy receives the ends that its nodes observe, and decides which work may run, and
+whether isolated or concurrently with other runs.
 """
 
 import random
@@ -33,7 +34,7 @@
 
 
 class Scenario(msgspec.Struct, frozen=True):
-    """What callers send and what else ends upstreams."""
+    """The load of the callers, and the rate of upstream ends that no work causes."""
 
     seconds: float = 60.0
     sound_per_s: float = 30.0
@@ -41,12 +42,12 @@
     first_parts: int = 40
     other_parts: int = 168
     causes: int = 1
-    # Ends of upstreams that no work is the cause of.
+    # Upstream ends that no work causes.
     other_ends_per_s: float = 0.0
 
 
 class Outcome(msgspec.Struct):
-    """What became of the works."""
+    """Counts of runs, refusals and upstream ends of one simulation."""
 
     ends: int = 0
     harmful_runs: int = 0
@@ -67,17 +68,20 @@
 
 class Strategy(Protocol):
     def restriction(self, run: Run, now_ms: float) -> Restriction:
-        """Return how a work may run."""
+        """Return the restriction on a unit of work."""
 
     def record_upstream_end(self, upstream: int, runs: Collection[Run], now_ms: float) -> None:
-        """Take the end of an upstream with what ran there."""
+        """Record the end of an upstream and the runs it interrupted."""
 
     def record_completed(self, run: Run, now_ms: float) -> None:
-        """Take it that a run became whole."""
+        """Record that a run completed."""
 
 
 class CountEnds:
-    """Refuses what has any part that was at three ends; ``sparing`` leaves out sound ones."""
+    """Refuses work with any part seen at ``_ENDS_BEFORE_REFUSAL`` upstream ends.
+
+    With ``exclude_sound``, parts of recently completed runs do not count.
+    """
 
     def __init__(self, *, exclude_sound: bool) -> None:
         self._exclude_sound = exclude_sound
@@ -102,7 +106,7 @@
 
 
 class IsolateSuspects:
-    """The way that ships: suspects run alone, and only what then ends upstreams is refused."""
+    """The shipped strategy: suspects run isolated, and only those that then crash are refused."""
 
     def __init__(self) -> None:
         self._quarantine = Quarantine()
@@ -117,7 +121,7 @@
         by_node: defaultdict[int, list[Run]] = defaultdict(list)
         for run in runs:
             by_node[run.node].append(run)
-        # An upstream that comes back does so under another identity.
+        # A restarted upstream has a new identity.
         name = f"u{upstream}@{at_ms}"
         for node, found in by_node.items():
             crashed = [
@@ -159,7 +163,7 @@
 
 
 class Simulation:
-    """Upstreams, their runs, and works that wait for one of their own."""
+    """Upstreams, their runs, and suspected work that waits for an upstream without other runs."""
 
     def __init__(self, strategy: Strategy, scenario: Scenario, seed: int) -> None:
         self.strategy = strategy
@@ -269,7 +273,7 @@
 
 
 def play(strategy: str, scenario: Scenario, seed: int) -> Outcome:
-    """Play one seed of a scenario by a way."""
+    """Simulate a scenario with the strategy of that name and return the counts."""
     return Simulation(STRATEGIES[strategy](), scenario, seed).play()
 
 
@@ -284,7 +288,7 @@
 
 
 def main(seeds: int = 10) -> None:
-    """Print a row for each scenario and way: sums over the seeds."""
+    """Print a row for each scenario and strategy with the sums over the seeds."""
     print("scenario, way, ends, runs with the part, late ones, sound, whole share, refused")
     for name, scenario in _SCENARIOS.items():
         for strategy in STRATEGIES:
--- a/bench/permit_costs.py
+++ b/bench/permit_costs.py
@@ -1,7 +1,7 @@
-"""What permits cost: ``python -m bench.permit_costs [--record]``.
+"""Measure the cost of permits: ``python -m bench.permit_costs [--record]``.
 
-The shipped owner is driven in virtual time with the load that one node of the target carries, and
-the shipped codec tells the size of each message.
+Drives the shipped owner in virtual time with the load of one node of the target fleet, and sizes
+each message with the shipped codec.
 """
 
 import statistics
@@ -25,7 +25,7 @@
 
 
 def main() -> None:
-    """Print every figure, and record them with ``--record``."""
+    """Print all figures; with ``--record`` also store them."""
     cycle_us, renew_us = owner_costs_us()
     measured = {
         "permit_cycle_us": Slope(
@@ -44,7 +44,7 @@
 
 
 def owner_costs_us() -> tuple[float, float]:
-    """Return processor time of a whole permit, and of the renewal of one permit."""
+    """Return the processor time of a permit from request to end, and of one renewal."""
     cycles, renewals = [], []
     for _ in range(ROUNDS):
         owner = _owner()
@@ -62,7 +62,7 @@
 
 
 def message_sizes_bytes() -> dict[str, int]:
-    """Return the sizes of the messages that one permit and its renewals take."""
+    """Return the sizes of the messages of one permit and its renewals."""
     codec = Codec([permits], [Key("bench", bytes(16))])
     load = _owner().load(UPSTREAM, 0.0)
     one = codec.encode(permits.PermitRenew("vm-123/entry/7f3a", [_held(1)]))
--- a/bench/placement_cost.py
+++ b/bench/placement_cost.py
@@ -1,7 +1,7 @@
 """Processor time of one choice among upstreams: ``python -m bench.placement_cost``.
 
-Prints microseconds for today's ranking and the predicted one, over 45 upstreams of which a node has
-heard lately of a third, long ago of a third, and never of the others.
+Prints microseconds for the ranking by load and the ranking by prediction over 45 upstreams: a third
+has a recent load report, a third an old one, and the others none.
 """
 
 import random
--- a/bench/queue_costs.py
+++ b/bench/queue_costs.py
@@ -1,7 +1,7 @@
-"""What one upstream's queue costs per call: ``python -m bench.queue_costs``.
+"""Measure the cost of an upstream's queue per call: ``python -m bench.queue_costs``.
 
-The shipped queue is driven in virtual time at a full upstream of 8 slots.  Two cases stand for a
-deployment without customers, without and with asks that wait, and two for one with customers.
+Drives the shipped queue in virtual time for a full upstream of 8 slots.  The cases combine a
+deployment without and with customers with none and 16 waiting requests.
 """
 
 import statistics
@@ -19,7 +19,7 @@
 
 
 def main() -> None:
-    """Print the processor time of an ask, its grant and its end."""
+    """Print the processor time of a permit request, its grant and its end."""
     for name, waiting, customers in (
         ("nobody waits, no customers", 0, 0),
         ("nobody waits, 12 customers", 0, CUSTOMERS),
--- a/bench/quota_ways.py
+++ b/bench/quota_ways.py
@@ -1,9 +1,10 @@
-"""Ways to keep one limit of a customer over all nodes, on the same calls.
+"""Compare strategies that enforce one customer limit across all nodes, on the same calls.
 
 Run ``python -m bench.quota_ways``.
-A simulation without processes: messages take no time, and a node that was down has forgotten all.
-Figures of each way: calls refused though their customer was within its limit by a sliding window,
-the fullest window against the bound, messages a call, and calls of the key-value service.
+The simulation has no processes: messages take no time, and a node that was down has lost its state.
+The figures of each strategy are the calls refused although their customer was within its limit by a
+sliding window, the fullest window relative to the bound, the messages per call, and the calls of
+the key-value service.
 """
 
 import random
@@ -32,23 +33,23 @@
 _WINDOW_MS = 5000.0
 _TOLERANCE_SHARE = 0.1
 _TOLERANCE_CALLS = 20.0
-# Limits are this many times what customers usually send.
+# Ratio of a customer's limit to its usual rate.
 _LIMIT_FACTOR = 1.6
 _DEMAND_REPORT_INTERVAL_MS = 500.0
 _RUN_MS = 24_000.0
 _HOT_PERIOD_MS = (8000.0, 13_000.0)
 _DOWN_MS = 1200.0
-# Grants that an owner may have that its stand-in has not been told of.
+# An owner reports to its second owner once it has this many unreported grants.
 _MAX_UNREPORTED_GRANTS = 5
-# The third largest customer is hot.
+# The third largest customer has the load peak.
 _HOT_CUSTOMER_INDEX = 2
 
 
 class Load(msgspec.Struct, frozen=True):
-    """Calls of one run: a hot customer sends ``times`` its usual; ``changes`` by nodes.
+    """Calls and node changes of one run; a hot customer sends ``times`` its usual rate.
 
-    ``granting`` are nodes that grant calls of the hot customer: its first owner, then the keepers
-    of shares.
+    ``changes`` receives the count of nodes, the nodes that grant calls of the hot customer (its
+    first owner, then its share owners) and the random generator.
     """
 
     name: str
@@ -59,18 +60,18 @@
 
 
 def _pick_nodes(size: int, count: int, granting: list[int], rng: random.Random) -> list[int]:
-    """Return ``count`` nodes, those that are ``granting`` first."""
+    """Return ``count`` nodes, starting with those in ``granting``."""
     others = [node for node in range(size) if node not in granting]
     return [*granting, *rng.sample(others, count - len(granting))]
 
 
 def _restarts(size: int, granting: list[int], rng: random.Random) -> list[Change]:
-    """A third of the nodes restart in groups of six, the owner among the first."""
+    """A third of the nodes restart in groups of six, with the owner in the first group."""
     return _rolling_restart(_pick_nodes(size, size // 3, granting[:1], rng))
 
 
 def _share_owners_restart(size: int, granting: list[int], rng: random.Random) -> list[Change]:
-    """The same, with all keepers of the hot customer's shares in the first groups."""
+    """As ``_restarts``, with all share owners of the hot customer in the first groups."""
     return _rolling_restart(_pick_nodes(size, size // 3, granting, rng))
 
 
@@ -83,7 +84,7 @@
 
 
 def _cut_off(size: int, granting: list[int], rng: random.Random) -> list[Change]:
-    """16 of 54 nodes are each cut off from all others for 5 s, the owner among them."""
+    """16 of 54 nodes, including the owner, are each isolated from all others for 5 s."""
     return _isolate_each(_pick_nodes(size, size * 16 // 54, granting[:1], rng))
 
 
@@ -97,7 +98,7 @@
 
 
 def _cut_off_together(size: int, granting: list[int], rng: random.Random) -> list[Change]:
-    """16 of 54 nodes are cut off from the others, but reach each other."""
+    """16 of 54 nodes are partitioned from the others, but reach each other."""
     nodes = _pick_nodes(size, size * 16 // 54, granting[:1], rng)
     return [Change(10_000.0, dict.fromkeys(nodes, 1)), Change(15_000.0)]
 
@@ -108,7 +109,7 @@
 
 
 def _second_cut(size: int, granting: list[int], rng: random.Random) -> list[Change]:
-    """16 nodes are cut off, and 16 others 2.5 s later, when the first are back."""
+    """16 nodes are isolated, and 16 others 2.5 s later, when the first are connected again."""
     nodes = _pick_nodes(size, 2 * (size * 16 // 54), granting[:1], rng)
     half = len(nodes) // 2
     return [
@@ -123,19 +124,19 @@
 
 
 class Strategy(Protocol):
-    """Decides on one call: customer, node, time."""
+    """Decides whether a node admits one call of a customer at a time."""
 
     def admit(self, customer: Customer, node: int, now_ms: float) -> AdmissionResult: ...
 
 
 class _LoggingOwners:
-    """Owners that count a sliding window, and learn of what others granted as ``learn`` says."""
+    """Owners that count grants in a sliding window; subclasses exchange grants between owners."""
 
     def __init__(self, simulation: FleetSimulation) -> None:
         self._simulation = simulation
         self._route = QuotaRoute()
         size = len(simulation.names)
-        # By node: the grants of each customer that the node knows of.
+        # By node: times of the grants of each customer that the node knows of.
         self.logs: list[dict[str, deque[float]]] = [{} for _ in range(size)]
         self._allowances = [Allowances() for _ in range(size)]
         simulation.on_start = self.start
@@ -154,10 +155,10 @@
         return len(self.log(node, customer, now_ms))
 
     def receive_report(self, node: int, owner: int, customer: str, now_ms: float) -> None:
-        """Let ``owner`` learn from an ask of ``node``."""
+        """Apply what a request of ``node`` reports to ``owner``."""
 
     def record_grant(self, node: int, owner: int, customer: str, now_ms: float) -> int:
-        """Note a grant to ``node``; return further messages."""
+        """Record a grant to ``node``; return the number of further messages."""
         self.log(owner, customer, now_ms).append(now_ms)
         return 0
 
@@ -180,12 +181,12 @@
 
 
 class RequestersReport(_LoggingOwners):
-    """Asks tell what the asker has used of late; an owner adds up what others granted."""
+    """Requests report the requester's recent grants; an owner adds those of other owners."""
 
     def __init__(self, simulation: FleetSimulation) -> None:
         super().__init__(simulation)
         size = len(simulation.names)
-        # By asker: the times and owners of its grants, of which its asks give those of others.
+        # By requester: times and owners of its grants; a request reports those of other owners.
         self._own_grants: list[dict[str, deque[tuple[float, int]]]] = [{} for _ in range(size)]
         self._reported: list[dict[tuple[str, int], list[float]]] = [{} for _ in range(size)]
 
@@ -214,7 +215,7 @@
 
 
 class OwnerReports(_LoggingOwners):
-    """An owner tells its stand-in of its grants, up to ``_UNTOLD`` of them late."""
+    """An owner reports its grants to the second owner, each ``_MAX_UNREPORTED_GRANTS`` grants."""
 
     def __init__(self, simulation: FleetSimulation) -> None:
         super().__init__(simulation)
@@ -244,7 +245,7 @@
 
 
 class ShareByDemand:
-    """Each node serves a part of the limit by the demand that nodes have told all others of."""
+    """Each node enforces a share of the limit by the demand that nodes report to all others."""
 
     def __init__(self, simulation: FleetSimulation) -> None:
         self._simulation = simulation
@@ -273,7 +274,7 @@
 
 
 class EvenParts:
-    """Each node serves the same part of the limit and tells nobody anything."""
+    """Each node enforces an equal share of the limit and sends no messages."""
 
     def __init__(self, simulation: FleetSimulation) -> None:
         self._simulation = simulation
@@ -312,11 +313,12 @@
 
 
 class Figures(msgspec.Struct):
-    """Of one way under one load: shares in percent, the fullest window of any customer.
+    """Figures of one strategy (``way``) under one load.
 
-    ``refused_hot`` counts the hot customer's calls that were refused within its limit.  Within the
-    limit is what a sliding window lets in that sees all calls; ``refused_below`` counts the refused
-    calls of all customers before which fewer than the limit ran in the window.
+    A call is within the limit if a sliding window over all calls admits it.  ``refused_hot`` counts
+    the hot customer's calls that were refused within its limit.  ``refused_below`` counts the
+    refused calls of all customers that would not have brought the calls run in the window above the
+    limit.  ``fullest_window`` is the maximum over all customers, relative to the allowed count.
     """
 
     way: str
@@ -333,7 +335,7 @@
 def compare(
     nodes: int = 54, customers: int = 74, calls_per_s: float = 141.0, seeds: int = 3
 ) -> None:
-    """Print the figures of each way, one JSON line each."""
+    """Print the figures of each strategy as one JSON line."""
     for seed in range(seeds):
         for load in LOADS:
             for way in STRATEGIES:
@@ -342,7 +344,7 @@
 
 
 def _customers(count: int, calls_per_s: float) -> list[tuple[Customer, float]]:
-    """Return customers with what they usually send, a few of them large."""
+    """Return customers with their usual rates in calls per second, a few of them large."""
     weights = [1.0 / (rank + 1) ** 0.8 for rank in range(count)]
     usual = [calls_per_s * weight / sum(weights) for weight in weights]
     return [
@@ -354,7 +356,7 @@
 def _calls(
     customers: list[tuple[Customer, float]], load: Load, rng: random.Random
 ) -> Iterator[tuple[float, int]]:
-    """Yield the times of calls and whose they are; the third largest is hot."""
+    """Yield the time of each call and the index of its customer, in order of time."""
     calls: list[tuple[float, int]] = []
     for number, (_, rate_per_s) in enumerate(customers):
         now_ms = 0.0
@@ -368,7 +370,7 @@
 def run_strategy(
     way: str, load: Load, nodes: int, customers: int, calls_per_s: float, seed: int
 ) -> Figures:
-    """Play one load, by one way."""
+    """Simulate one load with the strategy named ``way`` and return its figures."""
     rng = random.Random(seed)
     customer_rates = _customers(customers, calls_per_s)
     names = [f"node-{number}" for number in range(nodes)]
@@ -417,7 +419,7 @@
 
 
 def _is_within_limit(counted_ms: deque[float], customer: Customer, now_ms: float) -> bool:
-    """Whether a call is within its customer's limit by a sliding window; notes it if so."""
+    """Return whether a call is within its limit by a sliding window; record it if so."""
     while counted_ms and counted_ms[0] <= now_ms - _WINDOW_MS:
         counted_ms.popleft()
     if len(counted_ms) + 1 > _limit(customer):
@@ -431,7 +433,7 @@
 
 
 def _window_utilization(times_ms: list[float], customer: Customer) -> float:
-    """Return the most that ran in a window over what may; above 1 a limit is broken."""
+    """Return the fullest window relative to the allowed count; above 1 violates the limit."""
     allowed = _limit(customer) * (1 + _TOLERANCE_SHARE) + _TOLERANCE_CALLS
     return busiest_window(times_ms, _WINDOW_MS)[0] / allowed
 
--- a/bench/reader_costs.py
+++ b/bench/reader_costs.py
@@ -1,11 +1,11 @@
-"""What an event of a response costs at the connection of a caller that reads.
+"""Measure the cost of one response event at the connection of a caller that reads.
 
     python -m bench.reader_costs
 
-Ways: the kernel is handed the event at once, and a task starts only when it refuses bytes (the
-node's way, by ``put_part`` and by ``send_part``); or a task for each call hands it what a handler
-has put into a buffer.  CPU time of this process, the least and the median of interleaved rounds;
-the handler yields once for each event, as it does when it reads its upstream.
+Methods: the handler writes the event to the socket directly, and a task starts only when the kernel
+does not accept all bytes (as the node does, with ``put_part`` and with ``send_part``); or one task
+per call writes the buffer that the handler fills.  Prints CPU time of this process as minimum and
+median of interleaved rounds; the handler yields once per event, as when it reads its upstream.
 """
 
 import os
@@ -86,7 +86,7 @@
 
 
 def main() -> None:
-    """Print the cost of each way."""
+    """Print the cost of each method."""
     methods: list[WriteMethod] = [by_send, by_writer_task]
     if hasattr(HttpConnection, "put_part"):
         methods.insert(0, by_put)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,8 +1,8 @@
-"""Measured slopes, kept in ``bench/slopes.json``: what ``make capacity`` computes from.
+"""Measured slopes in ``bench/slopes.json``, the input of ``make capacity``.
 
 A bench run with ``--record`` replaces its own slopes and leaves the others.  Values are processor
-time or sizes per unit of work on one core of the machine named in the file: slopes to scale from,
-not promises.
+time or sizes per unit of work on one core of the machine named in the file, meant for scaling
+estimates and not as guarantees.
 """
 
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 
 class Slope(msgspec.Struct, frozen=True):
-    """One measured value with its unit and the command that gave it."""
+    """One measured value with its unit, the command that measured it and its method."""
 
     value: float
     unit: str
@@ -35,4 +35,4 @@
     slopes = {**read_slopes(path), **measured}
     ordered = dict(sorted(slopes.items()))
     path.write_bytes(msgspec.json.format(msgspec.json.encode(ordered), indent=2) + b"\n")
-    print("recorded; now run make capacity, whose page is made of these")
+    print("recorded; now run make capacity to update the page")
--- a/bench/slow_peers.py
+++ b/bench/slow_peers.py
@@ -1,10 +1,10 @@
-"""Whom to cut off when too much is held for slow clients: ways compared on the same clients.
+"""Compare policies that disconnect slow clients when too many bytes are held for them.
 
     python -m bench.slow_peers
 
-Clients come at random and take responses of 15 to 870 KB: some take nothing, some 20 to 100 KB/s,
-some 0.3 to 2 MB/s, and every five seconds 30 or 120 that take nothing come at
-once.  A good way lets whoever reads have the whole response.
+Clients arrive at random for responses of 15 to 870 KB: some read nothing, some 20 to 100 KB/s and
+some 0.3 to 2 MB/s; every five seconds 30 or 120 clients that read nothing arrive at once.  A good
+policy delivers the complete response to every client that reads.
 """
 
 import math
@@ -24,7 +24,7 @@
 ARRIVALS_PER_S = 30.0
 BURST_EVERY_MS = 5_000
 BURSTS = (30, 120)
-# Those that take nothing leave after the deadline of a call.
+# Clients that read nothing leave after the deadline of a call.
 PATIENCE_MS = 5_000
 CLIENT_KINDS = (
     ("stalled", 0.2, 0, 0),
@@ -34,14 +34,14 @@
 
 
 class NewAreLast(HeldBytes):
-    """New clients are cut off only after all others."""
+    """New clients are disconnected only after all others."""
 
     def slowest(self, now_ms: float) -> Hashable:
         return min(self.peers, key=lambda key: _order(self.peers[key], now_ms, math.inf))
 
 
 class NewAreFirst(HeldBytes):
-    """New clients count as such that take nothing."""
+    """New clients count as reading nothing."""
 
     def slowest(self, now_ms: float) -> Hashable:
         return min(self.peers, key=lambda key: _order(self.peers[key], now_ms, 0.0))
@@ -57,14 +57,14 @@
 
 
 class LargestFirst(HeldBytes):
-    """The client for which most is held is cut off, however fast it reads."""
+    """The client with the most bytes held is disconnected, regardless of its read rate."""
 
     def slowest(self, now_ms: float) -> Hashable:
         return max(self.peers, key=lambda key: self.peers[key].held_bytes)
 
 
 class OldestFirst(HeldBytes):
-    """The client for which something has been held longest is cut off."""
+    """The client whose bytes have been held longest is disconnected."""
 
     def slowest(self, now_ms: float) -> Hashable:
         return min(self.peers, key=lambda key: self.peers[key].since_ms)
@@ -86,7 +86,7 @@
 def play(
     policy: type[HeldBytes], seed: int, burst_clients: int
 ) -> tuple[Counter[str], Counter[str]]:
-    """Return by kind how many clients came, and how many were cut off."""
+    """Return by kind the counts of clients that arrived and that were disconnected."""
     rng = random.Random(seed)
     held = policy(BOUNDS)
     clients: dict[int, Client] = {}
@@ -119,7 +119,7 @@
 
 
 def main() -> None:
-    """Print how many of each kind were cut off, over all seeds."""
+    """Print the disconnected clients of each kind over all seeds."""
     policies = (HeldBytes, NewAreLast, NewAreFirst, NewAreTypical, LargestFirst, OldestFirst)
     for burst_clients in BURSTS:
         for policy in policies:
--- a/bench/stops.py
+++ b/bench/stops.py
@@ -1,9 +1,9 @@
-"""Planned stops of entries under load: ``python -m bench.stops [STOPS]``.
+"""Measure planned stops of entries under load: ``python -m bench.stops [STOPS]``.
 
-A local system of three VMs and eight more with an agent and an entry each.  Callers do as they
-are told: they ask an entry which to use, keep the answer while it is valid, and stream.  Four
-entries at a time get a graceful shutdown and start again.  Any request of a caller that is not
-answered whole counts as cut.
+Runs a local system of three VMs and eight more with an agent and an entry each.  Callers follow the
+protocol: they query an entry for the entries to use, cache the answer for its validity, and stream.
+Four entries at a time shut down gracefully and start again.  Any request without a complete answer
+counts as cut.
 """
 
 import random
@@ -50,7 +50,7 @@
 
 @dataclass(slots=True)
 class _EntryVm:
-    """A VM whose agent stays while its entry is stopped and started."""
+    """A VM whose agent keeps running while its entry stops and starts."""
 
     settings: Settings
     address: Address | None = None
@@ -81,7 +81,7 @@
 
 
 async def _call_forever(system: LocalSystem, results: _Results, rng: random.Random) -> None:
-    """Be one caller; its connections are its own."""
+    """Simulate one caller with its own connections."""
     http = HttpClient()
     entries: list[str] = []
     expires_s = 0.0
@@ -91,7 +91,7 @@
             current_entry = Address.parse(entries[0]) if entries else system.entry_address
             response_entries = await _fetch_entries(http, current_entry, system.entry_address)
             entries = [entry.address for entry in response_entries.entries]
-            # Counted from before the question: the answer may have been long on its way.
+            # Validity counts from the time of the request, since the answer may be delayed.
             expires_s = requested_s + response_entries.valid_for_ms / 1000
             continue
         results.requests += 1
@@ -111,13 +111,13 @@
                 if response.status == 200:
                     return msgspec.json.decode(await response.read(), type=EntriesAnswer)
         except (NotSentError, ResponseLostError):
-            # The answer that named it has expired, so it may be gone by now.
+            # The list that named this entry has expired, so it may have stopped.
             continue
-    raise RuntimeError("no entry says which entries to use")
+    raise RuntimeError("no entry answered with the list of entries")
 
 
 async def _stream(http: HttpClient, entry: Address, rng: random.Random) -> str:
-    """Return what went wrong with one streamed request, nothing when it came whole."""
+    """Return the problem of one streamed request, or "" when the answer is complete."""
     text = f"case {rng.getrandbits(40)}"
     body = {
         "model": CHAT_MODEL,
@@ -152,7 +152,7 @@
             results.leaving.discard(str(vm.address))
         for vm in chosen:
             await vm.start_entry(nursery)
-        # Until they are named again there is no load on them.
+        # Callers send no load until the restarted entries are listed again.
         await trio.sleep(1.5)
 
 
@@ -172,7 +172,7 @@
 
 
 def main() -> None:
-    """Print what became of the requests."""
+    """Print the results of the requests."""
     count = int(sys.argv[1]) if len(sys.argv) > 1 else _STOPS
     results = trio.run(measure_stops, count)
     print(f"{len(results.stop_s)} stops, {max(results.stop_s):.1f} s the longest")
--- a/bench/store.py
+++ b/bench/store.py
@@ -1,6 +1,6 @@
-"""What stores and uploads cost: ``python -m bench.store [--record]``.
+"""Measure the cost of stores and uploads: ``python -m bench.store [--record]``.
 
-Writes to a folder under the current directory, so that it measures the disk there.
+Writes below the current directory, and so measures the disk that holds it.
 """
 
 import argparse
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class _Timed:
-    """Wall times of one kind of step in ms, and the processor time of all."""
+    """Wall time of each step in ms, and the total processor time."""
 
     wall_ms: list[float] = field(default_factory=list)
     cpu_s: float = 0.0
@@ -122,7 +122,7 @@
         calls = callers * 20
         cpu_us = 1e6 * (time.process_time() - cpu_s) / calls
         wall_ms = 1000 * (time.perf_counter() - start_s) / 20
-        # Each call opens the file once to write, each fsync once more.
+        # Each call opens the file once to write; the remaining opens are fsyncs.
         syncs = disk.syncs - calls
         name = f"8 records of 1000 B, {jobs} jobs, {callers} callers"
         print(f"{name:34} {calls:6} {cpu_us:10.0f} {wall_ms:8.2f} {syncs:8}")
@@ -133,7 +133,7 @@
 
 
 class _NullStores:
-    """Takes segments without keeping them, so that only the entry's own memory counts."""
+    """Discards segments, so that only the entry's own memory counts."""
 
     def __init__(self) -> None:
         self.segments = 0
@@ -152,7 +152,7 @@
 
 
 def _form(items: int) -> Iterator[bytes]:
-    """Yield the body of an upload in chunks as a socket gives them."""
+    """Yield the body of an upload in chunks of about the size of a socket read."""
     yield (
         b'--b\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n'
         b'--b\r\nContent-Disposition: form-data; name="file"; filename="in.jsonl"\r\n\r\n'
@@ -210,11 +210,11 @@
 
 
 def main() -> None:
-    """Print the tables; with ``--record`` also keep the slopes."""
+    """Print the tables; with ``--record`` also store the slopes."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--record", action="store_true", help="keep the slopes in slopes.json")
+    parser.add_argument("--record", action="store_true", help="store the slopes in slopes.json")
     record = parser.parse_args().record
-    # First, since the peak of a process never goes down.
+    # The upload runs first, since the peak memory of a process never decreases.
     slopes = trio.run(_upload)
     print()
     with tempfile.TemporaryDirectory(dir=".", prefix=".bench-store-") as folder:
--- a/bench/transport.py
+++ b/bench/transport.py
@@ -1,4 +1,4 @@
-"""Processor time of the transports: ``python -m bench.transport [--record]``.
+"""Measure the processor time of the transports: ``python -m bench.transport [--record]``.
 
 Client and server run on one loop, so each figure is the cost of both ends together; the median of
 several rounds is printed, since the machine is noisy.
@@ -57,7 +57,7 @@
     async with responder.stream(200, [("content-type", "text/event-stream")]) as body:
         for _ in range(EVENTS):
             await body.write(EVENT)
-            # As from an engine, each event arrives on its own.
+            # Yields between events, which arrive separately from an engine.
             await trio.lowlevel.checkpoint()
 
 
--- a/bench/worth.py
+++ b/bench/worth.py
@@ -1,6 +1,6 @@
-"""Prints the worth of each standard day: with the first version that was scored, and since.
+"""Print the worth of each standard day in its first, best and last score.
 
-Read from the entries of whole scores in ``journal/``; nothing is played.
+Reads the entries of complete scores in ``journal/`` and runs no simulation.
 
     python -m bench.worth
 """
@@ -14,12 +14,12 @@
 __all__ = ["DayWorth", "ScoreEntry", "compare", "format_table"]
 
 _JOURNAL = Path(__file__).resolve().parent.parent / "journal"
-# Days that were drawn for one score only, which no other score has.
+# Name prefix of days drawn for a single score, which cannot be compared across scores.
 _SINGLE_SCORE_PREFIX = "fresh-"
 
 
 class DayWorth(msgspec.Struct, rename={"worth": "G"}):
-    """One day of a score: its worth before it is set against the day's marks."""
+    """One day of a score: its worth before normalization by the day's marks."""
 
     name: str
     worth: float
@@ -27,7 +27,7 @@
 
 
 class ScoreEntry(msgspec.Struct):
-    """What an entry of the journal says of a score; ``at`` has its begin and end."""
+    """A journal entry of a score; ``at`` holds its start and end times."""
 
     cmd: str
     at: list[str]
@@ -45,7 +45,7 @@
 
 
 def read_scores(folder: Path) -> list[ScoreEntry]:
-    """Return the whole scores of a journal, oldest first."""
+    """Return the complete scores of a journal, oldest first."""
     decoder = msgspec.json.Decoder(ScoreEntry)
     entries = [decoder.decode(path.read_bytes()) for path in folder.glob("*.json")]
     return sorted((item for item in entries if item.cmd == "score"), key=lambda item: item.at[0])
@@ -65,7 +65,7 @@
 
 
 def format_table(histories: dict[tuple[str, str], _History]) -> str:
-    """Return a row for each day: first, best and last worth, and days with a broken rule."""
+    """Return a row for each day: first, best and last worth, and scores with a broken rule."""
     rows = [f"{'site':14} {'day':10} {'first':>7} {'best':>7} {'last':>7} {'broken':>7}"]
     for (site, day), history in sorted(histories.items()):
         first, best, last = history.worths[0], max(history.worths), history.worths[-1]
@@ -74,7 +74,7 @@
 
 
 def main() -> int:
-    """Print the table; returns the exit code."""
+    """Print the table; return the exit code."""
     scores = read_scores(_JOURNAL)
     if not scores:
         print(f"no score in {_JOURNAL}", file=sys.stderr)
--- a/deploy/build.py
+++ b/deploy/build.py
@@ -1,7 +1,7 @@
 """Put the package, its dependencies and their bytecode under ``target/deps``.
 
-The package is copied anew each time, so that a changed source is never run from an old copy.
-Dependencies are installed again only when their list has changed.
+The package is copied on every build, so that no outdated copy of a changed source runs.
+Dependencies are reinstalled only when their list has changed.
 """
 
 import compileall
@@ -16,9 +16,9 @@
 REQUIREMENTS = ROOT / "deploy" / "requirements.txt"
 PACKAGE = ROOT / "src" / "fescuedock"
 TARGET = ROOT / "target" / "deps"
-# The requirements that are installed.
+# Copy of the requirements that are installed.
 STAMP = TARGET / ".requirements"
-# What is put into one file of bytecode each.
+# Programs whose startup modules are bundled into one bytecode file each.
 PROGRAMS = ("node", "spool")
 _LIST_MODULES = """
 import json, sys
@@ -34,7 +34,7 @@
 
 
 def main() -> int:
-    """Build; returns the exit code."""
+    """Build; return the exit code."""
     TARGET.mkdir(parents=True, exist_ok=True)
     if not install_dependencies():
         return 1
@@ -45,7 +45,7 @@
 
 
 def install_dependencies() -> bool:
-    """Install what ``requirements.txt`` lists unless it is there; False when that fails."""
+    """Install the requirements unless they are current; return False on failure."""
     wanted = REQUIREMENTS.read_text(encoding="utf-8")
     if STAMP.exists() and STAMP.read_text(encoding="utf-8") == wanted:
         return True
@@ -60,7 +60,7 @@
 
 
 def copy_package(package: Path, target: Path) -> None:
-    """Replace the copy of ``package`` below ``target``, with bytecode that needs no check."""
+    """Replace the copy of ``package`` below ``target``, with bytecode that skips source checks."""
     copy = target / package.name
     shutil.rmtree(copy, ignore_errors=True)
     shutil.copytree(package, copy, ignore=shutil.ignore_patterns("__pycache__", "source"))
@@ -68,7 +68,7 @@
 
 
 def bundle_program(program: str, target: Path) -> None:
-    """Put what a program imports at its start into one file beside its package."""
+    """Bundle the modules that a program imports at startup into one file next to its package."""
     listed = subprocess.run(
         [sys.executable, "-S", "-c", _LIST_MODULES.format(program=program)],
         cwd=target,
--- a/tests/day_account.py
+++ b/tests/day_account.py
@@ -1,10 +1,10 @@
-"""Says from the saved logs of a day when slots were short, and which calls and items paid for it.
+"""Summarize slot shortages and the affected calls and items from the saved logs of a day.
 
     python -m tests.day_account FILE [SECONDS]
 
 FILE holds lines of the form ``TIME NODE {...}``, as the programs' logs are saved.  For each window
-of SECONDS (2 by default) it prints how many slots online and batch held on the average, how many
-calls waited for more than 200 ms for a slot, and how the runs of batch items ended.
+of SECONDS (2 by default) it prints the mean number of slots that online and batch held, how many
+calls waited longer than 200 ms for a slot, and how the runs of batch items ended.
 """
 
 import re
@@ -18,7 +18,7 @@
 __all__ = ["DayAccount", "LogLine", "read_lines"]
 
 _LINE = re.compile(r"\s*(-?[\d.]+) (\S+) (\{.*\})\s*$")
-# A wait that costs a call of a usual target of 300 ms most of it.
+# Most of the usual call target of 300 ms.
 _LONG_WAIT_MS = 200.0
 
 
@@ -40,7 +40,7 @@
 
 
 def read_lines(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the log lines among ``lines``; all others, and cut ones, are passed over."""
+    """Yield the log lines among ``lines``; skip other and truncated lines."""
     for line in lines:
         found = _LINE.match(line)
         if found is None:
@@ -64,7 +64,7 @@
 
 
 class DayAccount:
-    """Adds up log lines by windows of ``length_s``."""
+    """Aggregates log lines by windows of ``length_s``."""
 
     def __init__(self, length_s: float = 2.0) -> None:
         self._length_s = length_s
@@ -92,7 +92,7 @@
         self._runs[line.fields["item_id"]] += 1
 
     def _split_by_window(self, line: LogLine) -> Iterator[tuple[_Window, float]]:
-        """Yield the windows that a run lies in, with the seconds that lie in each."""
+        """Yield each window that a run overlaps, with the overlap in seconds."""
         at_s = line.started_s
         while at_s < line.at_s:
             number = int(at_s // self._length_s)
@@ -104,7 +104,7 @@
         return self._windows.setdefault(int(at_s // self._length_s), _Window())
 
     def rows(self) -> Iterator[str]:
-        """Yield the table, a line a window, and the runs that an item took."""
+        """Yield the table with a line for each window, and the mean number of runs per item."""
         yield "  from  online  batch  calls  waited long  ends of batch runs"
         for number, window in sorted(self._windows.items()):
             online, batch = window.online_s / self._length_s, window.batch_s / self._length_s
@@ -118,7 +118,7 @@
 
 
 def main(path: str, length_s: float = 2.0) -> None:
-    """Print the account of one file."""
+    """Print the summary of one file."""
     account = DayAccount(length_s)
     with open(path, encoding="utf-8", errors="replace") as file:
         for line in read_lines(file):
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -1,4 +1,4 @@
-"""The capacity page is what its slopes and formulas give."""
+"""The capacity page matches its slopes and formulas."""
 
 import unittest
 
@@ -8,7 +8,7 @@
 
 
 class CapacityTest(unittest.TestCase):
-    """``make capacity`` would change nothing."""
+    """The committed page equals the output of ``make capacity``."""
 
     def test_the_page_is_current(self) -> None:
         text = PAGE.read_text(encoding="utf-8")
--- a/tests/test_worth_table.py
+++ b/tests/test_worth_table.py
@@ -1,4 +1,4 @@
-"""The table of the worth of each standard day over the scores of the journal."""
+"""Table of the worth of each standard day over the scores of the journal."""
 
 import json
 import tempfile
@@ -18,7 +18,7 @@
     def test_first_best_and_last_of_each_standard_day(self) -> None:
         with tempfile.TemporaryDirectory() as name:
             folder = Path(name)
-            # Written out of order; a day that was drawn, and a single run, do not count.
+            # Files are not in order of time; a drawn day and a single run are excluded.
             (folder / "b.json").write_text(entry("2", quiet=0.7))
             (folder / "a.json").write_text(entry("1", quiet=0.9, **{"fresh-1": 0.1}))
             (folder / "c.json").write_text(entry("3", quiet=0.8))
--- a/tools/generate.py
+++ b/tools/generate.py
@@ -1,8 +1,8 @@
 """Generate the modules of ``fescuedock.schema`` and the result code table from their sources.
 
 Run ``make generate`` after editing a file in ``src/fescuedock/schema/source``.  The output is
-committed, so neither a build nor an installation needs this tool; CI runs ``--check`` to make
-sure that what is committed is current.
+committed, so neither a build nor an installation needs this tool; CI runs ``--check`` to verify
+that the committed files are current.
 """
 
 import argparse
@@ -20,10 +20,10 @@
 CODES_SOURCE = SOURCE / "result_codes.yaml"
 CODES_MODULE = SCHEMA / "result_codes.py"
 CODES_PAGE = ROOT / "docs" / "RESULT_CODES.md"
-# The generator makes a class of the document itself, which holds nothing but definitions.
+# The generator emits an empty class for the document itself, which holds only definitions.
 ROOT_CLASS = "SchemaDocument"
 EMPTY_ROOT = re.compile(rf"class {ROOT_CLASS}\(\w+\):\n    pass\n")
-# A source with ``wire: true`` holds messages between our processes.
+# Base of the structs of a source with ``wire: true``: messages between our processes.
 WIRE_BASE = "--base-class=fescuedock.schema.wire.WireStruct"
 CODEGEN_OPTIONS = (
     "--input-file-type=jsonschema",
@@ -42,7 +42,7 @@
 
 
 def main() -> int:
-    """Write every generated file, or with ``--check`` compare and report; 1 when one is stale."""
+    """Write every generated file, or with ``--check`` report stale ones; return the exit code."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--check", action="store_true", help="compare only, write nothing")
     check_only = parser.parse_args().check
--- a/tools/list_events.py
+++ b/tools/list_events.py
@@ -1,7 +1,7 @@
 """Write ``docs/EVENTS.md``: every event that the programs log, its fields and its modules.
 
 Run ``make events`` after adding or changing a call of ``log_event``; a test checks that the page is
-current.
+up to date.
 """
 
 import ast
--- a/tools/run_tests.py
+++ b/tools/run_tests.py
@@ -1,11 +1,11 @@
-"""Runs the tests, and passes over the failures that ``KNOWN-RED.txt`` lists.
+"""Run the tests, and ignore the failures listed in ``KNOWN-RED.txt``.
 
-A line of that file names one test, what runs it, its seed, what was seen, and the open issue, with
-`` | `` between them.  Each listed test still runs; its failure is printed and fails nothing else.
+Each line of that file holds a test, its command, its seed, the observed failure and the open issue,
+separated by `` | ``.  Listed tests still run; their failures are printed but do not fail the run.
 
-Usage: run_tests.py [--jobs=N] [NAME...]; without names it runs every module in a process of its
-own, the soak's tests one by one, N processes at a time, and leaves what each has written in
-``test-logs/``.  Ends with 1 when another test has failed.
+Usage: run_tests.py [--jobs=N] [NAME...]; without names it runs every module in a separate process,
+the soak's tests one by one, N processes at a time, and writes their output to ``test-logs/``.
+Exits with 1 when an unlisted test has failed.
 """
 
 import os
@@ -33,17 +33,17 @@
 ROOT = Path(__file__).resolve().parent.parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 LOGS = ROOT / "test-logs"
-# More than this many known faults are to be mended first.
+# Known failures beyond this count must be fixed first.
 MAX_KNOWN_RED = 3
 _SEPARATOR = " | "
-# These take longest, and so begin first.
+# The longest modules, which start first.
 _LONG_MODULES = (
     "tests.test_quota_partition",
     "tests.test_heavy_load",
     "tests.test_promises_jobs",
     "tests.test_batch_daemon",
 )
-# Each of its longer tests starts a fleet of processes, and judges it by the clock.
+# Its longer tests start a fleet of processes each and depend on timing.
 _SOAK = "tests.test_soak"
 _SOAK_SHARE = 3
 _TIMEOUT_S = 600
@@ -60,7 +60,10 @@
 
 
 def read_known_red(text: str) -> list[KnownRed]:
-    """Return the lines of a list; raises ``ValueError`` for one out of shape, or for too many."""
+    """Return the lines of a list.
+
+    Raise ``ValueError`` for a malformed line or more than ``MAX_KNOWN_RED`` lines.
+    """
     found: list[KnownRed] = []
     for line in filter(None, text.splitlines()):
         fields = line.split(_SEPARATOR)
@@ -73,14 +76,14 @@
 
 
 def failed_tests(result: unittest.TestResult) -> set[str]:
-    """Return the identities of what has failed; a subtest counts as its test."""
+    """Return the identities of the failed tests; a subtest counts as its test."""
     failed = [test for test, _ in (*result.failures, *result.errors)]
     failed += result.unexpectedSuccesses
     return {getattr(test, "test_case", test).id() for test in failed}
 
 
 def unexpected(failed: Iterable[str], known: Iterable[KnownRed]) -> set[str]:
-    """Return what has failed and is not listed."""
+    """Return the failed tests that are not listed."""
     return set(failed) - {item.test for item in known}
 
 
@@ -91,7 +94,7 @@
 
 
 class TestRun(msgspec.Struct):
-    """How the tests under one name went in a process of their own."""
+    """Result of the tests under one name, which ran in a separate process."""
 
     name: str
     tests: int = 0
@@ -102,7 +105,7 @@
 
 
 class _Report(msgspec.Struct):
-    """What a process tells of its tests."""
+    """Test results that a process reports."""
 
     tests: int
     skipped: int
@@ -112,14 +115,14 @@
 def run_apart(name: str, folder: Path = LOGS) -> TestRun:
     """Run the tests of a module, or one test, in another process that writes to ``folder``.
 
-    A process that ends without a report has failed under that name.
+    A process that ends without a report counts as a failure under that name.
     """
     folder.mkdir(parents=True, exist_ok=True)
     log, report_file = folder / f"{name}.txt", folder / f"{name}.json"
     report_file.unlink(missing_ok=True)
     options = [f"-W{option}" for option in sys.warnoptions]
     command = [sys.executable, *options, __file__, f"--report={report_file}", name]
-    began_s = time.monotonic()
+    started_s = time.monotonic()
     with log.open("wb") as output:
         try:
             subprocess.run(
@@ -133,7 +136,7 @@
             )
         except subprocess.TimeoutExpired:
             output.write(f"not done after {_TIMEOUT_S} s\n".encode())
-    run = TestRun(name, took_s=time.monotonic() - began_s)
+    run = TestRun(name, took_s=time.monotonic() - started_s)
     run.output = log.read_text(encoding="utf-8", errors="replace")
     try:
         report = msgspec.json.decode(report_file.read_bytes(), type=_Report)
@@ -148,9 +151,9 @@
 def run_all_apart(
     names: Sequence[str], soak: Sequence[str], jobs: int, folder: Path = LOGS
 ) -> set[str]:
-    """Run tests ``jobs`` at a time, and tell how they went; return those that failed.
+    """Run tests ``jobs`` at a time and print a summary; return the failed tests.
 
-    Those of the ``soak`` get a part of the processes to themselves.
+    A fixed share of the processes is reserved for the tests in ``soak``.
     """
     soak_jobs = max(jobs // _SOAK_SHARE, 1)
     runs: list[TestRun] = []
@@ -179,7 +182,7 @@
 
 
 def _all_modules() -> list[str]:
-    """Return the test modules of this tree but that of the soak, those first that take longest."""
+    """Return all test modules except the soak's, starting with the longest."""
     found = [
         ".".join(path.relative_to(ROOT).with_suffix("").parts)
         for path in (ROOT / "tests").rglob("test_*.py")
@@ -189,7 +192,7 @@
 
 
 def _tests_of(module: str) -> list[str]:
-    """Return the identities of a module's tests, or its own name when it cannot be loaded."""
+    """Return the identities of a module's tests, or its own name when loading fails."""
     found: list[str] = []
     suites: list[unittest.TestSuite] = [unittest.defaultTestLoader.loadTestsFromName(module)]
     while suites:
@@ -202,7 +205,7 @@
 
 
 def _run_here(names: Sequence[str], report_file: Path | None) -> set[str]:
-    """Run tests in this process; return those that failed."""
+    """Run tests in this process; return the failed ones."""
     result = unittest.TextTestRunner().run(unittest.defaultTestLoader.loadTestsFromNames(names))
     failed = failed_tests(result)
     if report_file is not None:
@@ -212,7 +215,7 @@
 
 
 def main(arguments: list[str]) -> int:
-    """Run the tests that are named, or all; return the exit status."""
+    """Run the named tests, or all; return the exit status."""
     sys.path.insert(0, str(ROOT))
     known = read_known_red(KNOWN_RED.read_text(encoding="utf-8") if KNOWN_RED.exists() else "")
     names = [item for item in arguments if not item.startswith("--")]
