--- a/bench/batch_lean.py
+++ b/bench/batch_lean.py
@@ -83,7 +83,7 @@
 
 
 @dataclass(slots=True)
-class ForgetfulStores:
+class DiscardingStores:
     """Discards segments, generates input on demand, and holds the log only with ``retain_log``."""
 
     job: LeanJob
@@ -155,12 +155,12 @@
     job: LeanJob
     result: LeanResult = field(default_factory=LeanResult)
     retain_log: bool = False
-    stores: ForgetfulStores = field(init=False)
+    stores: DiscardingStores = field(init=False)
     kv: CountingKv = field(init=False)
     runners: int = 0
 
     def __post_init__(self) -> None:
-        self.stores = ForgetfulStores(self.job, self.result, self.retain_log)
+        self.stores = DiscardingStores(self.job, self.result, self.retain_log)
         self.kv = CountingKv(self.result)
 
     @property
--- a/bench/engine_cost.py
+++ b/bench/engine_cost.py
@@ -63,7 +63,7 @@
     return [shape.token_event(text) for text in token_texts("hello", 0, TOKENS)]
 
 
-def chunk(data: bytes) -> bytes:
+def http_chunk(data: bytes) -> bytes:
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
@@ -72,9 +72,9 @@
     await stream.receive_some(65536)
     await stream.send_all(HEAD)
     for event in events:
-        await stream.send_all(chunk(event))
+        await stream.send_all(http_chunk(event))
         await pacer.wait()
-    await stream.send_all(chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n")
+    await stream.send_all(http_chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n")
 
 
 async def read_raw(address: Address, pacer: ReadPacer) -> int:
--- a/bench/fleet_trials.py
+++ b/bench/fleet_trials.py
@@ -81,7 +81,9 @@
 _SEEDS = 2
 
 
-def _slow_run(health_aware: bool, seed: int, pause_ms: tuple[float, float]) -> tuple[int, int, int]:
+def _run_with_pauses(
+    health_aware: bool, seed: int, pause_ms: tuple[float, float]
+) -> tuple[int, int, int]:
     """Pause and resume a third of 18 VMs for a minute at 5% loss.
 
     Return the removals of running VMs, and the suspicions and refutations of the steady ones.
@@ -127,7 +129,7 @@
         results: dict[bool, list[tuple[int, int, int]]] = {True: [], False: []}
         for seed in range(_SEEDS):
             for health_aware in (True, False) if seed % 2 else (False, True):
-                results[health_aware].append(_slow_run(health_aware, seed, pause_ms))
+                results[health_aware].append(_run_with_pauses(health_aware, seed, pause_ms))
         for health_aware, rows in results.items():
             sums = [sum(column) for column in zip(*rows, strict=True)]
             label = "on" if health_aware else "off"
--- a/bench/item_yield.py
+++ b/bench/item_yield.py
@@ -24,7 +24,7 @@
 SLOTS = 8
 NODES = 8
 CALL_S = 0.745
-PLAY_S = 48.0
+SIMULATED_S = 48.0
 LOW, HIGH = 0.39, 1.91
 MEAN_PER_S = 0.5 * UPSTREAMS * SLOTS / CALL_S
 
@@ -81,9 +81,11 @@
         )
 
 
-async def _play(load: str, jobs_per_s: float, warm_s: float, seed: int, figures: Figures) -> None:
+async def _simulate(
+    load: str, jobs_per_s: float, warm_s: float, seed: int, figures: Figures
+) -> None:
     items: list[ItemOutcome] = []
-    batch = BatchLoad(per_s=jobs_per_s, length_s=PLAY_S - 18.0, events=161)
+    batch = BatchLoad(per_s=jobs_per_s, length_s=SIMULATED_S - 18.0, events=161)
 
     async def add_jobs(fleet: PlayedFleet) -> None:
         await trio.sleep(warm_s)
@@ -101,7 +103,7 @@
         async with trio.open_nursery() as loads:
             loads.start_soon(add_jobs, fleet)
             rng = random.Random(seed)
-            calls = await play_calls(fleet, phases(load, warm_s + PLAY_S, rng), rng)
+            calls = await play_calls(fleet, phases(load, warm_s + SIMULATED_S, rng), rng)
         nursery.cancel_scope.cancel()
     figures.add(calls, items, fleet)
 
@@ -116,7 +118,13 @@
     figures = Figures()
     for seed in seeds if isinstance(seeds, (tuple, list)) else (seeds,):
         trio.run(
-            _play, load, jobs_per_s, warm_s, seed, figures, clock=MockClock(autojump_threshold=0)
+            _simulate,
+            load,
+            jobs_per_s,
+            warm_s,
+            seed,
+            figures,
+            clock=MockClock(autojump_threshold=0),
         )
     print(f"{load} {jobs_per_s} jobs/s, seeds {seeds}: {figures}", flush=True)
 
--- a/bench/lost_answers.py
+++ b/bench/lost_answers.py
@@ -25,7 +25,9 @@
 WRITES = 10
 KEY = "key"
 
-Put = Callable[[KvStore, str, bytes, int, Callable[[bytes], bool]], Awaitable[Result[int, Fault]]]
+PutStrategy = Callable[
+    [KvStore, str, bytes, int, Callable[[bytes], bool]], Awaitable[Result[int, Fault]]
+]
 
 
 @dataclass(slots=True)
@@ -78,7 +80,7 @@
     return Err(Fault(ResultCode.KV_CONFLICT, f"{key} is another's"))
 
 
-def run_seed(put: Put, seed: int) -> Counts:
+def run_seed(put_strategy: PutStrategy, seed: int) -> Counts:
     rng = random.Random(seed)
     kv = MemoryKv()
     kv.faults.delay_ms = 3
@@ -93,7 +95,9 @@
             if rng.random() < 0.3:
                 kv.faults.lose_answer(rng.choice(list(LostAnswer)), rng.randint(1, 3))
             revision = current.mod_revision if current else 0
-            result = await put(kv, KEY, value, revision, lambda stored, v=value: stored == v)
+            result = await put_strategy(
+                kv, KEY, value, revision, lambda stored, v=value: stored == v
+            )
             results_seen.append((value, result))
             await trio.sleep(rng.random() * 0.05)
 
@@ -133,11 +137,11 @@
 
 
 def main() -> None:
-    for put in (give_up, read_once, repeat_and_read, put_resolved):
+    for put_strategy in (give_up, read_once, repeat_and_read, put_resolved):
         total = Counts()
         for seed in range(SEEDS):
-            total.add(run_seed(put, seed))
-        print(f"{put.__name__:16} {total}")
+            total.add(run_seed(put_strategy, seed))
+        print(f"{put_strategy.__name__:16} {total}")
 
 
 if __name__ == "__main__":
--- a/bench/mix_actors.py
+++ b/bench/mix_actors.py
@@ -327,7 +327,7 @@
 
         def on_end(completed: bool) -> None:
             span = (run.started_ms, self.fleet.loop.now_ms)
-            self.fleet.spans.setdefault(request.upstream_id, []).append(span)
+            self.fleet.online_spans.setdefault(request.upstream_id, []).append(span)
             if local:
                 self._local.release(request.upstream_id)
             ended = run.ended(completed)
@@ -407,7 +407,7 @@
         self.tokens = 0
         self.items_done = 0
         self.revoked = 0
-        self.redone_tokens = 0
+        self.reread_tokens = 0
         self.revocations_ms: list[float] = []
         self._rng = rng
         self._items = itertools.count()
@@ -473,7 +473,7 @@
     def _run(self, item: Item, request: PermitAsk) -> None:
         attempt_id, upstream_id = request.attempt_id, request.upstream_id
         self._running[attempt_id] = (item, upstream_id)
-        self.redone_tokens += item.done_tokens
+        self.reread_tokens += item.done_tokens
 
         def on_token() -> None:
             if attempt_id in self._running:
@@ -518,7 +518,7 @@
     engines: dict[str, VirtualEngine] = field(default_factory=dict)
     owners: dict[str, OwnerHost] = field(default_factory=dict)
     # Start and end times of the online attempts at each upstream.
-    spans: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
+    online_spans: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
 
     @classmethod
     def for_plan(cls, loop: VirtualLoop, plan: "Plan") -> "Fleet":
--- a/bench/mix_runs.py
+++ b/bench/mix_runs.py
@@ -80,10 +80,10 @@
     duration_ms: float
     batch_tokens: int = 0
     revoked: int = 0
-    redone_tokens: int = 0
+    reread_tokens: int = 0
     revocations_ms: list[float] = field(default_factory=list)
     # Start and end times of the online requests at each worker.
-    spans: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
+    online_spans: dict[str, list[tuple[float, float]]] = field(default_factory=dict)
 
     def _measured(self) -> list[OnlineResult]:
         return [item for item in self.results if item.arrival.at_ms >= WARM_UP_MS]
@@ -154,7 +154,7 @@
     if batch:
         result.batch_tokens = batch.tokens - warm_up_tokens[0]
         result.revoked = batch.revoked
-        result.redone_tokens = batch.redone_tokens
+        result.reread_tokens = batch.reread_tokens
     return result
 
 
@@ -171,7 +171,7 @@
     runner = BatchRunner(fleet, "r0", plan.rng("batch")) if plan.batch else None
     _schedule_faults(fleet, plan)
     result = run_plan(loop, plan, runner, results)
-    result.spans = fleet.spans
+    result.online_spans = fleet.online_spans
     if runner:
         result.revocations_ms = runner.revocations_ms
     return result
@@ -244,7 +244,7 @@
     def __init__(self, fleet: Fleet, rng: random.Random, batch_limit: BatchLimit) -> None:
         self.tokens = 0
         self.revoked = 0
-        self.redone_tokens = 0
+        self.reread_tokens = 0
         self._fleet = fleet
         self._rng = rng
         self._batch_limit = batch_limit
@@ -319,16 +319,21 @@
     for item, online_run in zip(results, online_only.results, strict=True):
         loop.after(item.arrival.at_ms, online.serve, item, online_run.upstream_id)
     batch = DirectBatch(
-        fleet, plan.rng("batch"), _clairvoyant_limit(loop, online_only.spans, level, guard_ms)
+        fleet,
+        plan.rng("batch"),
+        _clairvoyant_limit(loop, online_only.online_spans, level, guard_ms),
     )
     return run_plan(loop, plan, batch, results)
 
 
 def _clairvoyant_limit(
-    loop: VirtualLoop, spans: dict[str, Sequence[tuple[float, float]]], level: int, guard_ms: float
+    loop: VirtualLoop,
+    online_spans: dict[str, Sequence[tuple[float, float]]],
+    level: int,
+    guard_ms: float,
 ) -> BatchLimit:
-    starts = {name: sorted(start for start, _ in items) for name, items in spans.items()}
-    ends = {name: sorted(end for _, end in items) for name, items in spans.items()}
+    starts = {name: sorted(start for start, _ in items) for name, items in online_spans.items()}
+    ends = {name: sorted(end for _, end in items) for name, items in online_spans.items()}
 
     def batch_limit(name: str) -> tuple[int, bool]:
         if name not in starts:
--- a/bench/part_ways.py
+++ b/bench/part_ways.py
@@ -20,7 +20,7 @@
 from fescuedock.core.recent_runs import SoundParts
 from fescuedock.schema.crashes import CrashedRun, CrashReport, WorkCleared
 
-__all__ = ["STRATEGIES", "Outcome", "Scenario", "play"]
+__all__ = ["STRATEGIES", "Outcome", "Scenario", "simulate"]
 
 _TICK_MS = 10
 _NODES = 8
@@ -80,7 +80,8 @@
 class CountEnds:
     """Refuses work with any part seen at ``_ENDS_BEFORE_REFUSAL`` upstream ends.
 
-    With ``exclude_sound``, parts of recently completed runs do not count.
+    With ``exclude_sound``, parts of recently completed runs do not count, and a completed run
+    resets the counts of its parts.
     """
 
     def __init__(self, *, exclude_sound: bool) -> None:
@@ -176,7 +177,7 @@
         self.fifth_end_ms = float("inf")
         self.number = 0
 
-    def play(self) -> Outcome:
+    def run(self) -> Outcome:
         for now_ms in range(0, int(self.scenario.seconds * 1000), _TICK_MS):
             self._end_runs(now_ms)
             self._arrive(now_ms)
@@ -272,9 +273,9 @@
         self.outcome.late_harmful_runs += late
 
 
-def play(strategy: str, scenario: Scenario, seed: int) -> Outcome:
+def simulate(strategy: str, scenario: Scenario, seed: int) -> Outcome:
     """Simulate a scenario with the strategy of that name and return the counts."""
-    return Simulation(STRATEGIES[strategy](), scenario, seed).play()
+    return Simulation(STRATEGIES[strategy](), scenario, seed).run()
 
 
 _SCENARIOS = {
@@ -292,7 +293,7 @@
     print("scenario, way, ends, runs with the part, late ones, sound, whole share, refused")
     for name, scenario in _SCENARIOS.items():
         for strategy in STRATEGIES:
-            found = [play(strategy, scenario, seed) for seed in range(seeds)]
+            found = [simulate(strategy, scenario, seed) for seed in range(seeds)]
             ends, runs, late, sound, completed, refused = (
                 sum(getattr(item, field) for item in found) for field in Outcome.__struct_fields__
             )
--- a/bench/quota_ways.py
+++ b/bench/quota_ways.py
@@ -46,14 +46,14 @@
 
 
 class Load(msgspec.Struct, frozen=True):
-    """Calls and node changes of one run; a hot customer sends ``times`` its usual rate.
+    """Calls and node changes of one run; a hot customer sends ``load_factor`` times its usual rate.
 
     ``changes`` receives the count of nodes, the nodes that grant calls of the hot customer (its
     first owner, then its share owners) and the random generator.
     """
 
     name: str
-    times: float = 1.0
+    load_factor: float = 1.0
     changes: Callable[[int, list[int], random.Random], list[Change]] = lambda size, granting, rng: (
         []
     )
@@ -338,8 +338,8 @@
     """Print the figures of each strategy as one JSON line."""
     for seed in range(seeds):
         for load in LOADS:
-            for way in STRATEGIES:
-                figures = run_strategy(way, load, nodes, customers, calls_per_s, seed)
+            for strategy in STRATEGIES:
+                figures = run_strategy(strategy, load, nodes, customers, calls_per_s, seed)
                 print(msgspec.json.encode(figures).decode())
 
 
@@ -362,15 +362,15 @@
         now_ms = 0.0
         while now_ms < _RUN_MS:
             hot = number == _HOT_CUSTOMER_INDEX and _HOT_PERIOD_MS[0] <= now_ms < _HOT_PERIOD_MS[1]
-            now_ms += rng.expovariate(rate_per_s * (load.times if hot else 1.0)) * 1000
+            now_ms += rng.expovariate(rate_per_s * (load.load_factor if hot else 1.0)) * 1000
             calls.append((now_ms, number))
     yield from sorted(calls)
 
 
 def run_strategy(
-    way: str, load: Load, nodes: int, customers: int, calls_per_s: float, seed: int
+    strategy: str, load: Load, nodes: int, customers: int, calls_per_s: float, seed: int
 ) -> Figures:
-    """Simulate one load with the strategy named ``way`` and return its figures."""
+    """Simulate one load with the strategy named ``strategy`` and return its figures."""
     rng = random.Random(seed)
     customer_rates = _customers(customers, calls_per_s)
     names = [f"node-{number}" for number in range(nodes)]
@@ -379,7 +379,7 @@
     share_owners = BucketFleet(FleetSimulation(nodes, (), rng)).share_owners(hot)
     granting = list(dict.fromkeys([owner, *share_owners]))
     simulation = FleetSimulation(nodes, load.changes(nodes, granting, rng), rng)
-    fleet = STRATEGIES[way](simulation)
+    fleet = STRATEGIES[strategy](simulation)
     within_limit_ms: list[deque[float]] = [deque() for _ in customer_rates]
     run_times_ms: list[list[float]] = [[] for _ in customer_rates]
     refused = [0] * len(customer_rates)
@@ -406,7 +406,7 @@
         for number, times in enumerate(run_times_ms)
     )
     return Figures(
-        way,
+        strategy,
         load.name,
         seed,
         round(100 * sum(refused) / within, 3),
@@ -432,10 +432,10 @@
     return customer.rate_per_s * _WINDOW_MS / 1000 + customer.burst
 
 
-def _window_utilization(times_ms: list[float], customer: Customer) -> float:
+def _window_utilization(call_times_ms: list[float], customer: Customer) -> float:
     """Return the fullest window relative to the allowed count; above 1 violates the limit."""
     allowed = _limit(customer) * (1 + _TOLERANCE_SHARE) + _TOLERANCE_CALLS
-    return busiest_window(times_ms, _WINDOW_MS)[0] / allowed
+    return busiest_window(call_times_ms, _WINDOW_MS)[0] / allowed
 
 
 if __name__ == "__main__":
--- a/bench/stops.py
+++ b/bench/stops.py
@@ -31,7 +31,7 @@
 
 __all__ = ["main"]
 
-_MORE_VMS = 8
+_ADDITIONAL_VMS = 8
 _STOPPED_AT_ONCE = 4
 _CALLERS = 24
 _STOPS = 100
@@ -161,7 +161,7 @@
     results = _Results()
     with tempfile.TemporaryDirectory() as folder:
         async with open_local(0, Path(folder)) as system, trio.open_nursery() as nursery:
-            vms = [await _start_vm(system, number, nursery) for number in range(_MORE_VMS)]
+            vms = [await _start_vm(system, number, nursery) for number in range(_ADDITIONAL_VMS)]
             await trio.sleep(2)
             for seed in range(_CALLERS):
                 nursery.start_soon(_call_forever, system, results, random.Random(seed))
--- a/tests/test_day_account.py
+++ b/tests/test_day_account.py
@@ -1,4 +1,4 @@
-"""The account of a day from saved logs."""
+"""Summary of a day from saved logs."""
 
 import unittest
 
@@ -18,7 +18,7 @@
             account.add(item)
         return list(account.rows())
 
-    def test_slots_are_spread_over_the_windows_that_a_run_lies_in(self) -> None:
+    def test_slots_are_spread_over_the_windows_that_a_run_overlaps(self) -> None:
         rows = self.rows(line(3.0, "item_run", took_ms=2000.0, attempt_end="whole", item_id="a"))
         self.assertEqual(rows[1].split()[:3], ["0.0", "0.0", "0.5"])
         self.assertEqual(rows[2].split()[:3], ["2.0", "0.0", "0.5"])
@@ -33,7 +33,7 @@
         self.assertEqual(rows[1].split()[3:5], ["1", "1"])
         self.assertEqual(rows[2].split()[3:5], ["1", "0"])
 
-    def test_other_and_broken_lines_are_passed_over(self) -> None:
+    def test_other_and_malformed_lines_are_skipped(self) -> None:
         rows = self.rows("worth 0.5\n", "  1.0 node-1 {broken}\n", line(1.0, "serving"))
         self.assertEqual(rows[1], "0 items, 0.00 runs each")
 
--- a/tests/test_quarantine_parts.py
+++ b/tests/test_quarantine_parts.py
@@ -5,7 +5,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from bench.part_ways import Scenario, play
+from bench.part_ways import Scenario, simulate
 from fescuedock.core.quarantine import FREE, Quarantine, QuarantinePolicy, Restriction
 from fescuedock.core.recent_runs import SoundParts
 from fescuedock.core.work_identity import message_parts, part_identities
@@ -194,7 +194,7 @@
             other_parts=other_parts,
             other_ends_per_s=other_ends_per_s,
         )
-        outcome = play("run alone", scenario, seed)
+        outcome = simulate("run alone", scenario, seed)
         self.assertEqual(outcome.sound_refused, 0)
         self.assertLessEqual(outcome.ends, MAX_CRASHES)
         self.assertLessEqual(outcome.late_harmful_runs, 3)
