--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,7 +1,7 @@
-"""Membership and configuration as the fleet grows.
+"""Measure membership and configuration as the fleet grows.
 
-``python -m bench.fleet [--record] [SECTION...]``: the shipped core objects are joined by the loop
-of ``tests.builders.membership``; times are virtual unless a line says CPU.  Sections: sizes, loss,
+``python -m bench.fleet [--record] [SECTION...]``: the event loop of ``tests.builders.membership``
+connects the shipped core objects; times are virtual unless a line says CPU.  Sections: sizes, loss,
 slowness, damping, heartbeats, kv, callers, agent.
 """
 
@@ -34,16 +34,16 @@
 _IDLE_MS = 3000.0
 
 
-def _spread_ms(fleet: Fleet, knows: Callable) -> list[float]:
-    """Return, sorted, when each running VM came to know what ``knows`` asks of it."""
+def _spread_ms(fleet: Fleet, is_informed: Callable) -> list[float]:
+    """Return the sorted delays until ``is_informed`` holds for each running VM."""
     start_ms = fleet.now_ms
     waiting = set(fleet.running())
     times: list[float] = []
     while waiting and fleet.now_ms - start_ms < LIMIT_MS:
         fleet.run(20)
-        done = {node for node in waiting if knows(node)}
-        times += [fleet.now_ms - start_ms] * len(done)
-        waiting -= done
+        informed = {node for node in waiting if is_informed(node)}
+        times += [fleet.now_ms - start_ms] * len(informed)
+        waiting -= informed
     return times + [float("inf")] * len(waiting)
 
 
@@ -52,7 +52,7 @@
 
 
 def measure_sizes() -> dict[str, Slope]:
-    """Join, cost when idle, spread of a leave, detection of a loss, for each size."""
+    """Measure the join, idle cost, spread of a leave and detection of a loss for each size."""
     slopes: dict[str, Slope] = {}
     print(
         "size | join all s | idle msgs/s B/s CPU ms/s per VM | leave known p50 p99 last ms | ",
@@ -66,7 +66,7 @@
         fleet.leave(vm_name(2))
         leave = _spread_ms(fleet, lambda node: vm_name(2) not in node.live())
         fleet.run(2000)
-        lost = _lose_one(fleet)
+        lost = _measure_loss_of_one(fleet)
         print(
             f"{size} | {join_ms / 1000:.1f} | {sent:.1f} {sent_bytes:.0f} {cpu_ms:.2f} | "
             f"{_rank(leave, 0.5):.0f} {_rank(leave, 0.99):.0f} {leave[-1]:.0f} | {lost}",
@@ -89,7 +89,7 @@
     )
 
 
-def _lose_one(fleet: Fleet) -> str:
+def _measure_loss_of_one(fleet: Fleet) -> str:
     victim = vm_name(1)
     before = {node.vm_id: node.sent_bytes for node in fleet.running()}
     fleet.kill(victim)
@@ -97,11 +97,11 @@
     suspect_ms = fleet.run_until(
         lambda: any(_state(node, victim) == "suspect" for node in fleet.running()), LIMIT_MS
     )
-    gone = [suspect_ms + t for t in _spread_ms(fleet, lambda node: victim not in node.view())]
+    removed_ms = [suspect_ms + t for t in _spread_ms(fleet, lambda node: victim not in node.view())]
     elapsed_s = max(10.0, (fleet.now_ms - start_ms) / 1000)
     fleet.run(start_ms + elapsed_s * 1000 - fleet.now_ms)
     busiest = max(node.sent_bytes - before[node.vm_id] for node in fleet.running()) / elapsed_s
-    times = [suspect_ms / 1000, _rank(gone, 0.5) / 1000, gone[-1] / 1000]
+    times = [suspect_ms / 1000, _rank(removed_ms, 0.5) / 1000, removed_ms[-1] / 1000]
     return " ".join(f"{time_s:.1f}" for time_s in times) + f" | {busiest:.0f}"
 
 
@@ -121,7 +121,7 @@
 
 
 def measure_kv() -> dict[str, Slope]:
-    """Key-value calls for the configuration; membership itself makes none."""
+    """Count key-value calls for the configuration; membership itself makes none."""
     slopes: dict[str, Slope] = {}
     print("size | key-value calls/s of the whole fleet | messages/s between agents")
     for size in SIZES:
@@ -148,7 +148,7 @@
     for tick in range(10 * (seconds + 30)):
         now_ms = 100.0 * tick
         if tick == 300:
-            # The start, when everybody reads the record, is not counted.
+            # Excludes the start, when every node reads the record.
             counts.clear()
         for node in nodes.values():
             _confirm(node, nodes, record, now_ms, counts)
@@ -196,9 +196,9 @@
 
 
 def main(arguments: list[str]) -> None:
-    """Run the named sections, or all; ``--record`` keeps their slopes."""
-    wanted = [name for name in arguments if not name.startswith("--")] or list(SECTIONS)
-    for name in wanted:
+    """Run the named sections, or all; ``--record`` stores their slopes."""
+    sections = [name for name in arguments if not name.startswith("--")] or list(SECTIONS)
+    for name in sections:
         start_s = time.monotonic()
         print(f"# {name}", flush=True)
         slopes = SECTIONS[name]()
--- a/bench/item_yield.py
+++ b/bench/item_yield.py
@@ -1,4 +1,4 @@
-"""Plays items beside steps of online demand: runs cut, work on time, free slots.
+"""Simulate batch items during steps of online demand: runs cut, work on time, free slots.
 
 python -m bench.item_yield --load rhythm --jobs_per_s 0.48 --seeds 1,2,3
 """
@@ -24,15 +24,16 @@
 SLOTS = 8
 NODES = 8
 CALL_S = 0.745
-PLAY_S = 48.0
+SIMULATED_S = 48.0
 LOW, HIGH = 0.39, 1.91
 MEAN_PER_S = 0.5 * UPSTREAMS * SLOTS / CALL_S
 
 
 def phases(load: str, length_s: float, rng: random.Random) -> list[tuple[float, float]]:
-    """Return lengths in seconds and calls a second of one play.
+    """Return the phases of one simulation as length in seconds and calls per second.
 
-    ``load``: "rhythm" for steady steps, "random" for steps of random length and height, "even".
+    ``load`` is "rhythm" for periodic steps, "random" for steps of random length and height, or
+    "even" for a constant rate.
     """
     if load == "even":
         return [(length_s, MEAN_PER_S)]
@@ -51,13 +52,13 @@
 
 @dataclass(slots=True)
 class Figures:
-    """What one play, or several together, came to."""
+    """Sums over one or more simulations."""
 
     calls: int = 0
     calls_on_time: int = 0
     items: int = 0
     items_on_time: int = 0
-    cut: int = 0
+    ended_early: int = 0
     idle_slot_s: float = 0.0
     wasted_slot_s: float = 0.0
 
@@ -66,22 +67,25 @@
         self.calls_on_time += sum(call.on_time for call in calls)
         self.items += len(items)
         self.items_on_time += sum(item.on_time for item in items)
-        self.cut += fleet.cut_runs
+        self.ended_early += fleet.cut_runs
         self.idle_slot_s += fleet.idle_slot_s
         self.wasted_slot_s += fleet.wasted_slot_s
 
     def __str__(self) -> str:
         return (
-            f"cut {self.cut} for {self.items} ({self.cut / max(self.items, 1):.2f}); "
+            f"cut {self.ended_early} for {self.items} "
+            f"({self.ended_early / max(self.items, 1):.2f}); "
             f"items on time {self.items_on_time}; online {self.calls_on_time} of {self.calls} "
             f"({self.calls_on_time / self.calls:.4f}); idle {self.idle_slot_s:.0f}, "
             f"with items waiting {self.wasted_slot_s:.0f} slot-s"
         )
 
 
-async def _play(load: str, jobs_per_s: float, warm_s: float, seed: int, figures: Figures) -> None:
+async def _simulate(
+    load: str, jobs_per_s: float, warm_s: float, seed: int, figures: Figures
+) -> None:
     items: list[ItemOutcome] = []
-    batch = BatchLoad(per_s=jobs_per_s, length_s=PLAY_S - 18.0, events=161)
+    batch = BatchLoad(per_s=jobs_per_s, length_s=SIMULATED_S - 18.0, events=161)
 
     async def add_jobs(fleet: PlayedFleet) -> None:
         await trio.sleep(warm_s)
@@ -99,7 +103,7 @@
         async with trio.open_nursery() as loads:
             loads.start_soon(add_jobs, fleet)
             rng = random.Random(seed)
-            calls = await play_calls(fleet, phases(load, warm_s + PLAY_S, rng), rng)
+            calls = await play_calls(fleet, phases(load, warm_s + SIMULATED_S, rng), rng)
         nursery.cancel_scope.cancel()
     figures.add(calls, items, fleet)
 
@@ -110,11 +114,17 @@
     warm_s: float = 0.0,
     seeds: tuple[int, ...] = (1, 2, 3),
 ) -> None:
-    """Play each seed and print the figures of all of them together."""
+    """Simulate each seed and print the sums over all of them."""
     figures = Figures()
     for seed in seeds if isinstance(seeds, (tuple, list)) else (seeds,):
         trio.run(
-            _play, load, jobs_per_s, warm_s, seed, figures, clock=MockClock(autojump_threshold=0)
+            _simulate,
+            load,
+            jobs_per_s,
+            warm_s,
+            seed,
+            figures,
+            clock=MockClock(autojump_threshold=0),
         )
     print(f"{load} {jobs_per_s} jobs/s, seeds {seeds}: {figures}", flush=True)
 
--- a/bench/lost_answers.py
+++ b/bench/lost_answers.py
@@ -1,9 +1,9 @@
-"""What becomes of writes whose answer is lost, by ways of following them up.
+"""Compare ways of resolving writes whose answer is lost.
 
     python -m bench.lost_answers
 
-Three writers write one key on top of each other, ten times each; three writes in ten lose an
-answer (before or after their effect, or with the effect coming late).  Virtual time, seeded.
+Three writers overwrite one key concurrently, ten times each; three in ten writes lose an answer
+(before or after their effect, or with a delayed effect).  Virtual time, seeded.
 """
 
 import random
@@ -25,12 +25,18 @@
 WRITES = 10
 KEY = "key"
 
-Put = Callable[[KvStore, str, bytes, int, Callable[[bytes], bool]], Awaitable[Result[int, Fault]]]
+PutStrategy = Callable[
+    [KvStore, str, bytes, int, Callable[[bytes], bool]], Awaitable[Result[int, Fault]]
+]
 
 
 @dataclass(slots=True)
 class Counts:
-    """What the writers were told, against what happened."""
+    """Results reported to the writers compared with the actual writes.
+
+    ``said_there_but_not`` counts writes reported as stored that were not, ``said_not_but_there``
+    the reverse.
+    """
 
     writes: int = 0
     unknown: int = 0
@@ -44,12 +50,12 @@
 
 
 async def give_up(kv, key, value, revision, is_ours):
-    """Take the first answer."""
+    """Return the first result."""
     return await kv.put_if(key, value, revision)
 
 
 async def read_once(kv, key, value, revision, is_ours):
-    """After a lost answer look once what is there."""
+    """After a lost answer read the key once."""
     result = await kv.put_if(key, value, revision)
     if isinstance(result, Ok) or result.err_value.code is not ResultCode.KV_UNKNOWN:
         return result
@@ -57,7 +63,7 @@
 
 
 async def repeat_and_read(kv, key, value, revision, is_ours):
-    """Repeat until there is an answer; after a conflict look what is there."""
+    """Repeat the write until it is answered; after a conflict read the key."""
     while True:
         result = await kv.put_if(key, value, revision)
         if isinstance(result, Ok):
@@ -74,23 +80,25 @@
     return Err(Fault(ResultCode.KV_CONFLICT, f"{key} is another's"))
 
 
-def run_seed(put: Put, seed: int) -> Counts:
+def run_seed(put_strategy: PutStrategy, seed: int) -> Counts:
     rng = random.Random(seed)
     kv = MemoryKv()
     kv.faults.delay_ms = 3
     written: list[tuple[int, bytes]] = []
-    told: list[tuple[bytes, Result[int, Fault]]] = []
+    results_seen: list[tuple[bytes, Result[int, Fault]]] = []
     kv.state.listeners.append(lambda event: written.append((event.revision, event.entry.value)))
 
     async def write(name: str) -> None:
         for number in range(WRITES):
-            found = (await kv.get(KEY)).unwrap()
+            current = (await kv.get(KEY)).unwrap()
             value = f"{name}{number}".encode()
             if rng.random() < 0.3:
                 kv.faults.lose_answer(rng.choice(list(LostAnswer)), rng.randint(1, 3))
-            revision = found.mod_revision if found else 0
-            result = await put(kv, KEY, value, revision, lambda there, v=value: there == v)
-            told.append((value, result))
+            revision = current.mod_revision if current else 0
+            result = await put_strategy(
+                kv, KEY, value, revision, lambda stored, v=value: stored == v
+            )
+            results_seen.append((value, result))
             await trio.sleep(rng.random() * 0.05)
 
     async def land_late() -> None:
@@ -108,15 +116,17 @@
         kv.apply_late_writes()
 
     trio.run(run, clock=trio.testing.MockClock(autojump_threshold=0))
-    return judge(told, written, kv.faults.total_calls)
+    return judge(results_seen, written, kv.faults.total_calls)
 
 
 def judge(
-    told: list[tuple[bytes, Result[int, Fault]]], written: list[tuple[int, bytes]], calls: int
+    results_seen: list[tuple[bytes, Result[int, Fault]]],
+    written: list[tuple[int, bytes]],
+    calls: int,
 ) -> Counts:
-    counts = Counts(writes=len(told), calls=calls)
+    counts = Counts(writes=len(results_seen), calls=calls)
     values = {value for _, value in written}
-    for value, result in told:
+    for value, result in results_seen:
         if isinstance(result, Ok):
             counts.said_there_but_not += (result.ok_value, value) not in written
         elif result.err_value.code is ResultCode.KV_UNKNOWN:
@@ -127,11 +137,11 @@
 
 
 def main() -> None:
-    for put in (give_up, read_once, repeat_and_read, put_resolved):
+    for put_strategy in (give_up, read_once, repeat_and_read, put_resolved):
         total = Counts()
         for seed in range(SEEDS):
-            total.add(run_seed(put, seed))
-        print(f"{put.__name__:16} {total}")
+            total.add(run_seed(put_strategy, seed))
+        print(f"{put_strategy.__name__:16} {total}")
 
 
 if __name__ == "__main__":
--- a/bench/node_costs.py
+++ b/bench/node_costs.py
@@ -1,7 +1,7 @@
-"""What a node costs in processor time: its start, an idle second, and an online call.
+"""Measure the processor time of a node: its start, an idle second, and an online call.
 
-Runs real node processes with stand-ins in this one: ``python -m bench.node_costs [--nodes N]``.
-Processor time includes the kernel's; other work on the machine makes it up to twice as much.
+Runs real node processes, and stand-ins in this one: ``python -m bench.node_costs [--nodes N]``.
+Processor time includes the kernel's; other load on the machine can double it.
 """
 
 import os
@@ -21,14 +21,14 @@
 
 __all__ = ["measure"]
 
-# The least that the settings of a world allow.
+# The minimum that the settings of a ``World`` allow.
 _SPOOLS = 3
 _IDLE_S = 10.0
 _SETTLE_S = 5.0
 _CALLS = 400
 _CALLS_PER_S = 40.0
 _TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-# Fields of /proc/PID/stat behind the command's name: user and system time.
+# Indices in /proc/PID/stat after the command name: user and system time.
 _USER_FIELD, _SYSTEM_FIELD = 11, 12
 
 
@@ -68,9 +68,9 @@
     await trio.sleep(_IDLE_S)
     idle_ms_per_s = (_mean_ms(world.nodes) - before_ms) / _IDLE_S
     before_ms = _mean_ms(world.nodes)
-    began_s = trio.current_time()
+    started_s = trio.current_time()
     await _call_all(world)
-    idle_ms = idle_ms_per_s * (trio.current_time() - began_s)
+    idle_ms = idle_ms_per_s * (trio.current_time() - started_s)
     calls_ms = (_mean_ms(world.nodes) - before_ms - idle_ms) * len(world.nodes)
     return NodeCosts(len(world.nodes), start_ms, idle_ms_per_s, calls_ms / _CALLS)
 
--- a/bench/queue_costs.py
+++ b/bench/queue_costs.py
@@ -1,7 +1,7 @@
-"""What one upstream's queue costs per call: ``python -m bench.queue_costs``.
+"""Measure the cost of an upstream's queue per call: ``python -m bench.queue_costs``.
 
-The shipped queue is driven in virtual time at a full upstream of 8 slots.  Two cases stand for a
-deployment without customers, without and with asks that wait, and two for one with customers.
+Drives the shipped queue in virtual time for a full upstream of 8 slots.  The cases combine a
+deployment without and with customers with none and 16 waiting requests.
 """
 
 import statistics
@@ -19,7 +19,7 @@
 
 
 def main() -> None:
-    """Print the processor time of an ask, its grant and its end."""
+    """Print the processor time of a permit request, its grant and its end."""
     for name, waiting, customers in (
         ("nobody waits, no customers", 0, 0),
         ("nobody waits, 12 customers", 0, CUSTOMERS),
@@ -34,18 +34,18 @@
     queue = UpstreamQueue(
         "u1", PermitSettings(), UpstreamTerms(slots=SLOTS), 2000, rebuild_ms=0.0, now_ms=0.0
     )
-    asks = [_ask(number, customers) for number in range(CALLS)]
+    requests = [_permit_request(number, customers) for number in range(CALLS)]
     started_s = time.process_time()
-    for number, ask in enumerate(asks):
+    for number, request in enumerate(requests):
         now_ms = number * 10.0
-        queue.submit(ask, now_ms)
-        over = number - SLOTS - waiting + 1
-        if over >= 0:
-            queue.end(_ended(over), now_ms + 5.0)
+        queue.submit(request, now_ms)
+        ended_number = number - SLOTS - waiting + 1
+        if ended_number >= 0:
+            queue.end(_ended(ended_number), now_ms + 5.0)
     return (time.process_time() - started_s) * 1e6 / CALLS
 
 
-def _ask(number: int, customers: int) -> PermitAsk:
+def _permit_request(number: int, customers: int) -> PermitAsk:
     return PermitAsk(
         upstream_id="u1",
         attempt_id=f"attempt-{number}",
--- a/bench/reader_costs.py
+++ b/bench/reader_costs.py
@@ -1,11 +1,11 @@
-"""What an event of a response costs at the connection of a caller that reads.
+"""Measure the cost of one response event at the connection of a caller that reads.
 
     python -m bench.reader_costs
 
-Ways: the kernel is handed the event at once, and a task starts only when it refuses bytes (the
-node's way, by ``put_part`` and by ``send_part``); or a task for each call hands it what a handler
-has put into a buffer.  CPU time of this process, the least and the median of interleaved rounds;
-the handler yields once for each event, as it does when it reads its upstream.
+Methods: the handler writes the event to the socket directly, and a task starts only when the kernel
+does not accept all bytes (as the node does, with ``put_part`` and with ``send_part``); or one task
+per call writes the buffer that the handler fills.  Prints CPU time of this process as minimum and
+median of interleaved rounds; the handler yields once per event, as when it reads its upstream.
 """
 
 import os
@@ -26,7 +26,7 @@
 REQUEST = b"GET / HTTP/1.1\r\nhost: x\r\n\r\n"
 HEADERS = [("transfer-encoding", "chunked")]
 NS_PER_US = 1000
-Way = Callable[[HttpConnection], Awaitable[None]]
+WriteMethod = Callable[[HttpConnection], Awaitable[None]]
 
 
 async def by_put(connection: HttpConnection) -> None:
@@ -65,7 +65,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def play(way: Way) -> float:
+async def measure_event_us(method: WriteMethod) -> float:
     """Return the CPU time of an event in microseconds."""
     near, far = trio.socket.socketpair()
     with near, far:
@@ -76,9 +76,9 @@
             head = await connection.next_head()
             connection.begin_body(head)
             await connection.send_events(h11.Response(status_code=200, headers=HEADERS))
-            began_ns = time.process_time_ns()
-            await way(connection)
-            used_ns += time.process_time_ns() - began_ns
+            started_ns = time.process_time_ns()
+            await method(connection)
+            used_ns += time.process_time_ns() - started_ns
             await connection.send_events(h11.EndOfMessage())
             os.read(far.fileno(), 65536)
             await connection.prepare_next()
@@ -86,17 +86,19 @@
 
 
 def main() -> None:
-    """Print the cost of each way."""
-    ways: list[Way] = [by_send, by_writer_task]
+    """Print the cost of each method."""
+    methods: list[WriteMethod] = [by_send, by_writer_task]
     if hasattr(HttpConnection, "put_part"):
-        ways.insert(0, by_put)
-    found: dict[str, list[float]] = {}
+        methods.insert(0, by_put)
+    costs_by_method: dict[str, list[float]] = {}
     for _ in range(ROUNDS):
-        for way in ways:
-            found.setdefault(way.__name__, []).append(trio.run(play, way))
-    for name, costs in found.items():
-        least, median = min(costs), statistics.median(costs)
-        sys.stdout.write(f"{name:16} least {least:6.2f} us, median {median:6.2f} us an event\n")
+        for method in methods:
+            costs_by_method.setdefault(method.__name__, []).append(
+                trio.run(measure_event_us, method)
+            )
+    for name, costs in costs_by_method.items():
+        minimum, median = min(costs), statistics.median(costs)
+        sys.stdout.write(f"{name:16} least {minimum:6.2f} us, median {median:6.2f} us an event\n")
 
 
 if __name__ == "__main__":
