--- a/src/fescuedock/agent/config_service.py
+++ b/src/fescuedock/agent/config_service.py
@@ -79,7 +79,7 @@
         self._changed = trio.Event()
         self._copied = trio.Event()
         self._published_version = 0
-        self._published_standing = ConfirmationState.EMPTY
+        self._published_state = ConfirmationState.EMPTY
 
     @property
     def current_version(self) -> int:
@@ -211,10 +211,10 @@
             self._changed = trio.Event()
             self._wake.set()
             log_event("config_in_force", version=self._published_version)
-        standing = self._node.confirmation_state(now_ms())
-        if standing is not self._published_standing:
-            self._published_standing = standing
-            log_event("config_standing", standing=standing.value, alarm=self.alarm)
+        state = self._node.confirmation_state(now_ms())
+        if state is not self._published_state:
+            self._published_state = state
+            log_event("config_standing", standing=state.value, alarm=self.alarm)
 
     def _wake_if_due(self) -> None:
         if self._node.next_due_ms() <= now_ms():
--- a/src/fescuedock/agent/crash_service.py
+++ b/src/fescuedock/agent/crash_service.py
@@ -110,7 +110,7 @@
         return {
             BrokenRun: self._on_broken,
             WholeRun: self._on_completed,
-            CrashNews: self._on_news,
+            CrashNews: self._handle_crashes,
             CrashesRequest: self._on_request,
         }
 
@@ -153,13 +153,13 @@
             if not entry.key.startswith(self._prefix) or entry.key in self._stored_at_ms:
                 continue
             try:
-                news = msgspec.msgpack.decode(entry.value, type=CrashNews)
+                message = msgspec.msgpack.decode(entry.value, type=CrashNews)
             except msgspec.MsgspecError as error:
                 # Written by a newer version, which also removes it.
                 self._stored_at_ms[entry.key] = math.inf
                 log_event("crash_news_unreadable", key=entry.key, reason=str(error))
                 continue
-            facts = facts_of(news)
+            facts = facts_of(message)
             self._stored_at_ms[entry.key] = max((fact.at_ms for fact in facts), default=-math.inf)
             for fact in facts:
                 if not self._view.quarantine.is_expired(fact.at_ms, self._now_ms()):
@@ -293,7 +293,7 @@
         self._new_facts.set()
         self._new_facts = trio.Event()
 
-    async def _on_news(self, message: CrashNews, _peer: ServerPeer) -> None:
+    async def _handle_crashes(self, message: CrashNews, _peer: ServerPeer) -> None:
         facts = [fact for fact in facts_of(message) if self._apply_fact(fact)]
         if message.relay and facts:
             self._to_relay += facts
@@ -346,11 +346,11 @@
                 same_domain = [vm for vm in vms if own and vm.failure_domain == own.failure_domain]
                 await self._push(same_domain, message_of(relayed))
 
-    async def _push(self, vms: Iterable[VmRecord], news: CrashNews) -> None:
+    async def _push(self, vms: Iterable[VmRecord], message: CrashNews) -> None:
         for vm in vms:
             if vm.vm_id != self._view.vm_id and vm.agent_port:
                 client = await self._pool.client(Address(vm.host, vm.agent_port))
-                client.push(news)
+                client.push(message)
 
     async def _write_forever(self) -> None:
         """Write the facts detected here; those of the same pause are written together.
--- a/src/fescuedock/agent/permit_client.py
+++ b/src/fescuedock/agent/permit_client.py
@@ -204,7 +204,7 @@
         self._view = view
         self._channels = channels
         self._handlers = handlers
-        self._book = GrantRegistry()
+        self._registry = GrantRegistry()
         self._grants: dict[str, Grant] = {}
         self._valid_ms = settings.agent.permit_valid_ms if settings.agent else _DEFAULT_VALID_MS
         self._permit_ended = trio.Event()
@@ -219,18 +219,18 @@
         self._pending_requests: dict[str, bool] = {}
 
     @property
-    def is_unanswered(self) -> bool:
+    def no_owner_answers(self) -> bool:
         """Whether no owner has answered this client for seconds; other nodes may be unaffected."""
         return self._unanswered.is_persistent(now_ms())
 
     async def request(
-        self, ask: PermitAsk, timeout_ms: float, parts: tuple[str, ...] = ()
+        self, request: PermitAsk, timeout_ms: float, parts: tuple[str, ...] = ()
     ) -> Result[Grant, Fault]:
-        """Request a permit from the owner of ``ask.upstream_id``; wait at most ``timeout_ms``.
+        """Request a permit from the owner of ``request.upstream_id``; wait at most ``timeout_ms``.
 
         ``parts`` are the identities of the parts that the work's prompt may share with other work.
 
-        ``timeout_ms`` should exceed ``ask.wait_ms``, the time for which the owner may queue the
+        ``timeout_ms`` should exceed ``request.wait_ms``, the time for which the owner may queue the
         request.  If this process is the owner itself, the wait is longer, since a late answer is
         then no sign of a silent owner.
 
@@ -242,45 +242,49 @@
         """
         sent_ms = now_ms()
         answered = False
-        self._pending_requests[ask.attempt_id] = False
-        own = self._own_handler(ask.upstream_id)
+        self._pending_requests[request.attempt_id] = False
+        own = self._own_handler(request.upstream_id)
         if own is not None:
-            timeout_ms = max(timeout_ms, ask.wait_ms + _LOCAL_OWNER_TIMEOUT_MS)
+            timeout_ms = max(timeout_ms, request.wait_ms + _LOCAL_OWNER_TIMEOUT_MS)
         try:
             with trio.move_on_after(timeout_ms / 1000):
                 if own is not None:
-                    reply = Ok(await own(ask, _LocalPeer(self.handle_push)))
+                    reply = Ok(await own(request, _LocalPeer(self.handle_push)))
                 else:
-                    channel = await self._channel_of(ask.upstream_id)
+                    channel = await self._channel_of(request.upstream_id)
                     if channel is None:
                         answered = True
-                        return Err(self._no_owner(ask.upstream_id))
-                    reply = await channel.call(ask, timeout_ms)
+                        return Err(self._no_owner(request.upstream_id))
+                    reply = await channel.call(request, timeout_ms)
                 answered = reply.is_ok()
                 if answered:
                     self._unanswered.record_answer()
                 else:
                     self._unanswered.record_silence(now_ms())
-                return reply.and_then(lambda found: self._handle_reply(ask, found, sent_ms, parts))
+                return reply.and_then(
+                    lambda found: self._handle_reply(request, found, sent_ms, parts)
+                )
             self._unanswered.record_silence(now_ms())
-            return Err(Fault(ResultCode.PEER_UNKNOWN, f"no answer for {ask.upstream_id}"))
+            return Err(Fault(ResultCode.PEER_UNKNOWN, f"no answer for {request.upstream_id}"))
         finally:
-            self._pending_requests.pop(ask.attempt_id, None)
+            self._pending_requests.pop(request.attempt_id, None)
             if not answered:
-                self._abandon_request(ask)
+                self._abandon_request(request)
 
-    def request_local(self, ask: PermitAsk, parts: tuple[str, ...] = ()) -> Result[Grant, Fault]:
+    def request_local(
+        self, request: PermitAsk, parts: tuple[str, ...] = ()
+    ) -> Result[Grant, Fault]:
         """Grant one online attempt without its owner, under the conservative local limit.
 
         Return ``NO_CAPACITY`` when the local limit is used up, and for batch work, which must wait;
         ``NOT_OWNER`` when the upstream has gone or is leaving.
         """
-        if ask.work_class is not WorkClass.ONLINE or not self.local_limit.try_acquire(
-            ask.upstream_id
+        if request.work_class is not WorkClass.ONLINE or not self.local_limit.try_acquire(
+            request.upstream_id
         ):
-            message = f"no local capacity at {ask.upstream_id}"
+            message = f"no local capacity at {request.upstream_id}"
             return Err(Fault(ResultCode.NO_CAPACITY, message, self._settings.adjust_ms))
-        return self._grant(HeldGrant(ask, now_ms(), float("inf"), local=True, parts=parts))
+        return self._grant(HeldGrant(request, now_ms(), float("inf"), local=True, parts=parts))
 
     def return_unused(self, grant: Grant) -> None:
         """Return a permit under which nothing was sent."""
@@ -327,18 +331,18 @@
         return Fault(code, f"no owner is known for {upstream_id!r}")
 
     def _handle_reply(
-        self, ask: PermitAsk, reply: PermitReply, sent_ms: float, parts: tuple[str, ...]
+        self, request: PermitAsk, reply: PermitReply, sent_ms: float, parts: tuple[str, ...]
     ) -> Result[Grant, Fault]:
         code = ResultCode(reply.code)
         if code is not ResultCode.NOT_OWNER:
             self._record_loads([reply.load])
         if code is ResultCode.OK:
             renew_at_ms = sent_ms + reply.valid_ms / _RENEWALS_PER_VALIDITY
-            held = HeldGrant(ask, now_ms(), sent_ms + reply.valid_ms, renew_at_ms)
+            held = HeldGrant(request, now_ms(), sent_ms + reply.valid_ms, renew_at_ms)
             held.parts = parts
-            held.lapsed_by_ms = lapsed_by_ms(sent_ms, now_ms(), ask.wait_ms, reply.valid_ms)
+            held.lapsed_by_ms = lapsed_by_ms(sent_ms, now_ms(), request.wait_ms, reply.valid_ms)
             return self._grant(held)
-        return Err(Fault(code, f"refused at {ask.upstream_id}", reply.retry_after_ms))
+        return Err(Fault(code, f"refused at {request.upstream_id}", reply.retry_after_ms))
 
     def _grant(self, held: HeldGrant) -> Result[Grant, Fault]:
         """Return a grant, unless by now the upstream accepts no more work.
@@ -365,7 +369,7 @@
         return None
 
     def _register(self, held: HeldGrant) -> Grant:
-        self._book.add(held)
+        self._registry.add(held)
         grant = Grant(held, self._end)
         self._grants[grant.permit_id] = grant
         if self._pending_requests.get(grant.permit_id):
@@ -373,7 +377,7 @@
         return grant
 
     def _end(self, ended: EndedPermit) -> None:
-        held = self._book.get(ended.permit_id)
+        held = self._registry.get(ended.permit_id)
         if held is None or self._grants.pop(ended.permit_id, None) is None:
             return
         self._record_run(held, ended)
@@ -383,7 +387,7 @@
             self._return(held, ended)
 
     def _return(self, held: HeldGrant, ended: EndedPermit) -> None:
-        self._book.end(ended)
+        self._registry.end(ended)
         if held.local:
             self.local_limit.release(ended.upstream_id)
         self._permit_ended.set()
@@ -441,9 +445,11 @@
         self._view.sound_parts.record(held.parts, now_ms())
         self._unsent_reports += [WholeRun(trait) for trait in suspected]
 
-    def _abandon_request(self, ask: PermitAsk) -> None:
+    def _abandon_request(self, request: PermitAsk) -> None:
         outcome = AttemptOutcome.CANCELLED
-        self._book.abandon(EndedPermit(ask.attempt_id, ask.upstream_id, outcome, ask.work_class))
+        self._registry.abandon(
+            EndedPermit(request.attempt_id, request.upstream_id, outcome, request.work_class)
+        )
         self._permit_ended.set()
 
     def _revoke(self, permit_ids: Iterable[str]) -> None:
@@ -461,17 +467,17 @@
     async def _renew_forever(self) -> None:
         while True:
             await trio.sleep(self._valid_ms / _RENEWALS_PER_VALIDITY / 1000)
-            if not len(self._book):
+            if not len(self._registry):
                 continue
             async with trio.open_nursery() as nursery:
                 for address, group in self._held_by_owner().items():
                     if any(held.renew_at_ms <= now_ms() for held in group):
                         nursery.start_soon(self._renew, address, group)
-            self._revoke(self._book.lapsed(now_ms()))
+            self._revoke(self._registry.lapsed(now_ms()))
 
     def _held_by_owner(self) -> dict[Address, list[HeldGrant]]:
         by_owner: dict[Address, list[HeldGrant]] = defaultdict(list)
-        for held in self._book:
+        for held in self._registry:
             owner = self._view.owner_of(held.request.upstream_id)
             if owner is not None and not held.local:
                 by_owner[Address(owner.host, owner.agent_port)].append(held)
@@ -493,7 +499,7 @@
             held.request.attempt_id for held in group if held.request.upstream_id in owned_ids
         ]
         renew_at_ms = sent_ms + renewed.valid_ms / _RENEWALS_PER_VALIDITY
-        self._book.record_renewal(renewed_ids, sent_ms + renewed.valid_ms, renew_at_ms)
+        self._registry.record_renewal(renewed_ids, sent_ms + renewed.valid_ms, renew_at_ms)
 
     async def _report_ends_forever(self) -> None:
         while True:
@@ -502,7 +508,7 @@
             await self._send_reports()
             await trio.sleep(self._settings.ended_batch_ms / 1000)
             by_owner: dict[Address, list[EndedPermit]] = defaultdict(list)
-            for ended in self._book.drain_ended():
+            for ended in self._registry.drain_ended():
                 owner = self._view.owner_of(ended.upstream_id)
                 if owner is not None:
                     by_owner[Address(owner.host, owner.agent_port)].append(ended)
--- a/src/fescuedock/agent/permit_service.py
+++ b/src/fescuedock/agent/permit_service.py
@@ -94,18 +94,18 @@
         """Return the load of an upstream as counted by this agent."""
         return self._owner.load(upstream_id, now_ms())
 
-    async def _handle_request(self, ask: PermitAsk, peer: ServerPeer) -> PermitReply:
-        self._peers[ask.holder_id] = peer
+    async def _handle_request(self, request: PermitAsk, peer: ServerPeer) -> PermitReply:
+        self._peers[request.holder_id] = peer
         waiter = _Waiter()
-        self._waiters[ask.attempt_id].append(waiter)
+        self._waiters[request.attempt_id].append(waiter)
         try:
-            self._perform(self._current_owner().submit(ask, now_ms()))
-            if ask.work_class is WorkClass.ONLINE and not waiter.settled:
+            self._perform(self._current_owner().submit(request, now_ms()))
+            if request.work_class is WorkClass.ONLINE and not waiter.settled:
                 # It may expire before the current tick interval ends.
                 self._wake.set()
             action = await waiter.wait()
         finally:
-            self._remove_waiter(ask.attempt_id, waiter)
+            self._remove_waiter(request.attempt_id, waiter)
         return self._reply(action)
 
     async def _handle_renewal(self, message: PermitRenew, peer: ServerPeer) -> PermitRenewReply:
--- a/src/fescuedock/batch/dispatch.py
+++ b/src/fescuedock/batch/dispatch.py
@@ -146,7 +146,7 @@
         task.wake()
         work = _identify_work(assignment.run, assignment.item, upstream.service)
         restriction = self._context.view.verdict_on(work.work_id, work.parts).restriction
-        if restriction is Restriction.FREE and assignment.isolation is not Isolation.ALONE:
+        if restriction is Restriction.FREE and assignment.isolation is not Isolation.FULL:
             grant.assign_work(work.work_id, work.parts)
             self._start_attempt(task, assignment, upstream, grant)
             return
--- a/src/fescuedock/core/batch/items.py
+++ b/src/fescuedock/core/batch/items.py
@@ -67,18 +67,18 @@
 class Isolation(StrEnum):
     """Which items of the same runner may run concurrently with an item on its upstream.
 
-    ``ONLY_SUSPECT`` admits items without suspicion, ``ALONE`` none.
+    ``FROM_SUSPECTS`` admits items without suspicion, ``FULL`` none.
     """
 
     NONE = auto()
-    ONLY_SUSPECT = auto()
-    ALONE = auto()
+    FROM_SUSPECTS = auto()
+    FULL = auto()
 
 
 # Ends that count against neither the item nor the upstream, and ends of attempts that never ran.
 _NO_FAULT = (EndKind.REVOKED, EndKind.STOPPED, EndKind.WITHDRAWN)
 _NOT_RUN = (EndKind.NOT_SENT, EndKind.BUSY, EndKind.WITHDRAWN, EndKind.HARMFUL)
-_STRICTNESS = (Isolation.NONE, Isolation.ONLY_SUSPECT, Isolation.ALONE)
+_STRICTNESS = (Isolation.NONE, Isolation.FROM_SUSPECTS, Isolation.FULL)
 
 
 class Item(msgspec.Struct, eq=False):
@@ -99,9 +99,9 @@
     @property
     def isolation(self) -> Isolation:
         if self.suspicion >= _MIN_ISOLATED_SUSPICION:
-            return Isolation.ALONE
+            return Isolation.FULL
         return (
-            Isolation.ONLY_SUSPECT if self.suspicion >= _MIN_SUSPECT_SUSPICION else Isolation.NONE
+            Isolation.FROM_SUSPECTS if self.suspicion >= _MIN_SUSPECT_SUSPICION else Isolation.NONE
         )
 
 
--- a/src/fescuedock/core/batch/scheduler.py
+++ b/src/fescuedock/core/batch/scheduler.py
@@ -56,10 +56,10 @@
         if self.isolated:
             return None
         if not self.in_flight:
-            return Isolation.ALONE
+            return Isolation.FULL
         if self.reserved:
             return None
-        return Isolation.NONE if self.suspects else Isolation.ONLY_SUSPECT
+        return Isolation.NONE if self.suspects else Isolation.FROM_SUSPECTS
 
 
 class ItemScheduler:
@@ -142,7 +142,7 @@
         upstream = self._upstreams[assignment.upstream_id]
         upstream.in_flight -= 1
         upstream.suspects -= assignment.isolation is not Isolation.NONE
-        if assignment.isolation is Isolation.ALONE:
+        if assignment.isolation is Isolation.FULL:
             upstream.isolated = False
         if not upstream.in_flight and not upstream.reserved:
             del self._upstreams[assignment.upstream_id]
@@ -168,14 +168,14 @@
             return None
         upstream = self._upstreams.get(upstream_id)
         if upstream is None:
-            return Isolation.ALONE
+            return Isolation.FULL
         self._reserve(service, upstream, now_ms)
         return upstream.max_isolation()
 
     def _reserve(self, service: str, upstream: _Upstream, now_ms: float) -> None:
         """Drain one upstream when an item must run in isolation and no upstream is idle."""
         runs = self._ready(service, now_ms)
-        strict = (run.strictest_isolation(now_ms) is Isolation.ALONE for run in runs)
+        strict = (run.strictest_isolation(now_ms) is Isolation.FULL for run in runs)
         if not any(strict):
             upstream.reserved = False
         elif not any(other.reserved for other in self._upstreams.values()):
@@ -206,7 +206,7 @@
         upstream = self._upstreams.setdefault(item.upstream_id, _Upstream())
         upstream.in_flight += 1
         upstream.suspects += item.isolation is not Isolation.NONE
-        if item.isolation is Isolation.ALONE:
+        if item.isolation is Isolation.FULL:
             upstream.isolated = True
             upstream.reserved = False
         self.in_flight += 1
--- a/src/fescuedock/core/config/node.py
+++ b/src/fescuedock/core/config/node.py
@@ -102,10 +102,8 @@
         known = self.vms()
         age_ms = now_ms - max(self.replica.confirmed_at_ms, self._kv_answered_at_ms)
         limit_ms = self.confirm_limit_ms / 2
-        judged = confirmation_state(
-            age_ms, limit_ms, self.version, len(live_vms(known)), len(known)
-        )
-        return judged is ConfirmationState.UNCONFIRMED
+        state = confirmation_state(age_ms, limit_ms, self.version, len(live_vms(known)), len(known))
+        return state is ConfirmationState.UNCONFIRMED
 
     def next_due_ms(self) -> float:
         """Return the latest time for the next call of ``tick``."""
--- a/src/fescuedock/core/health.py
+++ b/src/fescuedock/core/health.py
@@ -83,8 +83,8 @@
             record.score = max(0.0, record.score - self.policy.success_credit)
             return
         record.score += FAULT_WEIGHTS.get(outcome, 0.0)
-        if record.score >= self.policy.out_score and self._may_take_out():
-            self._take_out(record, now_ms)
+        if record.score >= self.policy.out_score and self._may_take_out_of_service():
+            self._take_out_of_service(record, now_ms)
 
     def accepting(self, upstream_id: str) -> bool:
         """Whether ``upstream_id`` gets ordinary work."""
@@ -116,7 +116,7 @@
     def out_count(self) -> int:
         return sum(record.out for record in self._records.values())
 
-    def _may_take_out(self) -> bool:
+    def _may_take_out_of_service(self) -> bool:
         # At least one may always be taken out: an owner often has a single upstream of a small
         # fleet, and entries have their own rule for too many refusing owners.
         return self.out_count + 1 <= max(1.0, self.policy.max_out_share * self.fleet_count)
@@ -126,7 +126,7 @@
         record.score *= 0.5 ** (age_ms / self.policy.half_life_ms)
         record.scored_at_ms = now_ms
 
-    def _take_out(self, record: _Record, now_ms: float) -> None:
+    def _take_out_of_service(self, record: _Record, now_ms: float) -> None:
         record.out = True
         record.trials_passed = 0
         record.trial_ends_ms = None
--- a/src/fescuedock/core/store_contact.py
+++ b/src/fescuedock/core/kv_availability.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
-__all__ = ["ContactPolicy", "StoreContact"]
+__all__ = ["KvAvailability", "KvAvailabilityPolicy"]
 
 
-class ContactPolicy(msgspec.Struct, frozen=True):
+class KvAvailabilityPolicy(msgspec.Struct, frozen=True):
     """Times of outages and retries.
 
     ``outage_ms`` without any answer, the time of three held watches that fail immediately, is an
@@ -27,26 +27,26 @@
     max_pause_ms: float = 800.0
 
 
-class StoreContact(msgspec.Struct):
+class KvAvailability(msgspec.Struct):
     """The availability of the service, derived from the answers and failures of calls."""
 
-    policy: ContactPolicy = ContactPolicy()
+    policy: KvAvailabilityPolicy = KvAvailabilityPolicy()
     reached: bool = False
     last_answer_ms: float = float("-inf")
     returned_ms: float = float("-inf")
     _failures: int = 0
-    _was_away: bool = False
+    _was_unavailable: bool = False
 
     def record_answer(self, now_ms: float) -> bool:
         """Record an answer; return whether it is the first, or the first after an outage."""
-        had_been_away = self.is_away(now_ms)
-        if had_been_away:
+        had_been_unavailable = self.is_unavailable(now_ms)
+        if had_been_unavailable:
             self.returned_ms = now_ms
-        regained = had_been_away or not self.reached
+        regained = had_been_unavailable or not self.reached
         self.reached = True
         self.last_answer_ms = now_ms
         self._failures = 0
-        self._was_away = False
+        self._was_unavailable = False
         return regained
 
     def record_neighbour_answer(self, now_ms: float) -> None:
@@ -54,20 +54,20 @@
 
         Otherwise a node refuses jobs for up to 0.7 s after others have reached the service.
         """
-        if self.is_away(now_ms):
+        if self.is_unavailable(now_ms):
             self.returned_ms = now_ms
         self._failures = 0
-        self._was_away = False
+        self._was_unavailable = False
         self.last_answer_ms = max(self.last_answer_ms, now_ms)
 
     def record_failure(self, now_ms: float) -> bool:
         """Record a call without an answer; return whether an outage begins with it."""
         self._failures += 1
-        was_reported = self._was_away
-        self._was_away = self.is_away(now_ms)
-        return self._was_away and not was_reported
+        was_reported = self._was_unavailable
+        self._was_unavailable = self.is_unavailable(now_ms)
+        return self._was_unavailable and not was_reported
 
-    def is_away(self, now_ms: float) -> bool:
+    def is_unavailable(self, now_ms: float) -> bool:
         """Whether calls have failed and none was answered for ``outage_ms``."""
         if not self._failures:
             return False
@@ -75,7 +75,7 @@
 
     def in_grace(self, now_ms: float) -> bool:
         """Whether missing keys may still be written again by their owners."""
-        return self.is_away(now_ms) or now_ms - self.returned_ms < self.policy.grace_ms
+        return self.is_unavailable(now_ms) or now_ms - self.returned_ms < self.policy.grace_ms
 
     def pause_ms(self) -> float:
         """Return the pause before the call after the last failure."""
--- a/src/fescuedock/core/permits/outstanding.py
+++ b/src/fescuedock/core/permits/outstanding.py
@@ -11,7 +11,7 @@
 __all__ = ["Concurrency", "OutstandingPermit", "OutstandingPermits"]
 
 # An item is protected after this many consecutive runs cut off before their first event.
-_PROTECTED_MIN_BARREN_RUNS = 2
+_PROTECTED_MIN_RUNS_WITHOUT_OUTPUT = 2
 
 
 class OutstandingPermit(msgspec.Struct):
@@ -110,7 +110,7 @@
         That holds for work that was cut off before its first event several times and for work
         granted as overdue, until it has produced events for as long as the first one took.
         """
-        if self.barren_runs < _PROTECTED_MIN_BARREN_RUNS and not self.granted_as_overdue:
+        if self.barren_runs < _PROTECTED_MIN_RUNS_WITHOUT_OUTPUT and not self.granted_as_overdue:
             return False
         return not self.generated_tokens or now_ms < self.granted_ms + 2 * self.first_token_ms
 
--- a/src/fescuedock/core/permits/owner.py
+++ b/src/fescuedock/core/permits/owner.py
@@ -82,8 +82,10 @@
                 actions += queue.set_terms(upstream.terms, now_ms)
         self._services = {upstream_id: item.service for upstream_id, item in owned.items()}
         for service, count in fleet_counts.items():
-            ours = [name for name, its_service in self._services.items() if its_service == service]
-            self._tracker(service).set_upstreams(ours, count)
+            own_ids = [
+                name for name, its_service in self._services.items() if its_service == service
+            ]
+            self._tracker(service).set_upstreams(own_ids, count)
         return actions
 
     def submit(self, request: PermitAsk, now_ms: float) -> list[Action]:
--- a/src/fescuedock/entry/online_permits.py
+++ b/src/fescuedock/entry/online_permits.py
@@ -386,7 +386,7 @@
     per ``stale_ms``.
     """
     requested = {request.upstream_id for request in plan}
-    rest = [
+    others = [
         PlannedRequest(item.upstream_id)
         for item in choices
         if item.has_room
@@ -394,9 +394,9 @@
         and not item.owner_silent
         and item.upstream_id not in requested
     ]
-    if not rest:
+    if not others:
         return None
-    answer = await _request_in_order(state, call, rest, choices, run_ms)
+    answer = await _request_in_order(state, call, others, choices, run_ms)
     return answer if isinstance(answer.result, Ok) else None
 
 
--- a/src/fescuedock/node/fleet.py
+++ b/src/fescuedock/node/fleet.py
@@ -8,8 +8,8 @@
 
 from fescuedock.backing.vm_list import ROLE_SYSTEM, ListedVm, VmList
 from fescuedock.clock import now_ms
+from fescuedock.core.kv_availability import KvAvailability
 from fescuedock.core.replica_table import ReplicaTable
-from fescuedock.core.store_contact import StoreContact
 from fescuedock.core.upstream_listing import UpstreamListing
 from fescuedock.faults import Fault
 from fescuedock.kv import KvEntry, KvStore
@@ -50,7 +50,7 @@
         nodes: ReplicaTable,
         nodes_prefix: str,
         upstreams: ReplicaTable,
-        contact: StoreContact,
+        kv_availability: KvAvailability,
         read_upstreams: ReadUpstreams,
         wait_changed: WaitChanged,
         config_version: Callable[[], int],
@@ -58,7 +58,7 @@
         self._nodes = nodes
         self._nodes_prefix = nodes_prefix
         self._upstreams = upstreams
-        self._contact = contact
+        self._kv_availability = kv_availability
         self._read_upstreams = read_upstreams
         self._wait_changed = wait_changed
         # Decoding the upstreams depends on the configuration of their services.
@@ -76,7 +76,7 @@
             return Err(
                 Fault(ResultCode.PLATFORM_UNAVAILABLE, "the nodes' records were not read yet")
             )
-        in_grace = self._contact.in_grace(now_ms())
+        in_grace = self._kv_availability.in_grace(now_ms())
         versions = (self._nodes.version, self._upstreams.version, self._config_version())
         seen = (*versions, in_grace)
         if seen != self._seen_versions:
--- a/src/fescuedock/node/job_acceptance.py
+++ b/src/fescuedock/node/job_acceptance.py
@@ -87,7 +87,7 @@
 
     async def _on_accept_job(self, message: AcceptJob, _peer: ServerPeer) -> AcceptJobReply:
         """Accept a job for a neighbour, and own it."""
-        if self.is_leaving() or self.replicas.contact.is_away(now_ms()):
+        if self.is_leaving() or self.replicas.kv_availability.is_unavailable(now_ms()):
             return AcceptJobReply(ResultCode.KV_UNAVAILABLE)
         record = msgspec.structs.replace(
             message.record, owner_id=self.owner.node_id, owner_boot=self.owner.boot
@@ -127,7 +127,7 @@
     spool_copies: SpoolCopies = msgspec.field(default_factory=SpoolCopies)
 
     async def store_directly(self, scope: trio.CancelScope) -> None:
-        if self.shared.replicas.contact.is_away(now_ms()):
+        if self.shared.replicas.kv_availability.is_unavailable(now_ms()):
             self.direct_fault = Fault(ResultCode.KV_UNAVAILABLE, "the store does not answer")
             self.direct_failed.set()
             return
--- a/src/fescuedock/node/job_ends.py
+++ b/src/fescuedock/node/job_ends.py
@@ -164,12 +164,14 @@
 
         Meanwhile the spools are notified again and again.
         """
-        contact = self.replicas.contact
-        while contact.is_away(now_ms()) and not self.wanted.is_expired(job_id, now_ms()):
+        kv_availability = self.replicas.kv_availability
+        while kv_availability.is_unavailable(now_ms()) and not self.wanted.is_expired(
+            job_id, now_ms()
+        ):
             async with self._try_limiter:
                 await self.spools.end(job_id)
             with trio.move_on_after(_MAX_PAUSE_S):
-                while contact.is_away(now_ms()):  # noqa: ASYNC110
+                while kv_availability.is_unavailable(now_ms()):  # noqa: ASYNC110
                     await trio.sleep(_STORE_POLL_S)
 
     async def _try(self, job_id: str) -> Result[VersionedRecord, Fault]:
--- a/src/fescuedock/node/job_runner.py
+++ b/src/fescuedock/node/job_runner.py
@@ -205,14 +205,14 @@
             if key.startswith(self._store.keys.records):
                 self._claim_if_due(decode_record(entry), available_nodes, present)
         self._log_unconfirmed()
-        store_unreachable = self._replicas.contact.is_away(now_ms())
+        store_unreachable = self._replicas.kv_availability.is_unavailable(now_ms())
         if available_nodes and not store_unreachable and not self._runs_jobs and not self.leaving:
             self._transfer_all()
 
     @property
     def _runs_jobs(self) -> bool:
         """Whether this node runs jobs.  Without an owner that answers, no item can start here."""
-        return not self.leaving and not self._permits.is_unanswered
+        return not self.leaving and not self._permits.no_owner_answers
 
     def _transfer_all(self) -> None:
         """Transfer all jobs to nodes whose permit requests are answered by upstream owners."""
@@ -511,7 +511,7 @@
         )
 
     def _known_records(self) -> RecordFreshness:
-        store_unreachable = self._replicas.contact.is_away(now_ms())
+        store_unreachable = self._replicas.kv_availability.is_unavailable(now_ms())
         agreed_age_ms = float("inf")
         if store_unreachable:
             agreed_age_ms = self._replicas.agreed_age_ms(self._store.keys.live)
--- a/src/fescuedock/node/job_store.py
+++ b/src/fescuedock/node/job_store.py
@@ -323,14 +323,14 @@
 
     def _fit_into_value(self, progress: list[ItemProgress]) -> list[ItemProgress]:
         """Return the items that fit into one value, preferring those with the most progress."""
-        kept: list[ItemProgress] = []
+        fitting: list[ItemProgress] = []
         size_bytes = 0
         for item in sorted(progress, key=lambda item: -item.last_event):
             size_bytes += len(msgspec.msgpack.encode(item))
             if size_bytes > self._part_bytes:
                 break
-            kept.append(item)
-        return kept
+            fitting.append(item)
+        return fitting
 
     def _parts(self, data: bytes) -> list[bytes]:
         starts = range(0, len(data), self._part_bytes)
--- a/src/fescuedock/node/main.py
+++ b/src/fescuedock/node/main.py
@@ -199,7 +199,7 @@
             self._table(self._keys.live),
             self._keys.nodes,
             upstreams,
-            self._replicas.contact,
+            self._replicas.kv_availability,
             entries.read,
             self._replicas.wait_changed,
             lambda: self._configuration.current_version,
@@ -498,7 +498,7 @@
             # The load is always 0: no choice uses it, and each change would go to all nodes.
             ready = self.front.ready
             if program is Program.BATCH:
-                ready = ready and not self._permits.is_unanswered
+                ready = ready and not self._permits.no_owner_answers
             hello = Hello(program, port, ready, in_flight=0)
             self._programs.record_hello(hello, now_ms())
 
--- a/src/fescuedock/node/replicas.py
+++ b/src/fescuedock/node/replicas.py
@@ -16,9 +16,9 @@
 
 from fescuedock.address import Address
 from fescuedock.clock import now_ms
+from fescuedock.core.kv_availability import KvAvailability
 from fescuedock.core.replica_table import IsHeartbeat, ReplicaTable, no_heartbeat
 from fescuedock.core.sender_clocks import SenderClocks
-from fescuedock.core.store_contact import StoreContact
 from fescuedock.faults import Fault
 from fescuedock.kv import KvChangeLog, KvEntry, KvEvent, KvStore
 from fescuedock.log import log_event
@@ -129,7 +129,7 @@
         self.tables: Mapping[str, ReplicaTable] = {
             item.prefix: ReplicaTable(item.prefix, item.is_heartbeat) for item in watched
         }
-        self.contact = StoreContact()
+        self.kv_availability = KvAvailability()
         self._store = store
         self._watched = watched
         self._call_neighbour = call_neighbour
@@ -217,7 +217,9 @@
             else:
                 # Changes during an outage may exceed the history that the service retains.
                 self._record_store_failure(fault, table.prefix)
-                await trio.sleep(self._rng.uniform(0.7, 1.3) * self.contact.pause_ms() / 1000)
+                await trio.sleep(
+                    self._rng.uniform(0.7, 1.3) * self.kv_availability.pause_ms() / 1000
+                )
 
     async def _wait_update(self, watched: WatchedPrefix) -> bool:
         """Wait for an update from the watching node; False when this node must query itself."""
@@ -284,11 +286,11 @@
         return None
 
     def _record_store_answer(self) -> None:
-        if self.contact.record_answer(now_ms()):
+        if self.kv_availability.record_answer(now_ms()):
             log_event("store_reached")
 
     def _record_store_failure(self, fault: Fault, prefix: str) -> None:
-        if self.contact.record_failure(now_ms()):
+        if self.kv_availability.record_failure(now_ms()):
             log_event("store_lost", prefix=prefix, reason=fault.message)
 
     def _wake_if(self, changed: bool) -> None:
@@ -302,7 +304,7 @@
     # --- updates ---------------------------------------------------------------------------------
 
     async def _on_update(self, message: ReplicaNews, _peer: ServerPeer) -> None:
-        self.contact.record_neighbour_answer(now_ms())
+        self.kv_availability.record_neighbour_answer(now_ms())
         table = self.tables.get(message.prefix)
         if table is None or not table.is_known:
             return
@@ -345,7 +347,7 @@
                         nursery.start_soon(self._exchange, address, ReplicaRequest({}))
 
     async def _on_snapshot(self, message: ReplicaSnapshot, _peer: ServerPeer) -> None:
-        self.contact.record_neighbour_answer(now_ms())
+        self.kv_availability.record_neighbour_answer(now_ms())
         sent_ms = self._sent_ms(message)
         self._apply_snapshot(
             message, None, sent_ms, now_ms() if sent_ms == float("-inf") else sent_ms
--- a/src/fescuedock/node/stream_origins.py
+++ b/src/fescuedock/node/stream_origins.py
@@ -257,10 +257,10 @@
         live = {vm.vm_id for vm in self._view.live_vms()} | {self._view.vm_id}
         if 2 * len(live & self._known_nodes().keys()) <= len(self._nodes):
             return False
-        is_away = self._replicas.contact.is_away(now_ms())
+        is_unavailable = self._replicas.kv_availability.is_unavailable(now_ms())
         agreed_age_ms = self._replicas.agreed_age_ms(self._keys.live)
         age_ms = self._table.as_of_age_ms(now_ms())
-        return RecordFreshness(age_ms, is_away, agreed_age_ms).is_usable(_MAX_RECORD_AGE_MS)
+        return RecordFreshness(age_ms, is_unavailable, agreed_age_ms).is_usable(_MAX_RECORD_AGE_MS)
 
     # --- requests of other nodes -----------------------------------------------------------------
 
@@ -280,7 +280,7 @@
         registered = self._registered(service)
         if registered is None or len(registered) > 1:
             return True
-        return self._replicas.contact.is_away(now_ms())
+        return self._replicas.kv_availability.is_unavailable(now_ms())
 
     def _is_needed_elsewhere(self) -> bool:
         """Whether other nodes may need the origins of streams that started here."""
@@ -317,9 +317,9 @@
             return {}
         listed = versions_by_service(self._view.upstreams.values(), services)
         registered = {name: self._registered(name) or frozenset() for name in services}
-        contact = self._replicas.contact
+        kv_availability = self._replicas.kv_availability
         retired = self._retirement.due(
-            registered, listed, now_ms(), is_certain=not contact.in_grace(now_ms())
+            registered, listed, now_ms(), is_certain=not kv_availability.in_grace(now_ms())
         )
         wanted = {
             name: (versions | listed.get(name, frozenset())) - frozenset(retired.get(name, ()))
--- a/tests/builders/batch.py
+++ b/tests/builders/batch.py
@@ -226,7 +226,7 @@
 
     def claim(self, upstream_id: str = "u1") -> Item | None:
         """Start one attempt, if the state machine has an item."""
-        item = self.run.claim(upstream_id, Isolation.ALONE, self.harness.now_ms)
+        item = self.run.claim(upstream_id, Isolation.FULL, self.harness.now_ms)
         if item is not None:
             assert not self.cancel_pushed, "begun after a push of the cancel"
             self.harness.check_start(self.run.epoch)
--- a/tests/builders/connecting.py
+++ b/tests/builders/connecting.py
@@ -8,11 +8,11 @@
 from fescuedock.address import Address
 from fescuedock.net.http_client import HttpClient, _ClientConnection
 
-__all__ = ["meanwhile", "stand_still"]
+__all__ = ["during_connect", "block_process"]
 
 
 @contextmanager
-def meanwhile(
+def during_connect(
     addresses: list[Address], happens: Callable[[Address], Awaitable[None]]
 ) -> Iterator[list[Address]]:
     """Let ``happens`` follow the first new connection to one of ``addresses`` in this process.
@@ -38,6 +38,6 @@
         yield connected
 
 
-def stand_still(duration_s: float) -> None:
+def block_process(duration_s: float) -> None:
     """Let nothing of this process run, as when it is paused or swapped out."""
     time.sleep(duration_s)
--- a/tests/builders/runner_simulation.py
+++ b/tests/builders/runner_simulation.py
@@ -197,7 +197,7 @@
     """
 
     holder_id = "holder"
-    is_unanswered = False
+    no_owner_answers = False
 
     def __init__(self, simulation: "RunnerSimulation") -> None:
         self._simulation = simulation
--- a/tests/test_batch_decisions.py
+++ b/tests/test_batch_decisions.py
@@ -126,11 +126,11 @@
         fleet.end(second, AttemptEnd(EndKind.DIED))
         fleet.now_ms += 10000.0
         suspect = fleet.claim("u2")
-        self.assertIs(suspect.isolation, Isolation.ONLY_SUSPECT)
+        self.assertIs(suspect.isolation, Isolation.FROM_SUSPECTS)
         beside = fleet.claim("u2")
         self.assertIs(beside.isolation, Isolation.NONE, "one suspect for each upstream")
         fleet.end(suspect, AttemptEnd(EndKind.DIED))
-        self.assertIs(fleet.claim("u3").isolation, Isolation.ONLY_SUSPECT)
+        self.assertIs(fleet.claim("u3").isolation, Isolation.FROM_SUSPECTS)
 
     def test_an_item_that_received_tokens_is_suspected_less(self):
         fleet = _Fleet()
@@ -144,7 +144,7 @@
             fleet.end(assignment, AttemptEnd(EndKind.DIED, text="x" * tokens, tokens=tokens))
             fleet.now_ms += 60000.0
             self.assertEqual(assignment.item.tokens, 5 if number == 1 else 0)
-        expected = [Isolation.NONE] * 2 + [Isolation.ONLY_SUSPECT] * 2 + [Isolation.ALONE] * 2
+        expected = [Isolation.NONE] * 2 + [Isolation.FROM_SUSPECTS] * 2 + [Isolation.FULL] * 2
         self.assertEqual(seen, expected)
 
     def test_an_isolated_item_waits_for_an_idle_upstream_and_blocks_it(self):
@@ -162,7 +162,7 @@
         fleet.end(other)
         isolated = fleet.claim("u3")
         self.assertIs(isolated.item, bad.item)
-        self.assertIs(isolated.isolation, Isolation.ALONE)
+        self.assertIs(isolated.isolation, Isolation.FULL)
         self.assertIsNone(fleet.claim("u3"))
         fleet.end(isolated)
         self.assertIsNotNone(fleet.claim("u3"))
--- a/tests/test_node_jobs_let_go.py
+++ b/tests/test_node_jobs_let_go.py
@@ -205,7 +205,7 @@
         async def run() -> None:
             acceptance = JobAcceptance(
                 store=mock.Mock(),
-                replicas=mock.Mock(contact=mock.Mock(is_away=lambda _now_ms: False)),
+                replicas=mock.Mock(kv_availability=mock.Mock(is_unavailable=lambda _now_ms: False)),
                 owner=OwnerIdentity("n-1", 1),
                 call_neighbour=mock.Mock(),
                 neighbours=list,
--- a/tests/test_node_list.py
+++ b/tests/test_node_list.py
@@ -5,8 +5,8 @@
 
 import trio
 
+from fescuedock.core.kv_availability import KvAvailability
 from fescuedock.core.replica_table import ReplicaTable
-from fescuedock.core.store_contact import StoreContact
 from fescuedock.kv import KvEntry
 from fescuedock.node import fleet
 from fescuedock.node.fleet import NodeList
@@ -38,12 +38,12 @@
         self.nodes, self.upstreams = ReplicaTable(NODES), ReplicaTable(UPSTREAMS)
         self.nodes.replace([], 1, 0.0)
         self.changed = trio.Event()
-        contact = StoreContact()
+        kv_availability = KvAvailability()
         self.list = NodeList(
             self.nodes,
             NODES,
             self.upstreams,
-            contact,
+            kv_availability,
             read_upstreams,
             self.wait_changed,
             lambda: 1,
--- a/tests/test_overtaken_sends.py
+++ b/tests/test_overtaken_sends.py
@@ -19,7 +19,7 @@
 from fescuedock.node.job_store import decode_record
 from fescuedock.platform.standin.event_upstream import EventUpstream
 from fescuedock.standin.plain_service import PlainService
-from tests.builders.connecting import meanwhile, stand_still
+from tests.builders.connecting import block_process, during_connect
 from tests.builders.jobs_calls import JOB, read_page, submit
 from tests.builders.node import NodeFleet, running_fleet
 from tests.builders.online import (
@@ -74,11 +74,11 @@
         async def test(fleet: NodeFleet) -> None:
             [upstream], [node] = fleet.upstreams, fleet.nodes
 
-            async def end_and_stand_still(_address: Address) -> None:
+            async def end_and_block_process(_address: Address) -> None:
                 self.end_elsewhere(fleet)
-                stand_still(END_BOUND_MS / 1000 + 0.1)
+                block_process(END_BOUND_MS / 1000 + 0.1)
 
-            with meanwhile([upstream.address], end_and_stand_still) as connected:
+            with during_connect([upstream.address], end_and_block_process) as connected:
                 self.assertEqual((await submit(fleet, node.front, "a")).status, 202)
                 await wait_until(lambda: connected)
                 await trio.sleep(0.7)
@@ -96,7 +96,7 @@
                 answer = await fleet.call(node.front, "DELETE", f"/api/lots/{JOB}")
                 self.assertEqual(answer.status, 200)
 
-            with meanwhile([upstream.address], end) as connected:
+            with during_connect([upstream.address], end) as connected:
                 await submit(fleet, node.front, "a")
                 await wait_until(lambda: connected)
                 await trio.sleep(0.5)
@@ -110,9 +110,9 @@
             valid_s = node.settings.agent.permit_valid_ms / 1000
 
             async def outlast_permit(_address: Address) -> None:
-                stand_still(valid_s + 0.1)
+                block_process(valid_s + 0.1)
 
-            with meanwhile([upstream.address], outlast_permit):
+            with during_connect([upstream.address], outlast_permit):
                 await submit(fleet, node.front, "a")
                 page = await read_page(fleet, node.front, wait_ms=5000)
             [result] = page.json()["results"]
@@ -127,10 +127,10 @@
         async def test(fleet: NodeFleet) -> None:
             [upstream], [node] = fleet.upstreams, fleet.nodes
 
-            async def stand_still_for_long(_address: Address) -> None:
-                stand_still(1.0)
+            async def block_process_for_long(_address: Address) -> None:
+                block_process(1.0)
 
-            with meanwhile([upstream.address], stand_still_for_long) as connected:
+            with during_connect([upstream.address], block_process_for_long) as connected:
                 headers = {"X-Deadline-Ms": "800"}
                 answer = await fleet.call(node.front, "POST", "/rights/1", b"case", headers)
                 self.assertEqual(connected, [upstream.address])
@@ -146,9 +146,9 @@
             valid_s = node.settings.agent.permit_valid_ms / 1000
 
             async def outlast_permit(_address: Address) -> None:
-                stand_still(valid_s + 0.1)
+                block_process(valid_s + 0.1)
 
-            with meanwhile([item.address for item in fleet.upstreams], outlast_permit):
+            with during_connect([item.address for item in fleet.upstreams], outlast_permit):
                 answer = await fleet.call(node.front, "POST", "/rights/1", b"case")
             self.assertEqual((answer.status, answer.whole), (200, True))
             self.assertEqual(sum(item.runs.total() for item in fleet.upstreams), 1)
@@ -172,7 +172,7 @@
                 fleet.register(upstream, state="draining", sequence=2)
                 await trio.sleep(update_wait_s)
 
-            with meanwhile([item.address for item in fleet.upstreams], leave):
+            with during_connect([item.address for item in fleet.upstreams], leave):
                 answer = await fleet.call(node.front, "POST", "/check/1", b"case")
             self.assertEqual((answer.status, answer.whole), (200, True))
             [left] = leaving
@@ -197,7 +197,7 @@
         async def leave(address: Address) -> None:
             fleet.update_view(leaving=(names[address],))
 
-        with meanwhile(list(names), leave) as connected:
+        with during_connect(list(names), leave) as connected:
             status, _, _ = await fleet.post(path, body)
         [address] = connected
         return status, names[address]
@@ -233,10 +233,10 @@
     async def test_a_call_whose_deadline_passed_while_its_entry_was_suspended_is_not_sent(
         self, fleet: OnlineFleet
     ) -> None:
-        async def stand_still_for_long(_address: Address) -> None:
-            stand_still(0.8)
+        async def block_process_for_long(_address: Address) -> None:
+            block_process(0.8)
 
-        with meanwhile(list(self.addresses(fleet)), stand_still_for_long) as connected:
+        with during_connect(list(self.addresses(fleet)), block_process_for_long) as connected:
             status, _, _ = await fleet.post(BOOKINGS, b"{}", {"x-deadline-ms": "500"})
             self.assertEqual(len(connected), 1)
         self.assertGreaterEqual(status, 500)
--- a/tests/test_replica_core.py
+++ b/tests/test_replica_core.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
+from fescuedock.core.kv_availability import KvAvailability, KvAvailabilityPolicy
 from fescuedock.core.replica_table import ReplicaTable
-from fescuedock.core.store_contact import ContactPolicy, StoreContact
 from fescuedock.core.upstream_listing import UpstreamListing
 from fescuedock.kv import KvEntry, KvEvent
 from fescuedock.schema.view import UpstreamKind, UpstreamRecord
@@ -99,46 +99,48 @@
         self.assertEqual((table.version, table.revision, table.age_ms(60.0)), (before, 8, 10.0))
 
 
-class StoreContactTest(unittest.TestCase):
+class KvAvailabilityTest(unittest.TestCase):
     def test_only_failures_over_a_long_time_are_an_outage(self) -> None:
-        contact = StoreContact(ContactPolicy(outage_ms=800.0))
-        contact.record_answer(1000.0)
-        self.assertFalse(contact.record_failure(1100.0))
-        self.assertFalse(contact.is_away(1100.0))
-        self.assertTrue(contact.record_failure(1900.0))
-        self.assertTrue(contact.is_away(1900.0))
+        kv_availability = KvAvailability(KvAvailabilityPolicy(outage_ms=800.0))
+        kv_availability.record_answer(1000.0)
+        self.assertFalse(kv_availability.record_failure(1100.0))
+        self.assertFalse(kv_availability.is_unavailable(1100.0))
+        self.assertTrue(kv_availability.record_failure(1900.0))
+        self.assertTrue(kv_availability.is_unavailable(1900.0))
 
     def test_missing_keys_may_come_back_until_the_grace_after_an_outage_is_over(self) -> None:
-        contact = StoreContact(ContactPolicy(outage_ms=800.0, grace_ms=2500.0))
-        contact.record_answer(1000.0)
-        self.assertFalse(contact.in_grace(1000.0))
-        contact.record_failure(1100.0)
-        contact.record_failure(3000.0)
-        self.assertTrue(contact.in_grace(3000.0))
-        self.assertTrue(contact.record_answer(4000.0))
-        self.assertTrue(contact.in_grace(6400.0))
-        self.assertFalse(contact.in_grace(6500.0))
+        kv_availability = KvAvailability(KvAvailabilityPolicy(outage_ms=800.0, grace_ms=2500.0))
+        kv_availability.record_answer(1000.0)
+        self.assertFalse(kv_availability.in_grace(1000.0))
+        kv_availability.record_failure(1100.0)
+        kv_availability.record_failure(3000.0)
+        self.assertTrue(kv_availability.in_grace(3000.0))
+        self.assertTrue(kv_availability.record_answer(4000.0))
+        self.assertTrue(kv_availability.in_grace(6400.0))
+        self.assertFalse(kv_availability.in_grace(6500.0))
 
     def test_an_answer_to_a_neighbour_ends_an_outage_and_starts_its_grace_period(self) -> None:
-        contact = StoreContact(ContactPolicy(outage_ms=800.0, grace_ms=2500.0))
-        contact.record_answer(1000.0)
-        contact.record_failure(3000.0)
-        self.assertTrue(contact.is_away(3000.0))
-        contact.record_neighbour_answer(4000.0)
-        self.assertFalse(contact.is_away(4000.0))
-        self.assertTrue(contact.in_grace(6400.0))
+        kv_availability = KvAvailability(KvAvailabilityPolicy(outage_ms=800.0, grace_ms=2500.0))
+        kv_availability.record_answer(1000.0)
+        kv_availability.record_failure(3000.0)
+        self.assertTrue(kv_availability.is_unavailable(3000.0))
+        kv_availability.record_neighbour_answer(4000.0)
+        self.assertFalse(kv_availability.is_unavailable(4000.0))
+        self.assertTrue(kv_availability.in_grace(6400.0))
 
     def test_a_time_without_calls_is_no_outage(self) -> None:
-        contact = StoreContact()
-        contact.record_answer(1000.0)
-        self.assertFalse(contact.is_away(60_000.0))
+        kv_availability = KvAvailability()
+        kv_availability.record_answer(1000.0)
+        self.assertFalse(kv_availability.is_unavailable(60_000.0))
 
     def test_pauses_between_failed_calls_grow_to_a_bound(self) -> None:
-        contact = StoreContact(ContactPolicy(first_pause_ms=100.0, max_pause_ms=800.0))
+        kv_availability = KvAvailability(
+            KvAvailabilityPolicy(first_pause_ms=100.0, max_pause_ms=800.0)
+        )
         pauses = []
         for at_ms in range(6):
-            contact.record_failure(float(at_ms))
-            pauses.append(contact.pause_ms())
+            kv_availability.record_failure(float(at_ms))
+            pauses.append(kv_availability.pause_ms())
         self.assertEqual(pauses, [100.0, 200.0, 400.0, 800.0, 800.0, 800.0])
 
 
