--- a/src/fescuedock/agent/order_service.py
+++ b/src/fescuedock/agent/order_service.py
@@ -168,8 +168,8 @@
                     await self._read(served)
                 case Write() as write:
                     await self._write(served, write)
-                case SendOrder() as give:
-                    await self._give(served, give)
+                case SendOrder() as command:
+                    await self._send_in_slot(served, command)
                 case Wait(until_ms) if served.holder.is_holding:
                     await _sleep_past(until_ms)
                 case Wait(until_ms):
@@ -212,23 +212,23 @@
     def _key(self, served: ServedUpstream) -> str:
         return self._prefix + served.upstream.upstream_id
 
-    async def _give(self, served: ServedUpstream, give: SendOrder) -> None:
+    async def _send_in_slot(self, served: ServedUpstream, command: SendOrder) -> None:
         """Give the order while renewing the lease; stop when the lease has expired.
 
         The scope's deadline covers sending too: after a pause of this process, trio cancels the
         scope before anything is sent.
         """
         outcome = SendOutcome.NOT_SENT
-        scope = trio.CancelScope(deadline=give.until_ms / 1000)
+        scope = trio.CancelScope(deadline=command.until_ms / 1000)
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._renew, served, scope)
             with scope:
-                async with self._slot(served.upstream, give.order):
+                async with self._slot(served.upstream, command.order):
                     outcome = SendOutcome.UNKNOWN
-                    outcome = await self._send(served.upstream.upstream_id, give)
+                    outcome = await self._send(served.upstream.upstream_id, command)
             nursery.cancel_scope.cancel()
         if outcome is SendOutcome.REJECTED:
-            served.record_refusal(give.order, now_ms())
+            served.record_refusal(command.order, now_ms())
         served.holder.on_order_sent(outcome, now_ms())
         self._update_loading(served)
 
@@ -251,7 +251,7 @@
             else:
                 await self._read(served)
 
-    async def _send(self, upstream_id: str, give: SendOrder) -> SendOutcome:
+    async def _send(self, upstream_id: str, command: SendOrder) -> SendOutcome:
         """Send an order to the upstream at its address in the current view.
 
         The order may have waited long for its slot; if the upstream has gone meanwhile, its address
@@ -260,9 +260,9 @@
         upstream = self._view.upstreams.get(upstream_id)
         if upstream is None:
             return SendOutcome.NOT_SENT
-        order = give.order
+        order = command.order
         message = EngineOrder(
-            give.fencing, order.kind.value, order.model, order.version, order.adapter, order.role
+            command.fencing, order.kind.value, order.model, order.version, order.adapter, order.role
         )
         result: Result[None, Fault] = await self._control.order(
             upstream, message, self._settings.orders.longest_order_ms
@@ -275,7 +275,7 @@
         log_event(
             "order_given",
             upstream_id=upstream.upstream_id,
-            fencing=give.fencing,
+            fencing=command.fencing,
             order=order.kind.value,
             model=order.model,
             version=order.version,
--- a/src/fescuedock/agent/permit_service.py
+++ b/src/fescuedock/agent/permit_service.py
@@ -174,7 +174,7 @@
         owned = {
             upstream_id: OwnedUpstream(upstream.service, self._terms(upstream))
             for upstream_id, upstream in self._view.upstreams.items()
-            if self._is_ours(upstream_id)
+            if self._is_owned_here(upstream_id)
         }
         self._perform(self._owner.set_upstreams(owned, counts, now_ms()))
         self._wake.set()
@@ -185,7 +185,7 @@
             return msgspec.structs.replace(terms, admitting=False)
         return terms
 
-    def _is_ours(self, upstream_id: str) -> bool:
+    def _is_owned_here(self, upstream_id: str) -> bool:
         owner = self._view.owner_of(upstream_id)
         return owner is not None and owner.vm_id == self._settings.vm.vm_id
 
--- a/src/fescuedock/core/routing.py
+++ b/src/fescuedock/core/routing.py
@@ -223,7 +223,7 @@
     the upstreams are not accepting, the evidence against them is doubted and they are used too.
     """
     accepting = [item for item in choices if item.accepting]
-    doubted = len(accepting) < (1.0 - policy.max_out_share) * len(choices)
+    is_evidence_doubtful = len(accepting) < (1.0 - policy.max_out_share) * len(choices)
     reachable = [item for item in accepting if not item.owner_silent]
     requests = [PlannedRequest(item.upstream_id) for item in reachable if item.has_room][
         : policy.max_unqueued_requests
@@ -237,7 +237,7 @@
             PlannedRequest(item.upstream_id, queue_ms)
             for item in (reachable or accepting)[: policy.max_queues]
         ]
-    if doubted:
+    if is_evidence_doubtful:
         requests += [
             PlannedRequest(item.upstream_id, local=True) for item in choices if not item.accepting
         ]
--- a/tests/builders/harmful_parts.py
+++ b/tests/builders/harmful_parts.py
@@ -43,12 +43,12 @@
     sent_s: float
     took_s: float
     status: int
-    whole: bool
+    complete: bool
     refused_as_harmful: bool
 
     @property
     def in_time(self) -> bool:
-        return self.status == 200 and self.whole and self.took_s <= 1.0
+        return self.status == 200 and self.complete and self.took_s <= 1.0
 
 
 @dataclass(slots=True)
@@ -105,7 +105,7 @@
         answer = await self._call("sound", number, self.parts_of_sound(number))
         took_s = trio.current_time() - sent_s
         refused = b"WORK_HARMFUL" in answer.body
-        self.sound.append(SoundCall(sent_s, took_s, answer.status, answer.whole, refused))
+        self.sound.append(SoundCall(sent_s, took_s, answer.status, answer.complete, refused))
 
     async def _call(self, kind: str, number: int, parts: list[str]) -> object:
         node = self.rng.choice(self.fleet.nodes)
--- a/tests/builders/node.py
+++ b/tests/builders/node.py
@@ -73,12 +73,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A complete answer, or the received part of one that was cut off; ``whole`` tells which."""
+    """A complete answer, or the received part of one that was cut off; ``complete`` tells which."""
 
     status: int
     headers: Mapping[str, str]
     body: bytes
-    whole: bool = True
+    complete: bool = True
 
     def json(self) -> dict:
         return json.loads(self.body)
@@ -258,7 +258,7 @@
         async for part in response.chunks():
             parts.append(part)
     except Exception:
-        return Answer(response.status, response.headers, b"".join(parts), whole=False)
+        return Answer(response.status, response.headers, b"".join(parts), complete=False)
     return Answer(response.status, response.headers, b"".join(parts))
 
 
--- a/tests/test_forwarding_core.py
+++ b/tests/test_forwarding_core.py
@@ -49,7 +49,7 @@
         self.assertAlmostEqual(drawn.count("a") / 2000, 0.9, delta=0.03)
         self.assertFalse(split.allows("c"))
 
-    def test_only_what_may_run_twice_is_idempotent(self) -> None:
+    def test_only_requests_that_may_run_twice_are_idempotent(self) -> None:
         kinds = {
             (RouteKind.SAFE, False): True,
             (RouteKind.UNSAFE, False): False,
--- a/tests/test_item_permit_requests.py
+++ b/tests/test_item_permit_requests.py
@@ -32,12 +32,12 @@
         self.loads: dict = {}
         self.requests: list[PermitAsk] = []
 
-    async def request(self, ask: PermitAsk, _timeout_ms: float) -> Err[Fault]:
-        self.requests.append(ask)
+    async def request(self, request: PermitAsk, _timeout_ms: float) -> Err[Fault]:
+        self.requests.append(request)
         return Err(Fault(ResultCode.NO_CAPACITY, "full", 5000))
 
 
-class ItemAskerTest(unittest.TestCase):
+class ItemPermitRequestTest(unittest.TestCase):
     def requests_for(self, *jobs: StoredJob) -> list[PermitAsk]:
         """Return the permit requests sent to an upstream while items of ``jobs`` wait."""
         pool = ItemPool(lambda: jobs, lambda _record, _service: True)
@@ -72,15 +72,16 @@
         for at_ms in (-9000.0, -8000.0, -7000.0):
             run.start(at_ms)
             job.finish(run, ItemEnd.INTERRUPTED, "u1", 3, at_ms)
-        [ask] = self.requests_for(job)
-        self.assertEqual(ask.barren_runs, 3)
+        [request] = self.requests_for(job)
+        self.assertEqual(request.barren_runs, 3)
 
     def test_an_overdue_item_is_requested_along_with_items_that_can_be_on_time(self) -> None:
         """Guards against late items for which no owner ever received a request."""
         jobs = [self.job(f"fresh-{number}", 60_000.0) for number in range(9)]
         requests = self.requests_for(*jobs, self.job("late", -9000.0))
         self.assertEqual(
-            sorted(ask.stage for ask in requests), sorted((BatchStage.FRESH, BatchStage.LATE))
+            sorted(request.stage for request in requests),
+            sorted((BatchStage.FRESH, BatchStage.LATE)),
         )
 
     def test_a_renewal_reports_the_runs_without_output(self) -> None:
--- a/tests/test_node_harmful_calls.py
+++ b/tests/test_node_harmful_calls.py
@@ -93,7 +93,7 @@
                 await trio.sleep(PAUSE_S)
             self.assertLessEqual(crash_count(fleet), MAX_CRASHES)
             answer = await fleet.call(fleet.nodes[0].front, "POST", "/rights/other", b"case")
-            self.assertEqual((answer.status, answer.whole), (200, True))
+            self.assertEqual((answer.status, answer.complete), (200, True))
 
         self.run_fleet(test, nodes=3, upstreams=4)
 
@@ -164,7 +164,7 @@
                     nursery.start_soon(fleet.call, first.front, "POST", path, b"other")
                 await trio.sleep(0.05)
                 answer = await fleet.call(second.front, "POST", "/rights/innocent", b"case")
-            self.assertEqual((answer.status, answer.whole), (200, True))
+            self.assertEqual((answer.status, answer.complete), (200, True))
             # A completed run clears it for good.
             with trio.fail_after(3):
                 await wait_until(lambda: any(news.cleared for news in stored_crash_news(fleet)))
@@ -199,11 +199,11 @@
                 for upstream in fleet.upstreams:
                     upstream.faults = [UpstreamFault(cut_after=1)]
                 answer = await fleet.call(node.front, "POST", "/rights/1", b"case")
-                self.assertFalse(answer.whole)
+                self.assertFalse(answer.complete)
             for upstream in fleet.upstreams:
                 upstream.faults.clear()
             answer = await fleet.call(node.front, "POST", "/rights/1", b"case")
-            self.assertEqual((answer.status, answer.whole), (200, True))
+            self.assertEqual((answer.status, answer.complete), (200, True))
             self.assertEqual(stored_crash_news(fleet), [])
 
         self.run_fleet(test)
--- a/tests/test_node_harmful_parts.py
+++ b/tests/test_node_harmful_parts.py
@@ -125,7 +125,7 @@
     def test_it_is_found_where_answers_stop_in_their_first_event(self) -> None:
         self.assert_bounded(self.play(form=CrashForm.HALF_AN_EVENT))
 
-    def test_it_is_found_where_answers_look_whole_before_the_crash(self) -> None:
+    def test_it_is_found_where_answers_look_complete_before_the_crash(self) -> None:
         self.assert_bounded(self.play(form=CrashForm.WHOLE_EVENT, unframed=True))
 
     def test_it_is_found_where_upstreams_end_after_answers_that_look_complete(self) -> None:
@@ -204,7 +204,7 @@
                     self.assertEqual(answer.status, 502)
                     upstream.event_count = 3
                     answer = await fleet.call(front, "POST", "/rights/2", b"case")
-                    self.assertEqual((answer.status, answer.whole), (200, True))
+                    self.assertEqual((answer.status, answer.complete), (200, True))
 
         run_async(test)
 
--- a/tests/test_node_online.py
+++ b/tests/test_node_online.py
@@ -52,7 +52,7 @@
                 upstream.faults.append(UpstreamFault(cut_after=3))
             answer = await fleet.call(fleet.nodes[0].front, "POST", "/check/7", b"case")
             # Both upstreams cut off their first run, and the route allows only two runs.
-            self.assertFalse(answer.whole)
+            self.assertFalse(answer.complete)
             for upstream in fleet.upstreams:
                 upstream.faults.clear()
             fleet.upstreams[0].faults.append(UpstreamFault(cut_after=3))
@@ -60,7 +60,7 @@
             for _ in range(4):
                 answer = await fleet.call(fleet.nodes[0].front, "POST", "/check/8", b"case")
                 self.assertEqual(answer.body, full_stream("/check/8", b"case"))
-                self.assertTrue(answer.whole)
+                self.assertTrue(answer.complete)
 
         self.run_fleet(test)
 
@@ -102,7 +102,7 @@
                 upstream.faults.append(UpstreamFault(cut_after=2))
             headers = {"X-Request-Id": "r-once"}
             answer = await fleet.call(fleet.nodes[0].front, "POST", "/rights/1", b"case", headers)
-            self.assertFalse(answer.whole)
+            self.assertFalse(answer.complete)
             self.assertEqual(fleet.upstream_runs("r-once"), 1)
 
         self.run_fleet(test)
@@ -135,7 +135,7 @@
                 upstream.faults.append(UpstreamFault(reject=1))
             headers = {"X-Request-Id": "r-rejected"}
             answer = await fleet.call(fleet.nodes[0].front, "POST", "/rights/1", b"case", headers)
-            self.assertEqual((answer.status, answer.whole), (200, True))
+            self.assertEqual((answer.status, answer.complete), (200, True))
             self.assertEqual(fleet.upstream_runs("r-rejected"), 1)
 
         self.run_fleet(test)
@@ -190,7 +190,7 @@
             headers = {"X-Request-Id": "r-long"}
             target = "/safe/" + "x" * 5000
             answer = await fleet.call(fleet.nodes[0].front, "GET", target, headers=headers)
-            self.assertEqual((answer.status, answer.whole), (200, False))
+            self.assertEqual((answer.status, answer.complete), (200, False))
             self.assertEqual(fleet.upstream_runs("r-long"), 1)
 
         self.run_fleet(test)
@@ -273,7 +273,7 @@
                 upstream.faults.append(UpstreamFault(hang_after=0))
             began = trio.current_time()
             answer = await fleet.call(fleet.nodes[0].front, "POST", "/rights/1", b"case")
-            self.assertTrue(answer.status == 504 or not answer.whole)
+            self.assertTrue(answer.status == 504 or not answer.complete)
             self.assertLess(trio.current_time() - began, 0.7)
 
         self.run_fleet(test)
@@ -367,7 +367,7 @@
                 nursery.start_soon(call)
                 with trio.fail_after(2):
                     await self.wait_unnamed(fleet, staying, leaving)
-            self.assertEqual([(item.status, item.whole) for item in answers], [(200, True)] * 2)
+            self.assertEqual([(item.status, item.complete) for item in answers], [(200, True)] * 2)
             await leaving.ended.wait()
 
         # On a busy machine one check of the readiness takes longer than the 150 ms of other tests.
--- a/tests/test_node_slow_readers.py
+++ b/tests/test_node_slow_readers.py
@@ -65,7 +65,7 @@
                 await wait_until(lambda: sum(upstream.runs.values()) == SLOTS)
                 headers = {"x-deadline-ms": "1500"}
                 answer = await fleet.call(fleet.nodes[0].front, "POST", "/rights/1", b"", headers)
-                self.assertEqual((answer.status, answer.whole), (200, True))
+                self.assertEqual((answer.status, answer.complete), (200, True))
                 for client in clients:
                     data, whole = await client.read_to_end(CHUNKED_END)
                     self.assertTrue(whole)
@@ -134,7 +134,7 @@
                 self.assertLessEqual(status["held_bytes"], BOUND_BYTES)
                 answer = await fleet.call(front, "GET", target)
                 self.assertEqual((answer.status, answer.body), (200, body))
-                self.assertTrue(answer.whole)
+                self.assertTrue(answer.complete)
 
         port = free_ports(1)[0]
         self.run_fleet(test, held_process_bytes=BOUND_BYTES, metrics_port=port)
--- a/tests/test_node_spools.py
+++ b/tests/test_node_spools.py
@@ -71,7 +71,7 @@
 
         self.run_fleet(test)
 
-    def test_an_outage_that_nobody_has_noticed_costs_less_than_the_target(self) -> None:
+    def test_an_undetected_outage_costs_less_than_the_target(self) -> None:
         async def test(fleet: NodeFleet, _spools: Spools) -> None:
             fleet.store.faults.silent = True
             began = trio.current_time()
--- a/tests/test_online_requests.py
+++ b/tests/test_online_requests.py
@@ -433,7 +433,7 @@
         self.assertEqual(engine.stats.admitted, 2)
 
     @with_fleet()
-    async def test_a_leaving_upstream_gets_nothing_new_and_finishes_what_runs(
+    async def test_a_leaving_upstream_gets_no_new_calls_and_finishes_running_ones(
         self, fleet: OnlineFleet
     ) -> None:
         wanted = chat_body(max_tokens=200)
--- a/tests/test_overtaken_sends.py
+++ b/tests/test_overtaken_sends.py
@@ -150,7 +150,7 @@
 
             with during_connect([item.address for item in fleet.upstreams], outlast_permit):
                 answer = await fleet.call(node.front, "POST", "/rights/1", b"case")
-            self.assertEqual((answer.status, answer.whole), (200, True))
+            self.assertEqual((answer.status, answer.complete), (200, True))
             self.assertEqual(sum(item.runs.total() for item in fleet.upstreams), 1)
 
         with long_permit_timeout():
@@ -174,7 +174,7 @@
 
             with during_connect([item.address for item in fleet.upstreams], leave):
                 answer = await fleet.call(node.front, "POST", "/check/1", b"case")
-            self.assertEqual((answer.status, answer.whole), (200, True))
+            self.assertEqual((answer.status, answer.complete), (200, True))
             [left] = leaving
             self.assertEqual(left.runs.total(), 0)
 
--- a/tests/test_permits_revoked.py
+++ b/tests/test_permits_revoked.py
@@ -82,7 +82,7 @@
         actions = self.queue.submit(ask_for(), 2.0)
         self.assertEqual(self.revoked(actions), [other.attempt_id])
 
-    def test_no_more_than_a_quarter_of_the_slots_is_kept_from_calls(self) -> None:
+    def test_no_more_than_a_quarter_of_the_slots_is_withheld_from_calls(self) -> None:
         self.queue.submit(ask_for(WorkClass.BATCH, barren_runs=PROTECTED_BARREN_RUNS), 0.0)
         self.assertEqual(self.queue.load(1.0).in_flight_online, 1)
         calls = [ask_for() for _ in range(SLOTS)]
--- a/tests/test_session_platform.py
+++ b/tests/test_session_platform.py
@@ -40,7 +40,7 @@
                 "response": {
                     "status": answer.status,
                     "headers": shown,
-                    "whole": answer.whole,
+                    "whole": answer.complete,
                     "body": answer.body.decode(),
                 },
             }
--- a/tests/test_stored_jobs_core.py
+++ b/tests/test_stored_jobs_core.py
@@ -118,7 +118,7 @@
         self.assertEqual(job.give_up(60_000.0), 1)
         self.assertFalse(job.next_group(1000)[0].completed)
 
-    def test_a_group_holds_at_least_one_result_and_what_fits(self) -> None:
+    def test_a_group_holds_at_least_one_result_and_as_many_as_fit(self) -> None:
         job = stored_job("a", "b", "c")
         for _ in range(3):
             run = start_next(job, "i-1", 0.0)
@@ -237,7 +237,7 @@
     def test_an_owner_runs_its_jobs(self) -> None:
         self.assertIs(self.duty(owner_id="n-1", owner_boot=5), Duty.RUN)
 
-    def test_a_restarted_node_claims_what_it_owned(self) -> None:
+    def test_a_restarted_node_claims_the_jobs_it_owned(self) -> None:
         self.assertIs(self.duty(owner_id="n-1", owner_boot=4), Duty.CLAIM)
 
     def test_jobs_of_another_node_are_left_to_it_until_it_is_gone(self) -> None:
@@ -263,7 +263,7 @@
 
 
 class JobCacheTest(unittest.TestCase):
-    def test_an_ended_job_is_complete_with_what_was_listed_and_not_before(self) -> None:
+    def test_an_ended_job_is_complete_with_the_listed_results_and_not_before(self) -> None:
         cache = JobCache(1000)
         job = cache.open(job_record(total=3))
         self.assertFalse(job.is_complete)
--- a/tests/test_stream_take_up.py
+++ b/tests/test_stream_take_up.py
@@ -72,10 +72,12 @@
                 body += part
                 if len(event_numbers(body)) == 2:
                     break
-        return Answer(200, response.headers, body, whole=False)
+        return Answer(200, response.headers, body, complete=False)
 
     def check_complete(self, resumed: ResumedStream) -> None:
-        self.assertEqual((resumed.second.status, resumed.second.whole), (200, True), resumed.second)
+        self.assertEqual(
+            (resumed.second.status, resumed.second.complete), (200, True), resumed.second
+        )
         self.assertEqual(resumed.numbers, list(range(5)))
         self.assertEqual(len(resumed.versions), 1)
 
--- a/tests/test_stream_versions.py
+++ b/tests/test_stream_versions.py
@@ -33,7 +33,7 @@
                 broken += not chosen.faults
                 chosen.faults = []
                 self.assertEqual(len(versions_of(answer.body)), 1, answer.body)
-                self.assertTrue(answer.whole)
+                self.assertTrue(answer.complete)
                 self.assertEqual(event_numbers(answer.body), list(range(5)))
             self.assertGreater(broken, 0)
 
@@ -63,13 +63,13 @@
             for upstream in fleet.upstreams:
                 upstream.event_interval_ms = 1
             for number, first in firsts:
-                self.assertFalse(first.whole)
+                self.assertFalse(first.complete)
                 target, name = f"/check/{number}", f"first-{number}"
                 other = fleet.nodes[1 + number % 3].front
                 resumed.append(await resume_stream(fleet, other, target, b"case", first, name))
             for stream in resumed:
                 self.assertEqual(len(stream.versions), 1, stream.second.body)
-                self.assertEqual((stream.second.status, stream.second.whole), (200, True))
+                self.assertEqual((stream.second.status, stream.second.complete), (200, True))
                 self.assertEqual(stream.numbers, list(range(5)))
 
         self.run_fleet(test, nodes=4)
--- a/tests/test_suspended_machine.py
+++ b/tests/test_suspended_machine.py
@@ -89,7 +89,7 @@
         self.run_suspended(steps)
         self.assertLess(errors_s[0], 2.0)
 
-    def test_what_was_due_meanwhile_happens_soon(self) -> None:
+    def test_actions_that_became_due_meanwhile_run_soon(self) -> None:
         late_s: list[float] = []
 
         async def steps(machine: SuspendedMachine) -> None:
