--- a/src/fescuedock/core/batch/items.py
+++ b/src/fescuedock/core/batch/items.py
@@ -67,7 +67,7 @@
 class Isolation(StrEnum):
     """Which items of the same runner may run concurrently with an item on its upstream.
 
-    ``FROM_SUSPECTS`` admits items without suspicion, ``FULL`` none.
+    ``FROM_SUSPECTS`` admits only items without suspicion, ``FULL`` none.
     """
 
     NONE = auto()
--- a/src/fescuedock/core/forwarding/progress.py
+++ b/src/fescuedock/core/forwarding/progress.py
@@ -108,7 +108,7 @@
     def may_retry(self) -> bool:
         """Whether another attempt may be made."""
         if self.answer_started:
-            # No other run can continue the answer; it would occupy an upstream in vain.
+            # No other run can continue the answer; it would occupy an upstream without effect.
             return False
         if not self.may_have_run:
             return True
--- a/src/fescuedock/core/health.py
+++ b/src/fescuedock/core/health.py
@@ -136,7 +136,7 @@
     def _observe_trial(self, record: _Record, outcome: AttemptOutcome, now_ms: float) -> None:
         """Record the outcome of a trial; a fault doubles the wait before the next one."""
         if record.trial_ends_ms is None:
-            # The attempt started before the upstream was taken out, so it is not a trial.
+            # The attempt started while the upstream was in service, so it is not a trial.
             return
         record.trial_ends_ms = None
         if outcome is AttemptOutcome.COMPLETED:
--- a/src/fescuedock/core/permits/fair_order.py
+++ b/src/fescuedock/core/permits/fair_order.py
@@ -18,7 +18,7 @@
 
 __all__ = ["FairOrder", "excess_use"]
 
-# One in this many grants goes to work that has been kept waiting by a more urgent priority.
+# One in this many grants goes to work that waits behind a more urgent priority.
 _OVERDUE_GRANT_INTERVAL = 8
 # One in this many grants goes to work that is retried after a refusal, before otherwise equal work.
 _RETRIED_GRANT_INTERVAL = 2
--- a/src/fescuedock/core/permits/holder.py
+++ b/src/fescuedock/core/permits/holder.py
@@ -28,8 +28,8 @@
     lapsed_by_ms: float = 0.0
     # Identities of the prompt parts that this work may share with others.
     parts: tuple[str, ...] = ()
-    # The response has neither a length nor chunks, so its end cannot be told from the end of the
-    # upstream.
+    # The response has neither a length nor chunks, so its end cannot be distinguished from the end
+    # of the upstream.
     unframed: bool = False
 
     @property
@@ -79,7 +79,7 @@
 
     Its owner counts from the grant, which happened before the answer arrived and no later than the
     request may wait.  Counting from the sending, a permit that was queued for its whole validity
-    would never be used; counting from the answer alone, a permit whose answer was not read for long
+    would never be used; counting only from the answer, a permit whose answer was not read for long
     would be used after its expiry.
     """
     return min(arrived_ms, sent_ms + wait_ms) + valid_ms
--- a/src/fescuedock/core/permits/refusals.py
+++ b/src/fescuedock/core/permits/refusals.py
@@ -12,7 +12,7 @@
 # Callers retry within seconds, or not at all.
 _REFUSAL_MEMORY_MS = 5000.0
 _MAX_REMEMBERED_REFUSALS = 512
-# Callers told to wait for longer than they wait for an answer do not retry.
+# Callers do not retry if the retry time exceeds the time they wait for an answer.
 _MAX_RETRY_DELAY_MS = 2500.0
 # The fractional part of the golden ratio spreads any number of phases nearly evenly.
 _PHASE_STEP = 0.618
--- a/src/fescuedock/core/permits/terms.py
+++ b/src/fescuedock/core/permits/terms.py
@@ -16,7 +16,7 @@
     # 0 lets the learned limit apply.
     max_in_flight: int = 0
     # Number of requests that the upstream declares it runs at once, or 0.  The number is exact, so
-    # no limit is learned and no headroom kept: batch fills the slots that online leaves and is
+    # no limit is learned and no headroom reserved: batch fills the slots that online leaves and is
     # revoked in the same step.  Headroom and learned limits left 13 of 48 slots idle between bursts
     # while batch waited.
     slots: int = 0
--- a/src/fescuedock/core/send_gate.py
+++ b/src/fescuedock/core/send_gate.py
@@ -25,17 +25,17 @@
     REPLACED = "the upstream has another software version"
     LEAVING = "the upstream is leaving"
     REVOKED = "its permit was revoked"
-    LAPSED = "its permit has lapsed"
+    LAPSED = "its permit has expired"
     LATE = "its deadline has passed"
-    HARMFUL = "upstreams have ended under this work"
-    NOT_ISOLATED = "this work may only run alone"
-    KEY_GONE = "its caller's API key does not hold any more"
+    HARMFUL = "upstreams have crashed while running this work"
+    NOT_ISOLATED = "this work may only run in isolation"
+    KEY_GONE = "its caller's API key is no longer valid"
 
 
 class PermitStatus(msgspec.Struct, frozen=True):
     """The state of a permit; ``valid_until_ms`` is infinite for one that no owner granted.
 
-    ``isolated``: its owner lets nothing else run at the upstream.
+    ``isolated``: its owner admits no concurrent runs at the upstream.
     """
 
     revoked: bool
--- a/src/fescuedock/core/stored_jobs/job.py
+++ b/src/fescuedock/core/stored_jobs/job.py
@@ -40,7 +40,7 @@
 
     ``interrupted_ms`` is the pause after an interrupted run, which does not count against the item:
     one round trip and one step of an engine.  Each further interrupted run in a row without an
-    event doubles it, up to ``max_interrupted_ms``: with the short pause alone, three items whose
+    event doubles it, up to ``max_interrupted_ms``: with only the short pause, three items whose
     upstreams all refused connections caused 75 runs a second.
     """
 
--- a/src/fescuedock/core/stored_jobs/spools.py
+++ b/src/fescuedock/core/stored_jobs/spools.py
@@ -18,7 +18,7 @@
 
 
 def choose_spools(job_id: str, spools: Iterable[NodeRecord]) -> list[NodeRecord]:
-    """Return the spools in the order in which they are asked to store a job.
+    """Return the spools in the order in which they are requested to store a job.
 
     The order for a job is the same at every node, so that a resubmitted job goes to the same
     spools.  The first spool of each failure domain precedes all further spools of any domain.
--- a/src/fescuedock/core/stored_jobs/work_gate.py
+++ b/src/fescuedock/core/stored_jobs/work_gate.py
@@ -59,7 +59,8 @@
 
         While the store answers no node, no end is acknowledged either, so work continues: stopping
         would delay all jobs by the length of the outage.  Neighbours must confirm that the store
-        answers no node, as a node that receives no answer from them may be partitioned alone.
+        answers no node, as a node that receives no answer from them may be
+        the only one that is partitioned.
         """
         if self.age_ms <= max_age_ms:
             return True
--- a/src/fescuedock/entry/multipart.py
+++ b/src/fescuedock/entry/multipart.py
@@ -1,4 +1,4 @@
-"""Parses ``multipart/form-data`` incrementally, without buffering whole parts."""
+"""Parses ``multipart/form-data`` incrementally, without buffering complete parts."""
 
 import logging
 
--- a/src/fescuedock/node/job_store.py
+++ b/src/fescuedock/node/job_store.py
@@ -231,7 +231,8 @@
     ) -> Result[VersionedRecord, Fault]:
         """Try once to replace a job's record; after ``KV_UNKNOWN`` the outcome is open.
 
-        ``progress`` lets the next owner continue started items; as much as fits one value is kept.
+        ``progress`` lets the next owner continue started items; as much as fits one value
+        is stored.
         """
         extra_writes = {}
         if progress:
--- a/src/fescuedock/node/owner_reads.py
+++ b/src/fescuedock/node/owner_reads.py
@@ -35,8 +35,8 @@
     """Reads results from owners, and answers such reads of other nodes.
 
     ``address_of`` returns the address of a live node.  ``listed_count`` returns how many results
-    of a job are listed if this node runs the job, else None.  The cache alone cannot tell, since
-    it evicts jobs when it is full.
+    of a job are listed if this node runs the job, else None.  The cache alone does not show that,
+    since it evicts jobs when it is full.
 
     Without it each read that finds nothing new is a call of the store, which is billed: 349 of 800
     calls on a day with little load.
--- a/tests/builders/agents.py
+++ b/tests/builders/agents.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class RunningAgent:
-    """One agent; ``settings`` have the port that it was given."""
+    """One agent; ``settings`` name the port assigned to it."""
 
     settings: Settings
     address: Address
--- a/tests/builders/connecting.py
+++ b/tests/builders/connecting.py
@@ -1,4 +1,4 @@
-"""What happens while a client connects to an upstream: news, or nothing at all for a while."""
+"""Runs a step, or blocks the process, while a client connects to an upstream."""
 
 import time
 from collections.abc import Awaitable, Callable, Iterator
@@ -15,10 +15,10 @@
 def during_connect(
     addresses: list[Address], happens: Callable[[Address], Awaitable[None]]
 ) -> Iterator[list[Address]]:
-    """Let ``happens`` follow the first new connection to one of ``addresses`` in this process.
+    """Run ``happens`` after the first new connection to one of ``addresses`` in this process.
 
-    The request is written by the step of the task that ``happens`` ends in.  The address that was
-    connected to is in the list given.
+    The request is written in the same step of the task in which ``happens`` ends.  The yielded list
+    contains the address of the connection.
     """
     connect = HttpClient._connect
     connected: list[Address] = []
@@ -39,5 +39,5 @@
 
 
 def block_process(duration_s: float) -> None:
-    """Let nothing of this process run, as when it is paused or swapped out."""
+    """Block the entire process, as when it is paused or swapped out."""
     time.sleep(duration_s)
--- a/tests/builders/partition.py
+++ b/tests/builders/partition.py
@@ -127,7 +127,7 @@
     processes: list[trio.Process] = field(default_factory=list)
 
     async def open_process(self, number: int) -> trio.Process:
-        """Start a node from its settings file; its log goes on in the same file."""
+        """Start a node from its settings file; its log continues in the same file."""
         file = self.folder / f"node-{number}.ini"
         command = [sys.executable, "-m", "tests.builders.partitioned_node"]
         async with await trio.open_file(file.with_suffix(".log"), "ab") as log:
--- a/tests/builders/permit_harness.py
+++ b/tests/builders/permit_harness.py
@@ -57,7 +57,7 @@
         return len(self.owners) - 1
 
     def retire(self, number: int) -> None:
-        """Tell an owner that it no longer owns the upstream."""
+        """Notify an owner that it no longer owns the upstream."""
         self.perform(self.owners[number].set_upstreams({}, {SERVICE: 0}, self.now_ms))
         self.retired.add(number)
 
--- a/tests/builders/quota_fleet.py
+++ b/tests/builders/quota_fleet.py
@@ -40,7 +40,7 @@
 
 
 def _needed_contacts(fleet_size: int) -> int:
-    """Return from how many other nodes a node must hear to judge which ones are lost."""
+    """Return how many other nodes a node must be in contact with to judge which are lost."""
     return max(min(_CONTACTS, fleet_size // _CONTACTS_OF_FLEET), min(fleet_size - 1, 1))
 
 
--- a/tests/builders/slow_readers.py
+++ b/tests/builders/slow_readers.py
@@ -45,7 +45,7 @@
 
 @dataclass(slots=True)
 class SlowClient:
-    """One connection that reads only when it is told to."""
+    """One connection that reads only on request."""
 
     stream: trio.SocketStream
 
--- a/tests/test_item_permit_requests.py
+++ b/tests/test_item_permit_requests.py
@@ -1,4 +1,4 @@
-"""What a node's permit requests report to owners about the items they are for."""
+"""Contents of a node's permit requests: what they report to owners about their items."""
 
 import random
 import unittest
--- a/tests/test_items_passed_over.py
+++ b/tests/test_items_passed_over.py
@@ -1,4 +1,4 @@
-"""Items of late jobs beside an endless load of calls and younger jobs, in virtual time.
+"""Items of late jobs under an endless load of calls and more recent jobs, in virtual time.
 
 All decisions are made by the production code: search for permits, owners, permit requests of nodes,
 and choice of items.
--- a/tests/test_permits_isolated.py
+++ b/tests/test_permits_isolated.py
@@ -1,4 +1,4 @@
-"""Permits for isolated runs: the upstream is emptied first, and nothing else starts meanwhile."""
+"""Permits for isolated runs: the upstream is drained first, and no other run starts meanwhile."""
 
 import unittest
 
--- a/tests/test_permits_revoked.py
+++ b/tests/test_permits_revoked.py
@@ -24,7 +24,7 @@
 
 
 class PeakTest(unittest.TestCase):
-    """After a peak of online calls their slots are kept from batch for a moment."""
+    """After a peak of online calls their slots are withheld from batch for a moment."""
 
     def test_a_peak_that_is_over_cuts_off_no_run_while_slots_are_free(self) -> None:
         """Guards against runs that were cut off although no call needed their slots."""
--- a/tests/test_suspended_machine.py
+++ b/tests/test_suspended_machine.py
@@ -1,4 +1,4 @@
-"""A machine that is suspended for seconds and goes on: nothing from before passes for young."""
+"""A machine that is suspended for seconds: no earlier state counts as recent afterwards."""
 
 import tempfile
 import time
@@ -43,10 +43,10 @@
 
 
 class SuspendedMachineTest(unittest.TestCase):
-    """The steady clock of the kernel stands still while a machine is suspended.
+    """The monotonic clock of the kernel does not advance while a machine is suspended.
 
-    Whatever was judged by age read too young afterwards: a permit that its owner had given to other
-    work by then was still used, as were records, leases and deadlines from before.
+    Ages were too low afterwards: a permit was still used although its owner had granted its
+    capacity to other work by then, and so were earlier records, leases and deadlines.
     """
 
     def run_suspended(self, steps: Callable) -> None:
