--- a/tests/builders/connecting.py
+++ b/tests/builders/connecting.py
@@ -1,4 +1,4 @@
-"""What happens while a client connects to an upstream: news, or nothing at all for a while."""
+"""Runs a step, or blocks the process, while a client connects to an upstream."""
 
 import time
 from collections.abc import Awaitable, Callable, Iterator
@@ -8,17 +8,17 @@
 from fescuedock.address import Address
 from fescuedock.net.http_client import HttpClient, _ClientConnection
 
-__all__ = ["meanwhile", "stand_still"]
+__all__ = ["during_connect", "block_process"]
 
 
 @contextmanager
-def meanwhile(
+def during_connect(
     addresses: list[Address], happens: Callable[[Address], Awaitable[None]]
 ) -> Iterator[list[Address]]:
-    """Let ``happens`` follow the first new connection to one of ``addresses`` in this process.
+    """Run ``happens`` after the first new connection to one of ``addresses`` in this process.
 
-    The request is written by the step of the task that ``happens`` ends in.  The address that was
-    connected to is in the list given.
+    The request is written in the same step of the task in which ``happens`` ends.  The yielded list
+    contains the address of the connection.
     """
     connect = HttpClient._connect
     connected: list[Address] = []
@@ -38,6 +38,6 @@
         yield connected
 
 
-def stand_still(duration_s: float) -> None:
-    """Let nothing of this process run, as when it is paused or swapped out."""
+def block_process(duration_s: float) -> None:
+    """Block the entire process, as when it is paused or swapped out."""
     time.sleep(duration_s)
--- a/tests/test_permits_revoked.py
+++ b/tests/test_permits_revoked.py
@@ -24,7 +24,7 @@
 
 
 class PeakTest(unittest.TestCase):
-    """After a peak of online calls their slots are kept from batch for a moment."""
+    """After a peak of online calls their slots are withheld from batch for a moment."""
 
     def test_a_peak_that_is_over_cuts_off_no_run_while_slots_are_free(self) -> None:
         """Guards against runs that were cut off although no call needed their slots."""
@@ -82,7 +82,7 @@
         actions = self.queue.submit(ask_for(), 2.0)
         self.assertEqual(self.revoked(actions), [other.attempt_id])
 
-    def test_no_more_than_a_quarter_of_the_slots_is_kept_from_calls(self) -> None:
+    def test_no_more_than_a_quarter_of_the_slots_is_withheld_from_calls(self) -> None:
         self.queue.submit(ask_for(WorkClass.BATCH, barren_runs=PROTECTED_BARREN_RUNS), 0.0)
         self.assertEqual(self.queue.load(1.0).in_flight_online, 1)
         calls = [ask_for() for _ in range(SLOTS)]
